--- a/src/pewtertack/cli/lab_virtual_time.py
+++ b/src/pewtertack/cli/lab_virtual_time.py
@@ -9,7 +9,7 @@
 import msgspec
 import typer
 
-from pewtertack.core.policies import Margin, Policies
+from pewtertack.core.policies import Policies, WaitMarginPolicy
 
 
 def crashes(
@@ -64,8 +64,8 @@
         typer.Option(min=0, max=1, help="Requests that take seven times as long, returning only."),
     ] = 0,
     margin: Annotated[
-        Margin, typer.Option(help="Until when requests may wait, returning only.")
-    ] = Margin.SPREAD,
+        WaitMarginPolicy, typer.Option(help="Until when requests may wait, returning only.")
+    ] = WaitMarginPolicy.SPREAD,
 ) -> None:
     """Simulate an overload against round robin with fixed retries, and print it as JSON."""
     from pewtertack.lab.overload.returning import ReturningShape, simulate_returning
--- a/src/pewtertack/cli/rollout.py
+++ b/src/pewtertack/cli/rollout.py
@@ -186,11 +186,11 @@
 
 def _shown(revision: int) -> str:
     """Return a revision as operators know it: of a store's the version, and its moment if any."""
-    from pewtertack.core.eras import VERSION_STEP, tree_parts
+    from pewtertack.core.eras import TREE_NUMBERS_PER_VERSION, split_tree_number
 
-    if revision < VERSION_STEP:
+    if revision < TREE_NUMBERS_PER_VERSION:
         return str(revision or NOTHING)
-    version, moment = tree_parts(revision)
+    version, moment = split_tree_number(revision)
     return f"{version}+{moment}" if moment else str(version)
 
 
--- a/src/pewtertack/cli/rollout_reports.py
+++ b/src/pewtertack/cli/rollout_reports.py
@@ -13,7 +13,7 @@
 from pewtertack.cli.rollout_causes import Lack, NodeLack, lack_of
 from pewtertack.cli.rollout_stages import moments_of, newest_heard, number_at
 from pewtertack.cli.status_reports import NodeReport
-from pewtertack.core.eras import VERSION_STEP, tree_number
+from pewtertack.core.eras import TREE_NUMBERS_PER_VERSION, tree_number
 from pewtertack.core.replication.stages import Stage
 from pewtertack.errors import PewtertackError
 
@@ -90,7 +90,7 @@
     Where the fleet reads a metadata store, a revision is a version with what follows from
     evacuations; the operator's version is accepted there as well as the revision.
     """
-    by_version = version < VERSION_STEP <= newest_revision(reports)
+    by_version = version < TREE_NUMBERS_PER_VERSION <= newest_revision(reports)
     return tree_number(version) if by_version else version
 
 
--- a/src/pewtertack/core/address_owners.py
+++ b/src/pewtertack/core/address_owners.py
@@ -40,7 +40,7 @@
     def have_followed(self, machine: Machine) -> bool:
         """Tell whether a later life than the machine's has had its address."""
         started_at = self.known.get(machine.address, 0)
-        return machine.is_backend and machine.is_of_life_before(started_at)
+        return machine.is_backend and machine.is_before_incarnation(started_at)
 
     def is_due(self, now: float) -> bool:
         """Tell whether the time is over."""
--- a/src/pewtertack/core/configuration/resolution.py
+++ b/src/pewtertack/core/configuration/resolution.py
@@ -20,7 +20,7 @@
 from pewtertack.core.configuration.validation import check_document
 from pewtertack.core.configuration.values import duration_seconds
 from pewtertack.core.revision import Document, RevisionId
-from pewtertack.core.slices import Work, finish
+from pewtertack.core.slices import Work, run_to_completion
 
 NOTHING: Mapping[str, Any] = MappingProxyType({})
 ROUTES_AT_ONCE = 50
@@ -52,7 +52,7 @@
 
     Routes that are ``known`` from an earlier document, for the same zone, are taken over.
     """
-    return finish(resolving_checked(document, revision, zone, known))
+    return run_to_completion(resolving_checked(document, revision, zone, known))
 
 
 def resolving_checked(
--- a/src/pewtertack/core/configuration/validation.py
+++ b/src/pewtertack/core/configuration/validation.py
@@ -34,7 +34,7 @@
 )
 from pewtertack.core.configuration.values import kind_of
 from pewtertack.core.revision import Document
-from pewtertack.core.slices import Work, finish
+from pewtertack.core.slices import Work, run_to_completion
 
 ANY = "*"
 """Stands in a match for every host or every method."""
@@ -74,7 +74,7 @@
     The verdict is the same with the tables ``checked`` with an earlier document, which
     then takes over a valid one.
     """
-    return finish(checking_document(document, checked))
+    return run_to_completion(checking_document(document, checked))
 
 
 def checking_document(
--- a/src/pewtertack/core/crashes/spreading.py
+++ b/src/pewtertack/core/crashes/spreading.py
@@ -99,11 +99,11 @@
 
     def _merge(self, now: float, item: CrashedRequest) -> bool:
         news = False
-        for end in item.ends:
-            at = now - end.age / MILLISECONDS
+        for end in item.crashes:
+            at = now - end.age_ms / MILLISECONDS
             news |= self.ledger.note_end(item.fingerprint, end.number, at)
-        if item.answered is not None:
-            at = now - item.answered / MILLISECONDS
+        if item.answered_ms_ago is not None:
+            at = now - item.answered_ms_ago / MILLISECONDS
             news |= self.ledger.note_answered(item.fingerprint, at)
         return news
 
@@ -138,7 +138,7 @@
         left = REPORT_ENDS_MAX
         for suspect in suspects[:REQUESTS_TOLD_MAX]:
             request = _told_of(suspect, now)
-            left -= len(request.ends)
+            left -= len(request.crashes)
             if left < 0:
                 break
             told.append(request)
--- a/src/pewtertack/core/delta.py
+++ b/src/pewtertack/core/delta.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from pewtertack.core.revision import Document, RevisionId, have_same_content, identify
-from pewtertack.core.slices import Work, finish
+from pewtertack.core.revision import Document, RevisionId, have_same_content, revision_id_of
+from pewtertack.core.slices import Work, run_to_completion
 from pewtertack.errors import CoordinationError
 
 COMPARED_AT_ONCE = 100
@@ -55,10 +55,10 @@
 
 def compare(old: Document, new: Document) -> tuple[Edit, ...]:
     """Return the edits that turn ``old`` into ``new``, in a stable order."""
-    return finish(comparing(old, new))
+    return run_to_completion(compare_in_slices(old, new))
 
 
-def comparing(old: Document, new: Document) -> Work[tuple[Edit, ...]]:
+def compare_in_slices(old: Document, new: Document) -> Work[tuple[Edit, ...]]:
     """Do what ``compare`` does, in slices."""
     edits: list[Edit] = []
     for found in _edits_between(old, new, ()):
@@ -101,19 +101,19 @@
     return bool(left == right)
 
 
-def apply(delta: Delta, document: Document) -> Document:
+def apply_delta(delta: Delta, document: Document) -> Document:
     """Return a new document with the delta's edits; ``document`` stays as it is.
 
     Raises:
         DeltaMismatchError: an edit's path does not fit, or the digest differs.
     """
-    result = with_edits(document, delta.edits)
-    if identify(delta.target.number, result) != delta.target:
+    result = apply_edits(document, delta.edits)
+    if revision_id_of(delta.target.number, result) != delta.target:
         raise DeltaMismatchError(f"delta to {delta.target} yields another document")
     return result
 
 
-def with_edits(document: Document, edits: Iterable[Edit]) -> Document:
+def apply_edits(document: Document, edits: Iterable[Edit]) -> Document:
     """Return a new document with the edits done; ``document`` stays as it is.
 
     Raises:
--- a/src/pewtertack/core/effects.py
+++ b/src/pewtertack/core/effects.py
@@ -40,17 +40,17 @@
     """The latest era of the source that this node has heard of (`core.eras`)."""
     era_since: float = 0.0
     """When the node heard of it, in monotonic seconds."""
-    evacuated: tuple[str, ...] = ()
+    evacuated_zones: tuple[str, ...] = ()
     """The zones that the held tree names as evacuated."""
-    ended: Mapping[str, int] = {}
+    ended_evacuations: Mapping[str, int] = {}
     """Those that it names no longer (`core.ended_evacuations`)."""
     doubts_copy: bool = False
     """The node began too late to know which evacuations have ended, and no peer has told yet."""
-    held: RevisionId = NO_REVISION
+    held_revision: RevisionId = NO_REVISION
     """Of the held tree."""
-    tree: Document | None = None
+    held_tree: Document | None = None
     """The held tree: a source that has come back may know an older version alone."""
-    read: int = 0
+    read_id: int = 0
     """Tells this read from the others; its answer carries the same."""
 
 
@@ -67,7 +67,7 @@
     configuration: ResolvedConfiguration
 
 
-class UseMachines(msgspec.Struct, frozen=True):
+class UseMachineList(msgspec.Struct, frozen=True):
     """Choose back ends from this list from now on."""
 
     machines: MachineList
@@ -100,7 +100,7 @@
     | ReadDocument
     | ContinueWork
     | BringIntoForce
-    | UseMachines
+    | UseMachineList
     | SetServing
     | StageReached
     | Log
--- a/src/pewtertack/core/ended_evacuations.py
+++ b/src/pewtertack/core/ended_evacuations.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Iterable, Mapping
 
-from pewtertack.core.eras import moment_of
+from pewtertack.core.eras import logical_time
 
-ENDED_KEPT = 64
+ENDED_ZONES_MAX = 64
 """Zones remembered; a copy is no older than some seconds."""
 
 
@@ -29,10 +29,10 @@
         """
         return self._ended
 
-    def note(self, zones: Iterable[str], moment: int, era: int) -> None:
+    def record_tree(self, zones: Iterable[str], moment: int, era: int) -> None:
         """Take in the zones that a newer tree names, with the moment in its number."""
         named = set(zones)
-        revision = max(0, moment - moment_of(era, 0))
+        revision = max(0, moment - logical_time(era, 0))
         for zone in named:
             self._began.setdefault(zone, revision)
             self._ended.pop(zone, None)
@@ -40,12 +40,12 @@
             self._ended[zone] = max(revision, self._began.pop(zone))
         self._bound()
 
-    def hear(self, zone: str, made_until: int) -> None:
+    def record_report(self, zone: str, created_until_revision: int) -> None:
         """A peer has seen the evacuation of a zone end; one that is held goes before that."""
         if zone not in self._began:
-            self._ended[zone] = max(made_until, self._ended.get(zone, 0))
+            self._ended[zone] = max(created_until_revision, self._ended.get(zone, 0))
             self._bound()
 
     def _bound(self) -> None:
-        while len(self._ended) > ENDED_KEPT:
+        while len(self._ended) > ENDED_ZONES_MAX:
             del self._ended[next(iter(self._ended))]
--- a/src/pewtertack/core/inputs.py
+++ b/src/pewtertack/core/inputs.py
@@ -43,11 +43,11 @@
     """The answer may be some seconds old: it confirms nothing."""
     findings: tuple[ItemFinding, ...] = ()
     """What was passed over since it cannot be understood."""
-    about_answers: tuple[ItemFinding, ...] = ()
+    answer_findings: tuple[ItemFinding, ...] = ()
     """What is wrong with the platform's answers themselves."""
-    read: int = 0
-    """``ReadDocument.read``; 0 where the oldest open read is meant."""
-    took: float | None = None
+    read_id: int = 0
+    """``ReadDocument.read_id``; 0 where the oldest open read is meant."""
+    answer_seconds: float | None = None
     """Seconds that the source needed beyond the wait, where that is known."""
 
 
@@ -55,9 +55,9 @@
     """The platform answered a ``ReadDocument`` with "not modified"."""
 
     kind: DocumentKind
-    about_answers: tuple[ItemFinding, ...] = ()
-    read: int = 0
-    took: float | None = None
+    answer_findings: tuple[ItemFinding, ...] = ()
+    read_id: int = 0
+    answer_seconds: float | None = None
 
 
 class DocumentReadFailed(msgspec.Struct, frozen=True):
@@ -66,9 +66,9 @@
     kind: DocumentKind
     reason: str
     retry_after: float | None = None
-    about_answers: tuple[ItemFinding, ...] = ()
-    read: int = 0
-    took: float | None = None
+    answer_findings: tuple[ItemFinding, ...] = ()
+    read_id: int = 0
+    answer_seconds: float | None = None
     failure: ReadFailure | None = None
     """How the read ended, where the reader tells."""
 
--- a/src/pewtertack/core/items.py
+++ b/src/pewtertack/core/items.py
@@ -15,10 +15,10 @@
 from pewtertack.events import Event
 from pewtertack.wire.messages import DocumentKind
 
-REMEMBERED_ITEMS = 1024
+REMEMBERED_FINDINGS_MAX = 1024
 """Items of a document of which a node remembers what it has said; a fleet of 1,700 machines
 has as many. What is wrong with further ones is not told."""
-LOGGED_AT_ONCE = 16
+LOGGED_FINDINGS_MAX = 16
 """Events for one reading of a document: a fleet's whole list may be spoilt in one write."""
 SHOWN_CHARACTERS = 120
 
@@ -64,7 +64,7 @@
         return ItemFinding(item, self.problem, str(self))
 
 
-def read_item(value: bytes | msgspec.Raw, kind: type[Item]) -> Item:
+def parse_item(value: bytes | msgspec.Raw, kind: type[Item]) -> Item:
     """Read bytes of any kind as a typed document.
 
     Raises:
@@ -78,7 +78,7 @@
         raise ItemFormatError(ItemProblem.UNREADABLE, str(error)) from error
 
 
-class ReadItems(Generic[Item]):
+class ParsedItems(Generic[Item]):
     """What was made of the parts of a document read last, by their text.
 
     Parts that are written as before are the same objects, and are not read again.
@@ -96,7 +96,7 @@
         return self._by_text.values()
 
 
-def evacuated_zones_of(names: Iterable[str]) -> tuple[list[str], tuple[ItemFinding, ...]]:
+def valid_evacuated_zones(names: Iterable[str]) -> tuple[list[str], tuple[ItemFinding, ...]]:
     """Return the zones that may stand in a tree, and findings about the other names.
 
     A name that is none of a zone, another's but for its case, or one too many would have
@@ -116,41 +116,41 @@
     return sorted(zones.values()), tuple(findings)
 
 
-class PassedOver:
+class SkippedItems:
     """What one reader has found and logged; an item counts again when what is wrong changes."""
 
-    __slots__ = ("_about_answers", "_known", "total")
+    __slots__ = ("_about_answers", "_known", "total_count")
 
     def __init__(self) -> None:
         self._known: dict[DocumentKind, dict[str, ItemFinding]] = {}
         self._about_answers: dict[DocumentKind, tuple[ItemFinding, ...]] = {}
-        self.total = 0
+        self.total_count = 0
         """Findings since the start, each change of one counted once."""
 
     @property
-    def current(self) -> int:
+    def current_count(self) -> int:
         """How many items were passed over when each document was last read."""
         return sum(map(len, self._known.values()))
 
-    def note(self, kind: DocumentKind, findings: Sequence[ItemFinding]) -> list[Effect]:
+    def record(self, kind: DocumentKind, findings: Sequence[ItemFinding]) -> list[Effect]:
         """Take in what is wrong with a document just read; return the events of what is new."""
         before = self._known.get(kind, {})
-        known = {finding.item: finding for finding in findings[:REMEMBERED_ITEMS]}
+        known = {finding.item: finding for finding in findings[:REMEMBERED_FINDINGS_MAX]}
         news = [finding for name, finding in known.items() if before.get(name) != finding]
         self._known[kind] = known
-        self.total += len(news)
-        effects: list[Effect] = [_event_of(kind, finding) for finding in news[:LOGGED_AT_ONCE]]
-        if len(news) > LOGGED_AT_ONCE:
-            fields = {"document": kind.name, "further": len(news) - LOGGED_AT_ONCE}
+        self.total_count += len(news)
+        effects: list[Effect] = [_event_of(kind, finding) for finding in news[:LOGGED_FINDINGS_MAX]]
+        if len(news) > LOGGED_FINDINGS_MAX:
+            fields = {"document": kind.name, "further": len(news) - LOGGED_FINDINGS_MAX}
             effects.append(Log(Event.ITEM_PASSED_OVER, fields))
         return effects
 
-    def note_answer(self, kind: DocumentKind, findings: tuple[ItemFinding, ...]) -> list[Effect]:
+    def record_answer(self, kind: DocumentKind, findings: tuple[ItemFinding, ...]) -> list[Effect]:
         """Take in what is wrong with an answer itself; return the events of what is new."""
         if findings == self._about_answers.get(kind, ()):
             return []
         self._about_answers[kind] = findings
-        self.total += len(findings)
+        self.total_count += len(findings)
         return [_event_of(kind, finding) for finding in findings]
 
 
--- a/src/pewtertack/core/returned_lists.py
+++ b/src/pewtertack/core/machine_list_overrides.py
@@ -17,7 +17,7 @@
 from pewtertack.core.address_owners import AddressOwners
 from pewtertack.core.eras import EraChange, era_of
 from pewtertack.core.machines import Machine, MachineList, MachineState
-from pewtertack.core.newcomers import Newcomers
+from pewtertack.core.new_entries import NewEntries
 from pewtertack.wire.messages import DepartedBackend, LeavingBackend, ListOverrides
 
 GONE_KEPT = 1024
@@ -39,7 +39,7 @@
         """Whether the new era has named it: from then on its absence is believed."""
 
 
-class ReturnedLists:
+class MachineListOverrides:
     """Overrides the present era's lists with what was known before it.
 
     Without eras no list is overridden. Times are monotonic seconds.
@@ -51,7 +51,7 @@
 
     def __init__(self, seconds: float, began_at: float = -math.inf) -> None:
         self._seconds = seconds
-        self.newcomers = Newcomers(began_at, seconds)
+        self.new_entries = NewEntries(began_at, seconds)
         self._believed: dict[str, Machine] = {}
         self._era: int | None = None
         self._known: dict[str, _Known] = {}
@@ -64,10 +64,10 @@
         self._owners = AddressOwners()
         self._early: deque[tuple[float, ListOverrides]] = deque(maxlen=EARLY_KEPT)
         self._until = -math.inf
-        self.kept = 0
+        self.kept_count = 0
         """Machines that are believed in although the list lacks them."""
 
-    def take(self, now: float, listed: MachineList) -> EraChange | None:
+    def update(self, now: float, listed: MachineList) -> EraChange | None:
         """Take in a newer list; return what changed if its era is a new one."""
         names = {machine.name: machine for machine in listed.machines}
         era, before = era_of(listed.number), self._era
@@ -77,7 +77,7 @@
             self._apply_early(now, listed)
             return None
         self._begin_era(now)
-        self.newcomers.begin(now, filter(self._is_new, listed.machines))
+        self.new_entries.begin(now, filter(self._is_new, listed.machines))
         known = {name: known.machine for name, known in self._known.items()}
         came_back = sum(self._is_barred(machine) for machine in listed.machines)
         self._note_listed(names)
@@ -89,15 +89,15 @@
     def _is_new(self, machine: Machine) -> bool:
         """Tell whether nothing is known of a back end from before the era."""
         known = self._known.get(machine.name)
-        is_known = known is not None and known.machine.life == machine.life
+        is_known = known is not None and known.machine.incarnation == machine.incarnation
         return not (is_known or self._is_barred(machine) or self._owners.have_followed(machine))
 
-    def hear(self, now: float, told: ListOverrides, listed: MachineList) -> bool:
+    def apply_report(self, now: float, told: ListOverrides, listed: MachineList) -> bool:
         """Take in what a peer holds against its list; tell whether it concerns ``listed``.
 
         What is told of a later era waits for the first list of that.
         """
-        era, until = era_of(told.number), now + min(told.left / MILLISECONDS, self._seconds)
+        era, until = era_of(told.number), now + min(told.remaining_ms / MILLISECONDS, self._seconds)
         if self._era is None or era > self._era:
             self._early.append((until, told))
             return False
@@ -143,20 +143,23 @@
     def _keep(self, machine: Machine, until: float, names: dict[str, Machine]) -> None:
         """Keep a machine that a peer keeps, unless it was seen here to go."""
         name, known = machine.name, self._known.get(machine.name)
-        if name in self._gone and self._gone[name].life == machine.life:
+        if name in self._gone and self._gone[name].incarnation == machine.incarnation:
             return
-        if known is None or machine.is_of_life_after(known.machine.started_at):
+        if known is None or machine.is_after_incarnation(known.machine.started_at):
             self._known[name] = _Known(machine, until, name in names)
-        elif machine.state is MachineState.LEAVING and known.machine.life == machine.life:
+        elif (
+            machine.state is MachineState.LEAVING
+            and known.machine.incarnation == machine.incarnation
+        ):
             known.machine = machine
 
-    def holds(self, now: float) -> bool:
+    def is_active(self, now: float) -> bool:
         """Tell whether anything may be held against the list."""
         return now < self._until
 
-    def left_of(self, now: float, name: str) -> float:
+    def remaining_seconds(self, now: float, name: str) -> float:
         """Return for how many more seconds what is known of a machine holds; 0 if not known."""
-        if name in self.newcomers and name not in self._barred:
+        if name in self.new_entries and name not in self._barred:
             return 0.0
         known = self._known.get(name)
         return (known.until if known is not None else self._until) - now
@@ -188,12 +191,12 @@
         }
         self._owners.note(names.values())
 
-    def believed(self, now: float, listed: MachineList) -> MachineList:
+    def overridden(self, now: float, listed: MachineList) -> MachineList:
         """Return the list with what is still held against it."""
         self._forget(now)
         names = {machine.name: machine for machine in listed.machines}
         result = listed
-        self.kept = 0
+        self.kept_count = 0
         if self._holds_any():
             current = {
                 name: self._current(machine)
@@ -206,7 +209,7 @@
                 if not self._owners.have_followed(machine)
             }
             kept = self._kept_of(names)
-            self.kept = len(kept)
+            self.kept_count = len(kept)
             machines = {**current, **kept}
             ordered = tuple(machines[name] for name in sorted(machines))
             result = MachineList(listed.number, ordered)
@@ -214,23 +217,25 @@
         return result
 
     def _holds_any(self) -> bool:
-        held = self._known or self._barred or self._leaving or self.newcomers or self._owners.known
+        held = (
+            self._known or self._barred or self._leaving or self.new_entries or self._owners.known
+        )
         return bool(held)
 
-    def is_due(self, now: float) -> bool:
+    def has_expired(self, now: float) -> bool:
         """Tell whether something that is held against the list holds no longer."""
         moments = [known.until for known in self._known.values()]
         moments += [until for _, until in self._barred.values()]
         moments += self._leaving.values()
-        is_due = self._owners.is_due(now) or self.newcomers.is_due(now)
+        is_due = self._owners.is_due(now) or self.new_entries.is_due(now)
         return is_due or any(until <= now for until in moments)
 
     def _forget(self, now: float) -> None:
         self._known = {name: known for name, known in self._known.items() if known.until > now}
         self._barred = {name: held for name, held in self._barred.items() if held[1] > now}
         self._leaving = {leaving: until for leaving, until in self._leaving.items() if until > now}
-        if self.newcomers.is_due(now):
-            self.newcomers.clear()
+        if self.new_entries.is_due(now):
+            self.new_entries.clear()
         if self._owners.is_due(now):
             self._owners.forget()
 
@@ -252,20 +257,20 @@
     def _current(self, machine: Machine) -> Machine:
         """Return what is believed of a listed machine: no life before the one known."""
         known = self._known.get(machine.name)
-        if known is not None and machine.is_of_life_before(known.machine.started_at):
+        if known is not None and machine.is_before_incarnation(known.machine.started_at):
             return known.machine
         leaves = _notice_of(machine) in self._leaving
         if known is not None and known.machine.state is MachineState.LEAVING:
-            leaves |= machine.life == known.machine.life
+            leaves |= machine.incarnation == known.machine.incarnation
         return msgspec.structs.replace(machine, state=MachineState.LEAVING) if leaves else machine
 
     def _is_barred(self, machine: Machine) -> bool:
         """Tell whether it had left; an entry that was made anew is another."""
         held = self._barred.get(machine.name)
-        return held is not None and held[0].entry == machine.entry
+        return held is not None and held[0].entry_key == machine.entry_key
 
     def _is_away(self, machine: Machine) -> bool:
-        return self._is_barred(machine) or machine.name in self.newcomers
+        return self._is_barred(machine) or machine.name in self.new_entries
 
     def _kept_of(self, names: dict[str, Machine]) -> dict[str, Machine]:
         """Return the known machines that the list lacks and that nobody has followed."""
@@ -287,7 +292,7 @@
 def _is_followed(machine: Machine, owners: dict[str, Machine]) -> bool:
     """Tell whether its address has another owner, of no earlier start."""
     owner = owners.get(machine.address) if machine.is_backend else None
-    return owner is not None and not owner.is_of_life_before(machine.started_at)
+    return owner is not None and not owner.is_before_incarnation(machine.started_at)
 
 
 def _notice_of(machine: Machine) -> LeavingBackend:
--- a/src/pewtertack/core/machines.py
+++ b/src/pewtertack/core/machines.py
@@ -12,9 +12,9 @@
 
 _ADDRESS = re.compile(r"(?P<host>[0-9.]{7,15}|\[[0-9A-Fa-f:.]{2,45}\]):(?P<port>[0-9]{1,5})")
 PORT_MAX = 65535
-MAXIMUM_SLOTS = 4096
+SLOTS_MAX = 4096
 """Each request takes a connection on both sides, and a machine has 8,192 descriptors at most."""
-LATEST_START = 2**52
+STARTED_AT_MAX_MS = 2**52
 """Milliseconds. No back end starts then; JSON's numbers are exact up to it."""
 
 
@@ -68,23 +68,23 @@
         return self.role is MachineRole.BACKEND
 
     @property
-    def life(self) -> tuple[str, str, int]:
+    def incarnation(self) -> tuple[str, str, int]:
         """What stays the same from the start of a back end to its end, beside its name."""
         return self.address, self.service, self.started_at
 
     @property
-    def entry(self) -> tuple[str, str, int, int]:
+    def entry_key(self) -> tuple[str, str, int, int]:
         """What stays the same while one entry of the platform stands, beside the name."""
         return self.address, self.service, self.started_at, self.listed_at
 
-    def is_of_life_before(self, started_at: int) -> bool:
+    def is_before_incarnation(self, started_at: int) -> bool:
         """Tell whether this is said of a life that had ended when the one at ``started_at`` began.
 
         Entries may be written or read late.
         """
         return 0 < self.started_at < started_at
 
-    def is_of_life_after(self, started_at: int) -> bool:
+    def is_after_incarnation(self, started_at: int) -> bool:
         """Tell whether this is said of a life after the one that began at ``started_at``."""
         return 0 < started_at < self.started_at
 
@@ -95,7 +95,7 @@
     number: int
     machines: tuple[Machine, ...]
 
-    def without_starts_after(self, latest: int) -> MachineList:
+    def without_start_times_after(self, latest: int) -> MachineList:
         """Return the list with starts after ``latest``, in Unix milliseconds, as if untold.
 
         Such a start is no back end's own: whatever the one that lives under the name says would
@@ -114,7 +114,7 @@
         )
 
 
-def is_ip_number(text: str) -> bool:
+def is_ip_address(text: str) -> bool:
     """Tell whether ``text`` is an IP number, as which nodes may be named."""
     try:
         ipaddress.ip_address(text.strip("[]"))
@@ -123,10 +123,10 @@
     return True
 
 
-def machine_address(text: str) -> str | None:
+def normalize_machine_address(text: str) -> str | None:
     """Return ``ip:port`` as nodes write it, or ``None`` where no machine can have it."""
     found = _ADDRESS.fullmatch(text)
-    if found is None or not is_ip_number(found["host"]):
+    if found is None or not is_ip_address(found["host"]):
         return None
     number, port = ipaddress.ip_address(found["host"].strip("[]")), int(found["port"])
     if not 0 < port <= PORT_MAX or number.is_unspecified or number.is_multicast:
--- a/src/pewtertack/core/newcomers.py
+++ b/src/pewtertack/core/new_entries.py
@@ -10,13 +10,13 @@
 
 from pewtertack.core.machines import Machine
 
-LONGEST_COPY_AGE = 30.0
+COPY_AGE_MAX_SECONDS = 30.0
 """Seconds. A node that began longer before an era has seen what the copy does not know."""
-DOUBTED_SECONDS = 1.0
+NEW_ENTRY_WAIT_SECONDS = 1.0
 """How long a node waits for what peers know."""
 
 
-class Newcomers:
+class NewEntries:
     """The names of back ends that are not used yet. Times are monotonic seconds.
 
     Args:
@@ -34,8 +34,8 @@
 
     def begin(self, now: float, machines: Iterable[Machine]) -> None:
         """An era has begun whose first list names back ends that were not known."""
-        self._until = now + min(DOUBTED_SECONDS, self._longest)
-        is_young = now - self.began_at < LONGEST_COPY_AGE
+        self._until = now + min(NEW_ENTRY_WAIT_SECONDS, self._longest)
+        is_young = now - self.began_at < COPY_AGE_MAX_SECONDS
         names = frozenset(machine.name for machine in machines if machine.is_backend)
         self._names = names if is_young else frozenset()
 
--- a/src/pewtertack/core/node.py
+++ b/src/pewtertack/core/node.py
@@ -39,7 +39,7 @@
 from pewtertack.core.profile import SourceProperties, TimingProfile
 from pewtertack.core.replication.join import Joiner
 from pewtertack.core.replication.service import Replication
-from pewtertack.core.slices import UNITS_PER_TURN, Budget
+from pewtertack.core.slices import WORK_UNITS_PER_TURN, Budget
 from pewtertack.errors import ProtocolError
 from pewtertack.events import Event
 from pewtertack.wire.messages import (
@@ -144,7 +144,7 @@
 
     def _turn_budget(self) -> Budget:
         """Return what may be done of long work at once: all of it while no request waits."""
-        return Budget(math.inf if self.phase is NodePhase.JOINING else UNITS_PER_TURN)
+        return Budget(math.inf if self.phase is NodePhase.JOINING else WORK_UNITS_PER_TURN)
 
     def _may_resolve(self, event: Input) -> bool:
         """Tell whether ``event`` may advance a resolution: only its own input, once it is begun."""
--- a/src/pewtertack/core/policies.py
+++ b/src/pewtertack/core/policies.py
@@ -23,49 +23,49 @@
     RETURNING = "returning"
 
 
-class CallsWithin(StrEnum):
+class NestedCallPolicy(StrEnum):
     """How requests are treated that a back end makes while it runs another one."""
 
     ALIKE = "alike"
     FIRST = "first"
 
 
-class BegunRuns(StrEnum):
+class SlotOrderPolicy(StrEnum):
     """Which requests take a slot first while calls that runs make are turned away."""
 
     ALL = "all"
     FINISHABLE = "finishable"
 
 
-class RetryBudgeting(StrEnum):
+class RetryBudgetPolicy(StrEnum):
     """How many retries there may be."""
 
     SHARE = "share"
     WINDOW = "window"
 
 
-class Hanging(StrEnum):
+class HungRequestPolicy(StrEnum):
     """What becomes of a request that a back end has most likely hung on."""
 
     AWAITED = "awaited"
     LEFT = "left"
 
 
-class LongBodies(StrEnum):
+class LongBodyPolicy(StrEnum):
     """How long bodies leave a machine."""
 
     AT_ONCE = "at-once"
     IN_TURNS = "in-turns"
 
 
-class Margin(StrEnum):
+class WaitMarginPolicy(StrEnum):
     """What of the time that a request may wait is kept for an answer that takes long."""
 
     SPREAD = "spread"
     HALF = "half"
 
 
-class Returning(StrEnum):
+class RetryLaterPolicy(StrEnum):
     """Which callers are rather told to come back than made to wait until their answer is late."""
 
     FOUR = "four"
@@ -75,13 +75,13 @@
 class Policies(msgspec.Struct, frozen=True, kw_only=True):
     """The way in force of each kind."""
 
-    calls_within: CallsWithin = CallsWithin.ALIKE
-    begun_runs: BegunRuns = BegunRuns.ALL
-    retry_budget: RetryBudgeting = RetryBudgeting.SHARE
-    hanging: Hanging = Hanging.AWAITED
-    long_bodies: LongBodies = LongBodies.AT_ONCE
-    margin: Margin = Margin.SPREAD
-    returning: Returning = Returning.FOUR
+    calls_within: NestedCallPolicy = NestedCallPolicy.ALIKE
+    begun_runs: SlotOrderPolicy = SlotOrderPolicy.ALL
+    retry_budget: RetryBudgetPolicy = RetryBudgetPolicy.SHARE
+    hanging: HungRequestPolicy = HungRequestPolicy.AWAITED
+    long_bodies: LongBodyPolicy = LongBodyPolicy.AT_ONCE
+    margin: WaitMarginPolicy = WaitMarginPolicy.SPREAD
+    returning: RetryLaterPolicy = RetryLaterPolicy.FOUR
 
 
 DEFAULT_POLICIES = Policies()
--- a/src/pewtertack/core/replication/inquiry.py
+++ b/src/pewtertack/core/replication/inquiry.py
@@ -7,7 +7,7 @@
 
 from pewtertack.core.eras import era_of
 from pewtertack.core.membership.table import MemberTable
-from pewtertack.core.newcomers import DOUBTED_SECONDS, LONGEST_COPY_AGE
+from pewtertack.core.new_entries import COPY_AGE_MAX_SECONDS, NEW_ENTRY_WAIT_SECONDS
 from pewtertack.core.profile import TimingProfile
 from pewtertack.wire.messages import VersionState
 
@@ -64,7 +64,7 @@
         self._behind |= self._heard
         self._heard.clear()
         self._next_at = now + self._profile.join_retry
-        is_concerned = self._era and self._era_since - self._started_at < LONGEST_COPY_AGE
+        is_concerned = self._era and self._era_since - self._started_at < COPY_AGE_MAX_SECONDS
         self._ends_at = now + self._seconds if is_concerned else -math.inf
 
     def answered(self, name: str, state: VersionState) -> bool:
@@ -91,12 +91,12 @@
 
         Also before an era: the read that finds it is asked in the one before.
         """
-        if now - self._started_at >= LONGEST_COPY_AGE or self._seconds == 0:
+        if now - self._started_at >= COPY_AGE_MAX_SECONDS or self._seconds == 0:
             return False
         if not self._era:
             return True
         waited = now - max(self._era_since, self._started_at)
-        return not self.is_answered and waited < DOUBTED_SECONDS
+        return not self.is_answered and waited < NEW_ENTRY_WAIT_SECONDS
 
     def is_pending(self, now: float) -> bool:
         """Tell whether a starting node is to wait for a serving peer that knows the era."""
--- a/src/pewtertack/core/replication/list_overrides.py
+++ b/src/pewtertack/core/replication/list_overrides.py
@@ -37,14 +37,14 @@
     kept = [
         KeptBackend.of(machine)
         for name, machine in current.items()
-        if name not in names or machine.life != names[name].life
+        if name not in names or machine.incarnation != names[name].incarnation
     ]
     return [*leaving, *gone, *kept]
 
 
 def _leaves(current: Machine, listed: Machine) -> bool:
     states = current.state, listed.state
-    is_one = current.life == listed.life
+    is_one = current.incarnation == listed.incarnation
     return is_one and states == (MachineState.LEAVING, MachineState.LIVE)
 
 
--- a/src/pewtertack/core/replication/machine_lists.py
+++ b/src/pewtertack/core/replication/machine_lists.py
@@ -11,8 +11,9 @@
 import msgspec
 
 from pewtertack.core.delta import Delta, DeltaMismatchError
-from pewtertack.core.effects import Effect, Log, UseMachines
+from pewtertack.core.effects import Effect, Log, UseMachineList
 from pewtertack.core.eras import EraChange, era_of
+from pewtertack.core.machine_list_overrides import MachineListOverrides
 from pewtertack.core.machines import (
     Machine,
     MachineList,
@@ -21,7 +22,6 @@
 )
 from pewtertack.core.replication.leaving import LeavingBackends
 from pewtertack.core.replication.store import DocumentStore, Step
-from pewtertack.core.returned_lists import ReturnedLists
 from pewtertack.core.revision import Document, RevisionId
 from pewtertack.events import Event
 from pewtertack.wire.messages import LeavingBackend, ListOverrides
@@ -32,13 +32,13 @@
 
     Args:
         hold_after_return: seconds for which what was known goes before what lists of a new era
-            of the source say (`core.returned_lists`).
+            of the source say (`core.machine_list_overrides`).
         began_at: since when the node has seen who leaves, in monotonic seconds.
     """
 
     def __init__(self, hold_after_return: float = 0.0, began_at: float = -math.inf) -> None:
         self.store = DocumentStore()
-        self.returned = ReturnedLists(hold_after_return, began_at)
+        self.returned = MachineListOverrides(hold_after_return, began_at)
         self.era_change: EraChange | None = None
         """What the last change of era brought, until it is told."""
         self._listed = MachineList(0, ())
@@ -79,37 +79,37 @@
             return [Log(Event.MACHINE_LIST_FAILED, {"reason": str(error)})]
         self.store.put(revision, document)
         self._listed = machines
-        self.era_change = self.returned.take(now, machines) or self.era_change
+        self.era_change = self.returned.update(now, machines) or self.era_change
         return self._use(now)
 
     def tick(self, now: float) -> list[Effect]:
         """Believe the list again where what was held against it holds no longer."""
-        return self._use(now) if self.returned.is_due(now) else []
+        return self._use(now) if self.returned.has_expired(now) else []
 
     def _use(self, now: float) -> list[Effect]:
-        self.machines = self._leaving.apply(self.returned.believed(now, self._listed))
-        return [UseMachines(self.machines)]
+        self.machines = self._leaving.apply(self.returned.overridden(now, self._listed))
+        return [UseMachineList(self.machines)]
 
     def hear(self, now: float, told: ListOverrides) -> list[Effect]:
         """Take in a peer's overrides of its list."""
-        return self._use(now) if self.returned.hear(now, told, self._listed) else []
+        return self._use(now) if self.returned.apply_report(now, told, self._listed) else []
 
-    def trust_newcomers(self, now: float) -> list[Effect]:
+    def trust_new_entries(self, now: float) -> list[Effect]:
         """Use the back ends that are new in a new era: peers have told which of them have left."""
-        if not self.returned.newcomers:
+        if not self.returned.new_entries:
             return []
-        self.returned.newcomers.clear()
+        self.returned.new_entries.clear()
         return self._use(now)
 
     def overrides(self, now: float) -> tuple[ListOverrides, ...]:
         """Return the overrides of the list, for a starting peer; mostly none."""
-        if not self.returned.holds(now):
+        if not self.returned.is_active(now):
             return ()
         from pewtertack.core.replication.list_overrides import messages_of, overrides_against
 
         held = overrides_against(self._listed, self.machines)
         return messages_of(
-            self.revision.number, held, lambda name: self.returned.left_of(now, name)
+            self.revision.number, held, lambda name: self.returned.remaining_seconds(now, name)
         )
 
     def renumber(self, now: float, revision: RevisionId) -> list[Effect]:
--- a/src/pewtertack/core/replication/offers.py
+++ b/src/pewtertack/core/replication/offers.py
@@ -6,7 +6,7 @@
 
 from pewtertack.core.effects import Effect
 from pewtertack.core.replication.stages import Way
-from pewtertack.core.slices import Budget, LongWork, Work
+from pewtertack.core.slices import Budget, SlicedWork, Work
 
 MakeWork = Callable[[], Work[list[Effect]]]
 """Begins work that holds a configuration in its last step, if it is newer and valid."""
@@ -35,7 +35,7 @@
     __slots__ = ("_offered", "_waiting", "_work")
 
     def __init__(self) -> None:
-        self._work: LongWork[list[Effect]] | None = None
+        self._work: SlicedWork[list[Effect]] | None = None
         self._offered: Offered | None = None
         """What is under work."""
         self._waiting: Offered | None = None
@@ -54,7 +54,7 @@
     def add(self, offered: Offered) -> None:
         """Begin the work on a configuration, or let it wait in place of an older one."""
         if self._work is None:
-            self._work, self._offered = LongWork(offered.make()), offered
+            self._work, self._offered = SlicedWork(offered.make()), offered
         elif self._waiting is None or offered.number >= self._waiting.number:
             self._waiting = offered
 
--- a/src/pewtertack/core/replication/open_reads.py
+++ b/src/pewtertack/core/replication/open_reads.py
@@ -110,7 +110,7 @@
     def close(self, number: int) -> OpenRead | None:
         """Remove and return the read ``number``; the oldest if that is 0."""
         for index, read in enumerate(self._reads):
-            if number in (0, read.effect.read):
+            if number in (0, read.effect.read_id):
                 return self._reads.pop(index)
         return None
 
@@ -124,7 +124,7 @@
 
     def failed(self, now: float, failed: DocumentReadFailed) -> dict[str, Any]:
         """Remove a failed read; return the fields of its log event."""
-        read = self.close(failed.read)
+        read = self.close(failed.read_id)
         self.failures += 1
         self.last_failure = failed.failure
         fields: dict[str, Any] = {"reason": failed.reason}
--- a/src/pewtertack/core/replication/reader.py
+++ b/src/pewtertack/core/replication/reader.py
@@ -10,7 +10,7 @@
 
 from pewtertack.core.effects import Effect, Log, ReadDocument
 from pewtertack.core.inputs import DocumentRead, DocumentReadFailed, DocumentUnchanged
-from pewtertack.core.newcomers import DOUBTED_SECONDS
+from pewtertack.core.new_entries import NEW_ENTRY_WAIT_SECONDS
 from pewtertack.core.profile import TimingProfile
 from pewtertack.core.replication.answer_times import AnswerTimes
 from pewtertack.core.replication.freshness import SourceFreshness
@@ -196,7 +196,7 @@
         if self._overlaps(kind):
             longest = min(longest, self._profile.read_overlap)
         if self._held.era and self._held.doubts_copy:
-            longest = min(longest, DOUBTED_SECONDS)
+            longest = min(longest, NEW_ENTRY_WAIT_SECONDS)
         return longest
 
     def _is_to_confirm(self, kind: DocumentKind) -> bool:
@@ -250,9 +250,9 @@
         return True
 
     def _end_read(self, answer: DocumentRead | DocumentUnchanged) -> bool:
-        recent = self.open_reads[answer.kind].answered(answer.read)
+        recent = self.open_reads[answer.kind].answered(answer.read_id)
         if recent:
-            self._note_time(answer.took)
+            self._note_time(answer.answer_seconds)
         return recent
 
     def _note_time(self, seconds: float | None) -> None:
@@ -272,7 +272,7 @@
         """
         kind, retry_after = failed.kind, failed.retry_after
         reads = self.open_reads[kind]
-        self._note_time(failed.took)
+        self._note_time(failed.answer_seconds)
         backoff = self._profile.read_backoff * BACKOFF_FACTOR**reads.failures
         backoff = min(backoff, self._profile.read_backoff_limit)
         delay = max(retry_after or 0.0, backoff) * self._random.uniform(0.5, 1.5)
--- a/src/pewtertack/core/replication/replica.py
+++ b/src/pewtertack/core/replication/replica.py
@@ -21,9 +21,9 @@
     Document,
     RevisionConflictError,
     RevisionId,
-    identify,
+    revision_id_of,
 )
-from pewtertack.core.slices import Budget, LongWork, Work, finish
+from pewtertack.core.slices import Budget, SlicedWork, Work, run_to_completion
 from pewtertack.events import Event
 
 REPORTED_FINDINGS = 5
@@ -65,7 +65,7 @@
         self._resolved = ResolvedRoutes()
         self.committed = NO_REVISION
         self.in_force: ResolvedConfiguration | None = None
-        self._resolving: LongWork[ResolvedConfiguration] | None = None
+        self._resolving: SlicedWork[ResolvedConfiguration] | None = None
         self.last_rejection: Rejection | None = None
         self.stale_answers = 0
         self.conflicts = 0
@@ -114,26 +114,26 @@
 
     def offer_document(self, number: int, document: Document) -> list[Effect]:
         """Take in the source's answer."""
-        return finish(self.offering_document(number, document))
+        return run_to_completion(self.offering_document(number, document))
 
     def offering_document(self, number: int, document: Document) -> Work[list[Effect]]:
         """Do what ``offer_document`` does, in slices."""
         yield _digest_units(document)
-        revision = identify(number, document)
+        revision = revision_id_of(number, document)
         yield _digest_units(document)
         return (yield from self.offering(revision, document))
 
     def offering_snapshot(self, revision: RevisionId, document: Document) -> Work[list[Effect]]:
         """Take in a peer's whole document, in slices, if its digest is right."""
         yield _digest_units(document)
-        if identify(revision.number, document) != revision:
+        if revision_id_of(revision.number, document) != revision:
             return [Log(Event.FRAME_REFUSED, {"reason": WRONG_DIGEST})]
         yield _digest_units(document)
         return (yield from self.offering(revision, document))
 
     def offer(self, revision: RevisionId, document: Document) -> list[Effect]:
         """Hold ``document`` if it is newer and valid."""
-        return finish(self.offering(revision, document))
+        return run_to_completion(self.offering(revision, document))
 
     def offering(self, revision: RevisionId, document: Document) -> Work[list[Effect]]:
         """Do what ``offer`` does, in slices."""
@@ -160,7 +160,7 @@
             DeltaMismatchError: the chain starts at the held revision but an edit
                 does not fit or the result has another digest.
         """
-        return finish(self.offering_deltas(deltas))
+        return run_to_completion(self.offering_deltas(deltas))
 
     def offering_deltas(self, deltas: tuple[Delta, ...]) -> Work[list[Effect]]:
         """Do what ``offer_deltas`` does, in slices; it raises the same."""
@@ -250,7 +250,7 @@
         self.in_force = work.result
         return self.in_force
 
-    def _next_to_resolve(self) -> LongWork[ResolvedConfiguration] | None:
+    def _next_to_resolve(self) -> SlicedWork[ResolvedConfiguration] | None:
         target = self.committed if self._mechanisms.quorum_gate else self.held
         current = self.in_force_number
         if target.number == 0:
@@ -262,7 +262,7 @@
         document = self.store.recent(target)
         if document is None:
             return None
-        return LongWork(resolving_checked(document, target, self._zone, self._resolved))
+        return SlicedWork(resolving_checked(document, target, self._zone, self._resolved))
 
     def log_of(self, rejection: Rejection, lasting: float | None = None) -> Log:
         """Return the event of a refusal; ``lasting`` is its age in seconds."""
--- a/src/pewtertack/core/replication/service.py
+++ b/src/pewtertack/core/replication/service.py
@@ -11,12 +11,12 @@
 
 from pewtertack.core.configuration.model import RootSection
 from pewtertack.core.delta import Delta, DeltaMismatchError
-from pewtertack.core.effects import Effect, Log, Send, UseMachines
+from pewtertack.core.effects import Effect, Log, Send, UseMachineList
 from pewtertack.core.ended_evacuations import EndedEvacuations
-from pewtertack.core.eras import era_of, tree_parts
+from pewtertack.core.eras import era_of, split_tree_number
 from pewtertack.core.identity import NodeIdentity
 from pewtertack.core.inputs import DocumentRead, DocumentReadFailed, DocumentUnchanged
-from pewtertack.core.items import PassedOver
+from pewtertack.core.items import SkippedItems
 from pewtertack.core.membership.service import Membership
 from pewtertack.core.profile import SourceProperties, TimingProfile
 from pewtertack.core.replication.announcing import Announcer
@@ -34,7 +34,7 @@
 from pewtertack.core.replication.replica import WRONG_DIGEST, ConfigurationReplica
 from pewtertack.core.replication.stage_reports import StageReports
 from pewtertack.core.replication.stages import Way
-from pewtertack.core.revision import RevisionId, identify
+from pewtertack.core.revision import RevisionId, revision_id_of
 from pewtertack.core.slices import Budget
 from pewtertack.events import Event
 from pewtertack.wire.messages import (
@@ -126,7 +126,7 @@
         self._heartbeats = HeartbeatSender(
             identity, profile, membership, self.freshness, stores, self._source.wide_link
         )
-        self.passed_over = PassedOver()
+        self.skipped_items = SkippedItems()
         self.budget = Budget()
         """What may be done of long work in the present turn."""
         self.stages = StageReports()
@@ -152,7 +152,7 @@
         self.freshness.forget(now, deaf_for)
         self.reader.after_pause()
         self.inquiry.restart(now)
-        self.machine_list.returned.newcomers.began_at = now
+        self.machine_list.returned.new_entries.began_at = now
 
     def held_number(self, kind: DocumentKind) -> int:
         """Return the number of the newest held revision of a document."""
@@ -190,7 +190,7 @@
         if self.inquiry.answered(sender, state):
             effects.append(Send(sender, address, Announce(self.state())))
         if self.inquiry.is_answered:
-            effects += self.machine_list.trust_newcomers(now)
+            effects += self.machine_list.trust_new_entries(now)
         return effects
 
     def _held_of_source(self, now: float) -> HeldOfSource:
@@ -213,8 +213,8 @@
         kind, number, document = read.kind, read.number, read.document
         if kind is DocumentKind.MACHINE_LIST:
             self._hear_era(now, number)
-        effects = self._note_regained(kind) + self.passed_over.note(kind, read.findings)
-        effects += self.passed_over.note_answer(kind, read.about_answers)
+        effects = self._note_regained(kind) + self.skipped_items.record(kind, read.findings)
+        effects += self.skipped_items.record_answer(kind, read.answer_findings)
         if kind is DocumentKind.CONFIGURATION:
             self.freshness.suspend(kind, number)
         if read.stale:
@@ -222,7 +222,7 @@
         else:
             self.reader.answered_with(now, read, self.held_number(kind))
         if kind is DocumentKind.MACHINE_LIST:
-            offered = self.machine_list.offer(now, identify(number, document), document)
+            offered = self.machine_list.offer(now, revision_id_of(number, document), document)
             return effects + self._after_machine_list(now, offered)
         self.stages.log.hear(now, number)
         make = partial(self.replica.offering_document, number, document)
@@ -232,7 +232,7 @@
         """The source answered that the document has not changed."""
         kind = answer.kind
         effects = self._note_regained(kind)
-        effects += self.passed_over.note_answer(kind, answer.about_answers)
+        effects += self.skipped_items.record_answer(kind, answer.answer_findings)
         self.reader.answered(now, answer)
         return effects
 
@@ -247,8 +247,8 @@
         was_failing = self.reader.is_failing(kind)
         fields = self.reader.failed(now, failed)
         effects: list[Effect] = [Log(FAILURE_EVENTS[kind], fields)]
-        if failed.about_answers:
-            effects += self.passed_over.note_answer(kind, failed.about_answers)
+        if failed.answer_findings:
+            effects += self.skipped_items.record_answer(kind, failed.answer_findings)
         if not was_failing:
             effects.append(Log(Event.SOURCE_LOST, {"document": kind.name}))
         return effects
@@ -370,7 +370,7 @@
         if answer.kind is DocumentKind.CONFIGURATION:
             make = partial(self.replica.offering_snapshot, revision, document)
             return self._offer(now, Offered(revision.number, Way.SNAPSHOT, make))
-        if identify(revision.number, document) != revision:
+        if revision_id_of(revision.number, document) != revision:
             return [Log(Event.FRAME_REFUSED, {"reason": WRONG_DIGEST})]
         return self._after_machine_list(now, self.machine_list.offer(now, revision, document))
 
@@ -430,7 +430,7 @@
         if held == before:
             return effects
         effects += self.stages.held(now, held.number, done.way, effects)
-        self._ended.note(self._evacuated(), tree_parts(held.number)[1], self.era)
+        self._ended.record_tree(self._evacuated(), split_tree_number(held.number)[1], self.era)
         if self._has_uncommitted() and not self._source.durable:
             effects += self.quorum.report(now, held)
         effects += self._announce(self._announcer.inline_delta(self.replica.store))
@@ -475,7 +475,7 @@
 
     def _after_machine_list(self, now: float, effects: list[Effect]) -> list[Effect]:
         """Seed the members from a list that came into use, and announce it."""
-        if not any(isinstance(effect, UseMachines) for effect in effects):
+        if not any(isinstance(effect, UseMachineList) for effect in effects):
             return effects
         number = self.machine_list.revision.number
         self._hear_era(now, number)
@@ -498,7 +498,7 @@
         if not news:
             return []
         machines = self.machine_list.machines
-        return [UseMachines(machines), *self._announcer.send(BackendsLeaving(news))]
+        return [UseMachineList(machines), *self._announcer.send(BackendsLeaving(news))]
 
     def on_list_overrides(self, now: float, told: ListOverrides) -> list[Effect]:
         """Hold against lists of a new era what a peer holds."""
@@ -509,6 +509,6 @@
         """Hold against a copy which evacuations a peer has seen to end."""
         if told.era != self.era:
             return
-        self._era_since = min(self._era_since, now - told.age / MILLISECONDS)
+        self._era_since = min(self._era_since, now - told.age_ms / MILLISECONDS)
         for ended in told.zones:
-            self._ended.hear(ended.zone, ended.made_until)
+            self._ended.record_report(ended.zone, ended.created_until_revision)
--- a/src/pewtertack/core/replication/store.py
+++ b/src/pewtertack/core/replication/store.py
@@ -5,9 +5,9 @@
 from collections import OrderedDict, deque
 from collections.abc import Iterable
 
-from pewtertack.core.delta import Delta, apply, compare, comparing, with_edits
+from pewtertack.core.delta import Delta, apply_delta, apply_edits, compare, compare_in_slices
 from pewtertack.core.revision import NO_REVISION, Document, RevisionId
-from pewtertack.core.slices import Work, finish
+from pewtertack.core.slices import Work, run_to_completion
 
 DELTAS_KEPT = 64
 EDITS_KEPT = 2000
@@ -38,12 +38,12 @@
 
     def share(self, document: Document) -> Document:
         """Return an equal document that shares with the newest what it leaves alone."""
-        return finish(self.sharing(document))
+        return run_to_completion(self.sharing(document))
 
     def sharing(self, document: Document) -> Work[Document]:
         """Do what ``share`` does, in slices."""
-        edits = yield from comparing(self.document, document)
-        return with_edits(self.document, edits)
+        edits = yield from compare_in_slices(self.document, document)
+        return apply_edits(self.document, edits)
 
     def put(self, revision: RevisionId, document: Document) -> None:
         """Hold ``document``; the caller has checked it and its digest."""
@@ -62,7 +62,7 @@
         revision, document = self.revision, self.document
         for delta in deltas:
             if delta.base == revision:
-                revision, document = delta.target, apply(delta, document)
+                revision, document = delta.target, apply_delta(delta, document)
                 steps.append(Step(delta, document))
         return tuple(steps)
 
--- a/src/pewtertack/core/revision.py
+++ b/src/pewtertack/core/revision.py
@@ -47,7 +47,7 @@
 """Stands for "nothing yet"; the source's numbers start at 1."""
 
 
-def encoded(value: Any) -> bytes:
+def canonical_bytes(value: Any) -> bytes:
     """Return bytes that are equal for equal values only, whatever the order of keys.
 
     ``1``, ``1.0`` and ``True`` are three values. MessagePack with sorted keys, which takes
@@ -61,20 +61,20 @@
 
 
 def have_same_content(left: Any, right: Any) -> bool:
-    """Tell whether two values are ``encoded`` alike; faster if their keys have one order."""
+    """Tell whether two values have equal canonical bytes; faster if in the same order."""
     try:
         if msgspec.msgpack.encode(left) == msgspec.msgpack.encode(right):
             return True
     except (TypeError, ValueError, OverflowError):
         pass
-    return encoded(left) == encoded(right)
+    return canonical_bytes(left) == canonical_bytes(right)
 
 
 def digest_of(document: Document) -> bytes:
     """Return the digest of the content of ``document``."""
-    return hashlib.blake2b(encoded(document), digest_size=DIGEST_BYTES).digest()
+    return hashlib.blake2b(canonical_bytes(document), digest_size=DIGEST_BYTES).digest()
 
 
-def identify(number: int, document: Document) -> RevisionId:
+def revision_id_of(number: int, document: Document) -> RevisionId:
     """Return the revision id of ``document`` under the source's ``number``."""
     return RevisionId(number, digest_of(document))
--- a/src/pewtertack/core/slices.py
+++ b/src/pewtertack/core/slices.py
@@ -10,7 +10,7 @@
 from collections.abc import Generator
 from typing import Generic, TypeVar
 
-UNITS_PER_TURN = 80
+WORK_UNITS_PER_TURN = 80
 """Units done in one turn of the event loop."""
 
 Result = TypeVar("Result")
@@ -26,7 +26,7 @@
         self.left = units
 
 
-class LongWork(Generic[Result]):
+class SlicedWork(Generic[Result]):
     """Work under way."""
 
     __slots__ = ("_steps", "result")
@@ -47,8 +47,8 @@
         return False
 
 
-def finish(steps: Work[Result]) -> Result:
+def run_to_completion(steps: Work[Result]) -> Result:
     """Do all of the work at once."""
-    work = LongWork(steps)
+    work = SlicedWork(steps)
     work.advance(Budget())
     return work.result
--- a/src/pewtertack/core/source_era.py
+++ b/src/pewtertack/core/source_era.py
@@ -5,7 +5,7 @@
 import math
 from typing import ClassVar
 
-from pewtertack.core.eras import LATEST_ERA
+from pewtertack.core.eras import ERA_MAX
 from pewtertack.core.items import ItemFinding, ItemFormatError, ItemProblem
 from pewtertack.errors import PlatformError
 
@@ -35,7 +35,7 @@
         self._name = name
         self.known: int | None = None
         """``None`` before the first answer; 0 for a source that tells none."""
-        self.since = -math.inf
+        self.known_since = -math.inf
         """When the present era was first heard of, in monotonic seconds."""
         self._told = False
         self._findings: tuple[ItemFinding, ...] = ()
@@ -45,12 +45,12 @@
         """The era by which documents are numbered."""
         return self.known or 0
 
-    def take_findings(self) -> tuple[ItemFinding, ...]:
+    def pop_findings(self) -> tuple[ItemFinding, ...]:
         """Return what was wrong with the answers since the last call."""
         found, self._findings = self._findings, ()
         return found
 
-    def take(self, now: float, value: bytes | None, sent_in: int | None, fresh: bool) -> None:
+    def update(self, now: float, value: bytes | None, sent_in: int | None, fresh: bool) -> None:
         """Take in what an answer tells.
 
         Args:
@@ -88,15 +88,15 @@
                 raise ItemFormatError(ItemProblem.ERA, "not told any more")
             return self.number
         is_number = value.isdigit() and len(value) <= LONGEST_ERA
-        if not is_number or int(value) > LATEST_ERA:
+        if not is_number or int(value) > ERA_MAX:
             shown = value[:SHOWN_CHARACTERS].decode("latin-1")
-            raise ItemFormatError(ItemProblem.ERA, f"no number up to {LATEST_ERA}: {shown!r}")
+            raise ItemFormatError(ItemProblem.ERA, f"no number up to {ERA_MAX}: {shown!r}")
         self._told = True
         return int(value)
 
     def _begin(self, now: float, era: int) -> None:
         self.known = era
-        self.since = now
+        self.known_since = now
 
     def _find(self, detail: str) -> None:
         self._findings = (ItemFinding(self._name, ItemProblem.ERA, detail),)
--- a/src/pewtertack/core/source_trees.py
+++ b/src/pewtertack/core/source_trees.py
@@ -12,9 +12,9 @@
 
 from pewtertack.core.configuration.model import RootSection
 from pewtertack.core.effects import ReadDocument
-from pewtertack.core.eras import moment_of, tree_number, tree_parts
+from pewtertack.core.eras import logical_time, split_tree_number, tree_number
 from pewtertack.core.inputs import DocumentRead, DocumentUnchanged
-from pewtertack.core.items import ItemFinding, ItemFormatError, evacuated_zones_of
+from pewtertack.core.items import ItemFinding, ItemFormatError, valid_evacuated_zones
 from pewtertack.core.source_mirror import Mirror
 
 FIRST_NUMBER = 1
@@ -49,13 +49,13 @@
         ItemFormatError: there is a configuration, but none that can be read.
     """
     kind, era = effect.kind, mirror.era or 0
-    evacuated, findings = evacuated_zones_of(_zones(effect, mirror, holds))
+    evacuated, findings = valid_evacuated_zones(_zones(effect, mirror, holds))
     read = _read_tree(mirror, key, tree_of, evacuated)
     if read is None:
         return DocumentUnchanged(kind)
     version, tree, unreadable = _held_if_newer(effect, read, evacuated) if era else read
-    version_held, known_until = tree_parts(effect.after)
-    moment = moment_of(era, mirror.number)
+    version_held, known_until = split_tree_number(effect.after)
+    moment = logical_time(era, mirror.change_revision)
     returned = version_held == version and moment >= known_until > 0
     number = tree_number(version, moment if evacuated or returned else 0) or FIRST_NUMBER
     if unreadable and number < effect.after:
@@ -66,7 +66,7 @@
     return DocumentRead(kind, number, tree, stale, (*unreadable, *findings))
 
 
-def lacks_change(effect: ReadDocument, mirror: Mirror, holds: bool) -> bool:
+def evacuations_differ(effect: ReadDocument, mirror: Mirror, holds: bool) -> bool:
     """Tell whether who asks holds other evacuations than the mirror, which has not changed.
 
     The mirror's state is that of its cursor, which is newer than what is held: its tree is
@@ -84,22 +84,22 @@
     """
     if mirror.tree_number >= effect.after:
         return False
-    version, known_until = tree_parts(effect.after)
-    if tree_parts(mirror.tree_number)[0] != version or mirror.evacuated():
+    version, known_until = split_tree_number(effect.after)
+    if split_tree_number(mirror.tree_number)[0] != version or mirror.evacuated_zones():
         return False
-    if not 0 < known_until < mirror.at:
+    if not 0 < known_until < mirror.watch_revision:
         return False
-    mirror.number = mirror.at
+    mirror.change_revision = mirror.watch_revision
     return True
 
 
 def _lacks_evacuations(effect: ReadDocument, mirror: Mirror, holds: bool) -> bool:
-    evacuated, _ = evacuated_zones_of(_zones(effect, mirror, holds))
-    if evacuated == sorted(effect.evacuated):
+    evacuated, _ = valid_evacuated_zones(_zones(effect, mirror, holds))
+    if evacuated == sorted(effect.evacuated_zones):
         return False
-    if moment_of(mirror.era or 0, mirror.at) <= tree_parts(effect.after)[1]:
+    if logical_time(mirror.era or 0, mirror.watch_revision) <= split_tree_number(effect.after)[1]:
         return False
-    mirror.number = mirror.at
+    mirror.change_revision = mirror.watch_revision
     return True
 
 
@@ -109,16 +109,20 @@
     A node that holds nothing asks for the version alone: which evacuations held before the
     era its peers know.
     """
-    shown = mirror.evacuated()
+    shown = mirror.evacuated_zones()
     if not mirror.era:
         return shown
     if effect.after == 0:
         return []
     if not holds:
         return shown
-    held = {zone for zone in effect.evacuated if not mirror.has_named(zone)}
+    held = {zone for zone in effect.evacuated_zones if not mirror.has_reported_evacuation(zone)}
     if effect.doubts_copy:
-        shown = [zone for zone in shown if zone in effect.evacuated or not mirror.has_copied(zone)]
+        shown = [
+            zone
+            for zone in shown
+            if zone in effect.evacuated_zones or not mirror.shows_restored_evacuation(zone)
+        ]
     return sorted(held | {zone for zone in shown if not _has_ended(effect, mirror, zone)})
 
 
@@ -127,13 +131,17 @@
 
     Unless it is held: another node, who had not seen the end, has shown it.
     """
-    until = effect.ended.get(zone)
-    return until is not None and zone not in effect.evacuated and mirror.has_copied(zone, until)
+    until = effect.ended_evacuations.get(zone)
+    return (
+        until is not None
+        and zone not in effect.evacuated_zones
+        and mirror.shows_restored_evacuation(zone, until)
+    )
 
 
 def _says_nothing_new(effect: ReadDocument, number: int, evacuated: list[str]) -> bool:
-    same_version = tree_parts(number)[0] == tree_parts(effect.after)[0]
-    if same_version and evacuated == sorted(effect.evacuated):
+    same_version = split_tree_number(number)[0] == split_tree_number(effect.after)[0]
+    if same_version and evacuated == sorted(effect.evacuated_zones):
         return True
     return number <= effect.after
 
@@ -143,10 +151,10 @@
 
     So that evacuations of the new era show on the version in force, whoever has read it.
     """
-    version_held = tree_parts(effect.held.number)[0]
-    if effect.tree is None or version_held <= read[0]:
+    version_held = split_tree_number(effect.held_revision.number)[0]
+    if effect.held_tree is None or version_held <= read[0]:
         return read
-    tree = {**effect.tree, RootSection.EVACUATED_ZONES.value: list(evacuated)}
+    tree = {**effect.held_tree, RootSection.EVACUATED_ZONES.value: list(evacuated)}
     if not evacuated:
         del tree[RootSection.EVACUATED_ZONES.value]
     return version_held, tree, ()
@@ -158,18 +166,18 @@
     Raises:
         ItemFormatError: there is one, but none that can be read.
     """
-    value = mirror.items.get(key, mirror.readable or None)
+    value = mirror.items.get(key, mirror.last_readable or None)
     if value is None:
         return None
     try:
         version, tree = tree_of(value, evacuated)
     except ItemFormatError as error:
-        if not mirror.readable:
+        if not mirror.last_readable:
             raise
-        version, tree = tree_of(mirror.readable, evacuated)
+        version, tree = tree_of(mirror.last_readable, evacuated)
         return version, tree, (error.about(key),)
-    if mirror.era and mirror.readable_version > version:
-        version, tree = tree_of(mirror.readable, evacuated)
+    if mirror.era and mirror.last_readable_version > version:
+        version, tree = tree_of(mirror.last_readable, evacuated)
         return version, tree, ()  # acknowledged before the copy's came back
-    mirror.readable, mirror.readable_version = value, version
+    mirror.last_readable, mirror.last_readable_version = value, version
     return version, tree, ()
--- a/src/pewtertack/lab/convergence/recording.py
+++ b/src/pewtertack/lab/convergence/recording.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from pewtertack.core.eras import tree_parts
+from pewtertack.core.eras import split_tree_number
 from pewtertack.events import Event
 from pewtertack.lab.convergence.options import Point
 from pewtertack.lab.report.statistics import percentile
@@ -85,9 +85,9 @@
         if event == Event.NODE_SERVING.name:
             self.serving.add(node)
         elif event == Event.REVISION_HELD.name:
-            self._note(self._held, node, now, tree_parts(revision)[0])
+            self._note(self._held, node, now, split_tree_number(revision)[0])
         elif event == Event.REVISION_IN_FORCE.name:
-            version = tree_parts(revision)[0]
+            version = split_tree_number(revision)[0]
             self.versions[node] = max(version, self.versions[node])
             self._note(self._in_force, node, now, version)
         elif self._watched and event in {item.name for item in READER_CHANGES}:
--- a/src/pewtertack/lab/load/mix.py
+++ b/src/pewtertack/lab/load/mix.py
@@ -6,7 +6,7 @@
 
 from pewtertack.core.configuration.resolution import resolve_document
 from pewtertack.core.configuration.resolved import ResolvedRoute, WorkClass
-from pewtertack.core.revision import Document, identify
+from pewtertack.core.revision import Document, revision_id_of
 
 PATIENCE_SECONDS = 2.0
 """How much longer than the route's timeout a caller waits."""
@@ -51,7 +51,7 @@
     Raises:
         TreeRejectedError: the tree is not valid.
     """
-    resolved = resolve_document(tree, identify(1, tree), "")
+    resolved = resolve_document(tree, revision_id_of(1, tree), "")
     return tuple(_call_of_route(route) for route in resolved.routes)
 
 
--- a/src/pewtertack/lab/returns/run.py
+++ b/src/pewtertack/lab/returns/run.py
@@ -15,7 +15,7 @@
 import httpcore
 import msgspec
 
-from pewtertack.core.eras import tree_parts
+from pewtertack.core.eras import split_tree_number
 from pewtertack.events import Event
 from pewtertack.lab.fleet.plan import FLEET_KEY
 from pewtertack.lab.fleet.ports import PortAllocator
@@ -97,7 +97,7 @@
         if event.event == Event.NODE_SERVING.name:
             self.serving_since = now
         if event.event == Event.REVISION_IN_FORCE.name:
-            version = tree_parts(event.revision)[0]
+            version = split_tree_number(event.revision)[0]
             if version < self.version:
                 self.offences.append(f"{self.host}: version {version} after {self.version}")
             self.version = max(version, self.version)
--- a/src/pewtertack/lab/scale/run.py
+++ b/src/pewtertack/lab/scale/run.py
@@ -13,7 +13,7 @@
 from pewtertack.core.identity import NodeIdentity
 from pewtertack.core.membership.rumors import RumorQueue
 from pewtertack.core.profile import PROFILES
-from pewtertack.core.revision import Document, identify
+from pewtertack.core.revision import Document, revision_id_of
 from pewtertack.lab.scale.memory import check_memory, resident_bytes
 from pewtertack.lab.scale.meter import EditMade, PhaseMeter
 from pewtertack.lab.scale.observer import Observer
@@ -84,7 +84,7 @@
         self._peak = 0
         self._snapshot_bytes = frame_bytes(
             SnapshotAnswer(
-                DocumentKind.CONFIGURATION, identify(1, self._document), dict(self._document)
+                DocumentKind.CONFIGURATION, revision_id_of(1, self._document), dict(self._document)
             )
         )
 
@@ -222,7 +222,7 @@
 
     def _delta(self) -> Delta:
         old, new = self._document, self._edited()
-        return Delta(identify(1, old), identify(2, new), compare(old, new))
+        return Delta(revision_id_of(1, old), revision_id_of(2, new), compare(old, new))
 
     def _baseline(self, interval: float) -> PollingBaseline:
         return PollingBaseline(
--- a/src/pewtertack/lab/slow_source/judging.py
+++ b/src/pewtertack/lab/slow_source/judging.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from pewtertack.core.eras import tree_parts
+from pewtertack.core.eras import split_tree_number
 from pewtertack.events import Event
 
 
@@ -48,7 +48,7 @@
         if event == Event.NODE_SERVING.name:
             self.serving.append((now, float("inf")))
         elif event == Event.REVISION_IN_FORCE.name:
-            version = tree_parts(revision)[0]
+            version = split_tree_number(revision)[0]
             if self.in_force and version < self.in_force[-1][1]:
                 before = self.in_force[-1][1]
                 self.steps_back.append(f"{self.name}: version {version} after {before}")
--- a/src/pewtertack/lab/source/era_reader.py
+++ b/src/pewtertack/lab/source/era_reader.py
@@ -53,8 +53,8 @@
     ) -> DocumentRead | DocumentUnchanged | DocumentReadFailed:
         """Do one read; every failure becomes ``DocumentReadFailed``."""
         answer = await super().read(effect)
-        found = self._era.take_findings()
-        return msgspec.structs.replace(answer, about_answers=found) if found else answer
+        found = self._era.pop_findings()
+        return msgspec.structs.replace(answer, answer_findings=found) if found else answer
 
     async def _ask(self, effect: ReadDocument) -> ServiceAnswer:
         sent_in = self._era.known
@@ -74,7 +74,7 @@
 
     def _take_era(self, answer: ServiceAnswer, sent_in: int | None) -> None:
         try:
-            self._era.take(self._now(), answer.header(ERA_HEADER.encode()), sent_in, answer.fresh)
+            self._era.update(self._now(), answer.header(ERA_HEADER.encode()), sent_in, answer.fresh)
         except SourceEraError:
             for service in self._services.values():
                 service.close()
--- a/src/pewtertack/lab/store_fleet/simulated.py
+++ b/src/pewtertack/lab/store_fleet/simulated.py
@@ -69,7 +69,7 @@
                 answer = await self._reader.read(effect)
             finally:
                 del self._reads[read]
-            self.take(msgspec.structs.replace(answer, read=effect.read))
+            self.take(msgspec.structs.replace(answer, read_id=effect.read_id))
 
 
 class SimulatedStoreFleet:
--- a/src/pewtertack/lab/weakening.py
+++ b/src/pewtertack/lab/weakening.py
@@ -14,10 +14,10 @@
 from pewtertack.core import profile
 from pewtertack.core.configuration.resolved import ResolvedConfiguration
 from pewtertack.core.crashes.ledger import CrashLedger
+from pewtertack.core.machine_list_overrides import MachineListOverrides
 from pewtertack.core.machines import Machine, MachineList, MachineState
 from pewtertack.core.profile import Mechanisms
 from pewtertack.core.replication import reader
-from pewtertack.core.returned_lists import ReturnedLists
 from pewtertack.core.source_era import SourceEra
 from pewtertack.lab.errors import LabUsageError
 from pewtertack.node.daemon import DrainableProxy
@@ -211,7 +211,7 @@
     def take_nothing(_: object) -> Callable[..., None]:
         return lambda era, now, value, sent_in, fresh: None
 
-    _wrap(SourceEra, "take", take_nothing)
+    _wrap(SourceEra, "update", take_nothing)
 
 
 def _hold_nothing_after_returns() -> None:
@@ -220,7 +220,7 @@
     def wrapper(start: Callable[..., None]) -> Callable[..., None]:
         return lambda returned, seconds, *others: start(returned, 0.0, *others)
 
-    _wrap(ReturnedLists, "__init__", wrapper)
+    _wrap(MachineListOverrides, "__init__", wrapper)
 
 
 def _drop_what_was_read_behind() -> None:
--- a/src/pewtertack/node/gateway/application.py
+++ b/src/pewtertack/node/gateway/application.py
@@ -59,7 +59,7 @@
     RequestFailedError,
     ZoneEvacuatedError,
 )
-from pewtertack.routing.policies import DEFAULT_POLICIES, BegunRuns, LongBodies, Policies
+from pewtertack.routing.policies import DEFAULT_POLICIES, LongBodyPolicy, Policies, SlotOrderPolicy
 from pewtertack.routing.runs import RunsBeside, none_in_vain
 from pewtertack.settings import Settings
 
@@ -139,7 +139,7 @@
             self._reporter,
             self.origins,
             runs,
-            runs.in_vain if policies.begun_runs is BegunRuns.FINISHABLE else none_in_vain,
+            runs.in_vain if policies.begun_runs is SlotOrderPolicy.FINISHABLE else none_in_vain,
             self.requests,
             pacer=_pacer_of(clock, place, policies),
         )
@@ -378,7 +378,7 @@
     clock: Callable[[], float], place: GatewayPlace, policies: Policies
 ) -> LinkPacer | None:
     """Return what paces long answers; ``None`` where they leave at once."""
-    if policies.long_bodies is not LongBodies.IN_TURNS or not place.link_mbps:
+    if policies.long_bodies is not LongBodyPolicy.IN_TURNS or not place.link_mbps:
         return None
     return LinkPacer(clock, LinkShare(place.link_mbps))
 
--- a/src/pewtertack/node/gateway/incarnations.py
+++ b/src/pewtertack/node/gateway/incarnations.py
@@ -137,7 +137,7 @@
     def _end_life_before(self, machine: Machine) -> bool:
         """Forget a life that has ended: what waits is handed back, what runs there ends itself."""
         known = self._known.get(machine.name)
-        if known is None or not machine.is_of_life_after(known.started_at):
+        if known is None or not machine.is_after_incarnation(known.started_at):
             return False
         known.listed = False
         known.ended = True
@@ -147,7 +147,7 @@
 
     def _learn(self, name: str, machine: Machine) -> None:
         incarnation = self.get(name)
-        if machine.is_of_life_before(incarnation.started_at):
+        if machine.is_before_incarnation(incarnation.started_at):
             return
         incarnation.listed = incarnation.told = True
         incarnation.started_at = machine.started_at or incarnation.started_at
--- a/src/pewtertack/node/runtime.py
+++ b/src/pewtertack/node/runtime.py
@@ -19,7 +19,7 @@
     Send,
     SetServing,
     StageReached,
-    UseMachines,
+    UseMachineList,
 )
 from pewtertack.core.inputs import (
     BackendLeavingObserved,
@@ -227,7 +227,7 @@
                 self._start_continuing()
             case BringIntoForce(configuration):
                 self._bring_into_force(configuration)
-            case UseMachines(told):
+            case UseMachineList(told):
                 self._use_machines(told)
             case SetServing(serving, retry_after):
                 self._set_serving(serving, retry_after)
@@ -237,7 +237,7 @@
                 self._log.record(event, **fields)
 
     def _use_machines(self, told: MachineList) -> None:
-        machines = told.without_starts_after(_latest_start())
+        machines = told.without_start_times_after(_latest_start())
         for user in (self._proxy, self._gateway):
             if user is not None:
                 user.use_machines(machines)
@@ -277,4 +277,4 @@
 
     async def _read(self, effect: ReadDocument) -> None:
         answer = await self._reader.read(effect)
-        self.feed(msgspec.structs.replace(answer, read=effect.read))
+        self.feed(msgspec.structs.replace(answer, read_id=effect.read_id))
--- a/src/pewtertack/platform/documents.py
+++ b/src/pewtertack/platform/documents.py
@@ -9,10 +9,10 @@
 
 from pewtertack.core.configuration import conversion
 from pewtertack.core.configuration.model import RootSection
-from pewtertack.core.items import ReadItems, read_item
+from pewtertack.core.items import ParsedItems, parse_item
 
 REPEATABLE_KINDS = frozenset({"safe", "download"})
-KnownRoutes = ReadItems[tuple[str, dict[str, Any]]]
+KnownRoutes = ParsedItems[tuple[str, dict[str, Any]]]
 
 _Number = Annotated[float, msgspec.Meta(ge=-1e15, le=1e15)]
 _Weight = Annotated[float, msgspec.Meta(ge=0, le=1e15)]
@@ -68,7 +68,7 @@
     Raises:
         ItemFormatError: it lacks a field, or one has a wrong value.
     """
-    given = read_item(value, _Configuration)
+    given = parse_item(value, _Configuration)
     version = int(given.version.removeprefix("r"))
     routes = (known or KnownRoutes()).read(given.routes or (), _read_route)
     tree: dict[str, Any] = {
@@ -82,7 +82,7 @@
 
 
 def _read_route(text: bytes) -> tuple[str, dict[str, Any]]:
-    route = read_item(text, _Route)
+    route = parse_item(text, _Route)
     return route.name, _route_of(route)
 
 
--- a/src/pewtertack/platform/entries.py
+++ b/src/pewtertack/platform/entries.py
@@ -10,14 +10,14 @@
 import msgspec
 
 from pewtertack.core.configuration.model import NAME_PATTERN, ZONE_NAME_PATTERN
-from pewtertack.core.items import ItemFinding, ItemFormatError, ItemProblem, read_item
+from pewtertack.core.items import ItemFinding, ItemFormatError, ItemProblem, parse_item
 from pewtertack.core.machines import (
-    LATEST_START,
-    MAXIMUM_SLOTS,
+    SLOTS_MAX,
+    STARTED_AT_MAX_MS,
     MachineRole,
     MachineState,
-    is_ip_number,
-    machine_address,
+    is_ip_address,
+    normalize_machine_address,
 )
 
 DRAINING = "draining"
@@ -39,11 +39,11 @@
     address: str
     zone: _ZoneName
     version: str
-    slots: Annotated[int, msgspec.Meta(ge=1, le=MAXIMUM_SLOTS)]
+    slots: Annotated[int, msgspec.Meta(ge=1, le=SLOTS_MAX)]
     state: Literal["ready", "draining"]
     cold_remaining: Annotated[str, msgspec.Meta(pattern=r"\A[0-9]{1,18}(\.[0-9]{1,18})?m?s\Z")]
     sequence: Annotated[int, msgspec.Meta(ge=0)]
-    born: Annotated[int, msgspec.Meta(ge=0, le=LATEST_START)] = msgspec.field(
+    born: Annotated[int, msgspec.Meta(ge=0, le=STARTED_AT_MAX_MS)] = msgspec.field(
         name="born", default=0
     )
 
@@ -102,10 +102,10 @@
 @lru_cache(ENTRIES_KEPT)
 def _entry_of(name: str, value: bytes) -> tuple[_Entry, str]:
     """Return a back end's entry, and its address as nodes write addresses."""
-    if not _ENTRY_NAME.fullmatch(name) or is_ip_number(name):
+    if not _ENTRY_NAME.fullmatch(name) or is_ip_address(name):
         raise ItemFormatError(ItemProblem.NAME, "no name that a back end may have")
-    entry = read_item(value, _Entry)
-    address = machine_address(entry.address)
+    entry = parse_item(value, _Entry)
+    address = normalize_machine_address(entry.address)
     if address is None:
         raise ItemFormatError(ItemProblem.ADDRESS, entry.address)
     return entry, address
--- a/src/pewtertack/platform/items.py
+++ b/src/pewtertack/platform/items.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from pewtertack.core.items import ItemFormatError, read_item
+from pewtertack.core.items import ItemFormatError, parse_item
 from pewtertack.core.source_mirror import UNREADABLE
 
 
@@ -39,8 +39,8 @@
     items: list[StoreItem] = []
     for part in parts:
         try:
-            items.append(read_item(part, StoreItem))
+            items.append(parse_item(part, StoreItem))
         except ItemFormatError:
             with contextlib.suppress(ItemFormatError):
-                items.append(StoreItem(read_item(part, _Key).key, revision=0))
+                items.append(StoreItem(parse_item(part, _Key).key, revision=0))
     return items
--- a/src/pewtertack/platform/store.py
+++ b/src/pewtertack/platform/store.py
@@ -13,8 +13,8 @@
 from pewtertack.core.eras import list_number
 from pewtertack.core.inputs import DocumentRead, DocumentReadFailed, DocumentUnchanged
 from pewtertack.core.source_era import SourceEra, SourceEraError
-from pewtertack.core.source_mirror import Mirror, Refreshed
-from pewtertack.core.source_trees import lacks_change, tree_document
+from pewtertack.core.source_mirror import Mirror, RefreshResult
+from pewtertack.core.source_trees import evacuations_differ, tree_document
 from pewtertack.errors import PlatformError, ReadFailure
 from pewtertack.node import clock
 from pewtertack.node.http.client import (
@@ -145,8 +145,8 @@
         except PlatformError as error:
             reason = f"{error.code}: {error}"
             answer = DocumentReadFailed(effect.kind, reason, failure=error.failure)
-        found, took, self._took = self._era.take_findings(), self._took, None
-        return msgspec.structs.replace(answer, about_answers=found, took=took)
+        found, took, self._took = self._era.pop_findings(), self._took, None
+        return msgspec.structs.replace(answer, answer_findings=found, answer_seconds=took)
 
     async def _read(
         self, effect: ReadDocument, mirror: Mirror
@@ -155,41 +155,41 @@
             await self._list(mirror, stale=True)
             if not mirror.items:
                 raise StoreEmptyError(mirror.prefix)
-            if not mirror.evacuated():
+            if not mirror.evacuated_zones():
                 return self._document(effect, mirror, stale=True)
             # which evacuations hold as of which revision a stale answer does not tell
-            mirror.at = 0
+            mirror.watch_revision = 0
         try:
             refreshed = await self._refresh(mirror, effect.wait)
         except _HistoryGoneError:
-            mirror.at = 0
+            mirror.watch_revision = 0
             raise
         if effect.era > self._era.number:
             raise SourceEraError(f"of era {self._era.number}; peers have heard of {effect.era}")
-        same = refreshed is Refreshed.SAME and not self._lacks_change(effect, mirror)
-        if same or refreshed is Refreshed.OVERTAKEN:
+        same = refreshed is RefreshResult.SAME and not self._lacks_change(effect, mirror)
+        if same or refreshed is RefreshResult.OVERTAKEN:
             return DocumentUnchanged(effect.kind)
         return self._document(effect, mirror)
 
     def _lacks_change(self, effect: ReadDocument, mirror: Mirror) -> bool:
         if effect.kind is not DocumentKind.CONFIGURATION:
             return False
-        return lacks_change(effect, mirror, self._holds(effect))
+        return evacuations_differ(effect, mirror, self._holds(effect))
 
     def _holds(self, effect: ReadDocument) -> bool:
         """Tell whether the era has begun so shortly ago that what was known before it holds.
 
         This node may have read nothing of it for long and have heard of it by others.
         """
-        since = self._era.since
+        since = self._era.known_since
         if effect.era == self._era.number:
             since = min(since, effect.era_since)
         return self._now() < since + self._hold_after_return
 
-    async def _refresh(self, mirror: Mirror, wait: float) -> Refreshed:
-        if mirror.at == 0 or mirror.era != self._era.known:
+    async def _refresh(self, mirror: Mirror, wait: float) -> RefreshResult:
+        if mirror.watch_revision == 0 or mirror.era != self._era.known:
             await self._list(mirror)
-            return Refreshed.CHANGED
+            return RefreshResult.CHANGED
         try:
             return await self._watch(mirror, wait)
         except _HistoryGoneError:
@@ -198,11 +198,11 @@
         except AnswerTooLargeError:
             pass  # it has each write of an item; a list has the last ones
         await self._list(mirror)
-        return Refreshed.CHANGED
+        return RefreshResult.CHANGED
 
     async def _list(self, mirror: Mirror, stale: bool = False) -> None:
         """Read all items; what changes between two pages is seen by the watch that follows."""
-        fresh = mirror.empty()
+        fresh = mirror.new_empty()
         fresh.stale = stale
         after = ""
         while True:
@@ -211,25 +211,25 @@
             )
             page = _decode(await self._get(path + ("&stale=1" if stale else "")), _Range)
             items = items_of(page.items)
-            fresh.take_page(items, page.at)
+            fresh.apply_page(items, page.at)
             if not page.more or not items:
                 break
             after = items[-1].key
         fresh.era = self._era.known
-        mirror.take_list(fresh)
+        mirror.replace_with(fresh)
         if after and not stale and mirror.prefix == OPERATOR_PREFIX:
             await self._watch(mirror, 0.0)  # pages are no snapshot; their number must be exact
 
-    async def _watch(self, mirror: Mirror, wait: float) -> Refreshed:
+    async def _watch(self, mirror: Mirror, wait: float) -> RefreshResult:
         """Take in what has changed; other reads may have changed the mirror meanwhile."""
-        after = mirror.at
+        after = mirror.watch_revision
         query = f"PathPrefix={mirror.prefix}&after={after}&WaitMs={int(wait * 1000)}"
         found = _decode(await self._get(f"/kv-watch?{query}", wait), _Events)
         if wait and found.events:
             self._took = None  # a change has ended the wait
-        if mirror.at == 0:
+        if mirror.watch_revision == 0:
             return await self._refresh(mirror, 0.0)  # another read has found the history gone
-        return mirror.take_changes(after, found.at, items_of(found.events))
+        return mirror.apply_changes(after, found.at, items_of(found.events))
 
     async def _get(self, path: str, wait: float = 0.0) -> bytes:
         timeouts = ServiceTimeouts(CONNECT_SECONDS, wait + ANSWER_SECONDS, PART_SECONDS)
@@ -259,7 +259,7 @@
         if value is None and answer.status not in STATUS_OF_STORE:
             return
         try:
-            self._era.take(self._now(), value, sent_in, answer.fresh)
+            self._era.update(self._now(), value, sent_in, answer.fresh)
         except SourceEraError:
             self._client.close()  # what is asked next goes over new connections
             raise
@@ -271,10 +271,10 @@
             holds = self._holds(effect)
             read = partial(tree_of, known=self._routes)
             return tree_document(effect, mirror, CONFIGURATION_KEY, read, holds, stale)
-        entries = mirror.by_age(BACKENDS_PREFIX)
-        made = {name: mirror.made.get(BACKENDS_PREFIX + name, 0) for name in entries}
+        entries = mirror.values_by_age(BACKENDS_PREFIX)
+        made = {name: mirror.created_revisions.get(BACKENDS_PREFIX + name, 0) for name in entries}
         machines, findings = machines_of(entries, self._gateway_port, self._peer_port, made)
-        number = list_number(mirror.era or 0, mirror.number)
+        number = list_number(mirror.era or 0, mirror.change_revision)
         return DocumentRead(effect.kind, number, machines, stale, findings)
 
 
--- a/src/pewtertack/routing/admission.py
+++ b/src/pewtertack/routing/admission.py
@@ -34,7 +34,7 @@
 from pewtertack.routing.outcomes import DeadlineUnmeetableError, NotRunError, QueueFullError
 from pewtertack.routing.patience import Lateness
 from pewtertack.routing.places import AdmissionTicket
-from pewtertack.routing.policies import DEFAULT_POLICIES, Hanging, Policies
+from pewtertack.routing.policies import DEFAULT_POLICIES, HungRequestPolicy, Policies
 from pewtertack.routing.recent_delay import RecentDelay
 from pewtertack.routing.service_times import ServiceTimes
 
@@ -81,7 +81,7 @@
         self._going_first = ArrivalRate()
         self._times = ServiceTimes()
         self._delay = RecentDelay()
-        self.hangs = HangWatch() if policies.hanging is Hanging.LEFT else None
+        self.hangs = HangWatch() if policies.hanging is HungRequestPolicy.LEFT else None
         self._start_with_margin = MARGINS[policies.margin]
         self._moved_at = -math.inf
         """When a request last started or ended."""
--- a/src/pewtertack/routing/budgets.py
+++ b/src/pewtertack/routing/budgets.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Container
 
-from pewtertack.routing.policies import RetryBudgeting
+from pewtertack.routing.policies import RetryBudgetPolicy
 from pewtertack.routing.retries import Budget, RetryBudget
 from pewtertack.routing.retry_window import RetryLimits, WindowBudget
 
@@ -19,7 +19,7 @@
 
     __slots__ = ("_began", "_budgets", "_nodes", "limits", "way")
 
-    def __init__(self, way: RetryBudgeting, limits: RetryLimits) -> None:
+    def __init__(self, way: RetryBudgetPolicy, limits: RetryLimits) -> None:
         self.way = way
         self.limits = limits
         self._budgets: dict[str, Budget] = {}
@@ -45,7 +45,7 @@
         return budget
 
     def _new(self, now: float) -> Budget:
-        if self.way is RetryBudgeting.WINDOW:
+        if self.way is RetryBudgetPolicy.WINDOW:
             return WindowBudget(self.limits, now if self._began is None else self._began)
         return RetryBudget()
 
--- a/src/pewtertack/routing/dispatcher.py
+++ b/src/pewtertack/routing/dispatcher.py
@@ -44,8 +44,8 @@
 from pewtertack.routing.patience import CallerPatience, Lateness, pause_after_shedding
 from pewtertack.routing.policies import (
     DEFAULT_POLICIES,
-    CallsWithin,
-    Hanging,
+    HungRequestPolicy,
+    NestedCallPolicy,
     Policies,
 )
 from pewtertack.routing.queueing import Ticket
@@ -211,7 +211,7 @@
         self.service(ticket.route.service).submit(ticket, now)
 
     def _is_within(self, route: str, now: float) -> bool:
-        first = self._policies.calls_within is CallsWithin.FIRST
+        first = self._policies.calls_within is NestedCallPolicy.FIRST
         return first and self.origins.is_within(route, now)
 
     def note_origin(self, route: str, told: str, now: float) -> None:
@@ -409,7 +409,7 @@
 
     def may_leave(self, ticket: Ticket, now: float) -> bool:
         """Tell whether an attempt would now be made elsewhere if its back end hangs on it."""
-        return self._policies.hanging is Hanging.LEFT and self.may_repeat(ticket, now)
+        return self._policies.hanging is HungRequestPolicy.LEFT and self.may_repeat(ticket, now)
 
     def may_repeat(self, ticket: Ticket, now: float) -> bool:
         """Tell whether an attempt that fails now would be made elsewhere."""
--- a/src/pewtertack/routing/hanging.py
+++ b/src/pewtertack/routing/hanging.py
@@ -20,7 +20,7 @@
 import math
 
 from pewtertack.routing.places import AdmissionTicket
-from pewtertack.routing.policies import Hanging, Parameter, PolicyKind, policy
+from pewtertack.routing.policies import HungRequestPolicy, Parameter, PolicyKind, policy
 from pewtertack.routing.service_times import ServiceTimes
 
 SURE = 0.8
@@ -69,7 +69,7 @@
 
 @policy(
     PolicyKind.HANGING,
-    Hanging.LEFT,
+    HungRequestPolicy.LEFT,
     "what may be repeated is left when the back end has most likely hung on it",
     Parameter("sure", SURE, "", "needless second attempts against late answers"),
     Parameter("usual share", USUAL_SHARE, "", "needless second attempts at a sound back end"),
--- a/src/pewtertack/routing/link.py
+++ b/src/pewtertack/routing/link.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable
 
 from pewtertack.routing.long_body import ENDS_NOW, LongBody, Rank, Turn
-from pewtertack.routing.policies import LongBodies, Parameter, PolicyKind, policy
+from pewtertack.routing.policies import LongBodyPolicy, Parameter, PolicyKind, policy
 from pewtertack.routing.queueing import smoothed
 
 LONG_BYTES = 16 * 1024
@@ -46,7 +46,7 @@
 
 @policy(
     PolicyKind.LONG_BODIES,
-    LongBodies.IN_TURNS,
+    LongBodyPolicy.IN_TURNS,
     "long bodies leave one after the other at the link's pace; short ones wait for none",
     Parameter("long_bytes", LONG_BYTES, "B", "13 ms of a link of 10 Mbit/s"),
     Parameter("link_share", LINK_SHARE, "", "the rest is for what nobody counts"),
--- a/src/pewtertack/routing/margins.py
+++ b/src/pewtertack/routing/margins.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from pewtertack.routing.policies import Margin, Parameter, PolicyKind, policy
+from pewtertack.routing.policies import Parameter, PolicyKind, WaitMarginPolicy, policy
 
 KEPT_MOST = 0.5
 """At most so much of the time that a request may wait is kept. In virtual time a third and two
@@ -17,7 +17,7 @@
 
 @policy(
     PolicyKind.MARGIN,
-    Margin.SPREAD,
+    WaitMarginPolicy.SPREAD,
     "a request waits while its answer is seldom late, however much answers' times differ",
 )
 def keep_spread(arrived_at: float, latest: float, spread: float) -> float:
@@ -27,7 +27,7 @@
 
 @policy(
     PolicyKind.MARGIN,
-    Margin.HALF,
+    WaitMarginPolicy.HALF,
     "a request waits for half the time that a usual answer leaves, or longer where it is safe",
     Parameter("kept_most", KEPT_MOST, "", "in virtual time a third to two thirds are alike"),
 )
@@ -36,4 +36,4 @@
     return latest - min(spread, KEPT_MOST * max(0.0, latest - arrived_at))
 
 
-MARGINS = {Margin.SPREAD: keep_spread, Margin.HALF: keep_half}
+MARGINS = {WaitMarginPolicy.SPREAD: keep_spread, WaitMarginPolicy.HALF: keep_half}
--- a/src/pewtertack/routing/origins.py
+++ b/src/pewtertack/routing/origins.py
@@ -15,7 +15,7 @@
 from collections.abc import Container, Mapping
 from enum import StrEnum
 
-from pewtertack.routing.policies import CallsWithin, Parameter, Policies, PolicyKind, policy
+from pewtertack.routing.policies import NestedCallPolicy, Parameter, Policies, PolicyKind, policy
 
 HALF_LIFE = 400.0
 """Arrivals of a route after which earlier ones count half. A service with one machine in
@@ -79,7 +79,7 @@
 
 @policy(
     PolicyKind.CALLS_WITHIN,
-    CallsWithin.ALIKE,
+    NestedCallPolicy.ALIKE,
     "What back ends call while they run other requests is treated as callers' requests are.",
 )
 def watch_nothing() -> None:
@@ -88,7 +88,7 @@
 
 @policy(
     PolicyKind.CALLS_WITHIN,
-    CallsWithin.FIRST,
+    NestedCallPolicy.FIRST,
     "Calls within go before other requests of the rank of the runs that make them, and are "
     "refused only when their deadline cannot be met.",
     Parameter("expected_least", EXPECTED_LEAST, "requests", "chance: 1 in 22,000 by Poisson"),
@@ -168,7 +168,7 @@
 
 def watch_for(policies: Policies) -> OriginWatch | None:
     """Return what a gateway finds origins out with, ``None`` where it treats all alike."""
-    return OriginWatch() if policies.calls_within is CallsWithin.FIRST else None
+    return OriginWatch() if policies.calls_within is NestedCallPolicy.FIRST else None
 
 
 class _Belief:
--- a/src/pewtertack/routing/patience.py
+++ b/src/pewtertack/routing/patience.py
@@ -18,7 +18,7 @@
 from enum import StrEnum
 
 from pewtertack.routing.outcomes import DEFAULT_RETRY_AFTER
-from pewtertack.routing.policies import Parameter, PolicyKind, Returning, policy
+from pewtertack.routing.policies import Parameter, PolicyKind, RetryLaterPolicy, policy
 
 ROOM = 4.0
 """A caller may come back when the time it has left is so many times its objective."""
@@ -30,7 +30,7 @@
 
 @policy(
     PolicyKind.RETURNING,
-    Returning.FOUR,
+    RetryLaterPolicy.FOUR,
     "who has four times its objective left is told to come back; others wait and may be late",
     Parameter("room", ROOM, "objectives", "assumed"),
 )
@@ -41,7 +41,7 @@
 
 @policy(
     PolicyKind.RETURNING,
-    Returning.TWO,
+    RetryLaterPolicy.TWO,
     "who has twice its objective left is told to come back; others wait and may be late",
     Parameter("room", LEAST_ROOM, "objectives", "an answer in time after a pause as long"),
 )
@@ -50,7 +50,7 @@
     return LEAST_ROOM
 
 
-ROOMS = {Returning.FOUR: room_of_four(), Returning.TWO: room_of_two()}
+ROOMS = {RetryLaterPolicy.FOUR: room_of_four(), RetryLaterPolicy.TWO: room_of_two()}
 
 
 class Lateness(StrEnum):
@@ -134,7 +134,7 @@
 
     __slots__ = ("_room", "_routes")
 
-    def __init__(self, returning: Returning = Returning.FOUR) -> None:
+    def __init__(self, returning: RetryLaterPolicy = RetryLaterPolicy.FOUR) -> None:
         self._room = ROOMS[returning]
         self._routes: dict[str, _Known] = {}
 
--- a/src/pewtertack/routing/registry.py
+++ b/src/pewtertack/routing/registry.py
@@ -98,7 +98,7 @@
 
     def _current(self, machine: Machine, now: float) -> Backend | None:
         backend = self._backends.get(machine.name)
-        if machine.is_of_life_before(self._starts.get(machine.name, 0)):
+        if machine.is_before_incarnation(self._starts.get(machine.name, 0)):
             if backend is not None:
                 backend.removed = False
             return backend
--- a/src/pewtertack/routing/retries.py
+++ b/src/pewtertack/routing/retries.py
@@ -9,7 +9,7 @@
 
 from pewtertack.core.configuration.resolved import ResolvedRoute
 from pewtertack.routing.outcomes import InvalidRequestError, Outcome, RequestFailedError
-from pewtertack.routing.policies import Parameter, PolicyKind, RetryBudgeting, policy
+from pewtertack.routing.policies import Parameter, PolicyKind, RetryBudgetPolicy, policy
 
 BUDGET_BURST = 10.0
 """Retries that one node may make at once after a quiet time."""
@@ -45,7 +45,7 @@
 
 @policy(
     PolicyKind.RETRY_BUDGET,
-    RetryBudgeting.SHARE,
+    RetryBudgetPolicy.SHARE,
     "each first attempt earns the route's share of a retry, up to a small burst",
     Parameter("burst", BUDGET_BURST, "retries", "one node"),
     Parameter("fleet_burst", FLEET_BURST, "retries", "all nodes"),
--- a/src/pewtertack/routing/retry_window.py
+++ b/src/pewtertack/routing/retry_window.py
@@ -22,7 +22,7 @@
 
 import msgspec
 
-from pewtertack.routing.policies import Parameter, PolicyKind, RetryBudgeting, policy
+from pewtertack.routing.policies import Parameter, PolicyKind, RetryBudgetPolicy, policy
 
 STEP_SHARE = 1 / 20
 """Length of a step as a share of the window: requests are forgotten by steps."""
@@ -59,7 +59,7 @@
 
 @policy(
     PolicyKind.RETRY_BUDGET,
-    RetryBudgeting.WINDOW,
+    RetryBudgetPolicy.WINDOW,
     "the operator's share of a sliding window's requests; calls within first",
     Parameter("ratio", None, "", "setting limits.retry_ratio"),
     Parameter("window", None, "s", "setting limits.retry_window"),
--- a/src/pewtertack/routing/runs.py
+++ b/src/pewtertack/routing/runs.py
@@ -19,7 +19,7 @@
 from collections import deque
 from collections.abc import Mapping
 
-from pewtertack.routing.policies import BegunRuns, Parameter, PolicyKind, policy
+from pewtertack.routing.policies import Parameter, PolicyKind, SlotOrderPolicy, policy
 
 Rank = tuple[int, int]
 """Class of work and priority within it; smaller goes first."""
@@ -182,7 +182,7 @@
 
     @policy(
         PolicyKind.BEGUN_RUNS,
-        BegunRuns.FINISHABLE,
+        SlotOrderPolicy.FINISHABLE,
         "While calls are turned away, requests whose runs make such calls wait behind all others.",
         Parameter("bad_share", BAD_SHARE, "share of runs", "assumed; see ``BAD_SHARE``"),
         Parameter("picture", PICTURE_SECONDS, "seconds", "so soon all are equal again"),
@@ -195,7 +195,7 @@
 
 @policy(
     PolicyKind.BEGUN_RUNS,
-    BegunRuns.ALL,
+    SlotOrderPolicy.ALL,
     "Requests take their slots whatever becomes of the calls that their runs make.",
 )
 def none_in_vain(route: str, now: float) -> bool:
--- a/src/pewtertack/settings/checks.py
+++ b/src/pewtertack/settings/checks.py
@@ -4,7 +4,7 @@
 
 import ipaddress
 
-from pewtertack.core.policies import RetryBudgeting
+from pewtertack.core.policies import RetryBudgetPolicy
 from pewtertack.settings.errors import (
     AddressRepeatedError,
     AdvertisedAddressError,
@@ -129,7 +129,7 @@
 
 def _check_retries(settings: Settings, place: str) -> None:
     limits = settings.limits
-    window = settings.policies.retry_budget is RetryBudgeting.WINDOW
+    window = settings.policies.retry_budget is RetryBudgetPolicy.WINDOW
     if window and limits.retry_ratio == limits.retry_slack == 0:
         key, problem = "limits.retry_ratio", "is missing beside policies.retry_budget"
         raise MissingKeyError(place, key, problem, "a ratio, a slack, or both")
--- a/src/pewtertack/wire/messages.py
+++ b/src/pewtertack/wire/messages.py
@@ -58,7 +58,7 @@
     """
 
     held: RevisionId
-    committed_other: RevisionId | None
+    committed_if_not_held: RevisionId | None
     machine_list: int
     serving: bool
 
@@ -72,7 +72,7 @@
     @property
     def committed(self) -> RevisionId:
         """The newest revision known to be held by a quorum."""
-        return self.held if self.committed_other is None else self.committed_other
+        return self.held if self.committed_if_not_held is None else self.committed_if_not_held
 
     @property
     def newest(self) -> RevisionId:
@@ -234,15 +234,15 @@
     """The end of a back end under a request, by a number that no other end has."""
 
     number: Annotated[int, msgspec.Meta(ge=0)]
-    age: Milliseconds
+    age_ms: Milliseconds
 
 
 class CrashedRequest(msgspec.Struct, frozen=True, array_like=True):
     """A request that ran when back ends ended, by its fingerprint alone."""
 
     fingerprint: Annotated[bytes, msgspec.Meta(min_length=16, max_length=16)]
-    ends: Annotated[tuple[EndedBackend, ...], msgspec.Meta(max_length=64)]
-    answered: Milliseconds | None = None
+    crashes: Annotated[tuple[EndedBackend, ...], msgspec.Meta(max_length=64)]
+    answered_ms_ago: Milliseconds | None = None
     """How long ago a back end last answered it, which clears it of earlier ends."""
 
 
@@ -302,7 +302,7 @@
 
     number: int
     """Of the list."""
-    left: Milliseconds
+    remaining_ms: Milliseconds
     """For how much longer it holds."""
     leaving: tuple[LeavingBackend, ...] = ()
     """Listed as live, known to be leaving."""
@@ -314,7 +314,7 @@
     """A zone whose evacuation has ended, though a copy of the source may still show it."""
 
     zone: str
-    made_until: Annotated[int, msgspec.Meta(ge=0)]
+    created_until_revision: Annotated[int, msgspec.Meta(ge=0)]
     """A revision up to which the source's item of the evacuation was made."""
 
 
@@ -322,7 +322,7 @@
     """Which evacuations the sender has seen to end; told to starting peers while that holds."""
 
     era: int
-    age: Milliseconds
+    age_ms: Milliseconds
     """Since the sender first heard of the era."""
     zones: Annotated[tuple[EndedEvacuation, ...], msgspec.Meta(max_length=64)]
 
--- a/tests/core/configuration/test_examples.py
+++ b/tests/core/configuration/test_examples.py
@@ -7,7 +7,7 @@
 from pewtertack.core.configuration.resolution import resolve_document
 from pewtertack.core.configuration.resolved import WorkClass
 from pewtertack.core.configuration.validation import check_document
-from pewtertack.core.revision import identify
+from pewtertack.core.revision import revision_id_of
 
 EXAMPLES = Path(__file__).resolve().parents[3] / "examples"
 ZONES = {
@@ -30,7 +30,7 @@
             self.assertEqual(set(zones), set(document["zones"]))
             for zone in zones:
                 with self.subTest(deployment=deployment, zone=zone):
-                    resolved = resolve_document(document, identify(1, document), zone)
+                    resolved = resolve_document(document, revision_id_of(1, document), zone)
                     routes = {route.name: route for route in resolved.routes}
                     self.assertFalse(routes[NEVER_REPEATED[deployment]].repeatable)
                     classes = {route.work_class for route in resolved.routes}
--- a/tests/core/configuration/test_memory.py
+++ b/tests/core/configuration/test_memory.py
@@ -18,7 +18,7 @@
 from pewtertack.core.profile import Mechanisms
 from pewtertack.core.replication.replica import ConfigurationReplica
 from pewtertack.core.replication.store import DocumentStore
-from pewtertack.core.revision import identify
+from pewtertack.core.revision import revision_id_of
 
 ZONE = "yaba"
 KEPT_BYTES_MAX = 800
@@ -128,14 +128,14 @@
             if not with_zones:
                 offered.pop("zones", None)
             shared = store.share(offered)
-            self.assertEqual(identify(1, shared), identify(1, offered))
+            self.assertEqual(revision_id_of(1, shared), revision_id_of(1, offered))
             findings = check_document(shared, checked)
             self.assertEqual(findings, check_document(offered), f"seed {seed}, {number}")
             if findings:
                 continue
             accepted += 1
             document = offered if with_zones else {**offered, "zones": {ZONE: {"routes": {}}}}
-            revision = identify(number, offered)
+            revision = revision_id_of(number, offered)
             store.put(revision, shared)
             self.assertEqual(
                 resolve_checked(shared, revision, ZONE, resolved),
@@ -161,7 +161,7 @@
                 shared = store.share(offered)
                 if not check_document(shared, checked):
                     document = offered
-                    store.put(identify(number, offered), shared)
+                    store.put(revision_id_of(number, offered), shared)
                     self.assertEqual(checked.size, size_of(offered), f"seed {seed}, {number}")
 
     def test_the_time_of_a_check_grows_no_faster_than_the_change(self) -> None:
@@ -177,7 +177,7 @@
         tracemalloc.start()
         try:
             self.assertEqual(check_document(document, checked), ())
-            view = resolve_checked(document, identify(1, document), ZONE, resolved)
+            view = resolve_checked(document, revision_id_of(1, document), ZONE, resolved)
             kept, _ = tracemalloc.get_traced_memory()
         finally:
             tracemalloc.stop()
@@ -226,7 +226,7 @@
         checked, store = CheckedTables(), DocumentStore()
         document = {key: value for key, value in tree(routes=1000).items() if key != "zones"}
         check_document(document, checked)
-        store.put(identify(1, document), document)
+        store.put(revision_id_of(1, document), document)
         edited_tree = copy.deepcopy(document)
         edited_tree["routes"]["r7"]["timeout"] = "4s"
         shared = store.share(edited_tree)
@@ -241,7 +241,7 @@
         after["routes"]["r7"]["timeout"] = "4s"
         resolved = []
         for number, document in enumerate((before, after), start=1):
-            revision = identify(number, document)
+            revision = revision_id_of(number, document)
             replica.offer(revision, document)
             replica.mark_committed(revision)
             configuration = replica.next_in_force()
--- a/tests/core/replication/test_answers.py
+++ b/tests/core/replication/test_answers.py
@@ -6,7 +6,7 @@
 from pewtertack.core.profile import LEASED
 from pewtertack.core.replication.answers import PullServer
 from pewtertack.core.replication.store import DocumentStore
-from pewtertack.core.revision import NO_REVISION, identify
+from pewtertack.core.revision import NO_REVISION, revision_id_of
 from pewtertack.wire.messages import Busy, DocumentKind, Pull
 
 
@@ -16,7 +16,7 @@
         stores = {kind: DocumentStore() for kind in DocumentKind}
         document = {"services": {"a": {}}}
         for store in stores.values():
-            store.put(identify(1, document), document)
+            store.put(revision_id_of(1, document), document)
         server = PullServer(stores, LEASED, Random(1), 0.0, wide_link)
         answers = (
             [server.answer(0.0, Pull(kind, NO_REVISION)) for kind in kinds] for _ in range(100)
--- a/tests/core/replication/test_inquiry.py
+++ b/tests/core/replication/test_inquiry.py
@@ -6,7 +6,7 @@
 from pewtertack.core.eras import list_number
 from pewtertack.core.identity import NodeIdentity
 from pewtertack.core.membership.table import MemberTable
-from pewtertack.core.newcomers import DOUBTED_SECONDS, LONGEST_COPY_AGE
+from pewtertack.core.new_entries import COPY_AGE_MAX_SECONDS, NEW_ENTRY_WAIT_SECONDS
 from pewtertack.core.profile import LEASED
 from pewtertack.core.replication.inquiry import ENOUGH_PEERS, ReturnInquiry
 from pewtertack.core.revision import NO_REVISION
@@ -62,7 +62,7 @@
         self.assertEqual(self.asked(0.2 + HOLD, 5.0), [])
 
     def test_a_node_that_began_long_before_asks_nobody_until_it_has_slept(self) -> None:
-        now = LONGEST_COPY_AGE + 1.0
+        now = COPY_AGE_MAX_SECONDS + 1.0
         self.inquiry.begin_era(now, 2)
         self.assertEqual(self.asked(now, 5.0), [])
         self.assertFalse(self.inquiry.doubts_copy(now))
@@ -73,7 +73,7 @@
         self.assertTrue(self.inquiry.doubts_copy(0.1))
         self.inquiry.begin_era(0.1, 2)
         self.assertTrue(self.inquiry.doubts_copy(0.2))
-        self.assertFalse(self.inquiry.doubts_copy(0.1 + DOUBTED_SECONDS))
+        self.assertFalse(self.inquiry.doubts_copy(0.1 + NEW_ENTRY_WAIT_SECONDS))
         for name in PEERS[:ENOUGH_PEERS]:
             self.inquiry.answered(name, state(2))
         self.assertFalse(self.inquiry.doubts_copy(0.2))
--- a/tests/core/replication/test_list_overrides.py
+++ b/tests/core/replication/test_list_overrides.py
@@ -9,13 +9,13 @@
 from hypothesis import strategies as st
 
 from pewtertack.core.eras import list_number
+from pewtertack.core.machine_list_overrides import MachineListOverrides
 from pewtertack.core.machines import Machine, MachineList, MachineRole, MachineState
 from pewtertack.core.replication.list_overrides import (
     MESSAGES_MAX,
     messages_of,
     overrides_against,
 )
-from pewtertack.core.returned_lists import ReturnedLists
 from pewtertack.wire.frames import DATAGRAM_BYTES_MAX, Envelope, encode_frame
 from pewtertack.wire.messages import ListOverrides
 
@@ -38,29 +38,29 @@
     """One node's lists and what it believes."""
 
     def __init__(self) -> None:
-        self.returned = ReturnedLists(HOLD)
+        self.returned = MachineListOverrides(HOLD)
         self.listed = MachineList(0, ())
 
     def take(self, now: float, machines: MachineList) -> dict[str, Machine]:
         self.listed = machines
-        self.returned.take(now, machines)
+        self.returned.update(now, machines)
         return self.believed(now)
 
     def hear(self, now: float, told: Sequence[ListOverrides]) -> dict[str, Machine]:
         for message in told:
-            self.returned.hear(now, message, self.listed)
+            self.returned.apply_report(now, message, self.listed)
         return self.believed(now)
 
     def believed(self, now: float) -> dict[str, Machine]:
-        machines = self.returned.believed(now, self.listed)
+        machines = self.returned.overridden(now, self.listed)
         return {item.name: item for item in machines.machines}
 
     def told(self, now: float) -> tuple[ListOverrides, ...]:
-        if not self.returned.holds(now):
+        if not self.returned.is_active(now):
             return ()
-        overrides = overrides_against(self.listed, self.returned.believed(now, self.listed))
+        overrides = overrides_against(self.listed, self.returned.overridden(now, self.listed))
         return messages_of(
-            self.listed.number, overrides, lambda name: self.returned.left_of(now, name)
+            self.listed.number, overrides, lambda name: self.returned.remaining_seconds(now, name)
         )
 
 
@@ -83,8 +83,8 @@
         self.assertEqual(list(self.joiner.take(2.0, copy)), ["a", "b", "d", "e"])
         self.assertEqual(self.joiner.hear(2.0, self.peer.told(2.0)), believed)
         with self.subTest("no longer than at the peer"):
-            self.assertFalse(self.joiner.returned.is_due(1.0 + HOLD - 0.01))
-            self.assertTrue(self.joiner.returned.is_due(1.0 + HOLD + 0.01))
+            self.assertFalse(self.joiner.returned.has_expired(1.0 + HOLD - 0.01))
+            self.assertTrue(self.joiner.returned.has_expired(1.0 + HOLD + 0.01))
             self.assertEqual(list(self.joiner.believed(1.0 + HOLD)), ["a", "b", "d", "e"])
 
     def test_the_word_may_come_before_the_list(self) -> None:
@@ -96,7 +96,7 @@
                 joiner.take(0.0, machines)
             joiner.hear(2.0, self.peer.told(2.0))
             self.assertEqual(joiner.take(2.1, copy)["a"].state, LEAVING)
-            self.assertEqual(joiner.returned.kept, 0)
+            self.assertEqual(joiner.returned.kept_count, 0)
 
     def test_a_word_that_comes_when_its_time_is_over_changes_nothing(self) -> None:
         copy = listed(1, 5, machine("a"))
@@ -113,7 +113,7 @@
     def test_a_node_with_no_time_to_hold_holds_nothing(self) -> None:
         copy = listed(1, 5, machine("a"))
         self.begin(self.peer, listed(0, 9, machine("a", state=LEAVING)), copy=copy)
-        self.joiner.returned = ReturnedLists(0.0)
+        self.joiner.returned = MachineListOverrides(0.0)
         self.joiner.take(2.0, copy)
         self.assertEqual(self.joiner.hear(2.0, self.peer.told(2.0))["a"].state, MachineState.LIVE)
 
--- a/tests/core/replication/test_replica.py
+++ b/tests/core/replication/test_replica.py
@@ -7,7 +7,7 @@
 from pewtertack.core.effects import Log
 from pewtertack.core.profile import Mechanisms
 from pewtertack.core.replication.replica import ConfigurationReplica, Lag
-from pewtertack.core.revision import RevisionId, identify
+from pewtertack.core.revision import RevisionId, revision_id_of
 from pewtertack.events import Event
 
 
@@ -46,7 +46,7 @@
         self.assertIs(self.replica.lag, Lag.NONE)
         self.replica.offer_document(6, {"routes": {"browse": {"service": "nowhere"}}})
         self.assertIs(self.replica.lag, Lag.REFUSED)
-        self.commit(identify(8, tree("2s")))
+        self.commit(revision_id_of(8, tree("2s")))
         self.assertIs(self.replica.lag, Lag.COMING)
         self.replica.offer_document(8, tree("2s"))
         self.replica.next_in_force()
@@ -63,7 +63,7 @@
 
     def test_the_committed_digest_replaces_a_conflicting_held_one(self) -> None:
         other = tree("9s")
-        revision = identify(5, other)
+        revision = revision_id_of(5, other)
         self.commit(revision)
         self.assertTrue(self.replica.wants(revision))
         self.replica.offer(revision, other)
@@ -77,11 +77,11 @@
         effects = self.replica.offer_document(6, bad)
         self.assertEqual(event_of(effects), Event.REVISION_REJECTED)
         self.assertEqual(self.replica.held.number, 5)
-        self.assertFalse(self.replica.wants(identify(6, bad)))
+        self.assertFalse(self.replica.wants(revision_id_of(6, bad)))
 
     def test_a_committed_revision_that_was_skipped_is_fetched_alone(self) -> None:
         skipped = tree("6s")
-        revision = identify(6, skipped)
+        revision = revision_id_of(6, skipped)
         self.replica.offer_document(7, tree("7s"))
         self.commit(revision)
         self.assertEqual(self.replica.missing_committed, revision)
@@ -92,7 +92,7 @@
         self.assertEqual(self.replica.held.number, 7)
 
     def test_a_chain_that_does_not_fit_changes_nothing(self) -> None:
-        target = identify(6, tree("2s"))
+        target = revision_id_of(6, tree("2s"))
         wrong = Delta(self.replica.held, target, (SetValue(("route_defaults", "timeout"), "3s"),))
         with self.assertRaises(DeltaMismatchError):
             self.replica.offer_deltas((wrong,))
@@ -100,7 +100,7 @@
 
     def test_a_repeated_delta_changes_nothing(self) -> None:
         new = tree("2s")
-        delta = Delta(self.replica.held, identify(6, new), compare(tree("1s"), new))
+        delta = Delta(self.replica.held, revision_id_of(6, new), compare(tree("1s"), new))
         self.replica.offer_deltas((delta,))
         self.assertEqual(self.replica.offer_deltas((delta,)), [])
         self.assertEqual(self.replica.held.number, 6)
--- a/tests/core/replication/test_slow_source.py
+++ b/tests/core/replication/test_slow_source.py
@@ -68,19 +68,19 @@
         took = delay if held_until < 0 or read.wait == 0 else None
         answer: DocumentRead | DocumentUnchanged | None = None
         if delay is not None and delay <= GIVEN_UP:
-            answer = DocumentUnchanged(KIND, read=read.read, took=took)
+            answer = DocumentUnchanged(KIND, read_id=read.read_id, answer_seconds=took)
             if number != read.after:
-                answer = DocumentRead(KIND, number, {}, read=read.read, took=took)
+                answer = DocumentRead(KIND, number, {}, read_id=read.read_id, answer_seconds=took)
         ends = found + delay if answer is not None and delay is not None else None
         ends = ends if ends is not None else self.now + read.wait + GIVEN_UP
-        heapq.heappush(self._answers, (ends, read.read, answer))
+        heapq.heappush(self._answers, (ends, read.read_id, answer))
 
     def _take_answers(self) -> None:
         while self._answers and self._answers[0][0] <= self.now:
             _, number, answer = heapq.heappop(self._answers)
             self.open -= 1
             if answer is None:
-                self.reader.failed(self.now, DocumentReadFailed(KIND, "silent", read=number))
+                self.reader.failed(self.now, DocumentReadFailed(KIND, "silent", read_id=number))
             elif isinstance(answer, DocumentUnchanged):
                 self.reader.answered(self.now, answer)
             else:
--- a/tests/core/replication/test_source_eras.py
+++ b/tests/core/replication/test_source_eras.py
@@ -10,7 +10,7 @@
 from pewtertack.core.inputs import DocumentRead, DocumentUnchanged, MessageReceived, Ticked
 from pewtertack.core.node import NodeCore
 from pewtertack.core.profile import DIRECT, SourceProperties
-from pewtertack.core.revision import identify
+from pewtertack.core.revision import revision_id_of
 from pewtertack.events import Event
 from pewtertack.wire.messages import (
     DocumentKind,
@@ -23,7 +23,7 @@
 from tests.core.test_durable_source import MACHINES, PEER
 from tests.core.test_node import TREE
 
-TREE_ID = identify(7, TREE)
+TREE_ID = revision_id_of(7, TREE)
 
 
 class EraOfPeersTest(unittest.TestCase):
@@ -78,9 +78,9 @@
         self.core.handle(self.now, self.listed(2, 4))
         number = self.core.replication.machine_list.revision.number
         self.core.replication.freshness.forget(self.now, 0.0)
-        digest = identify(1, MACHINES).digest
+        digest = revision_id_of(1, MACHINES).digest
         self.from_peer(ReaderHeartbeat(self.state(1, 30), digest, SourceAges(0, 0)))
-        late = identify(list_number(1, 40), {})
+        late = revision_id_of(list_number(1, 40), {})
         self.from_peer(SnapshotAnswer(DocumentKind.MACHINE_LIST, late, {}))
         self.assertEqual(self.age(), float("inf"))
         self.assertEqual(self.core.replication.machine_list.revision.number, number)
@@ -88,7 +88,7 @@
         self.assertLess(self.age(), 0.1)
 
     def test_a_list_of_a_later_era_under_the_same_digest_is_a_new_era(self) -> None:
-        digest = identify(1, MACHINES).digest
+        digest = revision_id_of(1, MACHINES).digest
         effects = self.from_peer(ReaderHeartbeat(self.state(2, 4), digest, SourceAges(0, 0)))
         told = [
             item.fields
--- a/tests/core/replication/test_store.py
+++ b/tests/core/replication/test_store.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from pewtertack.core.replication.store import EDITS_KEPT, DocumentStore
-from pewtertack.core.revision import RevisionId, identify
+from pewtertack.core.revision import RevisionId, revision_id_of
 
 
 def tree(routes: int, timeout: str = "1s") -> dict[str, Any]:
@@ -18,7 +18,7 @@
 
     def put(self, number: int, document: dict[str, Any]) -> RevisionId:
         shared = self.store.share(document)
-        self.store.put(identify(number, document), shared)
+        self.store.put(revision_id_of(number, document), shared)
         return self.store.revision
 
     def test_additions_in_a_row_are_told_as_changes(self) -> None:
--- a/tests/core/test_delta.py
+++ b/tests/core/test_delta.py
@@ -13,9 +13,9 @@
     Delta,
     DeltaMismatchError,
     SetValue,
-    apply,
+    apply_delta,
+    apply_edits,
     compare,
-    with_edits,
 )
 from pewtertack.core.revision import (
     Document,
@@ -23,7 +23,7 @@
     RevisionId,
     digest_of,
     have_same_content,
-    identify,
+    revision_id_of,
 )
 
 LEAVES = st.one_of(st.booleans(), st.integers(0, 3), st.floats(0, 3), st.text("ab", max_size=2))
@@ -40,8 +40,8 @@
 class DeltaTest(unittest.TestCase):
     @given(DOCUMENTS, DOCUMENTS)
     def test_applying_the_comparison_gives_the_new_document(self, old: dict, new: dict) -> None:
-        delta = Delta(identify(1, old), identify(2, new), compare(old, new))
-        self.assertEqual(identify(2, apply(delta, old)), identify(2, new))
+        delta = Delta(revision_id_of(1, old), revision_id_of(2, new), compare(old, new))
+        self.assertEqual(revision_id_of(2, apply_delta(delta, old)), revision_id_of(2, new))
 
     def test_one_edited_default_is_one_edit(self) -> None:
         old = {"defaults": {"timeout": "2s"}, "routes": {"a": {}, "b": {}}}
@@ -50,9 +50,9 @@
 
     def test_a_delta_to_another_digest_is_refused_and_leaves_the_base(self) -> None:
         base = {"a": 1}
-        delta = Delta(identify(1, base), identify(2, {"a": 2}), (SetValue(("a",), 3),))
+        delta = Delta(revision_id_of(1, base), revision_id_of(2, {"a": 2}), (SetValue(("a",), 3),))
         with self.assertRaises(DeltaMismatchError):
-            apply(delta, base)
+            apply_delta(delta, base)
         self.assertEqual(base, {"a": 1})
 
 
@@ -72,8 +72,8 @@
         base = {"a": {"x": 0, "b": 7}, "y": {"z": 1}}
         step: Document = base
         for edit in edits:
-            step = with_edits(step, (edit,))
-        found = with_edits(base, edits)
+            step = apply_edits(step, (edit,))
+        found = apply_edits(base, edits)
         self.assertEqual(found, step)
         self.assertEqual(found, {"a": {"e": {"f": 4}}, "y": {"z": 1}, "new": {}})
         self.assertIs(found["y"], base["y"])
@@ -85,7 +85,7 @@
         base = {"a": 1}
         for edit in (DeleteValue(("b",)), SetValue(("a", "b"), 1), SetValue((), 1)):
             with self.subTest(edit), self.assertRaises(DeltaMismatchError):
-                with_edits(base, (edit,))
+                apply_edits(base, (edit,))
 
     def test_the_time_grows_no_faster_than_the_number_of_edits(self) -> None:
         few, many = (least_time(partial(add_routes, count)) for count in (500, 4000))
@@ -95,7 +95,7 @@
 def add_routes(count: int) -> None:
     """Add so many routes to as many by edits."""
     base = {"routes": {f"old{n}": {} for n in range(count)}}
-    with_edits(base, [SetValue(("routes", f"new{n}"), {}) for n in range(count)])
+    apply_edits(base, [SetValue(("routes", f"new{n}"), {}) for n in range(count)])
 
 
 def least_time(call: Callable[[], object]) -> float:
--- a/tests/core/test_durable_source.py
+++ b/tests/core/test_durable_source.py
@@ -17,7 +17,7 @@
 )
 from pewtertack.core.node import NodeCore, NodePhase
 from pewtertack.core.profile import DIRECT, SourceProperties
-from pewtertack.core.revision import NO_REVISION, RevisionId, identify
+from pewtertack.core.revision import NO_REVISION, RevisionId, revision_id_of
 from pewtertack.wire.messages import (
     Announce,
     DocumentKind,
@@ -86,7 +86,7 @@
         self.feed(Ticked())
         self.read(7, TREE)
         self.read_machines()
-        newer = identify(8, tree("new"))
+        newer = revision_id_of(8, tree("new"))
         state = VersionState.of(newer, newer, 1, True)
         for name, host in (("other", "127.0.0.2"), (PEER.name, "127.0.0.1")):
             self.feed(MessageReceived(name, f"{host}:2", 500, Announce(state)))
@@ -141,11 +141,11 @@
     def test_a_starting_node_serves_by_a_peers_revision_while_the_source_is_down(self) -> None:
         self.feed(Ticked())
         self.fail_reads()
-        newest = identify(7, TREE)
+        newest = revision_id_of(7, TREE)
         self.answer_join(newest, 1)
         self.assertEqual(self.core.phase, NodePhase.JOINING)
         self.from_peer(SnapshotAnswer(DocumentKind.CONFIGURATION, newest, TREE))
-        listed = identify(1, MACHINES)
+        listed = revision_id_of(1, MACHINES)
         self.from_peer(SnapshotAnswer(DocumentKind.MACHINE_LIST, listed, MACHINES))
         self.assertEqual((self.core.phase, self.in_force()), (NodePhase.SERVING, 7))
 
--- a/tests/core/test_ended_evacuations.py
+++ b/tests/core/test_ended_evacuations.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from pewtertack.core.ended_evacuations import ENDED_KEPT, EndedEvacuations
-from pewtertack.core.eras import moment_of
+from pewtertack.core.ended_evacuations import ENDED_ZONES_MAX, EndedEvacuations
+from pewtertack.core.eras import logical_time
 
 
 class EndedEvacuationsTest(unittest.TestCase):
@@ -11,34 +11,34 @@
         self.seen = EndedEvacuations()
 
     def test_an_end_is_known_with_its_revision(self) -> None:
-        self.seen.note(["garia"], 50, 0)
-        self.seen.note(["garia", "howrah"], 60, 0)
+        self.seen.record_tree(["garia"], 50, 0)
+        self.seen.record_tree(["garia", "howrah"], 60, 0)
         self.assertEqual(self.seen.ended, {})
-        self.seen.note(["howrah"], 70, 0)
+        self.seen.record_tree(["howrah"], 70, 0)
         self.assertEqual(self.seen.ended, {"garia": 70})
-        self.seen.note([], 0, 0)
+        self.seen.record_tree([], 0, 0)
         self.assertEqual(self.seen.ended, {"garia": 70, "howrah": 60})
 
     def test_one_that_begins_again_has_not_ended(self) -> None:
-        self.seen.note(["garia"], 50, 0)
-        self.seen.note([], 60, 0)
-        self.seen.note(["garia"], moment_of(2, 40), 2)
+        self.seen.record_tree(["garia"], 50, 0)
+        self.seen.record_tree([], 60, 0)
+        self.seen.record_tree(["garia"], logical_time(2, 40), 2)
         self.assertEqual(self.seen.ended, {})
-        self.seen.note([], moment_of(2, 45), 2)
+        self.seen.record_tree([], logical_time(2, 45), 2)
         self.assertEqual(self.seen.ended, {"garia": 45})
 
     def test_no_more_than_so_many_are_remembered(self) -> None:
-        for number in range(ENDED_KEPT + 5):
-            self.seen.note([f"z-{number}"], number, 0)
-        self.assertEqual(len(self.seen.ended), ENDED_KEPT)
+        for number in range(ENDED_ZONES_MAX + 5):
+            self.seen.record_tree([f"z-{number}"], number, 0)
+        self.assertEqual(len(self.seen.ended), ENDED_ZONES_MAX)
         self.assertNotIn("z-0", self.seen.ended)
 
     def test_a_peer_tells_of_ends_that_were_not_seen_here(self) -> None:
-        self.seen.note(["garia"], 50, 0)
-        self.seen.hear("howrah", 40)
-        self.seen.hear("howrah", 30)
-        self.seen.hear("garia", 90)
+        self.seen.record_tree(["garia"], 50, 0)
+        self.seen.record_report("howrah", 40)
+        self.seen.record_report("howrah", 30)
+        self.seen.record_report("garia", 90)
         self.assertEqual(self.seen.ended, {"howrah": 40})
-        for number in range(ENDED_KEPT + 5):
-            self.seen.hear(f"z-{number}", number)
-        self.assertEqual(len(self.seen.ended), ENDED_KEPT)
+        for number in range(ENDED_ZONES_MAX + 5):
+            self.seen.record_report(f"z-{number}", number)
+        self.assertEqual(len(self.seen.ended), ENDED_ZONES_MAX)
--- a/tests/core/test_items.py
+++ b/tests/core/test_items.py
@@ -7,12 +7,12 @@
 from pewtertack.core.identity import NodeIdentity
 from pewtertack.core.inputs import DocumentRead
 from pewtertack.core.items import (
-    LOGGED_AT_ONCE,
-    REMEMBERED_ITEMS,
+    LOGGED_FINDINGS_MAX,
+    REMEMBERED_FINDINGS_MAX,
     SHOWN_CHARACTERS,
     ItemFinding,
     ItemProblem,
-    PassedOver,
+    SkippedItems,
 )
 from pewtertack.core.node import NodeCore
 from pewtertack.core.profile import PROFILES
@@ -33,36 +33,36 @@
 
 class PassedOverTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.passed_over = PassedOver()
+        self.skipped_items = SkippedItems()
 
     def test_an_item_is_told_once_for_each_change(self) -> None:
         for finding in (SPOILT, ItemFinding("i-1", ItemProblem.UNREADABLE), SPOILT):
-            self.assertEqual(len(self.passed_over.note(MACHINES, (finding,))), 1)
-            self.assertEqual(self.passed_over.note(MACHINES, (finding,)), [])
-        self.assertEqual((self.passed_over.total, self.passed_over.current), (3, 1))
+            self.assertEqual(len(self.skipped_items.record(MACHINES, (finding,))), 1)
+            self.assertEqual(self.skipped_items.record(MACHINES, (finding,)), [])
+        self.assertEqual((self.skipped_items.total_count, self.skipped_items.current_count), (3, 1))
 
     def test_an_item_that_was_mended_is_told_again(self) -> None:
-        self.passed_over.note(MACHINES, (SPOILT,))
-        self.assertEqual(self.passed_over.note(MACHINES, ()), [])
-        self.assertEqual(self.passed_over.current, 0)
-        self.assertEqual(len(self.passed_over.note(MACHINES, (SPOILT,))), 1)
+        self.skipped_items.record(MACHINES, (SPOILT,))
+        self.assertEqual(self.skipped_items.record(MACHINES, ()), [])
+        self.assertEqual(self.skipped_items.current_count, 0)
+        self.assertEqual(len(self.skipped_items.record(MACHINES, (SPOILT,))), 1)
 
     def test_documents_are_kept_apart(self) -> None:
-        self.passed_over.note(MACHINES, (SPOILT,))
-        self.passed_over.note(DocumentKind.CONFIGURATION, ())
-        self.assertEqual(self.passed_over.current, 1)
+        self.skipped_items.record(MACHINES, (SPOILT,))
+        self.skipped_items.record(DocumentKind.CONFIGURATION, ())
+        self.assertEqual(self.skipped_items.current_count, 1)
 
     def test_many_and_long_items_are_bounded(self) -> None:
         many = tuple(
             ItemFinding(f"{index}" + "x" * 5000, ItemProblem.NAME, "y" * 5000)
-            for index in range(2 * REMEMBERED_ITEMS)
+            for index in range(2 * REMEMBERED_FINDINGS_MAX)
         )
-        told = logged(self.passed_over.note(MACHINES, many))
-        self.assertEqual(len(told), LOGGED_AT_ONCE + 1)
-        self.assertEqual(told[-1]["further"], REMEMBERED_ITEMS - LOGGED_AT_ONCE)
+        told = logged(self.skipped_items.record(MACHINES, many))
+        self.assertEqual(len(told), LOGGED_FINDINGS_MAX + 1)
+        self.assertEqual(told[-1]["further"], REMEMBERED_FINDINGS_MAX - LOGGED_FINDINGS_MAX)
         self.assertLessEqual(max(len(str(value)) for value in told[0].values()), SHOWN_CHARACTERS)
-        self.assertEqual(self.passed_over.note(MACHINES, many), [])
-        self.assertEqual(self.passed_over.current, REMEMBERED_ITEMS)
+        self.assertEqual(self.skipped_items.record(MACHINES, many), [])
+        self.assertEqual(self.skipped_items.current_count, REMEMBERED_FINDINGS_MAX)
 
     def test_the_core_logs_what_a_read_passed_over(self) -> None:
         identity = NodeIdentity("10.1.0.8", "10.1.0.8:7380", "garia", "kolkata", 1)
--- a/tests/core/test_long_work.py
+++ b/tests/core/test_long_work.py
@@ -23,7 +23,7 @@
 from pewtertack.core.profile import LEASED, SourceProperties
 from pewtertack.core.replication import replica
 from pewtertack.core.replication.store import DocumentStore
-from pewtertack.core.revision import identify
+from pewtertack.core.revision import revision_id_of
 from pewtertack.events import Event
 from pewtertack.wire.messages import (
     Announce,
@@ -117,7 +117,7 @@
         self.assertEqual(self.in_force(), 1)
         found = self.go_on(effects)
         (swap,) = (effect for effect in found if isinstance(effect, BringIntoForce))
-        whole = resolve_document(document, identify(2, document), "a")
+        whole = resolve_document(document, revision_id_of(2, document), "a")
         self.assertEqual(swap.configuration, whole)
 
     def test_no_turn_takes_long(self) -> None:
@@ -175,14 +175,14 @@
         self.assertEqual(self.in_force(), 1)
         self.assertEqual(self.versions(self.go_on(effects)), [2])
         larger = tree(BASE_ROUTES + 2 * ADDED_ROUTES)
-        whole = SnapshotAnswer(DocumentKind.CONFIGURATION, identify(3, larger), larger)
+        whole = SnapshotAnswer(DocumentKind.CONFIGURATION, revision_id_of(3, larger), larger)
         effects = self.from_peer(whole)
         self.assertEqual(self.in_force(), 2)
         self.assertEqual(self.versions(self.go_on(effects)), [3])
 
     def test_a_whole_with_another_digest_is_refused(self) -> None:
         larger = tree(BASE_ROUTES + ADDED_ROUTES)
-        wrong = SnapshotAnswer(DocumentKind.CONFIGURATION, identify(3, tree(1)), larger)
+        wrong = SnapshotAnswer(DocumentKind.CONFIGURATION, revision_id_of(3, tree(1)), larger)
         found = self.go_on(self.from_peer(wrong))
         events = [effect.event for effect in found if isinstance(effect, Log)]
         self.assertIn(Event.FRAME_REFUSED, events)
@@ -228,7 +228,7 @@
 
     def test_what_is_under_work_is_not_asked_for(self) -> None:
         document = tree(BASE_ROUTES + ADDED_ROUTES)
-        newer = identify(2, document)
+        newer = revision_id_of(2, document)
         state = VersionState.of(newer, newer, 1, True)
         begun = self.read(2, document)
         sent = self.from_peer(Announce(state)) + self.feed(Ticked())
--- a/tests/core/test_returned_lists.py
+++ b/tests/core/test_machine_list_overrides.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 
 from pewtertack.core.eras import EraChange, list_number
+from pewtertack.core.machine_list_overrides import MachineListOverrides
 from pewtertack.core.machines import Machine, MachineList, MachineRole, MachineState
-from pewtertack.core.returned_lists import ReturnedLists
 
 HOLD = 6.0
 
@@ -22,35 +22,35 @@
     return MachineList(list_number(era, revision), machines)
 
 
-class ReturnedListsTest(unittest.TestCase):
+class MachineListOverridesTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.returned = ReturnedLists(HOLD)
+        self.returned = MachineListOverrides(HOLD)
         self.change: EraChange | None = None
 
     def take(self, now: float, machines: MachineList) -> dict[str, Machine]:
-        self.change = self.returned.take(now, machines)
+        self.change = self.returned.update(now, machines)
         return self.believed(now, machines)
 
     def believed(self, now: float, machines: MachineList) -> dict[str, Machine]:
-        return {item.name: item for item in self.returned.believed(now, machines).machines}
+        return {item.name: item for item in self.returned.overridden(now, machines).machines}
 
     def test_within_an_era_the_list_is_believed_as_it_is(self) -> None:
         for era in (0, 3):
-            returned = ReturnedLists(HOLD)
+            returned = MachineListOverrides(HOLD)
             for revision, names in enumerate(("ab", "b", "abc"), 1):
                 machines = listed(era, revision, *map(machine, names))
-                self.assertIsNone(returned.take(0.0, machines))
-                self.assertIs(returned.believed(0.0, machines), machines)
+                self.assertIsNone(returned.update(0.0, machines))
+                self.assertIs(returned.overridden(0.0, machines), machines)
 
     def test_who_the_copy_lacks_is_kept_until_the_time_is_over(self) -> None:
         self.take(0.0, listed(0, 9, machine("a"), machine("b")))
         copy = listed(1, 5, machine("a"))
         self.assertEqual(list(self.take(1.0, copy)), ["a", "b"])
         self.assertEqual(self.change, EraChange(0, 1, 1, 1, 0))
-        self.assertFalse(self.returned.is_due(1.0 + HOLD - 0.1))
-        self.assertTrue(self.returned.is_due(1.0 + HOLD))
+        self.assertFalse(self.returned.has_expired(1.0 + HOLD - 0.1))
+        self.assertTrue(self.returned.has_expired(1.0 + HOLD))
         self.assertEqual(list(self.believed(1.0 + HOLD, copy)), ["a"])
-        self.assertFalse(self.returned.is_due(99.0))
+        self.assertFalse(self.returned.has_expired(99.0))
 
     def test_returns_in_series_keep_nobody_for_longer(self) -> None:
         self.take(0.0, listed(0, 9, machine("a"), machine("b")))
@@ -101,7 +101,7 @@
         """This node began after the life before had left: it cannot know that entry as gone."""
         before = machine("z", address="10.0.0.1:80", started_at=3)
         for state in (MachineState.LIVE, MachineState.LEAVING):
-            self.returned = ReturnedLists(HOLD)
+            self.returned = MachineListOverrides(HOLD)
             owner = machine("b", address="10.0.0.1:80", service="other", started_at=8, state=state)
             self.take(0.0, listed(0, 9, owner))
             copy = listed(1, 5, before)
@@ -115,11 +115,11 @@
             with self.subTest("another follows, and leaves", state=state):
                 self.assertEqual(self.take(4.0, listed(1, 8, before, newest)), {"c": newest})
                 self.assertEqual(self.take(4.5, listed(1, 9, before)), {})
-            self.assertTrue(self.returned.is_due(1.0 + HOLD))
+            self.assertTrue(self.returned.has_expired(1.0 + HOLD))
             with self.subTest("the time is over", state=state):
                 late = listed(1, 9, before)
                 self.assertEqual(self.believed(1.0 + HOLD, late), {"z": before})
-                self.assertFalse(self.returned.is_due(99.0))
+                self.assertFalse(self.returned.has_expired(99.0))
 
     def test_a_node_that_knows_nothing_of_before_believes_the_first_list(self) -> None:
         self.assertEqual(list(self.take(0.0, listed(4, 5, machine("a")))), ["a"])
@@ -130,15 +130,15 @@
         self, steps: list[tuple[int, frozenset[str]]]
     ) -> None:
         """A little later at one of them; once the time is over both believe the list."""
-        first, second = ReturnedLists(HOLD), ReturnedLists(HOLD)
+        first, second = MachineListOverrides(HOLD), MachineListOverrides(HOLD)
         era, machines = 0, listed(0, 0)
         for now, (rise, names) in enumerate(steps):
             era += rise
             machines = listed(era, now, *map(machine, sorted(names)))
             found = []
             for returned, delay in ((first, 0.0), (second, 0.4)):
-                returned.take(now + delay, machines)
-                found.append(returned.believed(now + delay, machines))
+                returned.update(now + delay, machines)
+                found.append(returned.overridden(now + delay, machines))
             self.assertEqual(*found)
         end = len(steps) + HOLD + 1
-        self.assertEqual(first.believed(end, machines), machines)
+        self.assertEqual(first.overridden(end, machines), machines)
--- a/tests/core/test_node.py
+++ b/tests/core/test_node.py
@@ -8,7 +8,7 @@
 from pewtertack.core.inputs import DocumentRead, DrainRequested, Input, MessageReceived, Ticked
 from pewtertack.core.node import NodeCore, NodePhase
 from pewtertack.core.profile import FAST
-from pewtertack.core.revision import NO_REVISION, identify
+from pewtertack.core.revision import NO_REVISION, revision_id_of
 from pewtertack.wire.messages import (
     DocumentKind,
     JoinAnswer,
@@ -99,7 +99,7 @@
             for effect in self.feed(request)
             if isinstance(effect, Send) and isinstance(effect.message, JoinAnswer)
         ]
-        self.assertEqual(answers[0].state.committed, identify(1, TREE))
+        self.assertEqual(answers[0].state.committed, revision_id_of(1, TREE))
         self.assertTrue(answers[0].state.serving)
 
     def test_a_draining_node_tells_its_peers(self) -> None:
--- a/tests/core/test_reads_of_node.py
+++ b/tests/core/test_reads_of_node.py
@@ -54,8 +54,8 @@
         kind = DocumentKind.CONFIGURATION
         reads = OpenReads()
         for number in (1, 2, 3):
-            reads.open(ReadDocument(kind, 0, 5.0, read=number), float(number), 1.0)
-        failed = DocumentReadFailed(kind, "reason", read=2)
+            reads.open(ReadDocument(kind, 0, 5.0, read_id=number), float(number), 1.0)
+        failed = DocumentReadFailed(kind, "reason", read_id=2)
         self.assertEqual(reads.failed(10.0, failed)["seconds"], 8.0)
         self.assertEqual(self.opened(reads), [1.0, 3.0])
         reads.answered(1)
--- a/tests/core/test_source_era.py
+++ b/tests/core/test_source_era.py
@@ -7,21 +7,21 @@
 from hypothesis import strategies as st
 
 from pewtertack.core.eras import (
-    LATEST_ERA,
-    MOMENTS_IN_ERA,
-    VERSION_STEP,
+    ERA_MAX,
+    LOGICAL_TIMES_PER_ERA,
+    TREE_NUMBERS_PER_VERSION,
     era_of,
     list_number,
-    moment_of,
+    logical_time,
     revision_of,
+    split_tree_number,
     tree_number,
-    tree_parts,
 )
 from pewtertack.core.items import ItemProblem
 from pewtertack.core.source_era import SourceEra, SourceEraError
 
 NAME = "Era"
-ERAS = st.integers(0, LATEST_ERA)
+ERAS = st.integers(0, ERA_MAX)
 TOLD = st.one_of(st.none(), st.binary(max_size=6), ERAS.map(lambda era: b"%d" % era))
 REVISIONS = st.integers(0, 400_000_000)
 
@@ -38,20 +38,20 @@
     @given(REVISIONS, st.integers(0, 999_999_999))
     def test_without_eras_numbers_are_what_they_were(self, revision: int, version: int) -> None:
         self.assertEqual(list_number(0, revision), revision)
-        number = tree_number(version, moment_of(0, revision))
+        number = tree_number(version, logical_time(0, revision))
         self.assertEqual(number, version * 1_000_000_000 + revision)
 
-    @given(st.integers(1, 999), ERAS, REVISIONS, st.integers(0, MOMENTS_IN_ERA - 1))
+    @given(st.integers(1, 999), ERAS, REVISIONS, st.integers(0, LOGICAL_TIMES_PER_ERA - 1))
     def test_a_tree_of_a_later_era_goes_before_unless_its_version_is_older(
         self, version: int, era: int, revision: int, lost: int
     ) -> None:
-        before = tree_number(version, moment_of(era, revision + lost))
-        after = tree_number(version, moment_of(era + 1, revision))
+        before = tree_number(version, logical_time(era, revision + lost))
+        after = tree_number(version, logical_time(era + 1, revision))
         newer = tree_number(version + 1)
         self.assertLess(before, after)
         self.assertLess(after, newer)
-        self.assertEqual(tree_parts(after), (version, moment_of(era + 1, revision)))
-        self.assertLess(moment_of(LATEST_ERA, 460_000_000), VERSION_STEP)
+        self.assertEqual(split_tree_number(after), (version, logical_time(era + 1, revision)))
+        self.assertLess(logical_time(ERA_MAX, 460_000_000), TREE_NUMBERS_PER_VERSION)
 
 
 class SourceEraTest(unittest.TestCase):
@@ -59,10 +59,10 @@
         self.era = SourceEra(NAME)
 
     def take(self, value: bytes | None, fresh: bool = True) -> None:
-        self.era.take(1.0, value, self.era.known, fresh)
+        self.era.update(1.0, value, self.era.known, fresh)
 
     def problems(self) -> list[ItemProblem]:
-        return [finding.problem for finding in self.era.take_findings()]
+        return [finding.problem for finding in self.era.pop_findings()]
 
     def test_a_source_that_tells_none_has_era_0_and_no_finding(self) -> None:
         for _ in range(2):
@@ -96,10 +96,10 @@
         self.assertEqual((self.era.known, self.problems()), (4, []))
         self.take(b"4", fresh=False)
         with self.assertRaises(SourceEraError):
-            self.era.take(1.0, b"3", 3, False)
+            self.era.update(1.0, b"3", 3, False)
         self.assertEqual(self.problems(), [], "the answer was on its way")
         with self.assertRaises(SourceEraError):
-            self.era.take(1.0, b"4", 3, False)
+            self.era.update(1.0, b"4", 3, False)
 
     @given(st.lists(st.tuples(TOLD, st.booleans(), st.booleans())))
     def test_whatever_is_told_it_never_falls(
@@ -111,6 +111,6 @@
             if late and era.known:
                 sent_in = era.known - 1
             with contextlib.suppress(SourceEraError):
-                era.take(0.0, value, sent_in, fresh)
+                era.update(0.0, value, sent_in, fresh)
             self.assertGreaterEqual(era.number, newest)
             newest = era.number
--- a/tests/core/test_source_mirror.py
+++ b/tests/core/test_source_mirror.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pewtertack.core.source_mirror import Mirror, Refreshed
+from pewtertack.core.source_mirror import Mirror, RefreshResult
 
 KEYS = ("x/a", "x/b", "x/c")
 
@@ -34,27 +34,31 @@
         writes = [Write(key, number, gone) for number, (key, gone) in enumerate(written, 2)]
         last = len(writes) + 1
         expected, mirror = Mirror("x/"), Mirror("x/")
-        expected.at = mirror.at = 1
-        expected.take_changes(1, last, writes)
-        while mirror.at < last:
-            after = mirror.at
+        expected.watch_revision = mirror.watch_revision = 1
+        expected.apply_changes(1, last, writes)
+        while mirror.watch_revision < last:
+            after = mirror.watch_revision
             ends = st.lists(st.integers(after, last), min_size=1, max_size=4)
             for at in data.draw(ends):
-                before = mirror.at
+                before = mirror.watch_revision
                 told = [write for write in writes if after < write.revision <= at]
-                refreshed = mirror.take_changes(after, at, told)
-                self.assertEqual(refreshed is Refreshed.CHANGED, at > before)
-                self.assertEqual(mirror.at, max(before, at))
-            if mirror.at == after:
-                mirror.take_changes(after, last, [item for item in writes if item.revision > after])
-        self.assertEqual((mirror.items, mirror.number), (expected.items, expected.number))
+                refreshed = mirror.apply_changes(after, at, told)
+                self.assertEqual(refreshed is RefreshResult.CHANGED, at > before)
+                self.assertEqual(mirror.watch_revision, max(before, at))
+            if mirror.watch_revision == after:
+                mirror.apply_changes(
+                    after, last, [item for item in writes if item.revision > after]
+                )
+        self.assertEqual(
+            (mirror.items, mirror.change_revision), (expected.items, expected.change_revision)
+        )
 
     def test_a_list_that_was_overtaken_takes_nothing_back(self) -> None:
         mirror, listed = Mirror("x/"), Mirror("x/")
-        mirror.at = listed.at = 1
-        mirror.take_changes(1, 3, [Write("x/a", 3, False)])
-        mirror.take_list(listed)
-        self.assertEqual((mirror.at, set(mirror.items)), (3, {"x/a"}))
+        mirror.watch_revision = listed.watch_revision = 1
+        mirror.apply_changes(1, 3, [Write("x/a", 3, False)])
+        mirror.replace_with(listed)
+        self.assertEqual((mirror.watch_revision, set(mirror.items)), (3, {"x/a"}))
 
 
 if __name__ == "__main__":
--- a/tests/core/test_stages_of_node.py
+++ b/tests/core/test_stages_of_node.py
@@ -16,7 +16,7 @@
 from pewtertack.core.node import NodeCore
 from pewtertack.core.profile import DIRECT, SourceProperties
 from pewtertack.core.replication.stages import Stage, Way
-from pewtertack.core.revision import RevisionId, identify
+from pewtertack.core.revision import RevisionId, revision_id_of
 from pewtertack.events import Event
 from pewtertack.wire.messages import (
     Announce,
@@ -31,7 +31,7 @@
 from tests.core.test_durable_source import DURABLE, MACHINES, PEER, tree
 from tests.core.test_node import TREE
 
-OLD, NEW = identify(7, TREE), identify(9, tree("new"))
+OLD, NEW = revision_id_of(7, TREE), revision_id_of(9, tree("new"))
 
 
 class StagesOfNodeTest(unittest.TestCase):
--- a/tests/lab/convergence/test_recording.py
+++ b/tests/lab/convergence/test_recording.py
@@ -2,14 +2,14 @@
 
 import unittest
 
-from pewtertack.core.eras import VERSION_STEP
+from pewtertack.core.eras import TREE_NUMBERS_PER_VERSION
 from pewtertack.events import Event
 from pewtertack.lab.convergence.options import Point
 from pewtertack.lab.convergence.recording import Moments, PointResult, Recording
 
 NAMES = [f"10.0.0.{number}" for number in range(1, 5)]
 POINT = Point(len(NAMES), 10, 1.0)
-OLD, NEW = VERSION_STEP, 2 * VERSION_STEP
+OLD, NEW = TREE_NUMBERS_PER_VERSION, 2 * TREE_NUMBERS_PER_VERSION
 
 
 class RecordingTest(unittest.TestCase):
--- a/tests/lab/slow_source/test_judging.py
+++ b/tests/lab/slow_source/test_judging.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from pewtertack.core.eras import VERSION_STEP
+from pewtertack.core.eras import TREE_NUMBERS_PER_VERSION
 from pewtertack.events import Event
 from pewtertack.lab.slow_source.judging import (
     Acknowledged,
@@ -22,7 +22,7 @@
     node = NodeHistory("n1")
     node.take(SERVING, serving)
     for moment, version in in_force:
-        node.take(IN_FORCE, moment, version * VERSION_STEP)
+        node.take(IN_FORCE, moment, version * TREE_NUMBERS_PER_VERSION)
     return node
 
 
--- a/tests/lab/source/test_era_reader.py
+++ b/tests/lab/source/test_era_reader.py
@@ -87,5 +87,5 @@
             await self.settled(LIST)
             answer = await self.read(TREE, 1)
             assert isinstance(answer, DocumentReadFailed)
-            self.assertEqual([item.detail for item in answer.about_answers], ["fell from 1 to 0"])
+            self.assertEqual([item.detail for item in answer.answer_findings], ["fell from 1 to 0"])
             await self.end()
--- a/tests/lab/test_store_fleet.py
+++ b/tests/lab/test_store_fleet.py
@@ -7,7 +7,7 @@
 import anyio
 import anyio.abc
 
-from pewtertack.core.eras import tree_parts
+from pewtertack.core.eras import split_tree_number
 from pewtertack.events import Event
 from pewtertack.lab.metadata_store.application import StoreFaults
 from pewtertack.lab.simulation.virtual_loop import run_virtually
@@ -33,7 +33,7 @@
 
     def take(self, name: str, line: NodeLine) -> None:
         if line.event == Event.REVISION_IN_FORCE.name:
-            self.versions[name] = tree_parts(line.revision)[0]
+            self.versions[name] = split_tree_number(line.revision)[0]
         elif line.event == Event.NODE_SERVING.name:
             self.serving.append(name)
         elif line.event in (Event.SOURCE_FAILED.name, Event.MACHINE_LIST_FAILED.name):
--- a/tests/lab/test_weakening.py
+++ b/tests/lab/test_weakening.py
@@ -12,10 +12,10 @@
 
 from pewtertack.core import profile
 from pewtertack.core.eras import list_number
+from pewtertack.core.machine_list_overrides import MachineListOverrides
 from pewtertack.core.machines import MachineState
 from pewtertack.core.replication.machine_lists import MachineListReplica
-from pewtertack.core.returned_lists import ReturnedLists
-from pewtertack.core.revision import identify
+from pewtertack.core.revision import revision_id_of
 from pewtertack.lab.errors import LabUsageError
 from pewtertack.lab.weakening import (
     CORE_MECHANISMS,
@@ -68,13 +68,13 @@
             self.assertFalse(proxy._parts.stop.begun)
 
     def test_nothing_is_held_after_returns(self) -> None:
-        with mock.patch.object(ReturnedLists, "__init__", ReturnedLists.__init__):
+        with mock.patch.object(MachineListOverrides, "__init__", MachineListOverrides.__init__):
             switch_off("hold_after_return")
             replica = MachineListReplica(6.0, 0.0)
         for number in (list_number(0, 9), list_number(1, 5)):
             state = "leaving" if number == 9 else "live"
             entry = {"role": "backend", "zone": "a", "address": "1:1", "state": state}
-            replica.offer(1.0, identify(number, {"b": entry}), {"b": entry})
+            replica.offer(1.0, revision_id_of(number, {"b": entry}), {"b": entry})
         self.assertEqual(replica.machines.machines[0].state, MachineState.LIVE)
 
     def test_every_request_mechanism_can_be_switched_off(self) -> None:
--- a/tests/node/gateway/test_hanging.py
+++ b/tests/node/gateway/test_hanging.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 from pewtertack.core.machines import MachineList
-from pewtertack.core.policies import Hanging, Policies
+from pewtertack.core.policies import HungRequestPolicy, Policies
 from pewtertack.node.gateway.forwarding import GatewayForwarding
 from pewtertack.node.proxy.application import ProxyApplication
 from pewtertack.routing.hanging import HangWatch
@@ -101,7 +101,7 @@
 
 
 class HangingTest(HangingTestCase):
-    parts: ClassVar[dict[str, Any]] = {"policies": Policies(hanging=Hanging.LEFT)}
+    parts: ClassVar[dict[str, Any]] = {"policies": Policies(hanging=HungRequestPolicy.LEFT)}
 
     async def test_what_may_be_repeated_goes_elsewhere_long_before_its_deadline(self) -> None:
         address = await self.begin()
@@ -141,7 +141,7 @@
 class HeldUpTest(HangingTestCase):
     """The node itself had no turn while its back end answered."""
 
-    parts: ClassVar[dict[str, Any]] = {"policies": Policies(hanging=Hanging.LEFT)}
+    parts: ClassVar[dict[str, Any]] = {"policies": Policies(hanging=HungRequestPolicy.LEFT)}
 
     async def answer_and_hold_up(self, reader: Any, writer: Any, head: str) -> bool:
         await asyncio.sleep(SHORT_SECONDS)
--- a/tests/node/gateway/test_left_at_a_stop.py
+++ b/tests/node/gateway/test_left_at_a_stop.py
@@ -22,7 +22,7 @@
 from collections.abc import Callable
 from typing import Any, ClassVar
 
-from pewtertack.core.policies import Hanging, Policies
+from pewtertack.core.policies import HungRequestPolicy, Policies
 from tests.node.gateway.test_gateway import answer_well
 from tests.node.gateway.test_hanging import SECONDS, HangingBackend, HangingTestCase
 
@@ -53,7 +53,7 @@
 
 
 class LeftAtAStopTest(HangingTestCase):
-    parts: ClassVar[dict[str, Any]] = {"policies": Policies(hanging=Hanging.LEFT)}
+    parts: ClassVar[dict[str, Any]] = {"policies": Policies(hanging=HungRequestPolicy.LEFT)}
 
     def make_backend(self) -> HangingBackend:
         return LateBackend()
--- a/tests/node/gateway/test_link_words.py
+++ b/tests/node/gateway/test_link_words.py
@@ -5,7 +5,7 @@
 from typing import Any, ClassVar
 from unittest import mock
 
-from pewtertack.core.policies import LongBodies, Policies
+from pewtertack.core.policies import LongBodyPolicy, Policies
 from pewtertack.node.gateway.application import GatewayPlace
 from pewtertack.node.pacing import LinkPacer
 from pewtertack.routing.backend import Backend
@@ -30,7 +30,7 @@
 
 
 class LinkWordsTest(GatewayTestCase):
-    parts: ClassVar[dict[str, Any]] = {"policies": Policies(long_bodies=LongBodies.IN_TURNS)}
+    parts: ClassVar[dict[str, Any]] = {"policies": Policies(long_bodies=LongBodyPolicy.IN_TURNS)}
 
     async def start_one(self, length: int, megabits: float) -> str:
         """Run one gateway on a link of its own and a proxy; return the proxy's address."""
--- a/tests/node/gateway/test_origins.py
+++ b/tests/node/gateway/test_origins.py
@@ -12,13 +12,13 @@
 from pewtertack.node.gateway.hop import WITHIN, hop_headers, read_hop
 from pewtertack.node.proxy.application import ProxyApplication
 from pewtertack.routing.patience import Lateness
-from pewtertack.routing.policies import CallsWithin, Policies
+from pewtertack.routing.policies import NestedCallPolicy, Policies
 from pewtertack.routing.runs import RunsBeside
 from tests.node.gateway.test_gateway import EDGE, GatewayTestCase, answer_well
 from tests.node.proxy.harness import RawBackend, raw_call, request_bytes
 from tests.routing.samples import configuration, route
 
-FIRST = Policies(calls_within=CallsWithin.FIRST)
+FIRST = Policies(calls_within=NestedCallPolicy.FIRST)
 CALL = request_bytes("GET", "/fee", b"", ("x-call: call-1", "x-left: 4000"))
 OWN = request_bytes("GET", "/verify", b"", ("x-call: call-2", "x-left: 4000"))
 ROUTES = (
@@ -94,7 +94,7 @@
         self.assertEqual([told[0], *told[-2:]], [(False, (1, 3)), (True, (1, 2)), (False, (1, 3))])
 
     async def test_where_all_are_treated_alike_nothing_is_told(self) -> None:
-        ledger, logbook = await self.start(Policies(calls_within=CallsWithin.ALIKE))
+        ledger, logbook = await self.start(Policies(calls_within=NestedCallPolicy.ALIKE))
         for _ in range(25):
             await raw_call(logbook, OWN)
             await raw_call(ledger, CALL)
--- a/tests/node/test_returned_store.py
+++ b/tests/node/test_returned_store.py
@@ -11,7 +11,7 @@
 
 import anyio
 
-from pewtertack.core.eras import VERSION_STEP
+from pewtertack.core.eras import TREE_NUMBERS_PER_VERSION
 from pewtertack.lab.fleet.ports import PortAllocator
 from pewtertack.lab.metadata_store.application import MetadataStore
 from tests.node.processes import PATIENCE, StoreNodeProcess, get, get_until
@@ -80,7 +80,7 @@
 
     async def status_until(self, nodes: list[StoreNodeProcess], **wanted: Any) -> None:
         def holds(page: Any) -> bool:
-            shown = {**page, "version": page["in_force"]["number"] // VERSION_STEP}
+            shown = {**page, "version": page["in_force"]["number"] // TREE_NUMBERS_PER_VERSION}
             return all(shown[key] == value for key, value in wanted.items())
 
         for node in nodes:
--- a/tests/node/test_runtime.py
+++ b/tests/node/test_runtime.py
@@ -22,7 +22,7 @@
     Send,
     SetServing,
     StageReached,
-    UseMachines,
+    UseMachineList,
 )
 from pewtertack.core.inputs import (
     DocumentUnchanged,
@@ -143,7 +143,7 @@
         runtime = self.runtime()
         for number, (started_at, slots) in enumerate([(now, 2), (2**51, 3), (now, 4)], 1):
             entry = msgspec.structs.replace(backend("b1"), started_at=started_at, slots=slots)
-            runtime._carry_out(UseMachines(MachineList(number, (entry,))))
+            runtime._carry_out(UseMachineList(MachineList(number, (entry,))))
         (known,) = registry.all()
         self.assertEqual(known.started_at, now)
         self.assertEqual(gateway.get("b1").started_at, now)
@@ -152,7 +152,7 @@
     async def test_a_start_by_a_clock_that_is_ahead_is_believed(self) -> None:
         start = int(time.time() * 1000) + 600_000
         machines = MachineList(1, (msgspec.structs.replace(backend("b1"), started_at=start),))
-        self.runtime()._carry_out(UseMachines(machines))
+        self.runtime()._carry_out(UseMachineList(machines))
         self.proxy.use_machines.assert_called_once_with(machines)
 
     async def test_each_effect_is_carried_out(self) -> None:
@@ -164,7 +164,7 @@
             Send("b", "127.0.0.1:1", BUSY),
             read,
             BringIntoForce(resolved),
-            UseMachines(machines),
+            UseMachineList(machines),
             SetServing(True),
             Log(Event.NODE_SERVING, {"x": 1}),
         ]
--- a/tests/node/test_view.py
+++ b/tests/node/test_view.py
@@ -8,7 +8,7 @@
 from pewtertack.core.inputs import DocumentRead, DocumentReadFailed, MessageReceived, Ticked
 from pewtertack.core.node import NodeCore
 from pewtertack.core.profile import DIRECT
-from pewtertack.core.revision import identify
+from pewtertack.core.revision import revision_id_of
 from pewtertack.errors import ReadFailure
 from pewtertack.node import clock
 from pewtertack.node.gate import ServingGate
@@ -61,7 +61,7 @@
         self.serve()
         self.assertIsNone(self.status().behind_for)
         self.now = 0.25
-        newest = identify(9, tree("new"))
+        newest = revision_id_of(9, tree("new"))
         word = Announce(VersionState.of(newest, newest, 1, True))
         self.core.handle(self.now, MessageReceived(PEER.name, PEER.address, 500, word))
         self.now = 1.0
--- a/tests/platform/returning_fleet.py
+++ b/tests/platform/returning_fleet.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from pewtertack.core.effects import BringIntoForce, Effect, Log, ReadDocument, Send, UseMachines
+from pewtertack.core.effects import BringIntoForce, Effect, Log, ReadDocument, Send, UseMachineList
 from pewtertack.core.identity import NodeIdentity
 from pewtertack.core.inputs import Input, MessageReceived, Ticked
 from pewtertack.core.machines import MachineList, MachineState
@@ -162,7 +162,7 @@
                 node.reads.append(effect)
                 answer = await node.reader.read(msgspec.structs.replace(effect, wait=0.0))
                 await self._feed(node, answer)
-            case UseMachines(machines):
+            case UseMachineList(machines):
                 node.machines = machines
                 node.list_numbers.append(machines.number)
                 node.once_ready.update(node.ready)
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -8,7 +8,7 @@
 from pewtertack.core.configuration.validation import check_document
 from pewtertack.core.items import ItemFormatError
 from pewtertack.core.machines import MachineRole, MachineState, machine_list_from_document
-from pewtertack.core.revision import identify
+from pewtertack.core.revision import revision_id_of
 from pewtertack.platform.documents import KnownRoutes, tree_of
 from pewtertack.platform.entries import machines_of
 
@@ -65,7 +65,7 @@
         number, tree = tree_of(encoded(CONFIGURATION))
         self.assertEqual(number, 12)
         self.assertEqual(check_document(tree), ())
-        resolved = resolve_document(tree, identify(number, tree), "garia")
+        resolved = resolve_document(tree, revision_id_of(number, tree), "garia")
         hold, read = sorted(resolved.routes, key=lambda route: route.name)
         self.assertEqual((hold.service, hold.timeout, hold.objective), ("desk", 1.2, 0.8))
         self.assertEqual((hold.repeatable, hold.retry_limit, hold.priority), (False, 1, 1))
--- a/tests/platform/test_large_lists.py
+++ b/tests/platform/test_large_lists.py
@@ -2,10 +2,10 @@
 
 import unittest
 
-from pewtertack.core.items import LIST_LENGTH_LIMIT, evacuated_zones_of
+from pewtertack.core.items import LIST_LENGTH_LIMIT, valid_evacuated_zones
 from pewtertack.core.machines import MachineRole, machine_list_from_document
 from pewtertack.core.replication.machine_lists import MachineListReplica
-from pewtertack.core.revision import identify
+from pewtertack.core.revision import revision_id_of
 from pewtertack.platform.entries import machines_of
 from pewtertack.wire.frames import Envelope, FrameReader, encode_frame
 from pewtertack.wire.messages import DocumentKind, PackedAnswer, SnapshotAnswer
@@ -29,7 +29,7 @@
     def test_every_entry_reaches_a_node_that_a_peer_tells(self) -> None:
         document, findings = machines_of(entries(), 8146, 7380)
         self.assertEqual(findings, ())
-        revision = identify(7, document)
+        revision = revision_id_of(7, document)
         answer = SnapshotAnswer(DocumentKind.MACHINE_LIST, revision, document)
         packed = pack(answer)
         assert packed is not None
@@ -38,7 +38,7 @@
         assert isinstance(message, PackedAnswer)
         told = unpack(message)
         assert isinstance(told, SnapshotAnswer)
-        self.assertEqual(identify(7, told.document), revision)
+        self.assertEqual(revision_id_of(7, told.document), revision)
         machines = machine_list_from_document(7, told.document).machines
         backends = [machine for machine in machines if machine.role is MachineRole.BACKEND]
         self.assertEqual(len(backends), BACKENDS)
@@ -47,14 +47,14 @@
     def test_every_entry_is_in_use(self) -> None:
         document, _ = machines_of(entries(), 8146, 7380)
         replica = MachineListReplica(0.0)
-        replica.offer(0.0, identify(7, document), document)
+        replica.offer(0.0, revision_id_of(7, document), document)
         self.assertEqual(len(replica.machines.machines), 2 * BACKENDS)
 
 
 class ZonesTest(unittest.TestCase):
     def test_evacuations_up_to_the_bound_hold_and_further_ones_are_told(self) -> None:
         names = [f"zone-{number:03d}" for number in range(LIST_LENGTH_LIMIT + 1)]
-        zones, findings = evacuated_zones_of(names[:-1])
+        zones, findings = valid_evacuated_zones(names[:-1])
         self.assertEqual((zones, findings), (names[:-1], ()))
-        zones, findings = evacuated_zones_of(names)
+        zones, findings = valid_evacuated_zones(names)
         self.assertEqual((len(zones), len(findings)), (LIST_LENGTH_LIMIT, 1))
--- a/tests/platform/test_largest_configuration.py
+++ b/tests/platform/test_largest_configuration.py
@@ -8,7 +8,7 @@
 from pewtertack.core.configuration.resolution import resolve_document
 from pewtertack.core.configuration.structure import SURE_DOCUMENT_SIZE
 from pewtertack.core.configuration.validation import check_document
-from pewtertack.core.revision import Document, identify
+from pewtertack.core.revision import Document, revision_id_of
 from pewtertack.platform.documents import tree_of
 from pewtertack.routing.table import RouteTable
 from pewtertack.wire.frames import Envelope, FrameReader, encode_frame
@@ -65,7 +65,7 @@
 
     def test_all_its_routes_are_served(self) -> None:
         for tree in self.trees():
-            resolved = resolve_document(tree, identify(1, tree), "garia")
+            resolved = resolve_document(tree, revision_id_of(1, tree), "garia")
             table = RouteTable(resolved)
             for name, route in list(tree["routes"].items())[::997]:
                 found = table.match(route["hosts"][0], route["path_prefix"] + "/x", "GET")
@@ -73,7 +73,7 @@
 
     def test_a_snapshot_of_it_reaches_a_peer(self) -> None:
         for tree in self.trees():
-            answer = SnapshotAnswer(DocumentKind.CONFIGURATION, identify(1, tree), dict(tree))
+            answer = SnapshotAnswer(DocumentKind.CONFIGURATION, revision_id_of(1, tree), dict(tree))
             packed = pack(answer)
             assert packed is not None
             for message in (answer, packed):
--- a/tests/platform/test_spoilt_items.py
+++ b/tests/platform/test_spoilt_items.py
@@ -8,16 +8,16 @@
 from hypothesis import strategies as st
 
 from pewtertack.core.effects import ReadDocument
-from pewtertack.core.eras import VERSION_STEP
+from pewtertack.core.eras import TREE_NUMBERS_PER_VERSION
 from pewtertack.core.inputs import DocumentRead, DocumentReadFailed, DocumentUnchanged
 from pewtertack.core.items import (
     LIST_LENGTH_LIMIT,
     ItemFormatError,
     ItemProblem,
-    evacuated_zones_of,
+    valid_evacuated_zones,
 )
-from pewtertack.core.machines import MAXIMUM_SLOTS, machine_list_from_document
-from pewtertack.core.revision import identify
+from pewtertack.core.machines import SLOTS_MAX, machine_list_from_document
+from pewtertack.core.revision import revision_id_of
 from pewtertack.lab.metadata_store.application import MetadataStore
 from pewtertack.platform.documents import tree_of
 from pewtertack.platform.entries import machines_of
@@ -77,7 +77,7 @@
             "State": ["", "Ready", "gone", "live"],
             "Service": ["", "a b", "\u0000", "x" * 200],
             "Zone": ["", "..", "garia\r\n"],
-            "Slots": [0, MAXIMUM_SLOTS + 1, 2**63, 10**40],
+            "Slots": [0, SLOTS_MAX + 1, 2**63, 10**40],
             "ColdRemaining": ["", "soon", "-1ms", "5", "1e9s", "\u0663s"],
             "Sequence": [-1],
         }
@@ -132,7 +132,7 @@
         for good in alone:
             self.assertEqual(document[good], alone[good])
         self.assertTrue(name in document or len(findings) == 1)
-        identify(1, document)
+        revision_id_of(1, document)
         machine_list_from_document(1, document)
 
 
@@ -152,10 +152,10 @@
                 tree_of(encoded({**CONFIGURATION, "Version": version}))
 
     def test_names_that_would_have_the_tree_refused_are_passed_over(self) -> None:
-        zones, findings = evacuated_zones_of(["garia", "Garia", "..", "a/b"])
+        zones, findings = valid_evacuated_zones(["garia", "Garia", "..", "a/b"])
         self.assertEqual(zones, ["garia"])
         self.assertEqual(len(findings), 3)
-        zones, findings = evacuated_zones_of([f"z{index}" for index in range(99)])
+        zones, findings = valid_evacuated_zones([f"z{index}" for index in range(99)])
         self.assertEqual((len(zones), len(findings)), (LIST_LENGTH_LIMIT, 99 - LIST_LENGTH_LIMIT))
 
 
@@ -207,13 +207,13 @@
         self.assertEqual(evacuated.document["evacuated_zones"], ["garia"])
         self.store.put("op/config", encoded({**CONFIGURATION, "Version": "r21"}))
         mended = await self.read(CONFIG, evacuated.number)
-        self.assertEqual(mended.number // VERSION_STEP, 21)
+        self.assertEqual(mended.number // TREE_NUMBERS_PER_VERSION, 21)
         self.assertEqual(mended.findings, ())
 
     async def test_an_older_configuration_is_not_told_for_a_spoilt_newer_one(self) -> None:
         await self.read(CONFIG)
         self.store.put("op/config", b"{")
-        held_by_others = 13 * VERSION_STEP
+        held_by_others = 13 * TREE_NUMBERS_PER_VERSION
         self.assertIsInstance(await self.read(CONFIG, held_by_others), DocumentUnchanged)
 
     async def test_a_configuration_that_nobody_could_read_is_a_failed_read(self) -> None:
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -8,11 +8,11 @@
 import anyio
 
 from pewtertack.core.effects import ReadDocument
-from pewtertack.core.eras import VERSION_STEP, tree_parts
+from pewtertack.core.eras import TREE_NUMBERS_PER_VERSION, split_tree_number
 from pewtertack.core.inputs import DocumentRead, DocumentReadFailed, DocumentUnchanged
 from pewtertack.core.profile import Mechanisms
 from pewtertack.core.replication.replica import ConfigurationReplica
-from pewtertack.core.revision import identify
+from pewtertack.core.revision import revision_id_of
 from pewtertack.errors import ReadFailure
 from pewtertack.lab.metadata_store.application import MetadataStore, StoreFaults
 from pewtertack.platform import store
@@ -38,10 +38,10 @@
 
     async def test_the_first_read_lists_and_the_next_watches(self) -> None:
         first = await self.read(CONFIG)
-        self.assertEqual((type(first), first.number), (DocumentRead, 12 * VERSION_STEP))
+        self.assertEqual((type(first), first.number), (DocumentRead, 12 * TREE_NUMBERS_PER_VERSION))
         self.assertIsInstance(await self.read(CONFIG), DocumentUnchanged)
         self.store.put("op/config", encoded({**CONFIGURATION, "Version": "r15"}))
-        self.assertEqual((await self.read(CONFIG, 5.0)).number, 15 * VERSION_STEP)
+        self.assertEqual((await self.read(CONFIG, 5.0)).number, 15 * TREE_NUMBERS_PER_VERSION)
 
     async def test_a_change_answers_a_waiting_watch(self) -> None:
         await self.read(MACHINES)
@@ -62,13 +62,13 @@
             reader = StoreReader(await self.serve(self.store.application), 8146, 7380)
         self.addAsyncCleanup(reader.close)
         self.assertEqual(
-            (await reader.read(ReadDocument(CONFIG, 0, 0.0))).number, 12 * VERSION_STEP
+            (await reader.read(ReadDocument(CONFIG, 0, 0.0))).number, 12 * TREE_NUMBERS_PER_VERSION
         )
         for version in range(13, 53):
             configuration = {**CONFIGURATION, "Version": f"r{version}"}
             self.store.put("op/config", encoded(configuration))
         reads = [await reader.read(ReadDocument(CONFIG, 0, 0.0)) for _ in range(2)]
-        self.assertEqual(reads[0].number, 52 * VERSION_STEP)
+        self.assertEqual(reads[0].number, 52 * TREE_NUMBERS_PER_VERSION)
         self.assertIsInstance(reads[1], DocumentUnchanged)
 
     async def test_version_0_is_held_until_the_next(self) -> None:
@@ -83,8 +83,8 @@
             with self.subTest(version, evacuated=evacuated):
                 read = await self.reader.read(ReadDocument(CONFIG, replica.held.number, 0.0))
                 replica.offer_document(read.number, read.document)
-                self.assertEqual(replica.held, identify(read.number, read.document))
-                self.assertEqual(tree_parts(read.number)[0], version)
+                self.assertEqual(replica.held, revision_id_of(read.number, read.document))
+                self.assertEqual(split_tree_number(read.number)[0], version)
                 zones = replica.store.document.get("evacuated_zones", [])
                 self.assertEqual(zones, ["garia"] if evacuated else [])
 
@@ -131,9 +131,9 @@
         value = {**CONFIGURATION, "Padding": "x" * 1_000_000}
         for version in range(20, 34):
             self.store.put("op/config", encoded({**value, "Version": f"r{version}"}))
-        self.assertEqual((await self.read(CONFIG)).number, 33 * VERSION_STEP)
+        self.assertEqual((await self.read(CONFIG)).number, 33 * TREE_NUMBERS_PER_VERSION)
         self.store.put("op/config", encoded({**CONFIGURATION, "Version": "r40"}))
-        self.assertEqual((await self.read(CONFIG)).number, 40 * VERSION_STEP)
+        self.assertEqual((await self.read(CONFIG)).number, 40 * TREE_NUMBERS_PER_VERSION)
 
     async def test_refusals_are_typed_failures_and_lose_no_change(self) -> None:
         await self.read(CONFIG)
@@ -145,7 +145,7 @@
             self.assertIs(failed.failure, ReadFailure.REFUSED)
         self.store.put("op/config", encoded({**CONFIGURATION, "Version": "r20"}))
         self.store.faults = StoreFaults()
-        self.assertEqual((await self.read(CONFIG)).number, 20 * VERSION_STEP)
+        self.assertEqual((await self.read(CONFIG)).number, 20 * TREE_NUMBERS_PER_VERSION)
 
     async def test_a_lost_answer_ends_in_time_and_its_connection_is_not_used_again(self) -> None:
         await self.read(CONFIG)
@@ -155,7 +155,7 @@
         self.assertIn("store-unreachable", failed.reason)
         self.assertIs(failed.failure, ReadFailure.SLOW)
         self.store.put("op/config", encoded({**CONFIGURATION, "Version": "r20"}))
-        self.assertEqual((await self.read(CONFIG)).number, 20 * VERSION_STEP)
+        self.assertEqual((await self.read(CONFIG)).number, 20 * TREE_NUMBERS_PER_VERSION)
 
     async def test_reads_under_way_at_once_tell_a_change_once_and_lose_none(self) -> None:
         await self.read(MACHINES)
@@ -197,7 +197,7 @@
         self.assertEqual((spoilt.number, spoilt.document), (first.number, first.document))
         self.assertEqual([item.item for item in spoilt.findings], ["op/config"])
         self.store.put("op/config", encoded({**CONFIGURATION, "Version": "r21"}))
-        self.assertEqual((await self.read(CONFIG)).number, 21 * VERSION_STEP)
+        self.assertEqual((await self.read(CONFIG)).number, 21 * TREE_NUMBERS_PER_VERSION)
 
 
 class EvacuationTest(ProxyTestCase):
@@ -224,11 +224,11 @@
         asked_at = self.store.put("op/evacuate/garia", b"{}")
         asked = await self.read(reader, first.number)
         self.assertEqual(asked.document["evacuated_zones"], ["garia"])
-        self.assertEqual(asked.number, 12 * VERSION_STEP + asked_at)
+        self.assertEqual(asked.number, 12 * TREE_NUMBERS_PER_VERSION + asked_at)
         taken_back_at = self.store.remove("op/evacuate/garia")
         taken_back = await self.read(reader, asked.number)
         self.assertEqual(taken_back.document, first.document)
-        self.assertEqual(taken_back.number, 12 * VERSION_STEP + taken_back_at)
+        self.assertEqual(taken_back.number, 12 * TREE_NUMBERS_PER_VERSION + taken_back_at)
         self.assertIsInstance(await self.read(reader, taken_back.number), DocumentUnchanged)
 
     async def test_a_newer_version_is_newer_than_any_evacuation_of_the_one_before(self) -> None:
@@ -248,7 +248,7 @@
         self.store.put("servers/i-9", encoded(ENTRY))
         successor = self.reader()
         found = await self.read(successor)
-        self.assertEqual(found.number, 12 * VERSION_STEP)
+        self.assertEqual(found.number, 12 * TREE_NUMBERS_PER_VERSION)
         ended = await self.read(successor, asked.number)
         self.assertNotIn("evacuated_zones", ended.document)
         self.assertGreater(ended.number, asked.number)
--- a/tests/platform/test_told_eras.py
+++ b/tests/platform/test_told_eras.py
@@ -41,19 +41,19 @@
             self.store.put(f"servers/i-{number}", entry(number))
             found = await self.read()
             self.assertIn(f"i-{number}", found.document)
-            self.assertEqual([item.problem for item in found.about_answers], [ItemProblem.ERA])
+            self.assertEqual([item.problem for item in found.answer_findings], [ItemProblem.ERA])
 
     async def test_a_header_that_is_told_no_more_is_found(self) -> None:
         self.store.era = None
         found = await self.read()
-        self.assertEqual([item.problem for item in found.about_answers], [ItemProblem.ERA])
+        self.assertEqual([item.problem for item in found.answer_findings], [ItemProblem.ERA])
 
     async def test_an_answer_of_an_earlier_era_is_not_used(self) -> None:
         self.store.faults = StoreFaults(era="2")
         self.store.put("servers/i-2", entry(2))
         failed = await self.read()
         self.assertIsInstance(failed, DocumentReadFailed)
-        self.assertEqual([item.problem for item in failed.about_answers], [ItemProblem.ERA])
+        self.assertEqual([item.problem for item in failed.answer_findings], [ItemProblem.ERA])
         self.store.faults = StoreFaults()
         self.assertIn("i-2", (await self.read()).document)
 
@@ -61,12 +61,12 @@
         self.store.put("servers/i-2", entry(2))
         self.store.come_back_from(self.store.copy())
         failed = await self.read()
-        self.assertEqual([item.problem for item in failed.about_answers], [ItemProblem.ERA])
+        self.assertEqual([item.problem for item in failed.answer_findings], [ItemProblem.ERA])
         await self.read()
         found = await self.read()
         assert isinstance(found, DocumentRead)
         self.assertIn("i-2", found.document)
-        self.assertEqual(found.about_answers, ())
+        self.assertEqual(found.answer_findings, ())
         self.assertLessEqual(self.store.calls - self.calls, 3)
 
 
@@ -108,6 +108,8 @@
             reads = [effect for node in nodes for effect in node.reads]
             self.assertEqual({read.era for read in reads}, {0})
             held = {(0, ()), (state.held.number, ("howrah",))}
-            self.assertEqual({(read.held.number, read.evacuated) for read in reads}, held)
+            self.assertEqual(
+                {(read.held_revision.number, read.evacuated_zones) for read in reads}, held
+            )
             told.append((msgspec.msgpack.encode(state), store.revision, reads))
         self.assertEqual(*told)
--- a/tests/platform/test_unusual_configurations.py
+++ b/tests/platform/test_unusual_configurations.py
@@ -11,7 +11,7 @@
 from pewtertack.core.configuration.resolved import ResolvedConfiguration, ResolvedRoute
 from pewtertack.core.configuration.validation import check_document
 from pewtertack.core.machines import machine_list_from_document
-from pewtertack.core.revision import identify
+from pewtertack.core.revision import revision_id_of
 from pewtertack.platform.documents import tree_of
 from pewtertack.platform.entries import machines_of
 from pewtertack.routing.outcomes import RouteNotFoundError
@@ -26,7 +26,7 @@
 def resolved(**fields: Any) -> ResolvedConfiguration:
     """Return what a node makes of the sample configuration with other ``fields``."""
     number, tree = tree_of(encoded({**CONFIGURATION, **fields}))
-    return resolve_document(tree, identify(number, tree), "garia")
+    return resolve_document(tree, revision_id_of(number, tree), "garia")
 
 
 def route_with(**fields: Any) -> ResolvedRoute:
@@ -296,7 +296,7 @@
     ) -> None:
         number, tree = tree_of(encoded(configuration))
         self.assertEqual(check_document(tree), ())
-        table = RouteTable(resolve_document(tree, identify(number, tree), "garia"))
+        table = RouteTable(resolve_document(tree, revision_id_of(number, tree), "garia"))
         routes = configuration["Routes"]
         for given_route in routes:
             host = given_route["Host"].lower()
--- a/tests/platform/test_watches_at_return.py
+++ b/tests/platform/test_watches_at_return.py
@@ -77,8 +77,8 @@
     async def test_the_rise_is_a_finding_only_where_one_connection_told_both(self) -> None:
         await self.begin()
         answers = await self.watch_over_return(KINDS[0])
-        problems = {item.problem for answer in answers.values() for item in answer.about_answers}
+        problems = {item.problem for answer in answers.values() for item in answer.answer_findings}
         self.assertEqual(problems, {ItemProblem.ERA})
         await self.read(KINDS[0])
         for kind in KINDS:
-            self.assertEqual((await self.read(kind)).about_answers, ())
+            self.assertEqual((await self.read(kind)).answer_findings, ())
--- a/tests/routing/test_gateway_choice.py
+++ b/tests/routing/test_gateway_choice.py
@@ -20,7 +20,7 @@
     GatewayRefusedError,
 )
 from pewtertack.routing.patience import Lateness
-from pewtertack.routing.policies import Policies, Returning
+from pewtertack.routing.policies import Policies, RetryLaterPolicy
 from pewtertack.routing.queueing import Ticket
 from pewtertack.routing.retries import FLEET_BURST, RetryReason, burst_of
 from tests.routing.samples import dispatcher, route, service
@@ -78,7 +78,7 @@
     def test_only_callers_with_much_time_leave_their_zone_for_a_short_wait(self) -> None:
         """Who has twice its objective may be told to come back, but bytes do not cross for it."""
         for caller_time, zone in ((10.0, "near"), (17.0, "far")):
-            made = Dispatcher(Random(1), policies=Policies(returning=Returning.TWO))
+            made = Dispatcher(Random(1), policies=Policies(returning=RetryLaterPolicy.TWO))
             made.use_zone("ikeja")
             made.use_machines(MachineList(2, (gated("near"), gated("far", zone="yaba"))), 0.0)
             report(made, submitted(made), load=6)
--- a/tests/routing/test_margins.py
+++ b/tests/routing/test_margins.py
@@ -18,7 +18,7 @@
 from pewtertack.routing.outcomes import DeadlineUnmeetableError
 from pewtertack.routing.patience import Lateness
 from pewtertack.routing.places import AdmissionTicket
-from pewtertack.routing.policies import Margin, Policies, Returning
+from pewtertack.routing.policies import Policies, RetryLaterPolicy, WaitMarginPolicy
 
 SECONDS = st.floats(0.0, 100.0)
 
@@ -27,7 +27,7 @@
     return AdmissionTicket("lookup", (1, 0), objective, 9.0, Lateness.PROMPT)
 
 
-def uneven(margin: Margin) -> Admission:
+def uneven(margin: WaitMarginPolicy) -> Admission:
     """Return an admission of one slot, taken, whose times are 0.1 and 0.4 s in turn."""
     admission = Admission(1, policies=Policies(margin=margin))
     for seconds in (0.1, 0.4) * 20:
@@ -41,10 +41,10 @@
 class MarginTest(unittest.TestCase):
     def test_a_spread_that_leaves_no_time_refuses_whatever_finds_no_slot(self) -> None:
         with self.assertRaises(DeadlineUnmeetableError):
-            uneven(Margin.SPREAD).submit(prompt(objective=0.8), 0.0)
+            uneven(WaitMarginPolicy.SPREAD).submit(prompt(objective=0.8), 0.0)
 
     def test_with_half_of_it_a_prompt_request_waits_for_the_next_slot(self) -> None:
-        admission = uneven(Margin.HALF)
+        admission = uneven(WaitMarginPolicy.HALF)
         waiting = prompt(objective=0.8)
         admission.submit(waiting, 0.0)
         self.assertIsNone(waiting.refusal)
@@ -54,10 +54,10 @@
     def test_it_is_not_kept_where_its_answer_is_most_likely_late(self) -> None:
         for objective in (0.2, 0.4):
             with self.assertRaises(DeadlineUnmeetableError):
-                uneven(Margin.HALF).submit(prompt(objective=objective), 0.0)
+                uneven(WaitMarginPolicy.HALF).submit(prompt(objective=objective), 0.0)
 
     def test_it_is_told_to_come_back_while_half_of_its_time_is_left(self) -> None:
-        admission = uneven(Margin.HALF)
+        admission = uneven(WaitMarginPolicy.HALF)
         waiting = prompt(objective=0.8)
         admission.submit(waiting, 0.0)
         usual = admission.expected_time("lookup")
@@ -79,7 +79,7 @@
 class LoadTest(unittest.TestCase):
     """18 back ends of unlike speeds, some requests long, as much work as they can do."""
 
-    def worth(self, margin: Margin, load: float) -> float:
+    def worth(self, margin: WaitMarginPolicy, load: float) -> float:
         shape = ReturningShape(
             nodes=18,
             backends=18,
@@ -93,16 +93,20 @@
         return simulate_returning(shape, seed=1).worth
 
     def test_callers_get_more_at_the_limit_of_what_back_ends_can_do(self) -> None:
-        self.assertGreater(self.worth(Margin.HALF, 1.0), self.worth(Margin.SPREAD, 1.0))
+        self.assertGreater(
+            self.worth(WaitMarginPolicy.HALF, 1.0), self.worth(WaitMarginPolicy.SPREAD, 1.0)
+        )
 
     def test_they_get_no_less_where_there_is_room(self) -> None:
-        self.assertGreater(self.worth(Margin.HALF, 0.7), self.worth(Margin.SPREAD, 0.7) - 0.01)
+        self.assertGreater(
+            self.worth(WaitMarginPolicy.HALF, 0.7), self.worth(WaitMarginPolicy.SPREAD, 0.7) - 0.01
+        )
 
 
 class ReturningLoadTest(unittest.TestCase):
     """Callers that have some 2.5 times their objective, more than back ends can do."""
 
-    def fates(self, returning: Returning, load: float) -> ReturningResult:
+    def fates(self, returning: RetryLaterPolicy, load: float) -> ReturningResult:
         shape = ReturningShape(
             nodes=18,
             backends=18,
@@ -111,18 +115,18 @@
             load=load,
             speeds=(0.7, 1.0, 1.3),
             deadlines=0.4,
-            policies=Policies(margin=Margin.HALF, returning=returning),
+            policies=Policies(margin=WaitMarginPolicy.HALF, returning=returning),
         )
         return simulate_returning(shape, seed=1)
 
     def test_more_are_served_in_time_where_nobody_waits_to_be_late(self) -> None:
-        four, two = (self.fates(returning, 1.3) for returning in Returning)
+        four, two = (self.fates(returning, 1.3) for returning in RetryLaterPolicy)
         self.assertGreater(two.worth, four.worth + 0.05)
         for kind in ("status", "reserve"):
             self.assertGreater(two.classes[kind].in_time, four.classes[kind].in_time)
 
     def test_it_changes_little_where_there_is_room(self) -> None:
-        four, two = (self.fates(returning, 0.8) for returning in Returning)
+        four, two = (self.fates(returning, 0.8) for returning in RetryLaterPolicy)
         self.assertGreater(two.worth, four.worth - 0.01)
 
 
--- a/tests/routing/test_origins.py
+++ b/tests/routing/test_origins.py
@@ -16,7 +16,7 @@
     OriginWatch,
     watch_for,
 )
-from pewtertack.routing.policies import CallsWithin, Policies
+from pewtertack.routing.policies import NestedCallPolicy, Policies
 
 NEAR = {"ledger": 12, "desk": 4}
 
@@ -154,8 +154,8 @@
             made.to_tell(route, told=True)
 
     def test_a_gateway_that_treats_all_alike_watches_nothing(self) -> None:
-        self.assertIsNone(watch_for(Policies(calls_within=CallsWithin.ALIKE)))
-        self.assertIsNotNone(watch_for(Policies(calls_within=CallsWithin.FIRST)))
+        self.assertIsNone(watch_for(Policies(calls_within=NestedCallPolicy.ALIKE)))
+        self.assertIsNotNone(watch_for(Policies(calls_within=NestedCallPolicy.FIRST)))
 
 
 class BeliefsTest(unittest.TestCase):
--- a/tests/routing/test_patience.py
+++ b/tests/routing/test_patience.py
@@ -5,7 +5,7 @@
 
 from pewtertack.routing.outcomes import DEFAULT_RETRY_AFTER
 from pewtertack.routing.patience import CallerPatience, Lateness, pause_after_shedding
-from pewtertack.routing.policies import Returning
+from pewtertack.routing.policies import RetryLaterPolicy
 
 
 class CallerPatienceTest(unittest.TestCase):
@@ -17,7 +17,7 @@
         return patience
 
     def test_by_the_other_way_one_with_twice_its_objective_may(self) -> None:
-        patience = CallerPatience(Returning.TWO)
+        patience = CallerPatience(RetryLaterPolicy.TWO)
         self.assertIs(patience.classify("lookup", 1.0, 2.0, 0.0), Lateness.PROMPT)
         self.assertIs(patience.classify("other", 1.0, 1.9, 0.0), Lateness.ALLOWED)
         self.assertIs(CallerPatience().classify("lookup", 1.0, 3.9, 0.0), Lateness.ALLOWED)
--- a/tests/routing/test_retry_window.py
+++ b/tests/routing/test_retry_window.py
@@ -13,7 +13,7 @@
 from pewtertack.routing.dispatcher import Dispatcher
 from pewtertack.routing.ends import AttemptEnd
 from pewtertack.routing.outcomes import BackendShedError
-from pewtertack.routing.policies import Policies, RetryBudgeting
+from pewtertack.routing.policies import Policies, RetryBudgetPolicy
 from pewtertack.routing.queueing import Ticket
 from pewtertack.routing.retries import RetryReason
 from pewtertack.routing.retry_window import STEP_SHARE, RetryLimits, WindowBudget
@@ -179,7 +179,7 @@
     def test_more_requests_are_saved_than_by_a_share_of_first_attempts(self) -> None:
         """Of requests that were shed 0.20 are sent once more by the share, 0.36 by the window."""
         by_share = self.retried(Policies())
-        by_window = self.retried(Policies(retry_budget=RetryBudgeting.WINDOW))
+        by_window = self.retried(Policies(retry_budget=RetryBudgetPolicy.WINDOW))
         self.assertLess(by_share, 0.23)
         self.assertGreater(by_window, 0.35)
 
@@ -188,7 +188,7 @@
     def test_a_service_that_goes_and_returns_has_its_budget_of_before(self) -> None:
         made = Dispatcher(
             Random(1),
-            policies=Policies(retry_budget=RetryBudgeting.WINDOW),
+            policies=Policies(retry_budget=RetryBudgetPolicy.WINDOW),
             retry_limits=LIMITS,
         )
         made.use_machines(MachineList(1, tuple(_machines())), LONG_AGO)
