--- a/src/pewtertack/lab/cost/calls.py
+++ b/src/pewtertack/lab/cost/calls.py
@@ -150,7 +150,7 @@
             hop.ROUTE + b": held",
             hop.RANK + b": 0.0",
             hop.OBJECTIVE + b": 300000",
-            hop.LATENESS + b": allowed",
+            hop.WAIT_POLICY + b": allowed",
             hop.CALLER_SERVICE + b": ",
             b"",
             b"",
--- a/src/pewtertack/lab/cost/requests.py
+++ b/src/pewtertack/lab/cost/requests.py
@@ -33,12 +33,12 @@
 from pewtertack.log import EventLog
 from pewtertack.node import clock
 from pewtertack.node.event_loop import SuspendedTimeLoop
-from pewtertack.node.gateway.application import GatewayApplication, GatewayPlace
+from pewtertack.node.gateway.application import GatewayApplication, GatewaySettings
 from pewtertack.node.http.cycle import Scope
 from pewtertack.node.http.server import HttpServer
 from pewtertack.node.proxy.answers import Receive, Send
 from pewtertack.node.proxy.application import ProxyApplication
-from pewtertack.node.proxy.edge import PRODUCT_EDGE
+from pewtertack.node.proxy.edge import DEFAULT_EDGE
 from pewtertack.node.proxy.refusals import typed_refusal
 
 MICROSECONDS = 1_000_000
@@ -117,7 +117,7 @@
         with contextlib.redirect_stdout(self._nowhere):
             self.log = EventLog("measured", 1, clock=_LineClock())
         self._gateway = GatewayApplication(
-            clock.now, GatewayPlace(backend, SERVICE, ZONE), PRODUCT_EDGE, self.log.record
+            clock.now, GatewaySettings(backend, SERVICE, ZONE), DEFAULT_EDGE, self.log.record
         )
         self._proxy = ProxyApplication(clock.now, Random(1), log=self.log.record)
         self.front = _ConnectingProxy(self._proxy, self._gateway)
--- a/src/pewtertack/lab/weakening.py
+++ b/src/pewtertack/lab/weakening.py
@@ -28,9 +28,9 @@
 from pewtertack.node.http.pipeline import Pipeline
 from pewtertack.node.proxy import exchange
 from pewtertack.node.proxy.application import ProxyApplication
-from pewtertack.node.proxy.edge import PRODUCT_EDGE, EdgeHeaders
+from pewtertack.node.proxy.edge import DEFAULT_EDGE, EdgeHeaders
 from pewtertack.node.proxy.headers import AnswerHead
-from pewtertack.node.proxy.stop_time import StopTime
+from pewtertack.node.proxy.shutdown_notice import ShutdownDeadline
 from pewtertack.platform import store
 from pewtertack.routing import dispatcher
 from pewtertack.routing.outcomes import Outcome, RequestFailedError
@@ -63,7 +63,7 @@
     """Pass an answer on without a look at the request that it belongs to."""
 
     def wrapper(read_answer: AnswerReader) -> AnswerReader:
-        def read_without_id(headers: RawHeaders, edge: EdgeHeaders = PRODUCT_EDGE) -> AnswerHead:
+        def read_without_id(headers: RawHeaders, edge: EdgeHeaders = DEFAULT_EDGE) -> AnswerHead:
             answer = read_answer(headers, edge)
             answer.request_id = None
             return answer
@@ -99,14 +99,14 @@
 
         return fail_as_not_run
 
-    _wrap(exchange, "_failure", wrapper)
+    _wrap(exchange, "_broken_exchange_error", wrapper)
 
 
 def _ignore_leaving() -> None:
     """Give work to back ends that say, or are listed, as leaving."""
 
     def wrap_reader(read_answer: AnswerReader) -> AnswerReader:
-        def read_as_staying(headers: RawHeaders, edge: EdgeHeaders = PRODUCT_EDGE) -> AnswerHead:
+        def read_as_staying(headers: RawHeaders, edge: EdgeHeaders = DEFAULT_EDGE) -> AnswerHead:
             answer = read_answer(headers, edge)
             answer.leaving = False
             return answer
@@ -134,7 +134,7 @@
     def wrapper(_: object) -> Callable[[ProxyApplication, object], None]:
         return lambda proxy, observer: None
 
-    _wrap(ProxyApplication, "watch_leaving", wrapper)
+    _wrap(ProxyApplication, "set_leaving_observer", wrapper)
 
 
 def _stop_without_draining() -> None:
@@ -163,14 +163,14 @@
 
     for owner in (ProxyApplication, GatewayApplication):
         _wrap(owner, "withdraw_waiting", withdraw_nothing)
-        _wrap(owner, "hurry_answers", stop_nothing)
+        _wrap(owner, "flush_answers", stop_nothing)
         _wrap(owner, "stop_requests", stop_nothing)
 
 
 def _keep_stops_to_itself() -> None:
     """Tell no gateway until when a stopping node carries answers, of new requests or old."""
 
-    def begin_nothing(_: object) -> Callable[[StopTime, float], None]:
+    def begin_nothing(_: object) -> Callable[[ShutdownDeadline, float], None]:
         return lambda stop, ends_at: None
 
     def announce_nothing(_: object) -> Callable[[ProxyApplication], Awaitable[None]]:
@@ -179,7 +179,7 @@
 
         return announce
 
-    _wrap(StopTime, "begin", begin_nothing)
+    _wrap(ShutdownDeadline, "begin", begin_nothing)
     _wrap(ProxyApplication, "announce_stop", announce_nothing)
 
 
--- a/src/pewtertack/node/assembly.py
+++ b/src/pewtertack/node/assembly.py
@@ -93,8 +93,8 @@
     runtime = Runtime(core, profile.tick, gate, transport, reader, proxy, log, gateway, stages)
     reporter.connect(core.crashes.ledger, runtime.feed)
     if proxy is not None:
-        proxy.watch_leaving(runtime.note_backend_leaving)
-        proxy.catching_up.lag = lambda: core.replication.replica.lag
+        proxy.set_leaving_observer(runtime.note_backend_leaving)
+        proxy.configuration_wait.lag = lambda: core.replication.replica.lag
     addresses = _addresses(sockets, identity)
     in_flight, reaches_all = _in_flight_of(proxy), _reach_of(proxy)
     view = NodeView(
@@ -185,10 +185,10 @@
     """Return the gateway part, where a back end is beside the node."""
     if settings.listen.gateway is None or settings.backend.address is None:
         return None
-    from pewtertack.node.gateway.application import GatewayApplication, GatewayPlace
+    from pewtertack.node.gateway.application import GatewayApplication, GatewaySettings
 
     address = str(settings.backend.address)
-    place = GatewayPlace(
+    place = GatewaySettings(
         address,
         settings.backend.service,
         settings.node.zone.text,
--- a/src/pewtertack/node/gateway/application.py
+++ b/src/pewtertack/node/gateway/application.py
@@ -19,6 +19,7 @@
     nobody_listens,
 )
 from pewtertack.node.gateway.cold_watch import ColdWatch
+from pewtertack.node.gateway.context import GatewayContext
 from pewtertack.node.gateway.forwarding import GatewayForwarding
 from pewtertack.node.gateway.hop import (
     LEAVE_BY,
@@ -32,8 +33,7 @@
 )
 from pewtertack.node.gateway.incarnations import Incarnation, Incarnations
 from pewtertack.node.gateway.metrics import GatewayMetrics
-from pewtertack.node.gateway.parts import GatewayParts
-from pewtertack.node.gateway.told import link_headers, load_headers, origin_headers
+from pewtertack.node.gateway.report_headers import link_headers, load_headers, origin_headers
 from pewtertack.node.http.cycle import Scope
 from pewtertack.node.http.framing import RawHeaders
 from pewtertack.node.http.heads import HEAD_BYTES
@@ -43,9 +43,9 @@
 from pewtertack.node.proxy.edge import NODE_EDGE, EdgeHeaders
 from pewtertack.node.proxy.exchange import TruncatedAnswerError
 from pewtertack.node.proxy.headers import RequestHead, read_head
-from pewtertack.node.proxy.in_flight import RequestHolder
+from pewtertack.node.proxy.in_flight import DrainableApplication
 from pewtertack.node.proxy.request_log import GatewayLog, RecordEvent, ignore_event
-from pewtertack.node.proxy.upstream import ConnectionStore
+from pewtertack.node.proxy.upstream import ConnectionPool
 from pewtertack.routing.cold import ColdBounds, ColdStart
 from pewtertack.routing.deadlines import deadline_of
 from pewtertack.routing.link import LinkShare
@@ -71,7 +71,7 @@
 """Seconds that a request without a deadline may take; proxies always send one."""
 
 
-class GatewayPlace(msgspec.Struct, frozen=True):
+class GatewaySettings(msgspec.Struct, frozen=True):
     """Where the gateway stands, from the node's settings."""
 
     address: str
@@ -86,7 +86,7 @@
     """Rate of the machine's link, 0 while unknown."""
 
 
-class GatewayApplication(RequestHolder):
+class GatewayApplication(DrainableApplication):
     """Admits requests for one address, whichever incarnation of a back end lives there.
 
     An ASGI 3 application. All methods are called in the event loop's thread.
@@ -109,7 +109,7 @@
     def __init__(
         self,
         clock: Callable[[], float],
-        place: GatewayPlace,
+        place: GatewaySettings,
         edge: EdgeHeaders,
         log: RecordEvent = ignore_event,
         registry: MetricsRegistry | None = None,
@@ -121,14 +121,14 @@
         self._place = place
         self._log = GatewayLog(log, clock)
         self._metrics = GatewayMetrics(registry or MetricsRegistry())
-        super().__init__(ConnectionStore(clock))
+        super().__init__(ConnectionPool(clock))
         self._reporter = reporter or CrashReporter()
         self._backend_down = False
         """Whether nobody listened at the back end's address when it was last needed."""
         runs = runs or RunsBeside()
         self.origins = watch_for(policies)
         """Who calls each route, as far as known."""
-        self._parts = GatewayParts(
+        self._context = GatewayContext(
             clock,
             self.connections,
             edge,
@@ -166,7 +166,7 @@
         if settings.backend.address is None or address == self.address:
             return
         self._place = msgspec.structs.replace(self._place, address=address)
-        self._parts = msgspec.structs.replace(self._parts, address=address)
+        self._context = msgspec.structs.replace(self._context, address=address)
 
     def use_configuration(self, configuration: ResolvedConfiguration) -> None:
         """Keep to the service's settings, and to the operator's word on this zone."""
@@ -204,7 +204,7 @@
         """Learn which back ends live, leave or have gone at the address."""
         here = (machine for machine in machines.machines if machine.address == self.address)
         backends = (machine for machine in here if machine.role is MachineRole.BACKEND)
-        if self._incarnations.use_listed({machine.name: machine for machine in backends}):
+        if self._incarnations.apply_machine_list({machine.name: machine for machine in backends}):
             self.connections.drop(self.address)
         if self.origins is not None:
             beside = [item for item in machines.machines if item.gateway]
@@ -216,13 +216,13 @@
         """Take only requests that end well before the stop; others find another gateway."""
         self.requests.leaving = True
         self._stops_at = self._clock() + seconds
-        if self._parts.pacer is not None:
-            self._parts.pacer.end_at(self._stops_at)
+        if self._context.pacer is not None:
+            self._context.pacer.end_at(self._stops_at)
 
-    def hurry_answers(self) -> None:
+    def flush_answers(self) -> None:
         """Let all answers go that wait for their turns on the link."""
-        if self._parts.pacer is not None:
-            self._parts.pacer.share.open()
+        if self._context.pacer is not None:
+            self._context.pacer.share.open()
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve one request (ASGI entry point)."""
@@ -259,8 +259,8 @@
             self._log.refused(head.request_id, backend, error, told)
             self._metrics.note_refused(error.code, error.offered)
             headers = [*load, *self._note_refused(request)]
-            if request is not None and self._parts.pacer is not None:
-                headers += link_headers(self._parts.pacer, request.route)
+            if request is not None and self._context.pacer is not None:
+                headers += link_headers(self._context.pacer, request.route)
             await _refuse(send, error, head, headers)
 
     def _note_origin(self, request: HopRequest) -> None:
@@ -324,7 +324,7 @@
         now = self._clock()
         deadline = deadline_of(now, head.deadline, LONGEST_TIME)
         forwarding = GatewayForwarding(
-            self._parts,
+            self._context,
             incarnation.admission,
             scope,
             receive,
@@ -369,13 +369,13 @@
     def _ends_in_time(self, incarnation: Incarnation, request: HopRequest) -> bool:
         """Tell whether the request will most likely have ended when the node stops."""
         needed = incarnation.admission.expected_time(request.route) or request.objective
-        if self._parts.pacer is not None:
-            needed += self._parts.pacer.answer_time(request.route, request.rank)
+        if self._context.pacer is not None:
+            needed += self._context.pacer.answer_time(request.route, request.rank)
         return self._clock() + needed * STOP_MARGIN < self._stops_at
 
 
 def _pacer_of(
-    clock: Callable[[], float], place: GatewayPlace, policies: Policies
+    clock: Callable[[], float], place: GatewaySettings, policies: Policies
 ) -> LinkPacer | None:
     """Return what paces long answers; ``None`` where they leave at once."""
     if policies.long_bodies is not LongBodies.IN_TURNS or not place.link_mbps:
--- a/src/pewtertack/node/gateway/parts.py
+++ b/src/pewtertack/node/gateway/context.py
@@ -16,16 +16,16 @@
 from pewtertack.node.proxy.edge import EdgeHeaders
 from pewtertack.node.proxy.in_flight import RequestsInFlight
 from pewtertack.node.proxy.request_log import GatewayLog
-from pewtertack.node.proxy.upstream import ConnectionStore
+from pewtertack.node.proxy.upstream import ConnectionPool
 from pewtertack.routing.origins import OriginWatch
 from pewtertack.routing.runs import RunsBeside, none_in_vain
 
 
-class GatewayParts(msgspec.Struct, frozen=True):
+class GatewayContext(msgspec.Struct, frozen=True):
     """What all requests of a gateway share."""
 
     clock: Callable[[], float]
-    connections: ConnectionStore
+    connections: ConnectionPool
     edge: EdgeHeaders
     address: str
     log: GatewayLog
--- a/src/pewtertack/node/gateway/forwarding.py
+++ b/src/pewtertack/node/gateway/forwarding.py
@@ -9,13 +9,13 @@
 import anyio
 
 from pewtertack.node.gateway import hop
-from pewtertack.node.gateway.hang_looks import HangLooks
+from pewtertack.node.gateway.context import GatewayContext
+from pewtertack.node.gateway.hang_checks import HangChecks
 from pewtertack.node.gateway.hop import HopRequest
 from pewtertack.node.gateway.link_check import LinkCheck
-from pewtertack.node.gateway.parts import GatewayParts
+from pewtertack.node.gateway.report_headers import link_headers, load_headers, origin_headers
 from pewtertack.node.gateway.sending import AnswerSender
 from pewtertack.node.gateway.slot_wait import SlotWait
-from pewtertack.node.gateway.told import link_headers, load_headers, origin_headers
 from pewtertack.node.http.connection import BackendConnection
 from pewtertack.node.http.cycle import CALLER, Scope
 from pewtertack.node.http.framing import RawHeaders
@@ -23,6 +23,7 @@
 from pewtertack.node.proxy.answers import Receive, Send
 from pewtertack.node.proxy.body import Caller, CallerGoneError, RequestBody
 from pewtertack.node.proxy.content import RequestContent
+from pewtertack.node.proxy.crash_guard import CrashGuard
 from pewtertack.node.proxy.edge import NODE_EDGE
 from pewtertack.node.proxy.exchange import Exchange, TruncatedAnswerError
 from pewtertack.node.proxy.headers import (
@@ -34,7 +35,6 @@
 )
 from pewtertack.node.proxy.in_flight import Progress
 from pewtertack.node.proxy.lifetime import LifeEnd, RequestLife, end_error
-from pewtertack.node.proxy.suspicion import Suspicion
 from pewtertack.routing.admission import Admission
 from pewtertack.routing.outcomes import (
     BackendFailedError,
@@ -65,7 +65,7 @@
 
     def __init__(
         self,
-        parts: GatewayParts,
+        context: GatewayContext,
         admission: Admission,
         scope: Scope,
         receive: Receive,
@@ -75,38 +75,39 @@
         deadline: float,
         check_open: Callable[[], None] = _always_open,
     ) -> None:
-        self._parts = parts
+        self._context = context
         self._check_open = check_open
         """Raises why the back end is given nothing more, where it is not."""
         self._admission = admission
         self._request = request
         self.request_id = head.request_id
         self._deadline = deadline
-        self._headers = without_names(scope["headers"], head, parts.edge.own)
+        self._headers = without_names(scope["headers"], head, context.edge.own)
         self._has_body = head.has_body
-        self._body = RequestBody(receive, head.has_body, parts.bodies)
+        self._body = RequestBody(receive, head.has_body, context.bodies)
         content = RequestContent(scope, self._headers, self._body)
-        self._suspicion = Suspicion(content, parts.reporter, parts.crashes)
+        self._suspicion = CrashGuard(content, context.reporter, context.crashes)
         self._body_on_demand = head.expects_continue
         self._caller: Caller = scope["extensions"][CALLER]
-        self._life = RequestLife(scope, deadline, parts.clock)
-        now = parts.clock()
+        self._life = RequestLife(scope, deadline, context.clock)
+        now = context.clock()
         self._ticket = AdmissionTicket(
             request.route,
             request.rank,
             now + request.objective,
             deadline,
             request.lateness,
-            parts.origins is not None and parts.origins.is_within(request.route, request.within),
+            context.origins is not None
+            and context.origins.is_within(request.route, request.within),
         )
         gone_at = now + request.gone_in
-        self._link = LinkCheck(parts.pacer, admission, self._ticket, gone_at)
+        self._link = LinkCheck(context.pacer, admission, self._ticket, gone_at)
         self._sender: AnswerSender | None = None
-        if parts.pacer is not None:
+        if context.pacer is not None:
             self._sender = AnswerSender(
                 send,
-                parts.pacer,
-                parts.held,
+                context.pacer,
+                context.held,
                 self._ticket,
                 request.holds_back,
                 request.only_here,
@@ -149,7 +150,7 @@
         if self._request.gone_in < math.inf:
             self._expect_end()
         try:
-            with self._parts.requests.serving(self):
+            with self._context.requests.serving(self):
                 end = await self._life.run(self._admit_and_exchange)
         finally:
             self._exchange.forget_owner()
@@ -172,9 +173,9 @@
 
     def _note_cancelled(self) -> None:
         hung = self._ticket.hung
-        self._parts.log.cancelled(self.request_id, self._request.backend, self._sent, hung)
+        self._context.log.cancelled(self.request_id, self._request.backend, self._sent, hung)
         if hung:
-            self._parts.metrics.note_refused(BackendHungError.code, self._sent)
+            self._context.metrics.note_refused(BackendHungError.code, self._sent)
 
     @property
     def sender_stops(self) -> bool:
@@ -197,7 +198,7 @@
         """See to it that what has not begun is refused before the sender's node ends."""
         if self._end_timer is not None:
             self._end_timer.cancel()
-        left = self._link.gone_at - REFUSED_BEFORE - self._parts.clock()
+        left = self._link.gone_at - REFUSED_BEFORE - self._context.clock()
         refusal = WithdrawnError("the node that sent the request is stopping")
         loop = asyncio.get_running_loop()
         self._end_timer = loop.call_later(max(0.0, left), self._take_back, refusal)
@@ -211,7 +212,7 @@
 
     async def withdraw(self) -> None:
         """Refuse the request if it still waits (``RequestUnderWay``)."""
-        if self._parts.requests.draining:
+        if self._context.requests.draining:
             refusal: NotRunError = DrainingError("the node beside the back end is stopping")
         else:
             refusal = WithdrawnError("the node that sent the request is stopping")
@@ -231,8 +232,8 @@
 
     def log_unfinished(self) -> None:
         """Log how far it has come (``RequestUnderWay``)."""
-        took = self._parts.clock() - self._ticket.submitted_at
-        self._parts.log.unfinished(self.request_id, self._request.backend, self.progress, took)
+        took = self._context.clock() - self._ticket.submitted_at
+        self._context.log.unfinished(self.request_id, self._request.backend, self.progress, took)
 
     async def _admit_and_exchange(self) -> None:
         if self._body_on_demand:
@@ -244,19 +245,19 @@
             if self._sender is not None and self._sender.sends:
                 await self._wait_for_link(self._sender)
         except LinkEndsError as error:
-            self._parts.log.gave_back(self.request_id, self._request.backend)
+            self._context.log.gave_back(self.request_id, self._request.backend)
             raise TruncatedAnswerError(str(error)) from error
 
     async def _wait_for_link(self, sender: AnswerSender) -> None:
-        began = self._parts.clock()
+        began = self._context.clock()
         await sender.finish()
-        seconds = self._parts.clock() - began
-        self._parts.metrics.note_sent(self._request.route, seconds)
-        self._parts.log.sent(self.request_id, self._request.backend, seconds)
+        seconds = self._context.clock() - began
+        self._context.metrics.note_sent(self._request.route, seconds)
+        self._context.log.sent(self.request_id, self._request.backend, seconds)
 
     async def _wait_for_slot_and_body(self) -> None:
         """Receive the body in its turn, which may come before the slot or after."""
-        reception = self._parts.reception
+        reception = self._context.reception
         self._submit()
         receiving = asyncio.ensure_future(reception.receive(self._ticket, self._body.read_ahead))
         receiving.add_done_callback(_take_note)
@@ -287,27 +288,27 @@
 
     def _give_slot_back(self) -> None:
         """Nothing has run: how long the body took tells nothing of the back end's time."""
-        self._ticket.started_at = self._parts.clock()
+        self._ticket.started_at = self._context.clock()
         self._admission.finish(self._ticket, self._ticket.started_at, answered=False)
 
     async def _exchange_admitted(self) -> None:
-        log, request = self._parts.log, self.request_id
+        log, request = self._context.log, self.request_id
         log.admitted(request, self._request.backend, self._ticket, self._admission)
-        metrics, route = self._parts.metrics, self._request.route
+        metrics, route = self._context.metrics, self._request.route
         metrics.note_admitted(route, self._ticket.queued)
         if self._ticket.within:
             metrics.note_within(route, admitted=True)
         answered = False
-        self._parts.runs.begin(route, self._ticket.rank)
+        self._context.runs.begin(route, self._ticket.rank)
         try:
             await self._attempt()
             answered = True
             self._suspicion.note_answered(self.status)
-            metrics.note_answered(route, self._parts.clock() - self._ticket.started_at)
+            metrics.note_answered(route, self._context.clock() - self._ticket.started_at)
             log.answered(request, self._request.backend, self.status, self._ticket)
         finally:
-            now = self._parts.clock()
-            self._parts.runs.end(route, self._ticket.rank, now - self._ticket.started_at)
+            now = self._context.clock()
+            self._context.runs.end(route, self._ticket.rank, now - self._ticket.started_at)
             self._admission.finish(self._ticket, now, answered, self._delay)
 
     async def _wait_for_slot(self) -> None:
@@ -315,10 +316,10 @@
         await self._wait_until_granted()
 
     def _submit(self) -> None:
-        ticket, now = self._ticket, self._parts.clock()
-        if not ticket.within and self._parts.in_vain(ticket.route, now):
+        ticket, now = self._ticket, self._context.clock()
+        if not ticket.within and self._context.in_vain(ticket.route, now):
             ticket.lateness = ticket.lateness.yielding
-            self._parts.metrics.note_in_vain(ticket.route)
+            self._context.metrics.note_in_vain(ticket.route)
         try:
             self._link.check(now)
             if self._sender is not None:
@@ -332,26 +333,26 @@
         ticket = self._ticket
         if ticket.granted:
             return
-        self._parts.log.queued(self.request_id, self._request.backend, ticket, self._admission)
-        await SlotWait(self._admission, ticket, self._parts.clock).until_granted()
+        self._context.log.queued(self.request_id, self._request.backend, ticket, self._admission)
+        await SlotWait(self._admission, ticket, self._context.clock).until_granted()
 
     async def _attempt(self) -> None:
-        if self._parts.pacer is not None:
+        if self._context.pacer is not None:
             self._link.check_slot()
         # Others may have come to know what it does while it waited here.
-        await self._suspicion.refuse_held(self._request.crash_limit, self._parts.clock())
-        connections = self._parts.connections
-        connection = await connections.take(self._parts.address, CONNECT_SECONDS)
+        await self._suspicion.refuse_held(self._request.crash_limit, self._context.clock())
+        connections = self._context.connections
+        connection = await connections.take(self._context.address, CONNECT_SECONDS)
         self._connection = connection
         try:
             await self._unless_hung(
-                self._exchange.run(connection, self._backend_headers(), self._parts.edge),
+                self._exchange.run(connection, self._backend_headers(), self._context.edge),
                 connection,
             )
         except (BackendFailedError, TruncatedAnswerError) as error:
             if connection.sent:
                 self._sent = True  # the look for its end may be cut short
-                backend, address = self._request.backend, self._parts.address
+                backend, address = self._request.backend, self._context.address
                 await self._suspicion.look_for_end(self.request_id, backend, address, error)
             raise
         except anyio.get_cancelled_exc_class():
@@ -362,7 +363,7 @@
             connections.give_back(connection)
 
     def _note_answer(self, answer: AnswerHead) -> None:
-        took = self._parts.clock() - self._ticket.started_at
+        took = self._context.clock() - self._ticket.started_at
         if took >= NOTICED_DELAY and self._connection is not None:
             self._delay = self._connection.seconds_since_received()
 
@@ -372,18 +373,18 @@
         if hangs is None or not self._request.elsewhere:
             await work
             return
-        clock = self._parts.clock
-        looks = HangLooks(hangs, self._ticket, clock, connection.look, self._doubt)
+        clock = self._context.clock
+        looks = HangChecks(hangs, self._ticket, clock, connection.look, self._doubt)
         await looks.over(work)
 
     def _doubt(self) -> None:
         """Have the request given up, unless a stop of this node would then break off its run."""
-        if not self._parts.requests.leaving:
-            self._caller.doubt(load_headers(self._admission, self._parts.clock()))
+        if not self._context.requests.leaving:
+            self._caller.doubt(load_headers(self._admission, self._context.clock()))
 
     def _backend_headers(self) -> RawHeaders:
-        edge = self._parts.edge
-        now = self._parts.clock()
+        edge = self._context.edge
+        now = self._context.clock()
         return [
             *self._headers,
             *attempt_headers(edge, self.request_id, now, self._deadline),
@@ -394,12 +395,12 @@
         self._ticket.answering = True
         queued = int(self._ticket.queued * 1000)
         headers = [
-            *load_headers(self._admission, self._parts.clock()),
-            *origin_headers(self._parts.origins, self._request),
+            *load_headers(self._admission, self._context.clock()),
+            *origin_headers(self._context.origins, self._request),
             (hop.QUEUED, b"%d" % queued),
         ]
-        if self._parts.pacer is not None:
-            headers += link_headers(self._parts.pacer, self._request.route)
+        if self._context.pacer is not None:
+            headers += link_headers(self._context.pacer, self._request.route)
         return headers
 
 
--- a/src/pewtertack/node/gateway/hang_looks.py
+++ b/src/pewtertack/node/gateway/hang_checks.py
@@ -17,7 +17,7 @@
 """Seconds between two tellings: a sender that lacks a retry may have one by then."""
 
 
-class HangLooks:
+class HangChecks:
     """Looks at one request from time to time while the back end runs it.
 
     Args:
@@ -56,9 +56,9 @@
 
     def _arm(self, seconds: float | None) -> None:
         if seconds is not None:
-            self._timer = asyncio.get_running_loop().call_later(seconds, self._look)
+            self._timer = asyncio.get_running_loop().call_later(seconds, self._check)
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         if self._is_answering():
             return
         if self._hangs.hangs(self._ticket, self._clock()):
--- a/src/pewtertack/node/gateway/hop.py
+++ b/src/pewtertack/node/gateway/hop.py
@@ -41,7 +41,7 @@
 """``<class>.<priority>``: the place in the gateway's queue; smaller goes first."""
 OBJECTIVE = b"x-pewtertack-objective-ms"
 """Milliseconds left of the time within which an answer is wanted."""
-LATENESS = b"x-pewtertack-lateness"
+WAIT_POLICY = b"x-pewtertack-lateness"
 """``Lateness``: what to do with the request if it would have to wait."""
 CALLER_SERVICE = b"x-pewtertack-caller-service"
 CRASH_LIMIT = b"x-pewtertack-crash-limit"
@@ -49,10 +49,10 @@
 ELSEWHERE = b"x-pewtertack-elsewhere"
 """There when the request may be sent to another back end should this one hang on it: the sender
 wants to be told (``102 Processing``), and then decides anew."""
-WITHIN = b"x-pewtertack-within"
+NESTED = b"x-pewtertack-within"
 """There when the proxy takes the request for one that a back end makes while it runs another;
 its rank is then that of the run."""
-LIFE = b"x-pewtertack-life"
+INCARNATION = b"x-pewtertack-life"
 """``Machine.started_at`` of the back end as the proxy knows it, where the platform tells it. A
 gateway that knows only a life before must not say of this one that it has left."""
 GONE_IN = b"x-pewtertack-gone-in-ms"
@@ -94,22 +94,22 @@
 
 GATEWAY_NAMES = frozenset({PROBE, WITHDRAW, LEAVE_BY})
 """Headers that make a request one for the gateway; only nodes send them."""
-NEEDED_NAMES = frozenset({BACKEND, SERVICE, ROUTE, RANK, OBJECTIVE, LATENESS, CALLER_SERVICE})
+NEEDED_NAMES = frozenset({BACKEND, SERVICE, ROUTE, RANK, OBJECTIVE, WAIT_POLICY, CALLER_SERVICE})
 REQUEST_NAMES = NEEDED_NAMES | {
     CRASH_LIMIT,
     ELSEWHERE,
     GONE_IN,
     HOLDS_BACK,
-    LIFE,
+    INCARNATION,
     ONLY_HERE,
-    WITHIN,
+    NESTED,
 }
 ANSWER_NAMES = frozenset({FAILURE, QUEUED, ORIGIN, LINK})
 OFFERED = "offered"
 NOT_OFFERED = "not-offered"
 PROBE_ANSWERED = 204
 """Answers what is for the gateway alone."""
-LATENESS_OF = {item.value: item for item in Lateness}
+WAIT_POLICIES = {item.value: item for item in Lateness}
 LONGEST_TEXT = 256
 _CLASS_RANKS = {work_class: rank for rank, work_class in enumerate(WorkClass)}
 
@@ -160,14 +160,14 @@
     rank = f"{work_class}.{priority}"
     unusual = route.crash_limit != DEFAULT_CRASH_LIMIT
     return [
-        *([(WITHIN, b"1")] if within else ()),
+        *([(NESTED, b"1")] if within else ()),
         *([(CRASH_LIMIT, b"%d" % route.crash_limit)] if unusual else ()),
         (BACKEND, backend.encode()),
         (SERVICE, route.service.encode()),
         (ROUTE, route.name.encode()),
         (RANK, rank.encode()),
         (OBJECTIVE, b"%d" % max(0, int(objective * 1000))),
-        (LATENESS, lateness.encode()),
+        (WAIT_POLICY, lateness.encode()),
         (CALLER_SERVICE, caller.encode()),
     ]
 
@@ -185,12 +185,12 @@
     work_class, _, priority = found[RANK].partition(".")
     objective = found[OBJECTIVE]
     crash_limit = found.get(CRASH_LIMIT, str(DEFAULT_CRASH_LIMIT))
-    life = found.get(LIFE, "0")
+    life = found.get(INCARNATION, "0")
     gone_in = _gone_in(found[GONE_IN]) if GONE_IN in found else math.inf
     numbers = (work_class, priority, objective, crash_limit, life)
     if not all(map(str.isdecimal, numbers)):
         raise InvalidRequestError("the request's rank, objective or limit is no number")
-    asked = LATENESS_OF.get(found[LATENESS])
+    asked = WAIT_POLICIES.get(found[WAIT_POLICY])
     if asked is None:
         raise InvalidRequestError("the request's lateness is none that is known")
     return HopRequest(
@@ -204,7 +204,7 @@
         crash_limit=int(crash_limit),
         started_at=int(life),
         elsewhere=ELSEWHERE in found,
-        within=WITHIN in found,
+        within=NESTED in found,
         gone_in=gone_in,
         holds_back=HOLDS_BACK in found,
         only_here=ONLY_HERE in found,
@@ -232,7 +232,7 @@
     return None
 
 
-def withdrawal(gateway: str, request_id: str) -> OutgoingRequest:
+def withdrawal_request(gateway: str, request_id: str) -> OutgoingRequest:
     """Return the request that takes another one back, if it still waits at the gateway."""
     headers = [(b"host", gateway.encode()), (WITHDRAW, request_id.encode())]
     return OutgoingRequest(b"GET", b"/", headers)
@@ -263,7 +263,7 @@
     return FAILURE, f"{error.code} {error.outcome} {offered}".encode()
 
 
-def failure_of(text: str, status: int, retry_after: float | None) -> RequestFailedError:
+def error_from_failure(text: str, status: int, retry_after: float | None) -> RequestFailedError:
     """Return the proxy's error for a gateway's own failure."""
     code, _, rest = text.partition(" ")
     outcome, _, offered = rest.partition(" ")
@@ -285,4 +285,11 @@
     return GatewayRefusedError(message, retry_after, code)
 
 
-__all__ = ["NODE_EDGE", "HopRequest", "failure_header", "failure_of", "hop_headers", "read_hop"]
+__all__ = [
+    "NODE_EDGE",
+    "HopRequest",
+    "failure_header",
+    "error_from_failure",
+    "hop_headers",
+    "read_hop",
+]
--- a/src/pewtertack/node/gateway/incarnations.py
+++ b/src/pewtertack/node/gateway/incarnations.py
@@ -118,7 +118,7 @@
         for name in idle[: max(0, len(idle) + 1 - NAMES_KEPT)]:
             del self._known[name]
 
-    def use_listed(self, listed: Mapping[str, Machine]) -> bool:
+    def apply_machine_list(self, listed: Mapping[str, Machine]) -> bool:
         """Learn from a newer list which live, leave or have gone.
 
         Return whether one of them has started again. What is said late of the life before
--- a/src/pewtertack/node/gateway/sending.py
+++ b/src/pewtertack/node/gateway/sending.py
@@ -182,7 +182,7 @@
         self._held.count += len(data)
         self._changed.set()
         if self._sending is None:
-            self._sending = asyncio.ensure_future(self._send_taken())
+            self._sending = asyncio.ensure_future(self._send_buffered())
         while self._must_wait and not self._sending.done():
             self._space.clear()
             await self._space.wait()
@@ -196,7 +196,7 @@
             return True
         return self._size > 0 and self._held.count > ALL_HELD_BYTES
 
-    async def _send_taken(self) -> None:
+    async def _send_buffered(self) -> None:
         """Send what is there, in turns; no place is held in the line for what is to come."""
         try:
             while self._parts or not self._ended:
--- a/src/pewtertack/node/proxy/answers.py
+++ b/src/pewtertack/node/proxy/answers.py
@@ -9,7 +9,7 @@
 
 from pewtertack.node.http.cycle import WHOLE, Message
 from pewtertack.node.http.framing import RawHeaders
-from pewtertack.node.proxy.edge import PRODUCT_EDGE, EdgeHeaders
+from pewtertack.node.proxy.edge import DEFAULT_EDGE, EdgeHeaders
 from pewtertack.node.proxy.headers import RETRIES
 from pewtertack.routing.outcomes import OUTCOME_HEADER, RETRIES_SPENT, RequestFailedError
 
@@ -27,7 +27,7 @@
 
 
 def failure_head(
-    error: RequestFailedError, request_id: str, length: int, edge: EdgeHeaders = PRODUCT_EDGE
+    error: RequestFailedError, request_id: str, length: int, edge: EdgeHeaders = DEFAULT_EDGE
 ) -> RawHeaders:
     """Return the headers of a typed failure whose body has ``length`` bytes."""
     headers = [
@@ -62,7 +62,7 @@
     send: Send,
     error: RequestFailedError,
     request_id: str,
-    edge: EdgeHeaders = PRODUCT_EDGE,
+    edge: EdgeHeaders = DEFAULT_EDGE,
     more_headers: RawHeaders | None = None,
 ) -> None:
     """Answer the caller with a typed failure, at once."""
--- a/src/pewtertack/node/proxy/application.py
+++ b/src/pewtertack/node/proxy/application.py
@@ -17,12 +17,12 @@
 from pewtertack.node.http.cycle import Scope
 from pewtertack.node.proxy.answers import Receive, Send, send_failure
 from pewtertack.node.proxy.body import CallerGoneError
-from pewtertack.node.proxy.catching_up import CatchingUp
-from pewtertack.node.proxy.edge import PRODUCT_EDGE, EdgeHeaders
+from pewtertack.node.proxy.configuration_wait import ConfigurationWait
+from pewtertack.node.proxy.edge import DEFAULT_EDGE, EdgeHeaders
 from pewtertack.node.proxy.exchange import TruncatedAnswerError
-from pewtertack.node.proxy.forwarding import Forwarding, ForwardingParts
+from pewtertack.node.proxy.forwarding import Forwarding, ForwardingContext
 from pewtertack.node.proxy.headers import RequestHead, read_head
-from pewtertack.node.proxy.in_flight import RequestHolder
+from pewtertack.node.proxy.in_flight import DrainableApplication
 from pewtertack.node.proxy.metrics import (
     CALLER_GONE,
     TRUNCATED,
@@ -30,8 +30,8 @@
 )
 from pewtertack.node.proxy.probing import GatewayProber
 from pewtertack.node.proxy.request_log import Beliefs, ProxyLog, RecordEvent, ignore_event
-from pewtertack.node.proxy.stop_time import tell_gateways
-from pewtertack.node.proxy.upstream import ConnectionStore
+from pewtertack.node.proxy.shutdown_notice import notify_gateways
+from pewtertack.node.proxy.upstream import ConnectionPool
 from pewtertack.routing.backend_events import (
     BackendChanged,
     BackendEvent,
@@ -78,7 +78,7 @@
     """Tell nobody."""
 
 
-class ProxyApplication(RequestHolder):
+class ProxyApplication(DrainableApplication):
     """Forwards callers' requests to back ends by the configuration in force.
 
     An ASGI 3 application (``node.http.server``). All methods are
@@ -106,7 +106,7 @@
         may_serve: Callable[[], bool] = _always,
         registry: MetricsRegistry | None = None,
         log: RecordEvent = ignore_event,
-        edge: EdgeHeaders = PRODUCT_EDGE,
+        edge: EdgeHeaders = DEFAULT_EDGE,
         caller_service: str = "",
         reporter: CrashReporter | None = None,
         policies: Policies = DEFAULT_POLICIES,
@@ -126,9 +126,9 @@
         self._request_log = ProxyLog(log, clock, self._beliefs)
         registry = registry or MetricsRegistry()
         self._metrics = RequestMetrics(registry)
-        super().__init__(ConnectionStore(clock))
+        super().__init__(ConnectionPool(clock))
         self._reporter = reporter or CrashReporter()
-        self._parts = ForwardingParts(
+        self._context = ForwardingContext(
             clock,
             dispatcher,
             self.connections,
@@ -146,36 +146,36 @@
         self._serving = False
         self._retry_after = 1.0
         self._tell_leaving: LeavingObserver = _ignore_leaving
-        self.catching_up = CatchingUp(clock)
+        self.configuration_wait = ConfigurationWait(clock)
         """Requests whose route a newer configuration may have."""
 
-    def watch_leaving(self, observer: LeavingObserver) -> None:
+    def set_leaving_observer(self, observer: LeavingObserver) -> None:
         """Tell ``observer`` once of each back end that says in an answer that it leaves."""
         self._tell_leaving = observer
 
     def use_configuration(self, configuration: ResolvedConfiguration) -> None:
         """Serve requests that begin from now on by ``configuration``."""
         self._table = RouteTable(configuration)
-        self.catching_up.note_swap()
+        self.configuration_wait.note_swap()
         self.longest_head = configuration.head_bytes
         self._beliefs.revision = configuration.revision.number
         self._beliefs.revision_at = self._clock()
-        self._parts.dispatcher.use_zone(configuration.zone)
+        self._context.dispatcher.use_zone(configuration.zone)
         routes = frozenset(route.name for route in configuration.routes)
-        self._parts.dispatcher.keep_only(routes, configuration.services, self._clock())
-        if self._parts.dispatcher.use_evacuated(configuration.evacuated, self._clock()):
+        self._context.dispatcher.keep_only(routes, configuration.services, self._clock())
+        if self._context.dispatcher.use_evacuated(configuration.evacuated, self._clock()):
             self._log(
                 Event.ZONES_EVACUATED,
                 zones=sorted(configuration.evacuated),
-                unserved=self._parts.dispatcher.unserved(configuration.services),
+                unserved=self._context.dispatcher.unserved(configuration.services),
             )
 
     def use_machines(self, machines: MachineList) -> None:
         """Take over a newer machine list; an older one is ignored."""
         self._beliefs.machine_list = machines.number
         self._beliefs.machine_list_at = self._clock()
-        self._parts.dispatcher.use_machines(machines, self._clock())
-        self._parts.connections.keep_only(self._parts.dispatcher.addresses())
+        self._context.dispatcher.use_machines(machines, self._clock())
+        self._context.connections.keep_only(self._context.dispatcher.addresses())
 
     def reaches_all(self) -> bool:
         """Tell whether a back end of every service in force may be reached.
@@ -185,7 +185,7 @@
         if self._table is None:
             return False
         used = {route.service for route in self._table.configuration.routes}
-        return self._parts.dispatcher.reaches_all(used, self._clock())
+        return self._context.dispatcher.reaches_all(used, self._clock())
 
     def may_run_beside(self, scope: Scope) -> bool:
         """Tell whether a request may run while another of its connection does.
@@ -213,11 +213,11 @@
     def start_leaving(self, seconds: float) -> None:
         """Go on serving, but ask callers to close their connections after each answer."""
         self.requests.leaving = True
-        self._parts.stop.begin(self._clock() + seconds)
+        self._context.shutdown.begin(self._clock() + seconds)
 
     async def announce_stop(self) -> None:
         """Tell the gateways that have requests of this node until when it carries answers."""
-        await tell_gateways(self._parts.stop, self._clock, self.connections, self.requests)
+        await notify_gateways(self._context.shutdown, self._clock, self.connections, self.requests)
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve one request (ASGI entry point)."""
@@ -247,7 +247,7 @@
     ) -> None:
         """Answer with a failure; count and log it."""
         if route is not None:
-            self._parts.dispatcher.note_failed(route.name, self._clock())
+            self._context.dispatcher.note_failed(route.name, self._clock())
         self._metrics.note_failed(route, error.code)
         self._request_log.refused(head.request_id, route, error)
         await send_failure(send, error, head.request_id, self._edge)
@@ -259,7 +259,7 @@
                 self._tell_leaving(backend.name, backend.address, backend.started_at)
             case BackendListed(backend, change):
                 if change is ListChange.GONE:
-                    self._parts.connections.drop(backend.address)
+                    self._context.connections.drop(backend.address)
                 self._log(
                     LIST_EVENTS[change],
                     backend=backend.name,
@@ -271,7 +271,7 @@
             case BackendChanged(backend, ejected):
                 if backend.unreachable:
                     self._prober.wake()
-                    self._parts.connections.drop(backend.gateway)
+                    self._context.connections.drop(backend.gateway)
                 event = Event.BACKEND_EJECTED if ejected else Event.BACKEND_RETURNED
                 self._log(event, backend=backend.name, service=backend.service)
 
@@ -295,18 +295,18 @@
             table = await self._newer_table(head)
             route = table.match(head.host, scope["path"], scope["method"])
         configuration = table.configuration
-        route = self._parts.dispatcher.pick_service(route)
+        route = self._context.dispatcher.pick_service(route)
         began = self._clock()
         deadline = deadline_of(began, head.deadline, route.timeout)
         forwarding = Forwarding(
-            self._parts, scope, receive, send, head, configuration, route, deadline
+            self._context, scope, receive, send, head, configuration, route, deadline
         )
         failed = True
         try:
             await forwarding.run()
             failed = forwarding.status >= InternalError.status
             if failed:
-                self._parts.dispatcher.note_failed(route.name, self._clock())
+                self._context.dispatcher.note_failed(route.name, self._clock())
             took = self._clock() - began
             self._metrics.note_answered(route, took)
             backend = forwarding.ticket.backend
@@ -332,7 +332,7 @@
         finally:
             self._metrics.note_retries(route, forwarding.retries)
             if forwarding.ticket.within:
-                self._parts.runs.note_call(route.name, self._clock(), failed)
+                self._context.runs.note_call(route.name, self._clock(), failed)
 
     async def _newer_table(self, head: RequestHead) -> RouteTable:
         """Return the table of a newer configuration, which may have the request's route.
@@ -341,10 +341,10 @@
             RouteNotFoundError: the node knows of no newer one.
             ConfigurationBehindError: it is not in force in time.
         """
-        if self.catching_up.lag() is Lag.NONE:
+        if self.configuration_wait.lag() is Lag.NONE:
             raise RouteNotFoundError("no route for this host and path")
         deadline = deadline_of(self._clock(), head.deadline, math.inf)
-        if not await self.catching_up.wait(deadline) or self._table is None:
+        if not await self.configuration_wait.wait(deadline) or self._table is None:
             raise ConfigurationBehindError("a newer configuration is not in force here yet")
         return self._table
 
--- a/src/pewtertack/node/proxy/attempt_ends.py
+++ b/src/pewtertack/node/proxy/attempt_ends.py
@@ -22,7 +22,7 @@
 """Refusals of a gateway that hold for other requests too: the back end cannot be reached."""
 
 
-def end_of_failure(error: RequestFailedError) -> AttemptEnd:
+def attempt_end_for(error: RequestFailedError) -> AttemptEnd:
     """Return how the attempt that failed with ``error`` counts."""
     if isinstance(error, GatewayRefusedError) and error.reason == BackendLeftError.code:
         return AttemptEnd.GONE
--- a/src/pewtertack/node/proxy/catching_up.py
+++ b/src/pewtertack/node/proxy/configuration_wait.py
@@ -23,7 +23,7 @@
     return Lag.NONE
 
 
-class CatchingUp:
+class ConfigurationWait:
     """Tells requests when another configuration is in force.
 
     Args:
--- a/src/pewtertack/node/proxy/suspicion.py
+++ b/src/pewtertack/node/proxy/crash_guard.py
@@ -18,7 +18,7 @@
 about to end may have given it."""
 
 
-class Suspicion:
+class CrashGuard:
     """The node's knowledge of ends, asked and added to for one request.
 
     Args:
--- a/src/pewtertack/node/proxy/deadlines.py
+++ b/src/pewtertack/node/proxy/deadlines.py
@@ -47,7 +47,7 @@
             self._arm(moment)
         return deadline
 
-    def take_back(self, deadline: Deadline) -> None:
+    def cancel(self, deadline: Deadline) -> None:
         """Do not call it; one that has passed is left alone."""
         if deadline.pass_ is None:
             return
@@ -62,9 +62,9 @@
         if self._timer is not None:
             self._timer.cancel()
         self._armed_for = moment
-        self._timer = self.loop.call_at(moment, self._pass_due)
+        self._timer = self.loop.call_at(moment, self._expire_due)
 
-    def _pass_due(self) -> None:
+    def _expire_due(self) -> None:
         """Call what is due; wait for the next that has not been taken back."""
         self._timer = None
         due = max(self.loop.time(), self._armed_for)
--- a/src/pewtertack/node/proxy/edge.py
+++ b/src/pewtertack/node/proxy/edge.py
@@ -35,7 +35,7 @@
         msgspec.structs.force_setattr(self, "read", READ | {self.request_id, self.deadline})
 
 
-PRODUCT_EDGE = EdgeHeaders()
+DEFAULT_EDGE = EdgeHeaders()
 """Pewtertack's own names."""
 
 NODE_EDGE = EdgeHeaders(identified_answers=True, fractional_retry_after=True)
--- a/src/pewtertack/node/proxy/exchange.py
+++ b/src/pewtertack/node/proxy/exchange.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from pewtertack.node.gateway.hop import failure_of
+from pewtertack.node.gateway.hop import error_from_failure
 from pewtertack.node.http.answer_reading import ExchangeBrokenError
 from pewtertack.node.http.connection import (
     BackendConnection,
@@ -19,7 +19,7 @@
 from pewtertack.node.http.messages import AnswerStart, OutgoingRequest
 from pewtertack.node.proxy.answers import Send
 from pewtertack.node.proxy.body import RequestBody
-from pewtertack.node.proxy.edge import PRODUCT_EDGE, EdgeHeaders
+from pewtertack.node.proxy.edge import DEFAULT_EDGE, EdgeHeaders
 from pewtertack.node.proxy.headers import (
     AnswerHead,
     RequestHead,
@@ -68,7 +68,7 @@
         head: RequestHead,
         body: RequestBody,
         on_answer: Callable[[AnswerHead], None],
-        caller_edge: EdgeHeaders = PRODUCT_EDGE,
+        caller_edge: EdgeHeaders = DEFAULT_EDGE,
         more_headers: Callable[[], RawHeaders] = list,
     ) -> None:
         self.started = False
@@ -87,7 +87,7 @@
         self._on_answer = on_answer
         self._caller_edge = caller_edge
         self._more_headers = more_headers
-        self._edge = PRODUCT_EDGE
+        self._edge = DEFAULT_EDGE
 
     def forget_owner(self) -> None:
         """Drop the callbacks: no attempt follows, and the owner need not wait for the collector."""
@@ -99,7 +99,7 @@
         self,
         connection: BackendConnection,
         headers: RawHeaders,
-        edge: EdgeHeaders = PRODUCT_EDGE,
+        edge: EdgeHeaders = DEFAULT_EDGE,
         body_on_demand: bool = False,
     ) -> None:
         """Run one attempt at a back end, or a gateway, which speaks by ``edge``.
@@ -118,7 +118,7 @@
         except ExchangeLeftError as error:
             raise BackendHungError("the back end hangs on the request") from error
         except ExchangeBrokenError as error:
-            raise _failure(connection, error) from error
+            raise _broken_exchange_error(connection, error) from error
         answer = read_answer(start.headers, edge)
         if self._is_crossed(start.status, answer):
             connection.abort()
@@ -127,7 +127,7 @@
         if answer.failure is not None:
             await _finish_shed(connection)
             retry_after = _fraction(answer.retry_after)
-            raise failure_of(answer.failure, start.status, retry_after)
+            raise error_from_failure(answer.failure, start.status, retry_after)
         self.end = end_of_answer(start.status, answer.outcome, answer.retries)
         if self._is_not_run(start.status, answer):
             self.end = AttemptEnd.SHED
@@ -271,7 +271,9 @@
     return BackendShedError("the back end did not run the request", _seconds(answer.retry_after))
 
 
-def _failure(connection: BackendConnection, broken: ExchangeBrokenError) -> RequestFailedError:
+def _broken_exchange_error(
+    connection: BackendConnection, broken: ExchangeBrokenError
+) -> RequestFailedError:
     """Return the failure of an exchange that broke before its answer."""
     kind = BackendSilentError if connection.peer_silent else BackendFailedError
     error = kind(f"the exchange broke: {broken}")
--- a/src/pewtertack/node/proxy/forwarding.py
+++ b/src/pewtertack/node/proxy/forwarding.py
@@ -14,7 +14,7 @@
     ELSEWHERE,
     GONE_IN,
     HOLDS_BACK,
-    LIFE,
+    INCARNATION,
     ONLY_HERE,
     gone_in_text,
     hop_headers,
@@ -23,10 +23,11 @@
 from pewtertack.node.http.cycle import Scope
 from pewtertack.node.http.framing import RawHeaders
 from pewtertack.node.proxy.answers import Receive, Send
-from pewtertack.node.proxy.attempt_ends import end_of_failure
+from pewtertack.node.proxy.attempt_ends import attempt_end_for
 from pewtertack.node.proxy.body import REPLAY_BYTES, CallerGoneError, KeptBodies, RequestBody
 from pewtertack.node.proxy.content import RequestContent
-from pewtertack.node.proxy.edge import NODE_EDGE, PRODUCT_EDGE, EdgeHeaders
+from pewtertack.node.proxy.crash_guard import CrashGuard
+from pewtertack.node.proxy.edge import DEFAULT_EDGE, NODE_EDGE, EdgeHeaders
 from pewtertack.node.proxy.exchange import Exchange, TruncatedAnswerError
 from pewtertack.node.proxy.headers import (
     BACKEND_LOAD,
@@ -40,10 +41,9 @@
 from pewtertack.node.proxy.lifetime import LifeEnd, RequestLife, end_error
 from pewtertack.node.proxy.metrics import RequestMetrics
 from pewtertack.node.proxy.request_log import ProxyLog
-from pewtertack.node.proxy.stop_time import StopTime
-from pewtertack.node.proxy.suspicion import Suspicion
-from pewtertack.node.proxy.taking_back import take_back
-from pewtertack.node.proxy.upstream import ConnectionStore
+from pewtertack.node.proxy.shutdown_notice import ShutdownDeadline
+from pewtertack.node.proxy.upstream import ConnectionPool
+from pewtertack.node.proxy.withdrawal import withdraw_from_gateway
 from pewtertack.routing.backend import Backend, parse_load
 from pewtertack.routing.deadlines import caller_deadline_of
 from pewtertack.routing.dispatcher import Dispatcher, RetryDecision
@@ -61,13 +61,13 @@
 from pewtertack.routing.runs import RunsBeside
 
 
-class ForwardingParts(msgspec.Struct, frozen=True):
+class ForwardingContext(msgspec.Struct, frozen=True):
     """What all requests of a proxy share."""
 
     clock: Callable[[], float]
     dispatcher: Dispatcher
-    connections: ConnectionStore
-    edge: EdgeHeaders = PRODUCT_EDGE
+    connections: ConnectionPool
+    edge: EdgeHeaders = DEFAULT_EDGE
     """Header names towards callers, and back ends without a gateway."""
     caller_service: str = ""
     """The service whose back end is beside this node."""
@@ -79,7 +79,7 @@
     """What the back end beside this node runs."""
     crashes: CrashWatch = msgspec.field(default_factory=CrashWatch)
     """For back ends without a gateway; a gateway sees to its own."""
-    stop: StopTime = msgspec.field(default_factory=StopTime)
+    shutdown: ShutdownDeadline = msgspec.field(default_factory=ShutdownDeadline)
     bodies: KeptBodies = msgspec.field(default_factory=KeptBodies)
 
 
@@ -88,7 +88,7 @@
 
     def __init__(
         self,
-        parts: ForwardingParts,
+        context: ForwardingContext,
         scope: Scope,
         receive: Receive,
         send: Send,
@@ -98,24 +98,26 @@
         deadline: float,
     ) -> None:
         self.retries = 0
-        self._parts = parts
+        self._context = context
         self._route = route
         self._deadline = deadline
         self._head = head
-        self._headers = forwarded_headers(scope["headers"], head, configuration, route, parts.edge)
+        self._headers = forwarded_headers(
+            scope["headers"], head, configuration, route, context.edge
+        )
         self._service = configuration.services[route.service]
         self._revision = configuration.revision.number
-        self._body = RequestBody(receive, head.has_body, parts.bodies)
+        self._body = RequestBody(receive, head.has_body, context.bodies)
         content = RequestContent(scope, self._headers, self._body)
-        self._suspicion = Suspicion(content, parts.reporter, parts.crashes)
-        self._exchange = Exchange(scope, send, head, self._body, self._note_answer, parts.edge)
+        self._suspicion = CrashGuard(content, context.reporter, context.crashes)
+        self._exchange = Exchange(scope, send, head, self._body, self._note_answer, context.edge)
         self._exchange.holds_back = route.repeatable and route.retry_limit > 0
         self._exchange.may_leave = self._leave_hung
         self._ticket = Ticket(route, self._service, deadline)
         self._ticket.body_bytes = head.body_bytes
-        self._ticket.caller_deadline = caller_deadline_of(parts.clock(), head.deadline, deadline)
-        self._life = RequestLife(scope, deadline, parts.clock)
-        self._began = parts.clock()
+        self._ticket.caller_deadline = caller_deadline_of(context.clock(), head.deadline, deadline)
+        self._life = RequestLife(scope, deadline, context.clock)
+        self._began = context.clock()
         self._offered = False
         """Whether an attempt is under way."""
         self._sent = False
@@ -144,7 +146,7 @@
             CallerGoneError: the caller has gone.
         """
         try:
-            with self._parts.requests.serving(self):
+            with self._context.requests.serving(self):
                 end = await self._life.run(self._run_attempts)
         except RequestFailedError as error:
             raise error.with_outcome(Outcome.UNKNOWN if self._sent else error.outcome) from None
@@ -182,14 +184,14 @@
     async def withdraw(self) -> None:
         """Begin no further attempt; take back one that waits (``RequestUnderWay``)."""
         self._withdrawn = True
-        self._parts.dispatcher.refuse(self._ticket, DrainingError("the node is stopping"))
+        self._context.dispatcher.refuse(self._ticket, DrainingError("the node is stopping"))
         backend = self._ticket.backend
         if self.progress is not Progress.OFFERED or backend is None:
             return
         if self._connection is None or not self._connection.sent:
             self.stop()
         elif backend.gateway:
-            await take_back(self._parts.connections, backend.gateway, self.request_id)
+            await withdraw_from_gateway(self._context.connections, backend.gateway, self.request_id)
 
     def stop(self) -> None:
         """End the request now (``RequestUnderWay``)."""
@@ -197,10 +199,12 @@
 
     def log_unfinished(self) -> None:
         """Log how far it has come (``RequestUnderWay``)."""
-        if self._parts.log is not None:
-            took = self._parts.clock() - self._began
+        if self._context.log is not None:
+            took = self._context.clock() - self._began
             received = self._body.complete
-            self._parts.log.unfinished(self.request_id, self._ticket, self.progress, received, took)
+            self._context.log.unfinished(
+                self.request_id, self._ticket, self.progress, received, took
+            )
 
     def _raise_cancelled(self, end: LifeEnd) -> None:
         if end is LifeEnd.CALLER_GONE:
@@ -211,13 +215,13 @@
 
     async def _run_attempts(self) -> None:
         if self._head.body_is_large:
-            self._parts.bodies.check()
-            if self._parts.dispatcher.has_gateways(self._route.service):
+            self._context.bodies.check()
+            if self._context.dispatcher.has_gateways(self._route.service):
                 await self._body.read_ahead()
         while True:
             self._check_withdrawn()
             limit = self._route.crash_limit
-            await self._suspicion.refuse_unless_admitted(limit, self._parts.clock())
+            await self._suspicion.refuse_unless_admitted(limit, self._context.clock())
             await self._wait_for_backend()
             if self._withdrawn:
                 self._finish(AttemptEnd.CANCELLED)
@@ -243,17 +247,17 @@
             self._suspicion.ends += 1
             if 0 < self._route.crash_limit <= self._suspicion.ends:
                 return RetryDecision(RetryReason.ENDS_BACKENDS)
-        now, replayable = self._parts.clock(), self._body.replayable
-        return self._parts.dispatcher.decide_retry(self._ticket, error, now, replayable)
+        now, replayable = self._context.clock(), self._body.replayable
+        return self._context.dispatcher.decide_retry(self._ticket, error, now, replayable)
 
     def _check_withdrawn(self) -> None:
         if self._withdrawn:
             raise DrainingError("the node is stopping")
 
     def _log_decision(self, error: RequestFailedError, decision: RetryDecision) -> None:
-        if self._parts.metrics is not None:
-            self._parts.metrics.note_decision(decision.reason.value)
-        log = self._parts.log
+        if self._context.metrics is not None:
+            self._context.metrics.note_decision(decision.reason.value)
+        log = self._context.log
         if log is None:
             return
         request = self._head.request_id
@@ -263,16 +267,16 @@
             log.retried(request, self._ticket, error, decision.reason)
 
     async def _wait_for_backend(self) -> None:
-        dispatcher = self._parts.dispatcher
+        dispatcher = self._context.dispatcher
         ticket = self._ticket
-        dispatcher.submit(ticket, self._parts.clock())
+        dispatcher.submit(ticket, self._context.clock())
         if ticket.backend is not None:
             return
         granted = anyio.Event()
         ticket.wake = granted.set
         try:
             while not granted.is_set():
-                now = self._parts.clock()
+                now = self._context.clock()
                 look_at = dispatcher.look(ticket, now)
                 with anyio.move_on_after(look_at - now):
                     await granted.wait()
@@ -284,15 +288,15 @@
 
     def _give_up_place(self) -> None:
         if self._ticket.backend is None:
-            self._parts.dispatcher.withdraw(self._ticket)
+            self._context.dispatcher.withdraw(self._ticket)
         else:
             self._finish(AttemptEnd.CANCELLED)
 
     async def _attempt(self) -> None:
         backend = self._ticket.backend
         assert backend is not None
-        if self._parts.log is not None:
-            self._parts.log.routed(self._head.request_id, self._ticket, self._revision)
+        if self._context.log is not None:
+            self._context.log.routed(self._head.request_id, self._ticket, self._revision)
         end = AttemptEnd.CANCELLED
         self._offered = True
         try:
@@ -301,7 +305,7 @@
             if not backend.gateway:
                 self._suspicion.note_answered(self.status)
         except RequestFailedError as error:
-            end = end_of_failure(error)
+            end = attempt_end_for(error)
             raise
         except TruncatedAnswerError:
             end = AttemptEnd.BROKEN
@@ -314,11 +318,11 @@
             self._finish(end)
 
     async def _exchange_with(self, backend: Backend) -> None:
-        connections = self._parts.connections
+        connections = self._context.connections
         address = backend.gateway or backend.address
         connection = await connections.take(address, self._service.connect_timeout)
         try:
-            edge = NODE_EDGE if backend.gateway else self._parts.edge
+            edge = NODE_EDGE if backend.gateway else self._context.edge
             self._connection = connection
             headers = self._attempt_headers(backend, edge)
             on_demand = bool(backend.gateway) and self._head.body_is_large
@@ -337,35 +341,35 @@
             connections.give_back(connection, long_lived=bool(backend.gateway))
 
     def _attempt_headers(self, backend: Backend, edge: EdgeHeaders) -> RawHeaders:
-        now = self._parts.clock()
+        now = self._context.clock()
         own = attempt_headers(edge, self._head.request_id, now, self._deadline)
-        caller = self._parts.caller_service
+        caller = self._context.caller_service
         if not backend.gateway:
             return [*self._headers, *own, *backend_headers(edge, backend.name, caller)]
         objective = self._ticket.arrived_at + self._route.objective - now
         lateness = self._ticket.lateness
         within = self._ticket.within
-        run_rank = self._parts.runs.usual_rank() if within else None
+        run_rank = self._context.runs.usual_rank() if within else None
         hop = hop_headers(self._route, backend.name, objective, lateness, caller, within, run_rank)
         if self._may_leave():
             hop.append((ELSEWHERE, b"1"))
         if self._exchange.holds_back:
             hop.append((HOLDS_BACK, b"1"))
             # Short answers wait for no link, and are not worth the look.
-            long = self._route.name not in self._parts.dispatcher.short_answers
+            long = self._route.name not in self._context.dispatcher.short_answers
             if long and not self._may_repeat(now):
                 hop.append((ONLY_HERE, b"1"))
         if backend.started_at:
-            hop.append((LIFE, b"%d" % backend.started_at))
-        if self._parts.stop.begun:
-            left = self._parts.stop.seconds_left(now)
+            hop.append((INCARNATION, b"%d" % backend.started_at))
+        if self._context.shutdown.begun:
+            left = self._context.shutdown.seconds_left(now)
             hop.append((GONE_IN, gone_in_text(left).encode()))
         return [*self._headers, *own, *hop]
 
     def _may_repeat(self, now: float) -> bool:
         """Tell whether an answer that breaks off could be had elsewhere; else it would be lost."""
         fits = not self._head.chunked and self._head.body_bytes <= REPLAY_BYTES
-        return fits and self._parts.dispatcher.may_repeat(self._ticket, now)
+        return fits and self._context.dispatcher.may_repeat(self._ticket, now)
 
     def _leave_hung(self, doubt: RawHeaders) -> bool:
         """Learn that the back end has most likely hung on the attempt; tell whether to leave it.
@@ -376,8 +380,8 @@
         if backend is None or not backend.gateway:
             return False
         load = dict(doubt).get(BACKEND_LOAD, b"").decode("latin-1")
-        now = self._parts.clock()
-        self._parts.dispatcher.note_hung(self._ticket, now, parse_load(load))
+        now = self._context.clock()
+        self._context.dispatcher.note_hung(self._ticket, now, parse_load(load))
         return self._may_leave()
 
     def _may_leave(self) -> bool:
@@ -389,19 +393,19 @@
         backend = self._ticket.backend
         if backend is None or not backend.gateway:
             return False
-        if self._parts.requests.leaving or self._head.has_body:
+        if self._context.requests.leaving or self._head.has_body:
             return False
-        return self._parts.dispatcher.may_leave(self._ticket, self._parts.clock())
+        return self._context.dispatcher.may_leave(self._ticket, self._context.clock())
 
     def _note_answer(self, answer: AnswerHead) -> None:
         self._ticket.queued = answer.queued
         if answer.failure is None:
-            self._parts.dispatcher.note_length(self._route.name, answer.length)
+            self._context.dispatcher.note_length(self._route.name, answer.length)
         if answer.origin is not None:
-            told, now = answer.origin, self._parts.clock()
-            self._parts.dispatcher.note_origin(self._route.name, told, now)
-        self._parts.dispatcher.note_answer(
-            self._ticket, self._parts.clock(), parse_load(answer.load), answer.leaving
+            told, now = answer.origin, self._context.clock()
+            self._context.dispatcher.note_origin(self._route.name, told, now)
+        self._context.dispatcher.note_answer(
+            self._ticket, self._context.clock(), parse_load(answer.load), answer.leaving
         )
         if answer.link is not None:
             self._note_link(answer.link, begun=answer.failure is None)
@@ -410,9 +414,9 @@
         """A gateway has told how long the line of its link is; nonsense counts as no word."""
         word = parse_link(told)
         if word is not None:
-            self._parts.dispatcher.note_link(self._ticket, word, self._parts.clock(), begun)
-        elif self._parts.metrics is not None:
-            self._parts.metrics.note_senseless_link()
+            self._context.dispatcher.note_link(self._ticket, word, self._context.clock(), begun)
+        elif self._context.metrics is not None:
+            self._context.metrics.note_senseless_link()
 
     def _finish(self, end: AttemptEnd) -> None:
-        self._parts.dispatcher.finish(self._ticket, self._parts.clock(), end)
+        self._context.dispatcher.finish(self._ticket, self._context.clock(), end)
--- a/src/pewtertack/node/proxy/headers.py
+++ b/src/pewtertack/node/proxy/headers.py
@@ -9,7 +9,7 @@
 from pewtertack.core.configuration.resolved import ResolvedConfiguration, ResolvedRoute
 from pewtertack.node.gateway import hop
 from pewtertack.node.http.framing import RawHeaders
-from pewtertack.node.proxy.edge import DEADLINE, PRODUCT_EDGE, REQUEST_ID, EdgeHeaders
+from pewtertack.node.proxy.edge import DEADLINE, DEFAULT_EDGE, REQUEST_ID, EdgeHeaders
 from pewtertack.routing.deadlines import header_for
 from pewtertack.routing.outcomes import RETRIES_HEADER, InvalidRequestError, UpgradeRefusedError
 from pewtertack.routing.service import LARGE_BODY
@@ -64,7 +64,7 @@
         return self.chunked or self.body_bytes > LARGE_BODY
 
 
-def read_head(headers: RawHeaders, edge: EdgeHeaders = PRODUCT_EDGE) -> RequestHead:
+def read_head(headers: RawHeaders, edge: EdgeHeaders = DEFAULT_EDGE) -> RequestHead:
     """Return what routing needs of the caller's headers (names in lower case).
 
     Raises:
@@ -137,7 +137,7 @@
     head: RequestHead,
     configuration: ResolvedConfiguration,
     route: ResolvedRoute,
-    edge: EdgeHeaders = PRODUCT_EDGE,
+    edge: EdgeHeaders = DEFAULT_EDGE,
 ) -> RawHeaders:
     """Return what is forwarded of a caller's headers; every attempt adds its own.
 
@@ -209,7 +209,7 @@
     """Whether the end of the body can be told from a broken connection."""
 
 
-def read_answer(headers: RawHeaders, edge: EdgeHeaders = PRODUCT_EDGE) -> AnswerHead:
+def read_answer(headers: RawHeaders, edge: EdgeHeaders = DEFAULT_EDGE) -> AnswerHead:
     """Sort a back end's headers into what is passed on and what is for the node."""
     answer = AnswerHead([])
     options: frozenset[bytes] = frozenset()
--- a/src/pewtertack/node/proxy/in_flight.py
+++ b/src/pewtertack/node/proxy/in_flight.py
@@ -9,7 +9,7 @@
 
 import anyio
 
-from pewtertack.node.proxy.upstream import ConnectionStore
+from pewtertack.node.proxy.upstream import ConnectionPool
 
 
 class Progress(StrEnum):
@@ -23,7 +23,7 @@
     """The head of its answer has gone back."""
 
 
-class RequestUnderWay(Protocol):
+class ActiveRequest(Protocol):
     """One request that is being served."""
 
     @property
@@ -81,7 +81,7 @@
 
     __slots__ = ("_request", "_under_way")
 
-    def __init__(self, under_way: set[RequestUnderWay], request: RequestUnderWay) -> None:
+    def __init__(self, under_way: set[ActiveRequest], request: ActiveRequest) -> None:
         self._under_way = under_way
         self._request = request
 
@@ -105,7 +105,7 @@
         self.draining = False
         self.leaving = False
         """Whether the node has been told to stop."""
-        self.under_way: set[RequestUnderWay] = set()
+        self.under_way: set[ActiveRequest] = set()
         """Those of the counted that are being served."""
         self._idle = anyio.Event()
 
@@ -113,7 +113,7 @@
         """Return a context that counts one request while it is served."""
         return _Counted(self)
 
-    def serving(self, request: RequestUnderWay) -> _Served:
+    def serving(self, request: ActiveRequest) -> _Served:
         """Return a context that keeps ``request`` among those under way."""
         return _Served(self.under_way, request)
 
@@ -137,12 +137,12 @@
             [request for request in self.under_way if request.request_id == request_id]
         )
 
-    async def _withdraw(self, requests: Iterable[RequestUnderWay]) -> None:
+    async def _withdraw(self, requests: Iterable[ActiveRequest]) -> None:
         async with anyio.create_task_group() as tasks:
             for request in requests:
                 tasks.start_soon(self._withdraw_one, request)
 
-    async def _withdraw_one(self, request: RequestUnderWay) -> None:
+    async def _withdraw_one(self, request: ActiveRequest) -> None:
         if request in self.under_way:  # it may have ended since
             await request.withdraw()
 
@@ -165,14 +165,14 @@
             self._idle.set()
 
 
-class RequestHolder:
+class DrainableApplication:
     """An application that serves requests and sees to their ends at a planned stop.
 
     Args:
         connections: to those that it sends requests on to.
     """
 
-    def __init__(self, connections: ConnectionStore) -> None:
+    def __init__(self, connections: ConnectionPool) -> None:
         self.connections = connections
         self.requests = RequestsInFlight()
 
@@ -201,7 +201,7 @@
         """Log the requests that the time to stop has not sufficed for."""
         self.requests.log_unfinished()
 
-    def hurry_answers(self) -> None:
+    def flush_answers(self) -> None:
         """Give the system what waits to be sent: this process ends soon."""
 
     def stop_requests(self) -> None:
--- a/src/pewtertack/node/proxy/lifetime.py
+++ b/src/pewtertack/node/proxy/lifetime.py
@@ -86,7 +86,7 @@
                 raise  # the server ends the task itself
         finally:
             self._caller.on_gone = self._task = None
-            others.take_back(deadline)
+            others.cancel(deadline)
             if self._cut_short:
                 task.uncancel()
         if self.caller_gone:
--- a/src/pewtertack/node/proxy/stop_time.py
+++ b/src/pewtertack/node/proxy/shutdown_notice.py
@@ -21,8 +21,8 @@
 from pewtertack.node.http.cycle import LOGGER
 from pewtertack.node.http.messages import OutgoingRequest
 from pewtertack.node.proxy.in_flight import RequestsInFlight
-from pewtertack.node.proxy.taking_back import ask_gateway
-from pewtertack.node.proxy.upstream import ConnectionStore
+from pewtertack.node.proxy.upstream import ConnectionPool
+from pewtertack.node.proxy.withdrawal import ask_gateway
 from pewtertack.routing.outcomes import BackendUnreachableError
 
 TELL_SECONDS = 1.0
@@ -31,7 +31,7 @@
 logger = logging.getLogger(LOGGER)
 
 
-class StopTime:
+class ShutdownDeadline:
     """When the node will carry answers no longer, in monotonic seconds; never, at first."""
 
     __slots__ = ("begun", "ends_at")
@@ -51,10 +51,10 @@
         return max(0.0, self.ends_at - now)
 
 
-async def tell_gateways(
-    stop: StopTime,
+async def notify_gateways(
+    stop: ShutdownDeadline,
     clock: Callable[[], float],
-    connections: ConnectionStore,
+    connections: ConnectionPool,
     requests: RequestsInFlight,
 ) -> None:
     """Tell each gateway that has requests of this node until when their answers are carried."""
@@ -72,14 +72,14 @@
 
 
 def _word(
-    stop: StopTime, clock: Callable[[], float], gateway: str, ids: Sequence[str]
+    stop: ShutdownDeadline, clock: Callable[[], float], gateway: str, ids: Sequence[str]
 ) -> OutgoingRequest:
     """Return the word on some requests; the time left is that of the moment."""
     return leave_by_word(gateway, stop.seconds_left(clock()), ids)
 
 
 async def _tell(
-    connections: ConnectionStore, gateway: str, word: Callable[[], OutgoingRequest]
+    connections: ConnectionPool, gateway: str, word: Callable[[], OutgoingRequest]
 ) -> None:
     try:
         with anyio.move_on_after(TELL_SECONDS) as telling:
--- a/src/pewtertack/node/proxy/upstream.py
+++ b/src/pewtertack/node/proxy/upstream.py
@@ -21,7 +21,7 @@
 woke each node twice a second, for proxy and gateway, whether anything had expired or not."""
 
 
-class ConnectionStore:
+class ConnectionPool:
     """Idle connections by address, the last used first."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -69,13 +69,13 @@
             self._sweep.cancel()
         seconds = moment - now + SWEEP_SECONDS
         self._sweep_at = now + seconds
-        self._sweep = asyncio.get_running_loop().call_later(seconds, self._retire_old)
+        self._sweep = asyncio.get_running_loop().call_later(seconds, self._close_expired)
 
-    def _retire_old(self) -> None:
+    def _close_expired(self) -> None:
         """Close what has been idle too long; go on as long as anything is left."""
         self._sweep = None
         now = self._clock()
-        self._retire(now, self._idle.keys())
+        self._close_idle(now, self._idle.keys())
         if self._idle:
             self._sweep_by(min(idle[0][0] for idle in self._idle.values()), now)
 
@@ -86,9 +86,9 @@
 
     def keep_only(self, addresses: Container[str]) -> None:
         """Close idle connections to all other addresses."""
-        self._retire(float("-inf"), addresses)
+        self._close_idle(float("-inf"), addresses)
 
-    def _retire(self, now: float, kept: Container[str]) -> None:
+    def _close_idle(self, now: float, kept: Container[str]) -> None:
         for address, idle in list(self._idle.items()):
             while idle and (idle[0][0] < now or address not in kept):
                 idle.popleft()[1].abort()
--- a/src/pewtertack/node/proxy/taking_back.py
+++ b/src/pewtertack/node/proxy/withdrawal.py
@@ -11,11 +11,11 @@
 
 import anyio
 
-from pewtertack.node.gateway.hop import withdrawal
+from pewtertack.node.gateway.hop import withdrawal_request
 from pewtertack.node.http.answer_reading import ExchangeBrokenError
 from pewtertack.node.http.cycle import LOGGER
 from pewtertack.node.http.messages import OutgoingRequest
-from pewtertack.node.proxy.upstream import ConnectionStore
+from pewtertack.node.proxy.upstream import ConnectionPool
 from pewtertack.routing.outcomes import BackendUnreachableError
 
 TAKE_BACK_SECONDS = 0.3
@@ -24,20 +24,20 @@
 logger = logging.getLogger(LOGGER)
 
 
-async def take_back(connections: ConnectionStore, gateway: str, request_id: str) -> None:
+async def withdraw_from_gateway(connections: ConnectionPool, gateway: str, request_id: str) -> None:
     """Ask the gateway at ``ip:port`` to refuse the request if it still waits there.
 
     Whether it did is told by the answer to the request itself.
     """
     try:
         with anyio.move_on_after(TAKE_BACK_SECONDS):
-            await ask_gateway(connections, gateway, lambda: withdrawal(gateway, request_id))
+            await ask_gateway(connections, gateway, lambda: withdrawal_request(gateway, request_id))
     except (BackendUnreachableError, ExchangeBrokenError) as error:
         logger.warning("a request could not be taken back: %s", error)
 
 
 async def ask_gateway(
-    connections: ConnectionStore, gateway: str, make: Callable[[], OutgoingRequest]
+    connections: ConnectionPool, gateway: str, make: Callable[[], OutgoingRequest]
 ) -> None:
     """Send a request that is for the gateway at ``ip:port`` alone, and read its answer.
 
--- a/tests/lab/test_weakening.py
+++ b/tests/lab/test_weakening.py
@@ -26,7 +26,7 @@
 )
 from pewtertack.node.proxy import exchange
 from pewtertack.node.proxy.application import ProxyApplication
-from pewtertack.node.proxy.stop_time import StopTime
+from pewtertack.node.proxy.shutdown_notice import ShutdownDeadline
 from pewtertack.platform import store
 
 SOURCE_DIRECTORY = Path(__file__).resolve().parents[2] / "src"
@@ -55,17 +55,17 @@
 
     def test_gateways_are_not_told_that_a_node_stops(self) -> None:
         with (
-            mock.patch.object(StopTime, "begin", StopTime.begin),
+            mock.patch.object(ShutdownDeadline, "begin", ShutdownDeadline.begin),
             mock.patch.object(ProxyApplication, "announce_stop", ProxyApplication.announce_stop),
         ):
             switch_off("stop_announcements")
             proxy = ProxyApplication(lambda: 5.0, Random(7))
-            with mock.patch("pewtertack.node.proxy.application.tell_gateways") as tell:
+            with mock.patch("pewtertack.node.proxy.application.notify_gateways") as tell:
                 proxy.start_leaving(2.0)
                 asyncio.run(proxy.announce_stop())
             tell.assert_not_called()
             self.assertTrue(proxy.leaving)
-            self.assertFalse(proxy._parts.stop.begun)
+            self.assertFalse(proxy._context.shutdown.begun)
 
     def test_nothing_is_held_after_returns(self) -> None:
         with mock.patch.object(ReturnedLists, "__init__", ReturnedLists.__init__):
--- a/tests/node/gateway/test_cold_and_evacuated.py
+++ b/tests/node/gateway/test_cold_and_evacuated.py
@@ -9,7 +9,7 @@
 
 from pewtertack.core.configuration.resolved import ResolvedConfiguration
 from pewtertack.core.machines import Machine, MachineList, MachineRole
-from pewtertack.node.gateway.application import GatewayApplication, GatewayPlace
+from pewtertack.node.gateway.application import GatewayApplication, GatewaySettings
 from pewtertack.node.proxy.application import ProxyApplication
 from pewtertack.node.proxy.edge import EdgeHeaders
 from pewtertack.node.proxy.probing import takes_requests
@@ -68,7 +68,7 @@
     async def start_zone(self, zone: str, cold_milliseconds: str = "0") -> ToldBackend:
         told = ToldBackend(cold_milliseconds)
         address = await RawBackend(told.answer).start(self)
-        place = GatewayPlace(address, "logbook", zone, cold_overage=1.5, cold_slack=SLOTS)
+        place = GatewaySettings(address, "logbook", zone, cold_overage=1.5, cold_slack=SLOTS)
         gateway = GatewayApplication(time.monotonic, place, EDGE)
         self.backends.append(told)
         self.gateways.append(gateway)
--- a/tests/node/gateway/test_gateway.py
+++ b/tests/node/gateway/test_gateway.py
@@ -10,7 +10,7 @@
 from pewtertack.core.machines import Machine, MachineList, MachineRole, MachineState
 from pewtertack.node.counting import MetricsRegistry
 from pewtertack.node.exposition import Exposition
-from pewtertack.node.gateway.application import GatewayApplication, GatewayPlace
+from pewtertack.node.gateway.application import GatewayApplication, GatewaySettings
 from pewtertack.node.proxy.application import ProxyApplication
 from pewtertack.node.proxy.edge import EdgeHeaders
 from tests.node.proxy.harness import (
@@ -48,7 +48,7 @@
 
 def gateway_beside(address: str, **rest: Any) -> GatewayApplication:
     """Return a gateway that knows its service, as a node does that serves."""
-    place = rest.pop("place", None) or GatewayPlace(address, "logbook", "ikeja")
+    place = rest.pop("place", None) or GatewaySettings(address, "logbook", "ikeja")
     gateway = GatewayApplication(time.monotonic, place, EDGE, **rest)
     gateway.use_configuration(configuration())
     return gateway
--- a/tests/node/gateway/test_lapsed_entry.py
+++ b/tests/node/gateway/test_lapsed_entry.py
@@ -23,28 +23,28 @@
 class IncarnationsTest(unittest.TestCase):
     def test_what_waits_is_not_told_that_the_back_end_is_gone_when_its_entry_goes(self) -> None:
         subject = Incarnations(lambda: 0.0)
-        subject.use_listed(said(BEFORE))
+        subject.apply_machine_list(said(BEFORE))
         found = subject.get("b1")
         waiting = [request() for _ in range(LIVING.slots + 1)]
         for item in waiting:
             found.admission.submit(item, 0.0)
-        subject.use_listed({})
+        subject.apply_machine_list({})
         refusal = waiting[-1].refusal
         self.assertIsNotNone(refusal)
         self.assertNotIsInstance(refusal, BackendGoneError)
-        subject.use_listed(said(BEFORE))
+        subject.apply_machine_list(said(BEFORE))
         self.assertTrue(found.takes_work)
 
     def test_what_waits_is_told_that_it_left_when_it_is_said_to_leave(self) -> None:
         subject = Incarnations(lambda: 0.0)
-        subject.use_listed(said(BEFORE))
+        subject.apply_machine_list(said(BEFORE))
         waiting = [request() for _ in range(LIVING.slots + 1)]
         for item in waiting:
             subject.get("b1").admission.submit(item, 0.0)
-        subject.use_listed(said(BEFORE, state=MachineState.LEAVING))
+        subject.apply_machine_list(said(BEFORE, state=MachineState.LEAVING))
         self.assertIsInstance(waiting[-1].refusal, BackendLeftError)
-        subject.use_listed({})
-        subject.use_listed(said(BEFORE))
+        subject.apply_machine_list({})
+        subject.apply_machine_list(said(BEFORE))
         self.assertFalse(subject.get("b1").takes_work)
 
 
--- a/tests/node/gateway/test_left_at_a_stop.py
+++ b/tests/node/gateway/test_left_at_a_stop.py
@@ -92,7 +92,7 @@
 
     async def test_what_runs_when_the_last_retry_has_been_spent(self) -> None:
         async def spent() -> None:
-            budget = self.proxy._parts.dispatcher._budgets.of("logbook", time.monotonic())
+            budget = self.proxy._context.dispatcher._budgets.of("logbook", time.monotonic())
             while budget.withdraw(time.monotonic()):
                 pass
 
--- a/tests/node/gateway/test_link_words.py
+++ b/tests/node/gateway/test_link_words.py
@@ -6,7 +6,7 @@
 from unittest import mock
 
 from pewtertack.core.policies import LongBodies, Policies
-from pewtertack.node.gateway.application import GatewayPlace
+from pewtertack.node.gateway.application import GatewaySettings
 from pewtertack.node.pacing import LinkPacer
 from pewtertack.routing.backend import Backend
 from tests.node.gateway.test_gateway import GatewayTestCase, header
@@ -35,31 +35,31 @@
     async def start_one(self, length: int, megabits: float) -> str:
         """Run one gateway on a link of its own and a proxy; return the proxy's address."""
 
-        def place(address: str, service: str, zone: str) -> GatewayPlace:
-            return GatewayPlace(address, service, zone, link_mbps=megabits)
+        def place(address: str, service: str, zone: str) -> GatewaySettings:
+            return GatewaySettings(address, service, zone, link_mbps=megabits)
 
-        with mock.patch("tests.node.gateway.test_gateway.GatewayPlace", place):
+        with mock.patch("tests.node.gateway.test_gateway.GatewaySettings", place):
             return await self.start_fleet(Answers(length))
 
     @property
     def backend(self) -> Backend:
         """What the proxy knows of the one back end."""
-        return self.proxy._parts.dispatcher.service("logbook").backends[0]
+        return self.proxy._context.dispatcher.service("logbook").backends[0]
 
     @property
     def pacer(self) -> LinkPacer:
-        pacer = self.gateways[0]._parts.pacer
+        pacer = self.gateways[0]._context.pacer
         assert pacer is not None
         return pacer
 
     async def test_a_sender_learns_of_the_line_and_of_the_route_s_own_time(self) -> None:
         address = await self.start_one(LENGTH, LINK_MBPS)
         await raw_call(address, GET)
-        self.assertEqual(self.proxy._parts.dispatcher.service("logbook")._long_routes, {})
+        self.assertEqual(self.proxy._context.dispatcher.service("logbook")._long_routes, {})
         answers = await asyncio.gather(*(raw_call(address, GET) for _ in range(3)))
         self.assertEqual([len(item.body) for item in answers], [LENGTH] * 3)
         self.assertEqual([item for item in answers[0].headers if "pewtertack" in item], [])
-        (long_route,) = self.proxy._parts.dispatcher.service("logbook")._long_routes.values()
+        (long_route,) = self.proxy._context.dispatcher.service("logbook")._long_routes.values()
         own = LENGTH / self.pacer.share.bytes_per_second
         self.assertAlmostEqual(long_route.own, own, places=2)
         self.assertGreater(self.backend.link_free_at, 0.0)
--- a/tests/node/gateway/test_lives.py
+++ b/tests/node/gateway/test_lives.py
@@ -34,14 +34,14 @@
         self.subject.use_bounds(ColdBounds(0.0, 0.0))
 
     def test_what_runs_at_the_former_life_takes_no_place_of_the_next(self) -> None:
-        self.subject.use_listed(said(BEFORE))
+        self.subject.apply_machine_list(said(BEFORE))
         former = self.subject.get("b1")
         running = [request() for _ in range(3)]
         for item in running:
             former.admission.submit(item, 0.0)
         waiting = running[2]
         self.assertFalse(waiting.granted)
-        self.assertTrue(self.subject.use_listed(said(AFTER)))
+        self.assertTrue(self.subject.apply_machine_list(said(AFTER)))
         self.assertIsInstance(waiting.refusal, BackendGoneError)
         heir = self.subject.get("b1")
         self.assertIsNot(heir, former)
@@ -50,61 +50,61 @@
         self.assertEqual(heir.admission.load, 0)
 
     def test_one_that_was_leaving_takes_work_again(self) -> None:
-        self.subject.use_listed(said(BEFORE, state=MachineState.LEAVING))
+        self.subject.apply_machine_list(said(BEFORE, state=MachineState.LEAVING))
         self.assertFalse(self.subject.get("b1").takes_work)
-        self.assertFalse(self.subject.use_listed(said(BEFORE)))
+        self.assertFalse(self.subject.apply_machine_list(said(BEFORE)))
         self.assertFalse(self.subject.get("b1").takes_work)
-        self.subject.use_listed(said(AFTER))
+        self.subject.apply_machine_list(said(AFTER))
         self.assertTrue(self.subject.get("b1").takes_work)
 
     def test_who_has_left_for_good_is_told_from_who_is_not_listed(self) -> None:
-        self.subject.use_listed(said(BEFORE))
+        self.subject.apply_machine_list(said(BEFORE))
         found = self.subject.get("b1")
-        self.subject.use_listed({})
+        self.subject.apply_machine_list({})
         self.assertNotIsInstance(found.gone(), BackendLeftError)
-        self.subject.use_listed(said(BEFORE, state=MachineState.LEAVING))
+        self.subject.apply_machine_list(said(BEFORE, state=MachineState.LEAVING))
         self.assertIsInstance(found.gone(), BackendLeftError)
 
     def test_a_new_life_is_cold_until_it_says_otherwise(self) -> None:
         self.subject.use_bounds(ColdBounds(5.0, 3.0))
-        self.subject.use_listed(said(BEFORE))
+        self.subject.apply_machine_list(said(BEFORE))
         self.subject.get("b1").cold.learn(0.0, 0.0, 0.0)
         self.assertFalse(self.subject.get("b1").cold.is_cold(0.0))
-        self.subject.use_listed(said(AFTER))
+        self.subject.apply_machine_list(said(AFTER))
         self.assertTrue(self.subject.get("b1").cold.is_cold(0.0))
 
     def test_a_late_entry_of_the_life_before_changes_nothing(self) -> None:
-        self.subject.use_listed(said(AFTER))
+        self.subject.apply_machine_list(said(AFTER))
         heir = self.subject.get("b1")
         late = said(BEFORE, state=MachineState.LEAVING, slots=1, cold=True)
-        self.assertFalse(self.subject.use_listed(late))
+        self.assertFalse(self.subject.apply_machine_list(late))
         self.assertIs(self.subject.get("b1"), heir)
         self.assertEqual((heir.takes_work, heir.admission.slots), (True, 2))
-        self.subject.use_listed({})
-        self.subject.use_listed(late)
+        self.subject.apply_machine_list({})
+        self.subject.apply_machine_list(late)
         self.assertFalse(heir.takes_work)
 
     def test_what_waits_gets_the_slots_of_a_newer_list_at_once(self) -> None:
-        self.subject.use_listed(said(BEFORE))
+        self.subject.apply_machine_list(said(BEFORE))
         admission = self.subject.get("b1").admission
         asked = [request() for _ in range(4)]
         for item in asked:
             admission.submit(item, 0.0)
-        self.subject.use_listed(said(BEFORE, slots=3))
+        self.subject.apply_machine_list(said(BEFORE, slots=3))
         self.assertEqual([item.granted for item in asked], [True, True, True, False])
 
     def test_more_slots_grant_nothing_at_one_that_leaves(self) -> None:
-        self.subject.use_listed(said(BEFORE))
+        self.subject.apply_machine_list(said(BEFORE))
         admission = self.subject.get("b1").admission
         asked = [request() for _ in range(3)]
         for item in asked:
             admission.submit(item, 0.0)
-        self.subject.use_listed(said(BEFORE, slots=9, state=MachineState.LEAVING))
+        self.subject.apply_machine_list(said(BEFORE, slots=9, state=MachineState.LEAVING))
         self.assertFalse(asked[2].granted)
         self.assertIsInstance(asked[2].refusal, BackendGoneError)
 
     def test_names_that_no_list_tells_of_are_forgotten(self) -> None:
-        self.subject.use_listed(said(BEFORE))
+        self.subject.apply_machine_list(said(BEFORE))
         living = self.subject.get("b1")
         for number in range(3 * NAMES_KEPT):
             self.subject.get(f"asked-{number}")
@@ -122,24 +122,24 @@
         self.assertIs(self.subject.find("at-work"), at_work)
 
     def test_who_was_said_to_leave_is_kept_before_names_that_no_list_has_told_of(self) -> None:
-        self.subject.use_listed(said(BEFORE, state=MachineState.LEAVING))
-        self.subject.use_listed({})
+        self.subject.apply_machine_list(said(BEFORE, state=MachineState.LEAVING))
+        self.subject.apply_machine_list({})
         for number in range(3 * NAMES_KEPT):
             self.subject.get(f"asked-{number}")
-        self.subject.use_listed(said(BEFORE))
+        self.subject.apply_machine_list(said(BEFORE))
         self.assertFalse(self.subject.get("b1").takes_work)
 
     def test_those_that_lists_name_no_longer_are_bounded_too(self) -> None:
         for number in range(3 * NAMES_KEPT):
             name = f"b{number}"
-            self.subject.use_listed({name: msgspec.structs.replace(LIVING, name=name)})
+            self.subject.apply_machine_list({name: msgspec.structs.replace(LIVING, name=name)})
         self.assertLessEqual(len(self.subject), NAMES_KEPT + 1)
         self.assertIsNotNone(self.subject.find(f"b{3 * NAMES_KEPT - 1}"))
 
     def test_a_start_that_is_told_for_the_first_time_is_no_new_life(self) -> None:
         unknown = self.subject.get("b1")
-        self.assertFalse(self.subject.use_listed(said(BEFORE)))
-        self.subject.use_listed(said(0))
+        self.assertFalse(self.subject.apply_machine_list(said(BEFORE)))
+        self.subject.apply_machine_list(said(0))
         self.assertIs(self.subject.get("b1"), unknown)
 
 
@@ -207,7 +207,7 @@
             for item in self.machines
         ]
         told: list[str] = []
-        self.proxy.watch_leaving(lambda name, address, started_at: told.append(name))
+        self.proxy.set_leaving_observer(lambda name, address, started_at: told.append(name))
         self.proxy.use_machines(MachineList(4, tuple(self.machines)))
         self.assertEqual((await raw_call(address, POST)).status, 503)
         self.assertEqual(told, [])
@@ -222,6 +222,6 @@
         leaving = msgspec.structs.replace(self.machines[0], state=MachineState.LEAVING)
         self.gateways[0].use_machines(MachineList(3, (leaving,)))
         told: list[str] = []
-        self.proxy.watch_leaving(lambda name, address, started_at: told.append(name))
+        self.proxy.set_leaving_observer(lambda name, address, started_at: told.append(name))
         self.assertEqual((await raw_call(address, POST)).status, 503)
         self.assertEqual(told, ["b0"])
--- a/tests/node/gateway/test_origins.py
+++ b/tests/node/gateway/test_origins.py
@@ -8,8 +8,8 @@
 
 from pewtertack.core.machines import Machine, MachineList, MachineRole
 from pewtertack.events import Event
-from pewtertack.node.gateway.application import GatewayApplication, GatewayPlace
-from pewtertack.node.gateway.hop import WITHIN, hop_headers, read_hop
+from pewtertack.node.gateway.application import GatewayApplication, GatewaySettings
+from pewtertack.node.gateway.hop import NESTED, hop_headers, read_hop
 from pewtertack.node.proxy.application import ProxyApplication
 from pewtertack.routing.patience import Lateness
 from pewtertack.routing.policies import CallsWithin, Policies
@@ -33,7 +33,7 @@
         self.admitted: list[dict[str, Any]] = []
         self.origins: list[tuple[str, str]] = []
         address = await RawBackend(answer_well).start(self)
-        place = GatewayPlace(address, "logbook", "ikeja")
+        place = GatewaySettings(address, "logbook", "ikeja")
         self.gateway = GatewayApplication(
             time.monotonic, place, EDGE, self.record, policies=policies
         )
@@ -112,6 +112,6 @@
             headers = hop_headers(
                 ROUTES[1], "b0", 0.3, Lateness.ALLOWED, "ledger", within, run_rank=(1, 1)
             )
-            self.assertEqual(WITHIN in dict(headers), within)
+            self.assertEqual(NESTED in dict(headers), within)
             request = read_hop(headers)
             self.assertEqual((request.within, request.rank[1]), (within, 1 if within else 3))
--- a/tests/node/gateway/test_own_stop.py
+++ b/tests/node/gateway/test_own_stop.py
@@ -64,7 +64,7 @@
         for gateway, machine in zip(self.gateways, self.machines, strict=True):
             gateway._log._record = self.recorder(machine.name)
             pacer = LinkPacer(time.monotonic, LinkShare(MEGABITS))
-            gateway._parts = msgspec.structs.replace(gateway._parts, pacer=pacer)
+            gateway._context = msgspec.structs.replace(gateway._context, pacer=pacer)
         self.start_calls(calls)
 
     def recorder(self, node: str) -> RecordEvent:
@@ -200,7 +200,7 @@
     async def test_nothing_is_given_back_once_the_retry_budget_is_spent(self) -> None:
         await self.begin(calls=0)
         now = time.monotonic()
-        budget = self.proxy._parts.dispatcher._budgets.of("logbook", now)
+        budget = self.proxy._context.dispatcher._budgets.of("logbook", now)
         while budget.withdraw(now):
             pass
         self.start_calls(CALLS)
@@ -225,7 +225,7 @@
         for number in range(CALLS):
             self.assertEqual((await self.call(f"first-{number}")).status, 200)
         self.gateways[0].start_leaving(0.0)
-        stopping, _ = self.proxy._parts.dispatcher.service("logbook").backends
+        stopping, _ = self.proxy._context.dispatcher.service("logbook").backends
         stopping.slowness = 8.0  # so that the other one is tried first
         self.breaks_next["b1"] = True
         self.assertEqual((await self.call("own")).status, 200)
--- a/tests/node/gateway/test_sending.py
+++ b/tests/node/gateway/test_sending.py
@@ -384,7 +384,7 @@
         address = await self.start_fleet(script, slots=1)
         gateway = self.gateways[0]
         pacer = LinkPacer(time.monotonic, LinkShare(4.0))
-        gateway._parts = msgspec.structs.replace(gateway._parts, pacer=pacer)
+        gateway._context = msgspec.structs.replace(gateway._context, pacer=pacer)
         return address
 
     async def test_a_long_answer_holds_neither_the_slot_nor_what_is_short(self) -> None:
@@ -401,7 +401,7 @@
 
     async def test_one_that_would_leave_too_late_is_refused_before_it_runs(self) -> None:
         address = await self.start()
-        share = self.gateways[0]._parts.pacer.share  # type: ignore[union-attr]
+        share = self.gateways[0]._context.pacer.share  # type: ignore[union-attr]
         share.note_answer("lookup", 50_000_000)
         answer = await raw_call(address, get("/long"))
         self.assert_refused(answer, 503, "not-run")
@@ -414,7 +414,7 @@
         self.assertEqual((await raw_call(address, get("/long"))).status, 200)
         self.gateways[0].start_leaving(3.0)
         self.assertEqual((await raw_call(address, get("/short"))).status, 200)
-        share = self.gateways[0]._parts.pacer.share  # type: ignore[union-attr]
+        share = self.gateways[0]._context.pacer.share  # type: ignore[union-attr]
         share.note_sent(600_000, time.monotonic())
         self.assert_refused(await raw_call(address, get("/short")), 503, "not-run")
 
--- a/tests/node/gateway/test_stop.py
+++ b/tests/node/gateway/test_stop.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from pewtertack.core.machines import MachineState
-from pewtertack.node.gateway.hop import GATEWAY_NAMES, withdrawal
+from pewtertack.node.gateway.hop import GATEWAY_NAMES, withdrawal_request
 from pewtertack.node.proxy.in_flight import Progress
 from pewtertack.routing.outcomes import BackendUnreachableError
 from tests.node.gateway.test_gateway import GatewayTestCase, answer_well
@@ -97,7 +97,7 @@
     async def test_what_no_gateway_could_be_asked_of_is_answered_as_unknown(self) -> None:
         await self.begin()
         unreachable = BackendUnreachableError("no connection")
-        with mock.patch.object(self.proxy._parts.connections, "take", side_effect=unreachable):
+        with mock.patch.object(self.proxy._context.connections, "take", side_effect=unreachable):
             await self.proxy.withdraw_waiting()
         self.proxy.stop_requests()
         for task in (self.running, self.waiting):
@@ -173,7 +173,11 @@
         await self.begin()
         gateway = self.machines[0].gateway
         for name in ("run-1", "nobody"):
-            raw = withdrawal(gateway, name).head().replace(b"\r\n\r\n", b"\r\nconnection: close")
+            raw = (
+                withdrawal_request(gateway, name)
+                .head()
+                .replace(b"\r\n\r\n", b"\r\nconnection: close")
+            )
             self.assertEqual((await raw_call(gateway, raw + b"\r\n\r\n")).status, 204)
         self.assertEqual(self.progress_at(0), [Progress.OFFERED, Progress.WAITING])
 
@@ -208,7 +212,7 @@
 
     async def test_a_request_that_ends_in_the_turn_of_the_withdrawal_stops_no_other(self) -> None:
         _, calls = await self.begin()
-        service = self.proxy._parts.dispatcher.services()[0]
+        service = self.proxy._context.dispatcher.services()[0]
         first = service.queue.peek()
         assert first is not None
         first.expires_at = 0.0
--- a/tests/node/gateway/test_stopping_senders.py
+++ b/tests/node/gateway/test_stopping_senders.py
@@ -82,7 +82,7 @@
         self.events: list[Event] = []
         self.gateway._log._record = lambda event, **_: self.events.append(event)
         pacer = LinkPacer(time.monotonic, LinkShare(MEGABITS))
-        self.gateway._parts = msgspec.structs.replace(self.gateway._parts, pacer=pacer)
+        self.gateway._context = msgspec.structs.replace(self.gateway._context, pacer=pacer)
         self.assertEqual((await self.call("first")).status, 200)
         self.others = [asyncio.create_task(self.call(f"other-{n}")) for n in range(OTHERS)]
         self.addCleanup(lambda: [task.cancel() for task in self.others])
--- a/tests/node/gateway/test_words_of_a_stop.py
+++ b/tests/node/gateway/test_words_of_a_stop.py
@@ -18,7 +18,7 @@
 from pewtertack.node.gateway.hop import LEAVE_BY, leave_by_word, read_leave_by
 from pewtertack.node.gateway.reception import MOST_AHEAD
 from pewtertack.node.pacing import LinkPacer
-from pewtertack.node.proxy.stop_time import StopTime, tell_gateways
+from pewtertack.node.proxy.shutdown_notice import ShutdownDeadline, notify_gateways
 from pewtertack.routing.link import LinkShare
 from pewtertack.routing.outcomes import BackendUnreachableError
 from tests.node.gateway.test_gateway import GatewayTestCase, header
@@ -46,11 +46,11 @@
             self.assertLess(read_leave_by(value)[0], math.inf)
 
     async def test_a_stop_without_an_end_tells_nobody(self) -> None:
-        stop, connections = StopTime(), mock.Mock()
+        stop, connections = ShutdownDeadline(), mock.Mock()
         stop.begin(math.inf)
         request = mock.Mock(gateway=GATEWAY, request_id="call-1")
         requests = mock.Mock(under_way={request})
-        await tell_gateways(stop, time.monotonic, connections, requests)
+        await notify_gateways(stop, time.monotonic, connections, requests)
         connections.take.assert_not_called()
 
     async def test_the_time_left_is_that_at_which_the_word_is_sent(self) -> None:
@@ -63,11 +63,11 @@
             await asyncio.sleep(0.4)
             return connection
 
-        stop = StopTime()
+        stop = ShutdownDeadline()
         ends_at = time.monotonic() + 2.0
         stop.begin(ends_at)
         requests = mock.Mock(under_way={mock.Mock(gateway=GATEWAY, request_id="call-1")})
-        await tell_gateways(stop, time.monotonic, mock.Mock(take=take), requests)
+        await notify_gateways(stop, time.monotonic, mock.Mock(take=take), requests)
         seconds, _ = read_leave_by(dict(sent[0].headers)[LEAVE_BY])
         self.assertLessEqual(seconds, ends_at - time.monotonic() + 0.1)
 
@@ -172,7 +172,7 @@
         """The same for a download, which needs time on the link after its run."""
         pacer = LinkPacer(time.monotonic, LinkShare(MEGABITS))
         gateway = self.gateways[0]
-        gateway._parts = msgspec.structs.replace(gateway._parts, pacer=pacer)
+        gateway._context = msgspec.structs.replace(gateway._context, pacer=pacer)
         self.seconds, self.size = 0.05, DOWNLOAD
         self.assertEqual((await (await self.begin("first"))).status, 200)
         self.seconds, self.size = 0.5, 2
--- a/tests/node/proxy/test_catching_up.py
+++ b/tests/node/proxy/test_catching_up.py
@@ -7,8 +7,8 @@
 from unittest import mock
 
 from pewtertack.core.replication.replica import Lag
-from pewtertack.node.proxy import catching_up
-from pewtertack.node.proxy.catching_up import LONGEST_WAIT, WAITING_MAX, CatchingUp
+from pewtertack.node.proxy import configuration_wait
+from pewtertack.node.proxy.configuration_wait import LONGEST_WAIT, WAITING_MAX, ConfigurationWait
 from tests.node.proxy.harness import Answer, ProxyTestCase, raw_call, request_bytes, respond
 from tests.routing.samples import configuration, route
 
@@ -20,7 +20,7 @@
     async def asyncSetUp(self) -> None:
         self.lag = Lag.COMING
         self.address = await self.start(self.backend, settings=OLD)
-        self.proxy.catching_up.lag = lambda: self.lag
+        self.proxy.configuration_wait.lag = lambda: self.lag
 
     async def backend(self, _scope: Any, _receive: Any, send: Any) -> None:
         await respond(send, body=b"served")
@@ -70,11 +70,11 @@
 
     async def test_of_many_few_wait_and_the_rest_is_refused_at_once(self) -> None:
         calls = [self.call("/new/x", "x-deadline-ms: 16000") for _ in range(WAITING_MAX + 20)]
-        with mock.patch.object(catching_up, "LONGEST_WAIT", 4.0):
+        with mock.patch.object(configuration_wait, "LONGEST_WAIT", 4.0):
             answers = await asyncio.gather(*calls)
         self.assertEqual({answer.status for answer, _ in answers}, {503})
         self.assertEqual(sum(took < 3.0 for _, took in answers), 20)
-        self.assertEqual(self.proxy.catching_up.waiting, 0)
+        self.assertEqual(self.proxy.configuration_wait.waiting, 0)
 
     async def test_other_requests_are_served_meanwhile(self) -> None:
         waiting = asyncio.create_task(self.call("/new/x", "x-deadline-ms: 5000"))
@@ -86,7 +86,7 @@
 
 class CatchingUpTest(unittest.IsolatedAsyncioTestCase):
     async def test_no_more_than_a_share_of_the_time_left_is_spent(self) -> None:
-        waits = CatchingUp(time.monotonic)
+        waits = ConfigurationWait(time.monotonic)
         waits.lag = lambda: Lag.COMING
         began = time.monotonic()
         self.assertFalse(await waits.wait(began + 0.4))
--- a/tests/node/proxy/test_deadlines.py
+++ b/tests/node/proxy/test_deadlines.py
@@ -33,9 +33,9 @@
 
     async def test_taken_back_it_never_passes_and_the_others_do(self) -> None:
         first, _, third = self.add(0, 0.01), self.add(1, 0.02), self.add(2, 0.03)
-        self.deadlines.take_back(first)
-        self.deadlines.take_back(third)
-        self.deadlines.take_back(third)
+        self.deadlines.cancel(first)
+        self.deadlines.cancel(third)
+        self.deadlines.cancel(third)
         await asyncio.sleep(0.06)
         self.assertEqual([number for number, _ in self.passed], [1])
 
@@ -43,7 +43,7 @@
         second = None
 
         def pass_first() -> None:
-            self.deadlines.take_back(second)
+            self.deadlines.cancel(second)
 
         self.deadlines.add(0.01, pass_first)
         second = self.add(1, 0.01)
@@ -59,7 +59,7 @@
         random = Random(1)
         kept = [self.add(number, 0.05) for number in range(3)]
         for _ in range(20 * MANY):
-            self.deadlines.take_back(self.add(9, random.uniform(10.0, 3600.0)))
+            self.deadlines.cancel(self.add(9, random.uniform(10.0, 3600.0)))
         self.assertLessEqual(len(self.deadlines._heap), 2 * MANY + len(kept))
         await asyncio.sleep(0.1)
         self.assertEqual([number for number, _ in self.passed], [0, 1, 2])
--- a/tests/node/proxy/test_forwarding.py
+++ b/tests/node/proxy/test_forwarding.py
@@ -59,7 +59,7 @@
             return True
 
         address = await self.start(RawBackend(work))
-        with unittest.mock.patch.object(self.proxy._parts.dispatcher, "note_hung") as told:
+        with unittest.mock.patch.object(self.proxy._context.dispatcher, "note_hung") as told:
             self.assertEqual((await raw_call(address, request_bytes())).status, 200)
         told.assert_not_called()
 
--- a/tests/node/proxy/test_probing.py
+++ b/tests/node/proxy/test_probing.py
@@ -12,7 +12,7 @@
 from pewtertack.node.proxy.upstream import (
     GATEWAY_IDLE_SECONDS,
     IDLE_SECONDS,
-    ConnectionStore,
+    ConnectionPool,
 )
 from pewtertack.routing.ends import AttemptEnd
 from pewtertack.routing.queueing import Ticket
@@ -39,7 +39,7 @@
 
     async def test_a_gateway_comes_back_by_a_probe(self) -> None:
         address = await self.start_fleet(answer_well)
-        dispatcher = self.proxy._parts.dispatcher
+        dispatcher = self.proxy._context.dispatcher
         ticket = Ticket(route(), service(), time.monotonic() + 5)
         dispatcher.submit(ticket, time.monotonic())
         dispatcher.finish(ticket, time.monotonic(), AttemptEnd.SILENT)
@@ -70,7 +70,7 @@
 
         address = await RawBackend(wait_for_end).start(self)
         now = 0.0
-        store = ConnectionStore(lambda: now)
+        store = ConnectionPool(lambda: now)
         for long_lived, idle, kept in (
             (False, IDLE_SECONDS + 0.1, False),
             (True, IDLE_SECONDS + 0.1, True),
@@ -90,7 +90,7 @@
 
         backend = RawBackend(wait_for_end)
         address = await backend.start(self)
-        store = ConnectionStore(time.monotonic)
+        store = ConnectionPool(time.monotonic)
         first = await store.take(address, 1.0)
         store.give_back(first)
         store.drop(address)
--- a/tests/node/proxy/test_upstream.py
+++ b/tests/node/proxy/test_upstream.py
@@ -7,7 +7,7 @@
 
 from pewtertack.node.http.connection import BackendConnection
 from pewtertack.node.http.messages import OutgoingRequest
-from pewtertack.node.proxy.upstream import ConnectionStore
+from pewtertack.node.proxy.upstream import ConnectionPool
 
 ANSWER = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
 PATIENCE = 5.0
@@ -25,7 +25,7 @@
         self.addCleanup(self.listener.close)
         self.listener.setblocking(False)
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
-        self.store = ConnectionStore(time.monotonic)
+        self.store = ConnectionPool(time.monotonic)
         self.kept, self.other_end = await self.keep_one()
 
     async def keep_one(self) -> tuple[BackendConnection, socket.socket]:
--- a/tests/node/test_runtime.py
+++ b/tests/node/test_runtime.py
@@ -137,7 +137,7 @@
 
         def use(machines: MachineList) -> None:
             registry.update(machines, 0.0)
-            gateway.use_listed({item.name: item for item in machines.machines})
+            gateway.apply_machine_list({item.name: item for item in machines.machines})
 
         self.proxy.use_machines = use
         runtime = self.runtime()
--- a/tests/routing/test_successors.py
+++ b/tests/routing/test_successors.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from pewtertack.core.machines import Machine, MachineList, MachineRole, MachineState
-from pewtertack.node.proxy.attempt_ends import end_of_failure
+from pewtertack.node.proxy.attempt_ends import attempt_end_for
 from pewtertack.routing.backend_events import BackendEvent, BackendLeaving
 from pewtertack.routing.dispatcher import Dispatcher
 from pewtertack.routing.ends import AttemptEnd
@@ -96,7 +96,7 @@
 
 class LeftForGoodTest(unittest.TestCase):
     def refused(self, code: str) -> AttemptEnd:
-        return end_of_failure(GatewayRefusedError("refused", None, code))
+        return attempt_end_for(GatewayRefusedError("refused", None, code))
 
     def test_a_gateway_tells_gone_for_good_from_not_listed(self) -> None:
         self.assertEqual(self.refused(BackendLeftError.code), AttemptEnd.GONE)
