--- a/src/pewtertack/node/gateway/parts.py
+++ b/src/pewtertack/node/gateway/context.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
+from pewtertack.node.crash_detection import CrashDetector
 from pewtertack.node.crash_reporter import CrashReporter
-from pewtertack.node.crash_watch import CrashWatch
 from pewtertack.node.gateway.metrics import GatewayMetrics
 from pewtertack.node.gateway.reception import BodyReception
 from pewtertack.node.gateway.sending import HeldBytes
@@ -16,21 +16,21 @@
 from pewtertack.node.proxy.edge import EdgeHeaders
 from pewtertack.node.proxy.in_flight import RequestsInFlight
 from pewtertack.node.proxy.request_log import GatewayLog
-from pewtertack.node.proxy.upstream import ConnectionStore
+from pewtertack.node.proxy.upstream import ConnectionPool
 from pewtertack.routing.origins import OriginWatch
 from pewtertack.routing.runs import RunsBeside, none_in_vain
 
 
-class GatewayParts(msgspec.Struct, frozen=True):
+class GatewayContext(msgspec.Struct, frozen=True):
     """What all requests of a gateway share."""
 
     clock: Callable[[], float]
-    connections: ConnectionStore
+    connections: ConnectionPool
     edge: EdgeHeaders
     address: str
     log: GatewayLog
     metrics: GatewayMetrics
-    crashes: CrashWatch
+    crashes: CrashDetector
     reporter: CrashReporter
     origins: OriginWatch | None = None
     """Who calls each route; ``None`` where calls within are treated as all others."""
--- a/tests/node/gateway/test_sending.py
+++ b/tests/node/gateway/test_sending.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from pewtertack.node.gateway.sending import HELD_BYTES, AnswerSender, HeldBytes
-from pewtertack.node.http.cycle import WHOLE
+from pewtertack.node.http.cycle import WHOLE_BODY
 from pewtertack.node.pacing import LinkPacer
 from pewtertack.routing.link import LONG_BYTES, LinkShare
 from pewtertack.routing.places import AdmissionTicket
@@ -104,8 +104,10 @@
     async def test_a_long_answer_that_comes_whole_with_its_head_takes_its_turn(self) -> None:
         data = bytes(index % 251 for index in range(3 * LONG_BYTES))
         sender = self.make()
-        await sender({"type": "http.response.start", "status": 200, "headers": [], WHOLE: data})
-        self.assertNotIn(WHOLE, self.sent[0])
+        await sender(
+            {"type": "http.response.start", "status": 200, "headers": [], WHOLE_BODY: data}
+        )
+        self.assertNotIn(WHOLE_BODY, self.sent[0])
         self.assertEqual(self.held.count, len(data) - len(self.body()))
         await sender.finish()
         self.assertEqual(self.body(), data)
@@ -114,9 +116,11 @@
     async def test_a_short_answer_that_comes_whole_with_its_head_leaves_with_it(self) -> None:
         sender = self.make()
         data = b"x" * LONG_BYTES
-        await sender({"type": "http.response.start", "status": 200, "headers": [], WHOLE: data})
+        await sender(
+            {"type": "http.response.start", "status": 200, "headers": [], WHOLE_BODY: data}
+        )
         await sender.finish()
-        self.assertEqual([message.get(WHOLE) for message in self.sent], [data])
+        self.assertEqual([message.get(WHOLE_BODY) for message in self.sent], [data])
 
     async def test_what_comes_bit_by_bit_is_passed_on_bit_by_bit(self) -> None:
         sender = self.make()
@@ -384,7 +388,7 @@
         address = await self.start_fleet(script, slots=1)
         gateway = self.gateways[0]
         pacer = LinkPacer(time.monotonic, LinkShare(4.0))
-        gateway._parts = msgspec.structs.replace(gateway._parts, pacer=pacer)
+        gateway._context = msgspec.structs.replace(gateway._context, pacer=pacer)
         return address
 
     async def test_a_long_answer_holds_neither_the_slot_nor_what_is_short(self) -> None:
@@ -401,7 +405,7 @@
 
     async def test_one_that_would_leave_too_late_is_refused_before_it_runs(self) -> None:
         address = await self.start()
-        share = self.gateways[0]._parts.pacer.share  # type: ignore[union-attr]
+        share = self.gateways[0]._context.pacer.share  # type: ignore[union-attr]
         share.note_answer("lookup", 50_000_000)
         answer = await raw_call(address, get("/long"))
         self.assert_refused(answer, 503, "not-run")
@@ -414,7 +418,7 @@
         self.assertEqual((await raw_call(address, get("/long"))).status, 200)
         self.gateways[0].start_leaving(3.0)
         self.assertEqual((await raw_call(address, get("/short"))).status, 200)
-        share = self.gateways[0]._parts.pacer.share  # type: ignore[union-attr]
+        share = self.gateways[0]._context.pacer.share  # type: ignore[union-attr]
         share.note_sent(600_000, time.monotonic())
         self.assert_refused(await raw_call(address, get("/short")), 503, "not-run")
 
