--- a/src/pewtertack/core/__init__.py
+++ b/src/pewtertack/core/__init__.py
@@ -1,1 +1,1 @@
-"""Coordination state machines: no input or output, no clock, no randomness of their own."""
+"""Coordination state machines that do no I/O; time and randomness are passed in."""
--- a/src/pewtertack/core/effects.py
+++ b/src/pewtertack/core/effects.py
@@ -1,4 +1,4 @@
-"""Instructions that the coordination core returns to its runtime."""
+"""Effects: instructions that the coordination core returns to its runtime."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Send(msgspec.Struct, frozen=True):
-    """Send ``message`` to the peer ``name`` at ``address``, best effort."""
+    """Send ``message`` to the peer ``name`` at ``address``; delivery is best effort."""
 
     name: str
     address: str
@@ -24,64 +24,65 @@
 
 
 class ReadDocument(msgspec.Struct, frozen=True):
-    """Read a document from the platform, unless number ``after`` is still current.
+    """Read a document from the platform if its number differs from ``after``.
 
-    The runtime answers each with one of the three document inputs. One read of a kind is
-    outstanding at a time, unless the source is slow or silent. ``wait`` is how long the platform
-    may hold the read open while nothing changes (long poll), in seconds.
+    The runtime answers each read with one of the three document inputs. At most one read per
+    document kind is outstanding, except while the source is slow or does not answer. ``wait`` is
+    the long-poll time: how many seconds the platform may hold the read open while nothing changes.
     """
 
     kind: DocumentKind
     after: int
     wait: float
     may_be_stale: bool = False
-    """A cheaper answer that is some seconds old will do, if the platform gives such."""
+    """Whether a cheaper answer that may be a few seconds old is acceptable."""
     era: int = 0
-    """The latest era of the source that this node has heard of (`core.eras`)."""
+    """The latest era of the source known to this node (`core.eras`)."""
     era_since: float = 0.0
-    """When the node heard of it, in monotonic seconds."""
+    """When the node learned of that era, in monotonic seconds."""
     evacuated_zones: tuple[str, ...] = ()
-    """The zones that the held tree names as evacuated."""
+    """The zones that the held tree lists as evacuated."""
     ended_evacuations: Mapping[str, int] = {}
-    """Those that it names no longer (`core.ended_evacuations`)."""
+    """Zones whose evacuation has ended, with a revision (`core.ended_evacuations`)."""
     doubts_copy: bool = False
-    """The node began too late to know which evacuations have ended, and no peer has told yet."""
+    """Whether evacuations in a restored copy may have ended already: the node started too late to
+    see them end, and no peer has reported them yet."""
     held_revision: RevisionId = NO_REVISION
-    """Of the held tree."""
+    """The revision of the held tree."""
     held_tree: Document | None = None
-    """The held tree: a source that has come back may know an older version alone."""
+    """The held tree, for a restored source that only knows an older version."""
     read_id: int = 0
-    """Tells this read from the others; its answer carries the same."""
+    """Identifies this read; its answer carries the same id."""
 
 
 class ContinueWork(msgspec.Struct, frozen=True):
-    """Give the core a ``WorkContinued`` once other tasks have had their turn.
+    """Pass a ``WorkContinued`` to the core after other tasks have run.
 
-    At most one is outstanding.
+    At most one request of this kind is outstanding.
     """
 
 
 class BringIntoForce(msgspec.Struct, frozen=True):
-    """Swap the proxy to this configuration in one step."""
+    """Switch the proxy to this configuration atomically."""
 
     configuration: ResolvedConfiguration
 
 
 class UseMachineList(msgspec.Struct, frozen=True):
-    """Choose back ends from this list from now on."""
+    """Choose back ends from this machine list from now on."""
 
     machines: MachineList
 
 
 class SetServing(msgspec.Struct, frozen=True):
-    """Accept callers' requests, or refuse them as not run with ``retry_after`` seconds."""
+    """Accept callers' requests, or refuse them as not run with a ``retry_after`` in seconds."""
 
     serving: bool
     retry_after: float = 1.0
 
 
 class StageReached(msgspec.Struct, frozen=True):
-    """A revision has reached a stage ``seconds`` after this node first heard of it."""
+    """Record that a revision reached a stage ``seconds`` after this node learned of it."""
 
     stage: Stage
     way: Way
@@ -89,7 +90,7 @@
 
 
 class Log(msgspec.Struct, frozen=True):
-    """Record a numbered event with its fields."""
+    """Write a log event with its fields."""
 
     event: Event
     fields: dict[str, Any]
--- a/src/pewtertack/core/ended_evacuations.py
+++ b/src/pewtertack/core/ended_evacuations.py
@@ -1,4 +1,4 @@
-"""Evacuations that a node has seen to end: a source's older copy may show them again."""
+"""Zone evacuations that a node has seen end, because a restored source may list them again."""
 
 from __future__ import annotations
 
@@ -7,45 +7,45 @@
 from pewtertack.core.eras import logical_time
 
 ENDED_ZONES_MAX = 64
-"""Zones remembered; a copy is no older than some seconds."""
+"""Zones remembered at most; a restored copy is only some seconds old."""
 
 
 class EndedEvacuations:
-    """Follows the zones that the held tree names as evacuated, one tree after the other."""
+    """Tracks which zones stop being listed as evacuated from one held tree to the next."""
 
-    __slots__ = ("_began", "_ended")
+    __slots__ = ("_ended_until", "_evacuated_since")
 
     def __init__(self) -> None:
-        self._began: dict[str, int] = {}
-        self._ended: dict[str, int] = {}
+        self._evacuated_since: dict[str, int] = {}
+        self._ended_until: dict[str, int] = {}
 
     @property
     def ended(self) -> Mapping[str, int]:
-        """The zones that are evacuated no longer.
+        """Zones whose evacuation has ended, each with a revision of the source.
 
-        Each with a revision up to which the source's item of the evacuation that ended was made:
-        that of the end, since the item may have been made anew under a tree that named the zone.
-        That of its beginning where that of the end is unknown.
+        The source's item of the ended evacuation was created no later than this revision. It is
+        the revision of the end, because the item may have been created anew under a tree that
+        listed the zone already, or that of the beginning where the end's is unknown.
         """
-        return self._ended
-
-    def record_tree(self, zones: Iterable[str], moment: int, era: int) -> None:
-        """Take in the zones that a newer tree names, with the moment in its number."""
-        named = set(zones)
-        revision = max(0, moment - logical_time(era, 0))
-        for zone in named:
-            self._began.setdefault(zone, revision)
-            self._ended.pop(zone, None)
-        for zone in self._began.keys() - named:
-            self._ended[zone] = max(revision, self._began.pop(zone))
-        self._bound()
+        return self._ended_until
+
+    def record_tree(self, zones: Iterable[str], tree_time: int, era: int) -> None:
+        """Record the evacuated zones of a newer tree, and the logical time in its number."""
+        evacuated = set(zones)
+        revision = max(0, tree_time - logical_time(era, 0))
+        for zone in evacuated:
+            self._evacuated_since.setdefault(zone, revision)
+            self._ended_until.pop(zone, None)
+        for zone in self._evacuated_since.keys() - evacuated:
+            self._ended_until[zone] = max(revision, self._evacuated_since.pop(zone))
+        self._evict_oldest()
 
     def record_report(self, zone: str, created_until_revision: int) -> None:
-        """A peer has seen the evacuation of a zone end; one that is held goes before that."""
-        if zone not in self._began:
-            self._ended[zone] = max(created_until_revision, self._ended.get(zone, 0))
-            self._bound()
-
-    def _bound(self) -> None:
-        while len(self._ended) > ENDED_ZONES_MAX:
-            del self._ended[next(iter(self._ended))]
+        """Record an end that a peer has seen, unless the zone is evacuated in the held tree."""
+        if zone not in self._evacuated_since:
+            self._ended_until[zone] = max(created_until_revision, self._ended_until.get(zone, 0))
+            self._evict_oldest()
+
+    def _evict_oldest(self) -> None:
+        while len(self._ended_until) > ENDED_ZONES_MAX:
+            del self._ended_until[next(iter(self._ended_until))]
--- a/src/pewtertack/core/history.py
+++ b/src/pewtertack/core/history.py
@@ -1,16 +1,16 @@
-"""What the log of a run tells of configurations in force, for the history checks."""
+"""Log fields of a configuration in force, as read by the history checks of test runs."""
 
 from __future__ import annotations
 
 from pewtertack.core.configuration.resolved import ResolvedConfiguration
 
-ROUTES_LISTED = 100
-"""Routes of a larger configuration are counted only: a line must stay short."""
+LISTED_ROUTES_MAX = 100
+"""Routes of a larger configuration are only counted, to keep the log line short."""
 
 
 def in_force_fields(configuration: ResolvedConfiguration) -> dict[str, object]:
-    """Return what the history of a run needs to know of a configuration in force."""
-    listed = configuration.routes if len(configuration.routes) <= ROUTES_LISTED else ()
+    """Return the log fields that the history checks need about a configuration in force."""
+    listed = configuration.routes if len(configuration.routes) <= LISTED_ROUTES_MAX else ()
     return {
         "revision": configuration.revision.number,
         "digest": configuration.revision.digest.hex(),
--- a/src/pewtertack/core/identity.py
+++ b/src/pewtertack/core/identity.py
@@ -1,4 +1,4 @@
-"""Who a node is."""
+"""The identity of a node process."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class NodeIdentity(msgspec.Struct, frozen=True):
-    """Name, advertised peer address and place of one process.
+    """Name, advertised peer address, zone, region and incarnation of one node process.
 
     ``incarnation`` is the start time of the process in milliseconds since the
-    epoch; a replacement under the same name therefore has a higher one.
+    epoch, so a replacement under the same name has a higher one.
     """
 
     name: str
--- a/src/pewtertack/core/inputs.py
+++ b/src/pewtertack/core/inputs.py
@@ -1,4 +1,4 @@
-"""Events that drive the coordination core. Times are monotonic seconds."""
+"""Inputs: events that drive the coordination core. Times are monotonic seconds."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class MessageReceived(msgspec.Struct, frozen=True):
-    """An authenticated message from the process ``incarnation`` of the peer ``sender``."""
+    """An authenticated message from the peer ``sender``, process ``incarnation``."""
 
     sender: str
     sender_address: str
@@ -24,31 +24,31 @@
 
 
 class FrameArriving(msgspec.Struct, frozen=True):
-    """Bytes of a frame that is not yet whole, nor authenticated, have come from ``host``.
+    """Bytes of an incomplete, not yet authenticated frame were received from ``host``.
 
-    Told of long frames from time to time, so that who waits for one knows of it.
+    Reported periodically for long frames, so that a pull that waits for one does not time out.
     """
 
     host: str
-    """IP number of the peer."""
+    """IP address of the peer."""
 
 
 class DocumentRead(msgspec.Struct, frozen=True):
-    """The platform answered a ``ReadDocument`` with a document under its number."""
+    """The platform answered a ``ReadDocument`` with a document and its number."""
 
     kind: DocumentKind
     number: int
     document: Document
     stale: bool = False
-    """The answer may be some seconds old: it confirms nothing."""
+    """Whether the answer may be some seconds old, so that it does not confirm what is held."""
     findings: tuple[ItemFinding, ...] = ()
-    """What was passed over since it cannot be understood."""
+    """Items of the document that were skipped as invalid."""
     answer_findings: tuple[ItemFinding, ...] = ()
-    """What is wrong with the platform's answers themselves."""
+    """Problems of the answers themselves rather than of single items."""
     read_id: int = 0
-    """``ReadDocument.read_id``; 0 where the oldest open read is meant."""
+    """``ReadDocument.read_id``; 0 stands for the oldest open read."""
     answer_seconds: float | None = None
-    """Seconds that the source needed beyond the wait, where that is known."""
+    """Seconds that the source took beyond the long-poll wait, if known."""
 
 
 class DocumentUnchanged(msgspec.Struct, frozen=True):
@@ -61,7 +61,7 @@
 
 
 class DocumentReadFailed(msgspec.Struct, frozen=True):
-    """The platform gave no usable answer to a ``ReadDocument``."""
+    """A ``ReadDocument`` got no usable answer from the platform."""
 
     kind: DocumentKind
     reason: str
@@ -70,11 +70,11 @@
     read_id: int = 0
     answer_seconds: float | None = None
     failure: ReadFailure | None = None
-    """How the read ended, where the reader tells."""
+    """How the read failed, if the reader reports it."""
 
 
 class BackendLeavingObserved(msgspec.Struct, frozen=True):
-    """A back end's own answer said that it is leaving."""
+    """A back end announced in an answer that it is leaving."""
 
     name: str
     address: str
@@ -82,21 +82,21 @@
 
 
 class BackendCrashed(msgspec.Struct, frozen=True):
-    """A back end ended while it ran the requests of these fingerprints."""
+    """A back end crashed while it ran the requests with these fingerprints."""
 
     fingerprints: tuple[bytes, ...]
     number: int | None = None
-    """The end's number, where other nodes may have seen the same one."""
+    """A number that identifies the crash, if other nodes may have seen it too."""
 
 
 class SuspectAnswered(msgspec.Struct, frozen=True):
-    """The back end beside this node answered a request under which others had ended."""
+    """The local back end answered a request during which other back ends had crashed."""
 
     fingerprint: bytes
 
 
 class WorkContinued(msgspec.Struct, frozen=True):
-    """The core may go on with what it has begun; answers each ``ContinueWork``."""
+    """The core may continue its sliced work; the answer to each ``ContinueWork``."""
 
 
 class DrainRequested(msgspec.Struct, frozen=True):
--- a/src/pewtertack/core/items.py
+++ b/src/pewtertack/core/items.py
@@ -1,4 +1,4 @@
-"""Items of the platform that cannot be understood: what is wrong, and who has been told."""
+"""Invalid items of the platform's documents: findings, and the events that report them."""
 
 from __future__ import annotations
 
@@ -15,35 +15,36 @@
 from pewtertack.events import Event
 from pewtertack.wire.messages import DocumentKind
 
-REMEMBERED_FINDINGS_MAX = 1024
-"""Items of a document of which a node remembers what it has said; a fleet of 1,700 machines
-has as many. What is wrong with further ones is not told."""
-LOGGED_FINDINGS_MAX = 16
-"""Events for one reading of a document: a fleet's whole list may be spoilt in one write."""
-SHOWN_CHARACTERS = 120
+REMEMBERED_MAX = 1024
+"""Findings that a node remembers, and therefore reports, for one document. A fleet of
+1,700 machines has about that many items; findings about further ones are not reported."""
+LOGGED_MAX = 16
+"""Log events for one read of a document: one bad write may invalidate a whole machine list."""
+SHOWN_CHARACTERS_MAX = 120
+"""Characters of an item's name or of a detail that a log event contains."""
 
 Item = TypeVar("Item")
 
 
 class ItemProblem(StrEnum):
-    """Why an item is passed over."""
+    """Why an item is skipped."""
 
     UNREADABLE = "unreadable"
-    """Its bytes are no document."""
+    """Its bytes cannot be decoded as a document."""
     FIELD = "field"
-    """A field is missing, or has a wrong type or a value that is none of the known."""
+    """A field is missing, has a wrong type, or has an unknown value."""
     ADDRESS = "address"
-    """It names no address that a back end may have."""
+    """Its address is not valid for a back end."""
     NAME = "name"
-    """It has a name that no item of its kind may have."""
+    """Its name is not valid for items of its kind."""
     CLAIMED = "claimed"
-    """It says what another item has said of itself first."""
+    """It claims something that an earlier item has already claimed for itself."""
     ERA = "era"
-    """The source's era, told with an answer, is none, or none that can follow the one before."""
+    """The source's era in an answer is not a number, or cannot follow the previous era."""
 
 
 class ItemFinding(msgspec.Struct, frozen=True):
-    """One item that was passed over; the others of its document hold."""
+    """One item that was skipped; the other items of its document are used."""
 
     item: str
     problem: ItemProblem
@@ -51,7 +52,7 @@
 
 
 class ItemFormatError(PlatformError):
-    """One item makes no sense."""
+    """One item is invalid."""
 
     code: ClassVar[str] = "platform-item"
 
@@ -59,16 +60,16 @@
         self.problem = problem
         super().__init__(detail)
 
-    def about(self, item: str) -> ItemFinding:
-        """Return the finding about ``item``."""
+    def finding_for(self, item: str) -> ItemFinding:
+        """Return this error as a finding about ``item``."""
         return ItemFinding(item, self.problem, str(self))
 
 
 def parse_item(value: bytes | msgspec.Raw, kind: type[Item]) -> Item:
-    """Read bytes of any kind as a typed document.
+    """Decode arbitrary bytes as a JSON document of type ``kind``.
 
     Raises:
-        ItemFormatError: they are none.
+        ItemFormatError: the bytes are no JSON, or no document of this type.
     """
     try:
         return msgspec.json.decode(value, type=kind)
@@ -79,9 +80,9 @@
 
 
 class ParsedItems(Generic[Item]):
-    """What was made of the parts of a document read last, by their text.
+    """Cache of the objects parsed from the parts of the previously read document, by text.
 
-    Parts that are written as before are the same objects, and are not read again.
+    Parts whose text has not changed give the same objects again and are not parsed anew.
     """
 
     __slots__ = ("_by_text",)
@@ -89,27 +90,27 @@
     def __init__(self) -> None:
         self._by_text: dict[bytes, Item] = {}
 
-    def read(self, parts: Iterable[msgspec.Raw], make: Callable[[bytes], Item]) -> Iterable[Item]:
-        """Return what ``make`` makes of each part; of those that are equal, of the first."""
+    def parse(self, parts: Iterable[msgspec.Raw], make: Callable[[bytes], Item]) -> Iterable[Item]:
+        """Return the result of ``make`` for each distinct part, from the cache where possible."""
         texts = map(bytes, parts)
         self._by_text = {text: self._by_text.get(text) or make(text) for text in texts}
         return self._by_text.values()
 
 
 def valid_evacuated_zones(names: Iterable[str]) -> tuple[list[str], tuple[ItemFinding, ...]]:
-    """Return the zones that may stand in a tree, and findings about the other names.
+    """Return the names that a tree may list as evacuated, and findings about the others.
 
-    A name that is none of a zone, another's but for its case, or one too many would have
-    the whole tree refused.
+    A name that is not valid for a zone, that differs from another in case only, or that exceeds
+    the length limit of the list would cause the whole tree to be refused.
     """
     zones: dict[str, str] = {}
     findings: list[ItemFinding] = []
     for name in sorted(names, reverse=True):
         if not is_zone_name(name):
-            findings.append(ItemFinding(name, ItemProblem.NAME, "no zone has such a name"))
+            findings.append(ItemFinding(name, ItemProblem.NAME, "not a valid zone name"))
         elif name.lower() in zones or len(zones) == LIST_LENGTH_LIMIT:
             findings.append(
-                ItemFinding(name, ItemProblem.CLAIMED, "evacuated already, or too many")
+                ItemFinding(name, ItemProblem.CLAIMED, "duplicate, or too many evacuated zones")
             )
         else:
             zones[name.lower()] = name
@@ -117,48 +118,48 @@
 
 
 class SkippedItems:
-    """What one reader has found and logged; an item counts again when what is wrong changes."""
+    """Findings that one reader has logged; an item is logged again when its finding changes."""
 
-    __slots__ = ("_about_answers", "_known", "total_count")
+    __slots__ = ("_answer_findings", "_findings_by_item", "total_count")
 
     def __init__(self) -> None:
-        self._known: dict[DocumentKind, dict[str, ItemFinding]] = {}
-        self._about_answers: dict[DocumentKind, tuple[ItemFinding, ...]] = {}
+        self._findings_by_item: dict[DocumentKind, dict[str, ItemFinding]] = {}
+        self._answer_findings: dict[DocumentKind, tuple[ItemFinding, ...]] = {}
         self.total_count = 0
-        """Findings since the start, each change of one counted once."""
+        """Findings since the start; a finding that changes counts again."""
 
     @property
     def current_count(self) -> int:
-        """How many items were passed over when each document was last read."""
-        return sum(map(len, self._known.values()))
+        """Number of items that were skipped when each document was last read."""
+        return sum(map(len, self._findings_by_item.values()))
 
     def record(self, kind: DocumentKind, findings: Sequence[ItemFinding]) -> list[Effect]:
-        """Take in what is wrong with a document just read; return the events of what is new."""
-        before = self._known.get(kind, {})
-        known = {finding.item: finding for finding in findings[:REMEMBERED_FINDINGS_MAX]}
-        news = [finding for name, finding in known.items() if before.get(name) != finding]
-        self._known[kind] = known
-        self.total_count += len(news)
-        effects: list[Effect] = [_event_of(kind, finding) for finding in news[:LOGGED_FINDINGS_MAX]]
-        if len(news) > LOGGED_FINDINGS_MAX:
-            fields = {"document": kind.name, "further": len(news) - LOGGED_FINDINGS_MAX}
+        """Record the findings about a document just read; return log events for the new ones."""
+        previous = self._findings_by_item.get(kind, {})
+        current = {finding.item: finding for finding in findings[:REMEMBERED_MAX]}
+        new = [finding for name, finding in current.items() if previous.get(name) != finding]
+        self._findings_by_item[kind] = current
+        self.total_count += len(new)
+        effects: list[Effect] = [_log_effect(kind, finding) for finding in new[:LOGGED_MAX]]
+        if len(new) > LOGGED_MAX:
+            fields = {"document": kind.name, "further": len(new) - LOGGED_MAX}
             effects.append(Log(Event.ITEM_PASSED_OVER, fields))
         return effects
 
     def record_answer(self, kind: DocumentKind, findings: tuple[ItemFinding, ...]) -> list[Effect]:
-        """Take in what is wrong with an answer itself; return the events of what is new."""
-        if findings == self._about_answers.get(kind, ()):
+        """Record the findings about an answer itself; return log events for the new ones."""
+        if findings == self._answer_findings.get(kind, ()):
             return []
-        self._about_answers[kind] = findings
+        self._answer_findings[kind] = findings
         self.total_count += len(findings)
-        return [_event_of(kind, finding) for finding in findings]
+        return [_log_effect(kind, finding) for finding in findings]
 
 
-def _event_of(kind: DocumentKind, finding: ItemFinding) -> Log:
+def _log_effect(kind: DocumentKind, finding: ItemFinding) -> Log:
     fields = {
         "document": kind.name,
-        "item": finding.item[:SHOWN_CHARACTERS],
+        "item": finding.item[:SHOWN_CHARACTERS_MAX],
         "problem": finding.problem.value,
-        "detail": finding.detail[:SHOWN_CHARACTERS],
+        "detail": finding.detail[:SHOWN_CHARACTERS_MAX],
     }
     return Log(Event.ITEM_PASSED_OVER, fields)
--- a/src/pewtertack/core/machines.py
+++ b/src/pewtertack/core/machines.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of machines: back ends and nodes, live or leaving."""
+"""The platform's machine list: back ends and nodes, live or leaving. It may be out of date."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 _ADDRESS = re.compile(r"(?P<host>[0-9.]{7,15}|\[[0-9A-Fa-f:.]{2,45}\]):(?P<port>[0-9]{1,5})")
 PORT_MAX = 65535
 SLOTS_MAX = 4096
-"""Each request takes a connection on both sides, and a machine has 8,192 descriptors at most."""
+"""Each request uses a connection on both sides, and a machine has at most 8,192 descriptors."""
 STARTED_AT_MAX_MS = 2**52
-"""Milliseconds. No back end starts then; JSON's numbers are exact up to it."""
+"""No back end starts that late; JSON numbers are exact up to this value."""
 
 
 class MachineState(StrEnum):
-    """What the platform says of one machine."""
+    """A machine's state as reported by the platform."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -35,11 +35,11 @@
 class Machine(msgspec.Struct, frozen=True):
     """One machine of the list. ``address`` is ``ip:port``.
 
-    For a node the address is the peer address which it advertises; ``service``
-    is empty. For a back end it is the HTTP address and ``service`` its service;
-    ``gateway`` is the ``ip:port`` of the node beside it, empty when others may call
-    the back end itself, and ``slots`` how many requests it works on at once, 0 when
-    the service's settings say so.
+    For a node the address is its advertised peer address, and ``service`` is empty. For a
+    back end it is the HTTP address, and ``service`` is its service; ``gateway`` is the
+    ``ip:port`` of the node on the same machine, empty if other nodes may call the back end
+    directly; ``slots`` is the number of requests that it executes at once, 0 if the
+    service's settings define that number.
     """
 
     name: str
@@ -52,15 +52,16 @@
     gateway: str = ""
     slots: int = 0
     cold: bool = False
-    """The back end said, when it last wrote, that it does not bear its full share yet."""
+    """Whether the back end, in its last update, asked for less than its full share of requests."""
     started_at: int = 0
-    """Unix milliseconds of the back end's start, 0 where its platform does not tell it.
+    """Start time of the back end in Unix milliseconds; 0 if the platform does not report it.
 
-    One that starts again under its name holds and knows nothing of what was before.
+    A back end that restarts under the same name has no requests and no state of the earlier
+    incarnation.
     """
 
     listed_at: int = 0
-    """When the platform was first told of the back end, as a number that grows; 0 if unknown."""
+    """When the back end was first registered, as a number that grows; 0 if unknown."""
 
     @property
     def is_backend(self) -> bool:
@@ -69,37 +70,38 @@
 
     @property
     def incarnation(self) -> tuple[str, str, int]:
-        """What stays the same from the start of a back end to its end, beside its name."""
+        """What identifies one incarnation of a back end, apart from its name."""
         return self.address, self.service, self.started_at
 
     @property
     def entry_key(self) -> tuple[str, str, int, int]:
-        """What stays the same while one entry of the platform stands, beside the name."""
+        """What identifies one entry of the platform, apart from its name."""
         return self.address, self.service, self.started_at, self.listed_at
 
     def is_before_incarnation(self, started_at: int) -> bool:
-        """Tell whether this is said of a life that had ended when the one at ``started_at`` began.
+        """Tell whether the entry is about an earlier incarnation than that of ``started_at``.
 
-        Entries may be written or read late.
+        This happens because entries may be written or read late.
         """
         return 0 < self.started_at < started_at
 
     def is_after_incarnation(self, started_at: int) -> bool:
-        """Tell whether this is said of a life after the one that began at ``started_at``."""
+        """Tell whether the entry is about a later incarnation than that of ``started_at``."""
         return 0 < started_at < self.started_at
 
 
 class MachineList(msgspec.Struct, frozen=True):
-    """One answer of the platform's list service."""
+    """The machine list under its number, as one answer of the platform gives it."""
 
     number: int
     machines: tuple[Machine, ...]
 
     def without_start_times_after(self, latest: int) -> MachineList:
-        """Return the list with starts after ``latest``, in Unix milliseconds, as if untold.
+        """Return the list with start times after ``latest`` (Unix milliseconds) set to 0.
 
-        Such a start is no back end's own: whatever the one that lives under the name says would
-        be taken for said of an earlier life, until its start is later.
+        Such a time cannot be the back end's own. If it were used, everything that the running
+        back end reports would be attributed to an earlier incarnation and ignored, until it
+        restarts with a later start time.
         """
         if all(machine.started_at <= latest for machine in self.machines):
             return self
@@ -115,7 +117,7 @@
 
 
 def is_ip_address(text: str) -> bool:
-    """Tell whether ``text`` is an IP number, as which nodes may be named."""
+    """Tell whether ``text`` is an IP address; nodes may be named by one."""
     try:
         ipaddress.ip_address(text.strip("[]"))
     except ValueError:
@@ -124,21 +126,21 @@
 
 
 def normalize_machine_address(text: str) -> str | None:
-    """Return ``ip:port`` as nodes write it, or ``None`` where no machine can have it."""
-    found = _ADDRESS.fullmatch(text)
-    if found is None or not is_ip_address(found["host"]):
+    """Return ``ip:port`` in canonical form, or ``None`` if no machine can have this address."""
+    match = _ADDRESS.fullmatch(text)
+    if match is None or not is_ip_address(match["host"]):
         return None
-    number, port = ipaddress.ip_address(found["host"].strip("[]")), int(found["port"])
-    if not 0 < port <= PORT_MAX or number.is_unspecified or number.is_multicast:
+    ip, port = ipaddress.ip_address(match["host"].strip("[]")), int(match["port"])
+    if not 0 < port <= PORT_MAX or ip.is_unspecified or ip.is_multicast:
         return None
-    return f"[{number}]:{port}" if number.version == 6 else f"{number}:{port}"
+    return f"[{ip}]:{port}" if ip.version == 6 else f"{ip}:{port}"
 
 
 def machine_list_from_document(number: int, document: Mapping[str, Any]) -> MachineList:
-    """Read a list from its document form ``{name: {role, zone, address, ...}}``.
+    """Convert a machine list from its document form ``{name: {role, zone, address, ...}}``.
 
     Raises:
-        msgspec.ValidationError: a machine lacks a key or has a wrong value.
+        msgspec.ValidationError: a machine lacks a required key or has an invalid value.
     """
     machines = (
         msgspec.convert({"name": name, **entry}, Machine)
--- a/src/pewtertack/core/new_entries.py
+++ b/src/pewtertack/core/new_entries.py
@@ -1,7 +1,8 @@
-"""Back ends that a new era's first list names and that a node has not known before.
+"""Back ends that the first machine list of a new era contains and that were unknown before.
 
-A node that began shortly before the era cannot tell who has come since from who had left before
-it began: it does not use them until peers have told who has left, or for a short time.
+A node that started shortly before the era cannot distinguish back ends that registered since from
+those that had left before the node started, which a restored copy lists again. It does not use
+either until peers have reported which back ends have left, or until a short time has passed.
 """
 
 from __future__ import annotations
@@ -11,30 +12,31 @@
 from pewtertack.core.machines import Machine
 
 COPY_AGE_MAX_SECONDS = 30.0
-"""Seconds. A node that began longer before an era has seen what the copy does not know."""
+"""A node that started earlier than this before an era has seen every change that the restored copy
+lacks."""
 NEW_ENTRY_WAIT_SECONDS = 1.0
-"""How long a node waits for what peers know."""
+"""How long a node waits for the reports of its peers."""
 
 
 class NewEntries:
-    """The names of back ends that are not used yet. Times are monotonic seconds.
+    """Names of back ends that are not used yet. Times are monotonic seconds.
 
     Args:
-        began_at: since when the node has seen who leaves.
-        longest: seconds, a bound on how long a back end is not used.
+        began_at: since when the node has seen which back ends leave.
+        wait_max_seconds: upper bound on how long a back end is not used.
     """
 
-    __slots__ = ("_longest", "_names", "_until", "began_at")
+    __slots__ = ("_expires_at", "_names", "_wait_max_seconds", "began_at")
 
-    def __init__(self, began_at: float, longest: float) -> None:
+    def __init__(self, began_at: float, wait_max_seconds: float) -> None:
         self.began_at = began_at
-        self._longest = longest
+        self._wait_max_seconds = wait_max_seconds
         self._names: frozenset[str] = frozenset()
-        self._until = 0.0
+        self._expires_at = 0.0
 
-    def begin(self, now: float, machines: Iterable[Machine]) -> None:
-        """An era has begun whose first list names back ends that were not known."""
-        self._until = now + min(NEW_ENTRY_WAIT_SECONDS, self._longest)
+    def start_era(self, now: float, machines: Iterable[Machine]) -> None:
+        """Start the wait for the unknown ``machines`` in the first list of a new era."""
+        self._expires_at = now + min(NEW_ENTRY_WAIT_SECONDS, self._wait_max_seconds)
         is_young = now - self.began_at < COPY_AGE_MAX_SECONDS
         names = frozenset(machine.name for machine in machines if machine.is_backend)
         self._names = names if is_young else frozenset()
@@ -44,13 +46,13 @@
         return name in self._names
 
     def __len__(self) -> int:
-        """Return how many are not used yet."""
+        """Return the number of back ends that are not used yet."""
         return len(self._names)
 
-    def is_due(self, now: float) -> bool:
-        """Tell whether the time is over."""
-        return bool(self._names) and self._until <= now
+    def has_expired(self, now: float) -> bool:
+        """Tell whether back ends are waiting whose wait is over."""
+        return bool(self._names) and self._expires_at <= now
 
     def clear(self) -> None:
-        """Let all of them be used."""
+        """Allow the use of all these back ends."""
         self._names = frozenset()
--- a/src/pewtertack/core/source_era.py
+++ b/src/pewtertack/core/source_era.py
@@ -65,7 +65,7 @@
         try:
             told = self._read(value)
         except ItemFormatError as error:
-            self._findings = (error.about(self._name),)
+            self._findings = (error.finding_for(self._name),)
             told = self.number
         if self.known is None:
             self._begin(now, told)
--- a/src/pewtertack/core/source_trees.py
+++ b/src/pewtertack/core/source_trees.py
@@ -175,7 +175,7 @@
         if not mirror.last_readable:
             raise
         version, tree = tree_of(mirror.last_readable, evacuated)
-        return version, tree, (error.about(key),)
+        return version, tree, (error.finding_for(key),)
     if mirror.era and mirror.last_readable_version > version:
         version, tree = tree_of(mirror.last_readable, evacuated)
         return version, tree, ()  # acknowledged before the copy's came back
--- a/src/pewtertack/platform/documents.py
+++ b/src/pewtertack/platform/documents.py
@@ -70,7 +70,7 @@
     """
     given = parse_item(value, _Configuration)
     version = int(given.version.removeprefix("r"))
-    routes = (known or KnownRoutes()).read(given.routes or (), _read_route)
+    routes = (known or KnownRoutes()).parse(given.routes or (), _read_route)
     tree: dict[str, Any] = {
         "services": {item.name: _service_of(item) for item in given.services or ()},
         "routes": conversion.routes_by_name(routes),
--- a/src/pewtertack/platform/entries.py
+++ b/src/pewtertack/platform/entries.py
@@ -68,7 +68,7 @@
         try:
             entry, address = _entry_of(name, value)
         except ItemFormatError as error:
-            findings.append(error.about(name))
+            findings.append(error.finding_for(name))
             continue
         host = address.rpartition(":")[0]
         machines[name] = _backend_of(entry, address, f"{host}:{gateway_port}")
--- a/tests/core/test_items.py
+++ b/tests/core/test_items.py
@@ -7,9 +7,9 @@
 from pewtertack.core.identity import NodeIdentity
 from pewtertack.core.inputs import DocumentRead
 from pewtertack.core.items import (
-    LOGGED_FINDINGS_MAX,
-    REMEMBERED_FINDINGS_MAX,
-    SHOWN_CHARACTERS,
+    LOGGED_MAX,
+    REMEMBERED_MAX,
+    SHOWN_CHARACTERS_MAX,
     ItemFinding,
     ItemProblem,
     SkippedItems,
@@ -55,14 +55,16 @@
     def test_many_and_long_items_are_bounded(self) -> None:
         many = tuple(
             ItemFinding(f"{index}" + "x" * 5000, ItemProblem.NAME, "y" * 5000)
-            for index in range(2 * REMEMBERED_FINDINGS_MAX)
+            for index in range(2 * REMEMBERED_MAX)
         )
         told = logged(self.skipped_items.record(MACHINES, many))
-        self.assertEqual(len(told), LOGGED_FINDINGS_MAX + 1)
-        self.assertEqual(told[-1]["further"], REMEMBERED_FINDINGS_MAX - LOGGED_FINDINGS_MAX)
-        self.assertLessEqual(max(len(str(value)) for value in told[0].values()), SHOWN_CHARACTERS)
+        self.assertEqual(len(told), LOGGED_MAX + 1)
+        self.assertEqual(told[-1]["further"], REMEMBERED_MAX - LOGGED_MAX)
+        self.assertLessEqual(
+            max(len(str(value)) for value in told[0].values()), SHOWN_CHARACTERS_MAX
+        )
         self.assertEqual(self.skipped_items.record(MACHINES, many), [])
-        self.assertEqual(self.skipped_items.current_count, REMEMBERED_FINDINGS_MAX)
+        self.assertEqual(self.skipped_items.current_count, REMEMBERED_MAX)
 
     def test_the_core_logs_what_a_read_passed_over(self) -> None:
         identity = NodeIdentity("10.1.0.8", "10.1.0.8:7380", "garia", "kolkata", 1)
