--- a/src/pewtertack/core/backend_start_times.py
+++ b/src/pewtertack/core/address_owners.py
@@ -7,7 +7,7 @@
 from pewtertack.core.machines import Machine
 
 
-class BackendStartTimes:
+class AddressOwners:
     """Records the latest known start time per address, so that older incarnations are ignored.
 
     A restored copy of the source may list a back end whose address has since been taken over by
--- a/src/pewtertack/core/new_entries.py
+++ b/src/pewtertack/core/new_entries.py
@@ -34,7 +34,7 @@
         self._names: frozenset[str] = frozenset()
         self._expires_at = 0.0
 
-    def start_era(self, now: float, machines: Iterable[Machine]) -> None:
+    def begin(self, now: float, machines: Iterable[Machine]) -> None:
         """Start the wait for the unknown ``machines`` in the first list of a new era."""
         self._expires_at = now + min(NEW_ENTRY_WAIT_SECONDS, self._wait_max_seconds)
         is_young = now - self.began_at < COPY_AGE_MAX_SECONDS
--- a/src/pewtertack/core/replication/machine_lists.py
+++ b/src/pewtertack/core/replication/machine_lists.py
@@ -13,7 +13,6 @@
 from pewtertack.core.delta import Delta, DeltaMismatchError
 from pewtertack.core.effects import Effect, Log, UseMachineList
 from pewtertack.core.eras import EraChange, era_of
-from pewtertack.core.machine_list_overrides import MachineListOverrides
 from pewtertack.core.machines import (
     Machine,
     MachineList,
@@ -22,6 +21,7 @@
 )
 from pewtertack.core.replication.leaving import LeavingBackends
 from pewtertack.core.replication.store import DocumentStore, Step
+from pewtertack.core.returned_lists import MachineListOverrides
 from pewtertack.core.revision import Document, RevisionId
 from pewtertack.events import Event
 from pewtertack.wire.messages import LeavingBackend, ListOverrides
@@ -32,7 +32,7 @@
 
     Args:
         hold_after_return: seconds for which what was known goes before what lists of a new era
-            of the source say (`core.machine_list_overrides`).
+            of the source say (`core.returned_lists`).
         began_at: since when the node has seen who leaves, in monotonic seconds.
     """
 
--- a/src/pewtertack/core/machine_list_overrides.py
+++ b/src/pewtertack/core/returned_lists.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from pewtertack.core.backend_start_times import BackendStartTimes
+from pewtertack.core.address_owners import AddressOwners
 from pewtertack.core.eras import EraChange, era_of
 from pewtertack.core.machines import Machine, MachineList, MachineState
 from pewtertack.core.new_entries import NewEntries
@@ -37,7 +37,7 @@
         self.machine = machine
         self.expires_at = expires_at
         self.listed_in_era = listed_in_era
-        """Whether a list of the new era has contained it, so that its removal from later ones counts."""
+        """Whether a list of the new era has contained it, so that its later removal counts."""
 
 
 class MachineListOverrides:
@@ -62,7 +62,7 @@
         """Departed back ends that lists of the new era may contain again, with the expiry time."""
         self._leaving: dict[LeavingBackend, float] = {}
         """Back ends that are leaving according to a peer, with the expiry time."""
-        self._start_times = BackendStartTimes()
+        self._address_owners = AddressOwners()
         self._early_reports: deque[tuple[float, ListOverrides]] = deque(maxlen=EARLY_REPORTS_MAX)
         self._active_until = -math.inf
         self.kept_count = 0
@@ -78,7 +78,7 @@
             self._apply_early_reports(now, listed)
             return None
         self._start_era(now)
-        self.new_entries.start_era(now, filter(self._is_new, listed.machines))
+        self.new_entries.begin(now, filter(self._is_new, listed.machines))
         known = {name: known.machine for name, known in self._known.items()}
         came_back = sum(self._is_blocked(machine) for machine in listed.machines)
         self._record_listed(listed_by_name)
@@ -92,7 +92,7 @@
         known = self._known.get(machine.name)
         is_known = known is not None and known.machine.incarnation == machine.incarnation
         return not (
-            is_known or self._is_blocked(machine) or self._start_times.is_superseded(machine)
+            is_known or self._is_blocked(machine) or self._address_owners.is_superseded(machine)
         )
 
     def apply_report(self, now: float, report: ListOverrides, listed: MachineList) -> bool:
@@ -136,7 +136,7 @@
         for machine in kept:
             self._keep(machine, expires_at, listed_by_name)
         if kept:
-            self._start_times.add_reported(expires_at, (*kept, *listed_by_name.values()))
+            self._address_owners.add_reported(expires_at, (*kept, *listed_by_name.values()))
 
     def _block(
         self, gone: DepartedBackend, expires_at: float, listed_by_name: dict[str, Machine]
@@ -190,7 +190,9 @@
             for name, machine in self._departed.items()
             if machine.is_backend
         }
-        self._start_times.start_era(expires_at, (*self._departed.values(), *self._in_use.values()))
+        self._address_owners.start_era(
+            expires_at, (*self._departed.values(), *self._in_use.values())
+        )
 
     def _record_listed(self, listed_by_name: dict[str, Machine]) -> None:
         """Record the listed machines; one that this era has listed and no longer lists has left."""
@@ -206,7 +208,7 @@
             for leaving, expires_at in self._leaving.items()
             if leaving.name in listed_by_name
         }
-        self._start_times.add_listed(listed_by_name.values())
+        self._address_owners.add_listed(listed_by_name.values())
 
     def overridden(self, now: float, listed: MachineList) -> MachineList:
         """Return the list with the overrides that are still valid."""
@@ -223,7 +225,7 @@
             current = {
                 name: machine
                 for name, machine in current.items()
-                if not self._start_times.is_superseded(machine)
+                if not self._address_owners.is_superseded(machine)
             }
             kept = self._kept_machines(listed_by_name)
             self.kept_count = len(kept)
@@ -239,7 +241,7 @@
             or self._blocked
             or self._leaving
             or self.new_entries
-            or self._start_times.started_at_by_address
+            or self._address_owners.started_at_by_address
         )
         return bool(has_any)
 
@@ -248,7 +250,7 @@
         expiry_times = [known.expires_at for known in self._known.values()]
         expiry_times += [expires_at for _, expires_at in self._blocked.values()]
         expiry_times += self._leaving.values()
-        any_expired = self._start_times.has_expired(now) or self.new_entries.has_expired(now)
+        any_expired = self._address_owners.has_expired(now) or self.new_entries.has_expired(now)
         return any_expired or any(expires_at <= now for expires_at in expiry_times)
 
     def _discard_expired(self, now: float) -> None:
@@ -259,8 +261,8 @@
         }
         if self.new_entries.has_expired(now):
             self.new_entries.clear()
-        if self._start_times.has_expired(now):
-            self._start_times.clear()
+        if self._address_owners.has_expired(now):
+            self._address_owners.clear()
 
     def _record_in_use(self, machines: Iterable[Machine]) -> None:
         """Record which machines are in use now, and which no longer are."""
@@ -299,7 +301,7 @@
         """Return the known machines that the list lacks and whose address has no other owner."""
         owners: dict[str, Machine] = {}
         for machine in listed_by_name.values():
-            is_gone = self._is_excluded(machine) or self._start_times.is_superseded(machine)
+            is_gone = self._is_excluded(machine) or self._address_owners.is_superseded(machine)
             if machine.is_backend and not is_gone:
                 owners[machine.address] = machine
         return {
@@ -308,7 +310,7 @@
             if name not in listed_by_name
             and not known.listed_in_era
             and not _is_replaced(known.machine, owners)
-            and not self._start_times.is_superseded(known.machine)
+            and not self._address_owners.is_superseded(known.machine)
         }
 
 
--- a/src/pewtertack/lab/weakening.py
+++ b/src/pewtertack/lab/weakening.py
@@ -14,10 +14,10 @@
 from pewtertack.core import profile
 from pewtertack.core.configuration.resolved import ResolvedConfiguration
 from pewtertack.core.crashes.ledger import CrashLedger
-from pewtertack.core.machine_list_overrides import MachineListOverrides
 from pewtertack.core.machines import Machine, MachineList, MachineState
 from pewtertack.core.profile import Mechanisms
 from pewtertack.core.replication import reader
+from pewtertack.core.returned_lists import MachineListOverrides
 from pewtertack.core.source_era import SourceEra
 from pewtertack.lab.errors import LabUsageError
 from pewtertack.node.daemon import DrainableProxy
--- a/tests/core/replication/test_list_overrides.py
+++ b/tests/core/replication/test_list_overrides.py
@@ -9,13 +9,13 @@
 from hypothesis import strategies as st
 
 from pewtertack.core.eras import list_number
-from pewtertack.core.machine_list_overrides import MachineListOverrides
 from pewtertack.core.machines import Machine, MachineList, MachineRole, MachineState
 from pewtertack.core.replication.list_overrides import (
     MESSAGES_MAX,
     messages_of,
     overrides_against,
 )
+from pewtertack.core.returned_lists import MachineListOverrides
 from pewtertack.wire.frames import DATAGRAM_BYTES_MAX, Envelope, encode_frame
 from pewtertack.wire.messages import ListOverrides
 
--- a/tests/core/test_machine_list_overrides.py
+++ b/tests/core/test_returned_lists.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 
 from pewtertack.core.eras import EraChange, list_number
-from pewtertack.core.machine_list_overrides import MachineListOverrides
 from pewtertack.core.machines import Machine, MachineList, MachineRole, MachineState
+from pewtertack.core.returned_lists import MachineListOverrides
 
 HOLD = 6.0
 
--- a/tests/lab/test_weakening.py
+++ b/tests/lab/test_weakening.py
@@ -12,9 +12,9 @@
 
 from pewtertack.core import profile
 from pewtertack.core.eras import list_number
-from pewtertack.core.machine_list_overrides import MachineListOverrides
 from pewtertack.core.machines import MachineState
 from pewtertack.core.replication.machine_lists import MachineListReplica
+from pewtertack.core.returned_lists import MachineListOverrides
 from pewtertack.core.revision import revision_id_of
 from pewtertack.lab.errors import LabUsageError
 from pewtertack.lab.weakening import (
