--- a/src/pewtertack/core/node.py
+++ b/src/pewtertack/core/node.py
@@ -1,13 +1,12 @@
 """The coordination core of one node: inputs in, effects out.
 
-    JOINING --knows the newest version--> SERVING --drain--> LEAVING
+    JOINING --holds the newest version--> SERVING --drain--> LEAVING
        ^                                     |
-       +---------- woke from a pause --------+
-    any --another process lives under this name--> SUPERSEDED
+       +------- resumed after a pause -------+
+    any --a newer process runs under this name--> SUPERSEDED
 
-The core does no input or output and has no clock or randomness of its own, so
-the daemon, the hollow nodes of a scale run and the simulated network drive the
-same class.
+The core does no I/O and has no clock or randomness of its own, so the daemon, the
+lightweight nodes of a scale test and the simulated network all use the same class.
 """
 
 from __future__ import annotations
@@ -39,7 +38,7 @@
 from pewtertack.core.profile import SourceProperties, TimingProfile
 from pewtertack.core.replication.join import Joiner
 from pewtertack.core.replication.service import Replication
-from pewtertack.core.slices import WORK_UNITS_PER_TURN, Budget
+from pewtertack.core.slices import UNITS_PER_TURN, Budget
 from pewtertack.errors import ProtocolError
 from pewtertack.events import Event
 from pewtertack.wire.messages import (
@@ -70,15 +69,15 @@
 from pewtertack.wire.packing import unpack
 
 MEMBERS_PER_JOIN_ANSWER = 8
-JOIN_RETRY_AFTER = 1.0
-DEAF_AFTER_PAUSE = 0.3
-"""Seconds after a pause in which messages that came meanwhile are worked off."""
+JOIN_RETRY_AFTER_SECONDS = 1.0
+PAUSE_BACKLOG_SECONDS = 0.3
+"""Time after a pause in which messages that arrived during the pause are processed."""
 READING_SEEDS = 3
-"""So many of the seeds read the platform for a fleet that starts from nothing."""
+"""Number of seeds that read the platform while a new fleet starts."""
 
 
 class NodePhase(StrEnum):
-    """Whether a node serves callers, and why not."""
+    """Whether a node serves callers, and if not, why."""
 
     JOINING = "joining"
     SERVING = "serving"
@@ -90,12 +89,12 @@
     """Membership, replication and joining of one node.
 
     Args:
-        identity: who the node is; ``identity.incarnation`` is new for each process.
-        profile: periods and bounds.
+        identity: the node's identity; ``identity.incarnation`` differs for each process.
+        profile: periods and limits.
         random: the node's only source of randomness.
         now: monotonic seconds.
         seeds: peer addresses (``ip:port``) to ask first.
-        source: what is promised of the configuration source.
+        source: known properties of the configuration source.
     """
 
     def __init__(
@@ -113,7 +112,7 @@
         self.source = source or SourceProperties()
         self._random = random
         self._last_tick = now
-        self._awaits_continuation = False
+        self._continuation_requested = False
         """Whether a ``ContinueWork`` is outstanding."""
         self.membership = Membership(identity, profile, random, now)
         self.crashes = CrashSpreading(identity, self.membership, random)
@@ -126,7 +125,7 @@
         self._joiner.start(now)
 
     def handle(self, now: float, event: Input) -> list[Effect]:
-        """Advance by one input and return what the runtime must do.
+        """Process one input and return the effects for the runtime to execute.
 
         ``now`` is monotonic seconds and must not decrease.
         """
@@ -143,24 +142,24 @@
         return effects + self._request_continuation()
 
     def _turn_budget(self) -> Budget:
-        """Return what may be done of long work at once: all of it while no request waits."""
-        return Budget(math.inf if self.phase is NodePhase.JOINING else WORK_UNITS_PER_TURN)
+        """Return the work budget of a turn: unlimited while joining, as no request waits then."""
+        return Budget(math.inf if self.phase is NodePhase.JOINING else UNITS_PER_TURN)
 
     def _may_resolve(self, event: Input) -> bool:
-        """Tell whether ``event`` may advance a resolution: only its own input, once it is begun."""
+        """Tell whether ``event`` may advance a resolution: once started, only ``WorkContinued``."""
         return isinstance(event, WorkContinued) or not self.replication.replica.is_resolving
 
     def _request_continuation(self) -> list[Effect]:
         replication = self.replication
-        resolves = replication.replica.is_resolving and self.phase is NodePhase.SERVING
-        if self._awaits_continuation or not (replication.is_working or resolves):
+        is_resolving = replication.replica.is_resolving and self.phase is NodePhase.SERVING
+        if self._continuation_requested or not (replication.is_working or is_resolving):
             return []
-        self._awaits_continuation = True
+        self._continuation_requested = True
         return [ContinueWork()]
 
     def _continue_work(self, now: float) -> list[Effect]:
-        """Advance what is held first: new offers may keep coming."""
-        self._awaits_continuation = False
+        """Resolve held revisions before processing offers, because new offers may keep arriving."""
+        self._continuation_requested = False
         effects = self._advance_in_force(now) if self.phase is NodePhase.SERVING else []
         return effects + self.replication.go_on(now)
 
@@ -210,11 +209,11 @@
         joining = self.phase is NodePhase.JOINING
         effects += self.replication.tick(now, self._may_read(now), joining)
         if self.phase is NodePhase.JOINING:
-            effects += self._ask_peers(now)
+            effects += self._request_joins(now)
         return effects
 
     def _may_read(self, now: float) -> bool:
-        """Joiners leave the platform alone unless no peer could answer them."""
+        """Tell whether to read the platform; joining nodes do so only if no peer can answer."""
         if self.source.durable:
             return self.phase in (NodePhase.JOINING, NodePhase.SERVING)
         if self.phase is NodePhase.JOINING:
@@ -226,16 +225,16 @@
             return self._joiner.may_commit(now)
         return self.phase is NodePhase.SERVING
 
-    # Pauses and replacements.
+    # Pauses and replacement by another process.
 
     def _notice_pause(self, now: float) -> list[Effect]:
-        """After a gap between ticks everything believed may be old: join again."""
+        """Join again after a gap between ticks, because everything known may be out of date."""
         gap = now - self._last_tick
         if gap < self.profile.pause_threshold or not self.profile.mechanisms.pause_detection:
             return []
         self._last_tick = now
         self.membership.detector.after_pause(now)
-        self.replication.after_pause(now, DEAF_AFTER_PAUSE)
+        self.replication.after_pause(now, PAUSE_BACKLOG_SECONDS)
         if self.phase not in (NodePhase.JOINING, NodePhase.SERVING):
             return []
         self._joiner.start(now)
@@ -247,14 +246,14 @@
     def _enter_joining(self) -> list[Effect]:
         self.phase = NodePhase.JOINING
         self.replication.serving = False
-        return [SetServing(False, JOIN_RETRY_AFTER), Log(Event.NODE_JOINING, {})]
+        return [SetServing(False, JOIN_RETRY_AFTER_SECONDS), Log(Event.NODE_JOINING, {})]
 
     def _notice_replacement(self) -> list[Effect]:
         if not self.membership.superseded or self.phase is NodePhase.SUPERSEDED:
             return []
         self.phase = NodePhase.SUPERSEDED
         self.replication.serving = False
-        return [SetServing(False, JOIN_RETRY_AFTER), Log(Event.NODE_SUPERSEDED, {})]
+        return [SetServing(False, JOIN_RETRY_AFTER_SECONDS), Log(Event.NODE_SUPERSEDED, {})]
 
     def _drain(self) -> list[Effect]:
         if self.phase in (NodePhase.LEAVING, NodePhase.SUPERSEDED):
@@ -271,15 +270,15 @@
 
     # Joining.
 
-    def _ask_peers(self, now: float) -> list[Effect]:
+    def _request_joins(self, now: float) -> list[Effect]:
         request = JoinRequest(self.membership.own)
         return [
             Send(name, address, request) for name, address in self._joiner.addresses_to_ask(now)
         ]
 
     def _finish_joining(self, now: float) -> list[Effect]:
-        """Serve once the newest committed version that peers know is ours to use."""
-        if self.profile.mechanisms.join_before_serving and not self._knows_enough(now):
+        """Start serving once the newest committed version known to peers is in force here."""
+        if self.profile.mechanisms.join_before_serving and not self._is_up_to_date(now):
             return []
         effects = self._advance_in_force(now)
         if self.replication.replica.in_force is None:
@@ -289,7 +288,7 @@
         self.membership.establish()
         return [*effects, SetServing(True), Log(Event.NODE_SERVING, {})]
 
-    def _knows_enough(self, now: float) -> bool:
+    def _is_up_to_date(self, now: float) -> bool:
         replica = self.replication.replica
         if replica.committed.number == 0 or replica.store.recent(replica.committed) is None:
             return False
@@ -298,31 +297,31 @@
         if self.replication.inquiry.is_pending(now):
             return False
         if self.source.durable:
-            return self._knows_durable_source(now)
+            return self._is_up_to_date_with_source(now)
         if not self._joiner.held_wait_over(now, replica.committed):
             return False
         return self._joiner.knows_enough(now, self.membership.table.quorum_members(now))
 
-    def _knows_durable_source(self, now: float) -> bool:
-        """Whether the source or a serving peer has told the newest revision since the start.
+    def _is_up_to_date_with_source(self, now: float) -> bool:
+        """Whether the source or a serving peer has reported the newest revision since the start.
 
-        A node that has waited for both in vain serves by what it holds: nothing newer
-        can be in force at any node that it could ask.
+        A node that has waited for both without result serves with what it holds: no node
+        that it can reach has anything newer in force.
         """
         replication = self.replication
         if replication.era:
-            return self._knows_by_peers(now)
+            return self._is_up_to_date_with_peers(now)
         read_at = replication.reader.last_answer_at
         if all(self._joiner.began_before(read_at.get(kind)) for kind in DocumentKind):
             return True
         if replication.freshness.oldest(now) <= self.profile.reader_lease:
             return True
-        return self._knows_by_peers(now)
+        return self._is_up_to_date_with_peers(now)
 
-    def _knows_by_peers(self, now: float) -> bool:
-        """Whether peers have told what is in force, or nobody could.
+    def _is_up_to_date_with_peers(self, now: float) -> bool:
+        """Whether peers have reported what is in force, or none could.
 
-        A source that has come back from a copy may show less than they hold.
+        A source that was restored from a copy may have older documents than the peers.
         """
         if self.replication.machine_list.machines.number == 0:
             return False
@@ -343,7 +342,7 @@
         return effects
 
     def _members_for_joiner(self, joiner: str) -> tuple[MemberUpdate, ...]:
-        """A sample of members, with what we believe of the joiner's name."""
+        """Return a sample of members, including the state known for the joiner's name."""
         table = self.membership.table
         names = [*table.reachable.sample(self._random, MEMBERS_PER_JOIN_ANSWER), joiner]
         members = [table.get(name) for name in dict.fromkeys(names)]
@@ -358,7 +357,7 @@
             now, event.sender, event.sender_address, answer.state
         )
 
-    # Versions in force.
+    # Configurations in force.
 
     def _advance_in_force(self, now: float) -> list[Effect]:
         effects: list[Effect] = []
@@ -366,8 +365,8 @@
             configuration = self.replication.replica.advance_in_force(self.replication.budget)
             if configuration is None:
                 return effects
-            told = self.replication.stages.in_force(now, configuration)
-            effects += [BringIntoForce(configuration), *told]
+            reports = self.replication.stages.in_force(now, configuration)
+            effects += [BringIntoForce(configuration), *reports]
 
     # Messages.
 
@@ -378,11 +377,11 @@
         self.membership.table.heard_directly(sender, address, event.incarnation, now)
         match event.message:
             case Ping() as ping:
-                effects = self._learn_lazily(now, event, ping.state)
+                effects = self._learn_from_probe(now, event, ping.state)
                 state = self.replication.state()
                 return effects + self.membership.on_ping(now, sender, address, ping, state)
             case Acknowledge() as answer:
-                effects = self._learn_lazily(now, event, answer.state)
+                effects = self._learn_from_probe(now, event, answer.state)
                 return effects + self.membership.on_acknowledge(now, answer)
             case PingRequest() as request:
                 return self.membership.on_ping_request(sender, request, self.replication.state())
@@ -424,10 +423,10 @@
         match message:
             case BackendsLeaving(backends):
                 return self.replication.on_backends_leaving(backends)
-            case ListOverrides() as told:
-                return self.replication.on_list_overrides(now, told)
-            case EvacuationsEnded() as told:
-                self.replication.on_evacuations_ended(now, told)
+            case ListOverrides() as report:
+                return self.replication.on_list_overrides(now, report)
+            case EvacuationsEnded() as report:
+                self.replication.on_evacuations_ended(now, report)
                 return []
             case CrashReports() as reports:
                 return self.crashes.learn(now, reports)
@@ -443,7 +442,7 @@
             return [Log(Event.FRAME_REFUSED, {"reason": f"{error.code}: {error}"})]
         return self._on_replication_message(now, msgspec.structs.replace(event, message=answer))
 
-    def _learn_lazily(
+    def _learn_from_probe(
         self, now: float, event: MessageReceived, state: VersionState
     ) -> list[Effect]:
         if not self.profile.mechanisms.lazy_repair:
--- a/src/pewtertack/core/policies.py
+++ b/src/pewtertack/core/policies.py
@@ -1,7 +1,7 @@
-"""The decisions that can be made in more than one way, and the way in force of each.
+"""Decisions with more than one policy, and the policy that is configured for each.
 
-A node's settings (``[policies]``) name the ways; the code of each stands where it decides
-(``pewtertack.routing.policies``). Defaults are what nodes did before there was a choice.
+The section ``[policies]`` of a node's settings names the policies. Their code is registered in
+``pewtertack.routing.policies``. Each default is what nodes did before there was a choice.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class PolicyKind(StrEnum):
-    """Decisions that can be made in more than one way; the names of settings."""
+    """Decisions with more than one policy; the values are the names of settings."""
 
     CALLS_WITHIN = "calls_within"
     BEGUN_RUNS = "begun_runs"
@@ -24,56 +24,70 @@
 
 
 class NestedCallPolicy(StrEnum):
-    """How requests are treated that a back end makes while it runs another one."""
+    """How nested calls are treated: those that a back end makes while it runs a request."""
 
     ALIKE = "alike"
+    """Like requests of callers."""
     FIRST = "first"
+    """Before other requests of the same rank."""
 
 
 class SlotOrderPolicy(StrEnum):
-    """Which requests take a slot first while calls that runs make are turned away."""
+    """Which requests get a slot first while nested calls of running requests are refused."""
 
     ALL = "all"
+    """All requests alike."""
     FINISHABLE = "finishable"
+    """Requests whose executions make such nested calls wait behind all others."""
 
 
 class RetryBudgetPolicy(StrEnum):
-    """How many retries there may be."""
+    """How the number of retries is limited."""
 
     SHARE = "share"
+    """As a share of first attempts, with a small burst."""
     WINDOW = "window"
+    """As a share of the requests in a sliding window, set by the operator."""
 
 
 class HungRequestPolicy(StrEnum):
-    """What becomes of a request that a back end has most likely hung on."""
+    """What happens to a request when its back end most likely hangs."""
 
     AWAITED = "awaited"
+    """Its answer is awaited until its deadline."""
     LEFT = "left"
+    """It is abandoned and tried again if it may be repeated."""
 
 
 class LongBodyPolicy(StrEnum):
-    """How long bodies leave a machine."""
+    """In which order a machine sends long bodies."""
 
     AT_ONCE = "at-once"
+    """All at the same time."""
     IN_TURNS = "in-turns"
+    """One after the other at the link's rate; short bodies do not wait."""
 
 
 class WaitMarginPolicy(StrEnum):
-    """What of the time that a request may wait is kept for an answer that takes long."""
+    """Which part of a request's wait time is reserved for an answer that takes long."""
 
     SPREAD = "spread"
+    """The whole spread of the answers' times."""
     HALF = "half"
+    """At most half of the wait time."""
 
 
 class RetryLaterPolicy(StrEnum):
-    """Which callers are rather told to come back than made to wait until their answer is late."""
+    """Which callers are told to retry later instead of waiting until their answer is too late."""
 
     FOUR = "four"
+    """Those with at least four times their objective left."""
     TWO = "two"
+    """Those with at least twice their objective left."""
 
 
 class Policies(msgspec.Struct, frozen=True, kw_only=True):
-    """The way in force of each kind."""
+    """The configured policy for each kind."""
 
     calls_within: NestedCallPolicy = NestedCallPolicy.ALIKE
     begun_runs: SlotOrderPolicy = SlotOrderPolicy.ALL
--- a/src/pewtertack/core/profile.py
+++ b/src/pewtertack/core/profile.py
@@ -1,4 +1,4 @@
-"""Timing profiles: how a fleet trades convergence time against control bytes.
+"""Timing profiles: trade-offs between a fleet's convergence time and its control traffic.
 
 All durations are in seconds.
 """
@@ -9,42 +9,42 @@
 
 
 class Mechanisms(msgspec.Struct, frozen=True):
-    """Switches that exist for proofs only: a check must fail with one switched off."""
+    """Switches used only to validate checks: with one switched off, a check must fail."""
 
     quorum_gate: bool = True
-    """Bring a revision into force only once a quorum of replicas holds it."""
+    """Put a revision in force only after a quorum of replicas holds it."""
     join_before_serving: bool = True
     """Ask peers for the newest version before serving."""
     pause_detection: bool = True
-    """Join again after the process was paused."""
+    """Join again after a pause of the process."""
     validation: bool = True
     """Refuse invalid trees."""
     monotonic_numbers: bool = True
-    """Ignore older revisions than the one held."""
+    """Ignore revisions older than the held one."""
     lazy_repair: bool = True
-    """Learn of newer versions from probes, besides announcements."""
+    """Learn of newer versions from probes, in addition to announcements."""
 
 
 class SourceProperties(msgspec.Struct, frozen=True):
-    """What the operators of the platform promise of the configuration source."""
+    """Properties of the configuration source that the platform's operators guarantee."""
 
     durable: bool = False
-    """It is linearizable and never forgets or forks a revision that it has answered with.
+    """The source is linearizable and never loses or forks a revision that it has returned.
 
-    Such a revision is committed as soon as one node has read it: no majority is needed.
+    Such a revision is committed as soon as one node has read it; no quorum is needed.
     """
     first_start: bool = False
-    """The fleet starts for the first time: the machine list fills while its nodes start."""
+    """The fleet starts for the first time, so the machine list fills while its nodes start."""
     wide_link: bool = False
-    """This node's link carries a long document quickly: where few nodes read, it goes first."""
+    """This node's link transfers a long document quickly, so it is a preferred reader."""
     narrow_link: bool = False
-    """It is known to carry a long document slowly: peers are asked first."""
+    """This node's link transfers a long document slowly, so it pulls from peers first."""
     hold_after_return: float = 6.0
-    """Seconds for which what was known holds against a source that has come back from a copy."""
+    """Seconds for which earlier knowledge takes precedence over a source restored from a copy."""
 
 
 class TimingProfile(msgspec.Struct, frozen=True):
-    """Every period and bound of the coordination core."""
+    """All periods and limits of the coordination core."""
 
     name: str = "fast"
     tick: float = 0.1
@@ -52,98 +52,99 @@
     acknowledge_timeout: float = 0.4
     indirect_probes: int = 3
     suspicion_rounds: float = 3.0
-    """Suspicion lasts this many probe intervals per decade of fleet size."""
+    """Probe intervals that a suspicion lasts, per decimal digit of the fleet's size."""
     reconnect_interval: float = 2.0
-    """How often one unreachable member is probed again."""
+    """Time between two probes of an unreachable member."""
     dead_retention: float = 20.0
-    """How long an unlisted dead member still counts in the quorum's denominator."""
+    """How long a dead member that is not listed still counts for the quorum's size."""
     forget_after: float = 600.0
-    """The same for dead members while no machine list is known."""
+    """The same while no machine list is known."""
     fan_out: int = 4
-    """Peers in the own zone that an announcement goes to."""
+    """Number of peers in the own zone that receive an announcement."""
     far_fan_out: int = 1
-    """Peers in other zones that an announcement goes to."""
+    """Number of peers in other zones that receive an announcement."""
     inline_delta_bytes: int = 0
-    """Largest delta sent along with an announcement; 0 switches this off."""
+    """Size of the largest delta sent within an announcement; 0 switches this off."""
     pull_timeout: float = 0.5
     snapshots_per_second: float = 8.0
-    """Whole documents of one kind that a node sends to its peers in a second, and at once."""
+    """Whole documents of one kind that a node sends to its peers per second, and in one burst."""
     wide_snapshots_per_second: float = 32.0
-    """The same over a wide link: a configuration of 2,000 routes is some 60 KB packed, 2 MB for
-    32, and after a loss of power the few that read the source are all that have it."""
+    """The same on a wide link: a compressed configuration of 2,000 routes has some 60 KB, 2 MB
+    for 32 peers, and after a power failure only the few nodes that read the source have it."""
     report_retry: float = 0.5
-    """How long a holder waits for a commit before it asks further coordinators."""
+    """How long a holder waits for a commit before it reports to further coordinators."""
     commit_coordinators: int = 2
     readership: str = "elected"
-    """Who reads the platform: a name of ``core.replication.readership``."""
+    """How the nodes that read the platform are chosen (``core.replication.readership``)."""
     heartbeat_interval: float = 0.5
-    """How often a reader tells its zone what it holds, where ``readership`` is "leased"."""
+    """How often a reader advertises what it holds in its zone, if ``readership`` is "leased"."""
     reader_lease: float = 1.3
-    """A reader unheard for this long, or whose word is this old, is replaced.
+    """A reader is replaced after this time without a heartbeat, or if its data is this old.
 
-    Two heartbeats may be lost. With the time between two reads, a node whose readers all
-    die right after an edit still has it within 2 s of the edit.
+    Two heartbeats may be lost. Together with the time between two reads, a node whose readers
+    all fail right after an edit still gets the edit within 2 s.
     """
     behind_patience: float = 2.7
-    """Additional wait of a node that hears readers, but does not hold what they do."""
+    """Additional wait of a node that receives heartbeats but holds less than the readers."""
     takeover_step: float = 0.1
-    """Each next node of a zone waits this much longer to take over: a read takes 0.05 s."""
+    """Each further node of a zone waits this much longer to take over; a read takes 0.05 s."""
     takeover_candidates: int = 6
-    """So many nodes of a zone, readers included, try a source that answers none of them."""
+    """Number of nodes of a zone, with the readers, that try a source which answers none of them."""
     late_takeover_step: float = 0.5
-    """What each node after them waits longer, so that a source in trouble meets no crowd."""
+    """Additional wait of each node after these, so that a failing source is not overloaded."""
     volunteer_step: float = 0.25
-    """A node with a wide link begins to read this much later for each member before it: by
-    then it has heard the heartbeats of the first."""
+    """A node with a wide link starts reading this much later for each member before it; by then
+    it has received the heartbeats of the first ones."""
     joiner_step: float = 0.02
-    """The same while the node joins and has heard of no reader: after a loss of power nobody
-    serves until one has asked the source, which takes 0.1 s, and told the others."""
+    """The same while the node joins and knows no reader: after a power failure no node serves until
+    one has read the source, which takes 0.1 s, and has informed the others."""
     narrow_patience: float = 1.0
-    """So long a node with a narrow link that starts leaves the configuration to its peers, which
-    send it packed: read from the source it fills the link (0.5 MB, 1.7 s at 2.5 Mbit/s), and
-    what the peers send waits behind it."""
+    """How long a starting node with a narrow link waits for the configuration from its peers, which
+    send it compressed. Read from the source, it would saturate the link (0.5 MB, 1.7 s at
+    2.5 Mbit/s) and delay what the peers send."""
     few_readers_gap: float = 0.1
-    """``read_gap`` where few nodes read: the source is asked once a change, by few."""
+    """``read_gap`` where few nodes read, so that the source gets few reads per change."""
     reads_alone_below: int = 16
-    """In a fleet smaller than this every node reads, where ``readership`` is "leased". What all
-    read they read over their own links: with 20 nodes on links of 2.5 Mbit/s, half a megabyte
-    of configuration and 32 here, a third of the hops between nodes took 0.3 s longer and 0.88 of
-    the worth was served on a quiet day; with 16 0.995, and a quarter of the calls."""
+    """In a smaller fleet than this every node reads, if ``readership`` is "leased". Each node then
+    reads over its own link: with 20 nodes on links of 2.5 Mbit/s, 0.5 MB of configuration and
+    the value 32 here, a third of the hops between nodes took 0.3 s longer, and 0.88 of the
+    requests' worth was served on a day with light load. With 16 it was 0.995, with a quarter of
+    the calls."""
     readers_per_zone: int = 2
     readers_total: int = 16
     reader_settle: float = 1.0
-    """A node reads the platform only after being chosen for this long."""
+    """A node starts reading the platform only after it has been chosen for this long."""
     read_wait: float = 5.0
-    """Long-poll time asked of the platform."""
+    """Long-poll time requested from the platform."""
     read_gap: float = 0.05
-    """Least time between an answer of the platform and the next read."""
+    """Minimum time between an answer of the platform and the next read."""
     read_patience: float = 0.0
-    """An answer of the source that takes longer, and longer than usual, is overdue: another read
-    is opened beside it. 0 opens one read of a document at a time."""
+    """An answer of the source that takes longer than this, and longer than usual, is overdue, and
+    another read is opened in parallel. 0 allows only one read of a document at a time."""
     read_overlap: float = 2.0
-    """Seconds between two reads of a slow source that are open at once."""
+    """Seconds between the starts of two parallel reads of a slow source."""
     read_backoff: float = 0.5
     read_backoff_limit: float = 8.0
     join_retry: float = 0.3
     join_peers: int = 16
-    """Answers that suffice to join a fleet of any size."""
+    """Number of answers that suffice to join a fleet of any size."""
     join_answer_lifetime: float = 5.0
-    """After this long without joining, peers that answered are asked again."""
+    """A node that has not joined after this time asks the peers that answered again."""
     join_patience: float = 1.5
-    """After this long, peers which do not answer no longer hold up joining."""
+    """Peers that have not answered after this time no longer delay joining."""
     join_hold_wait: float = 2.0
-    """How long a joiner waits for one of two digests of a number to be committed."""
+    """How long a joining node waits until one of two digests of the same number is committed."""
     first_start_delay: float = 0.0
-    """How long a node of a fleet that starts for the first time waits for the machine list."""
+    """How long a node waits for the machine list at the first start of its fleet."""
     bootstrap_delay: float = 1.0
-    """A joiner reads the platform when no serving peer answered for this long."""
+    """A joining node reads the platform if no serving peer has answered for this long."""
     pause_threshold: float = 2.0
-    """A gap between ticks which means that the process was paused."""
+    """A longer gap between two ticks means that the process was paused."""
     mechanisms: Mechanisms = msgspec.field(default_factory=Mechanisms)
 
 
 FAST = TimingProfile()
-"""Shortest convergence: for the records desk."""
+"""Shortest convergence time: for the records desk."""
 
 FRUGAL = TimingProfile(
     name="frugal",
@@ -158,7 +159,7 @@
     bootstrap_delay=2.0,
     pause_threshold=4.0,
 )
-"""Fewest control bytes: for volunteers' links."""
+"""Least control traffic: for volunteers' links."""
 
 DIRECT = TimingProfile(
     name="direct",
@@ -176,7 +177,7 @@
     join_patience=1.0,
     bootstrap_delay=0.0,
 )
-"""Every node reads a source that bears it; peers are the second way to each document."""
+"""Every node reads the source, which must sustain that; peers are the fallback for documents."""
 
 LEASED = TimingProfile(
     name="leased",
@@ -195,7 +196,7 @@
     join_patience=1.0,
     bootstrap_delay=0.0,
 )
-"""One node a zone reads a source that bears it and tells the others how old its word is;
+"""One node per zone reads the source and advertises to the others how recent its data is;
 in a small fleet every node reads, as with ``DIRECT``."""
 
 PROFILES = {profile.name: profile for profile in (FAST, FRUGAL, DIRECT, LEASED)}
--- a/src/pewtertack/core/revision.py
+++ b/src/pewtertack/core/revision.py
@@ -1,4 +1,4 @@
-"""Revisions: the source's number for a tree, with a digest of the tree's content."""
+"""Revision ids of documents: the source's number with a digest of the content."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 DIGEST_BYTES = 16
 
 Document = Mapping[str, Any]
-"""A tree of JSON values: string keys; objects, arrays, strings, numbers, booleans."""
+"""A tree of JSON values with string keys: objects, arrays, strings, numbers, booleans."""
 
 
 class RevisionConflictError(CoordinationError):
@@ -39,20 +39,23 @@
             RevisionConflictError: equal numbers with different digests.
         """
         if self.number == other.number and self.digest != other.digest:
-            raise RevisionConflictError(f"revision {self} and {other} share a number")
+            raise RevisionConflictError(
+                f"revisions {self} and {other} share a number, but not a digest"
+            )
         return self.number > other.number
 
 
 NO_REVISION = RevisionId(0, b"")
-"""Stands for "nothing yet"; the source's numbers start at 1."""
+"""Placeholder for no revision; the source's numbers start at 1."""
 
 
 def canonical_bytes(value: Any) -> bytes:
-    """Return bytes that are equal for equal values only, whatever the order of keys.
+    """Return an encoding that is equal exactly for equal values, whatever the order of keys.
 
-    ``1``, ``1.0`` and ``True`` are three values. MessagePack with sorted keys, which takes
-    a twentieth of the time of canonical CBOR; that stands in for what MessagePack cannot
-    hold (integers beyond 64 bits, keys that are no text), which validation refuses later.
+    ``1``, ``1.0`` and ``True`` are three values. The encoding is MessagePack with sorted keys,
+    which takes a twentieth of the time of canonical CBOR. Canonical CBOR is the fallback for
+    values that MessagePack cannot encode (integers beyond 64 bits, keys that are not strings);
+    validation refuses these later.
     """
     try:
         return msgspec.msgpack.encode(value, order="deterministic")
--- a/src/pewtertack/core/source_era.py
+++ b/src/pewtertack/core/source_era.py
@@ -1,4 +1,4 @@
-"""The source's era, told with all its answers: what is believed of it, and since when."""
+"""Tracks the era that the source reports with every answer."""
 
 from __future__ import annotations
 
@@ -9,94 +9,97 @@
 from pewtertack.core.items import ItemFinding, ItemFormatError, ItemProblem
 from pewtertack.errors import PlatformError
 
-SHOWN_CHARACTERS = 40
-LONGEST_ERA = 18
-"""Digits of what is read as a number at all."""
+SHOWN_CHARACTERS_MAX = 40
+ERA_DIGITS_MAX = 18
+"""Longer values are not parsed as a number at all."""
 
 
 class SourceEraError(PlatformError):
-    """An answer is of another era than the one in which it is read."""
+    """An answer belongs to another era than the one in which it is read."""
 
     code: ClassVar[str] = "source-era"
 
 
 class SourceEra:
-    """The latest era that the source has told.
+    """The latest era reported by the source.
 
-    An era that cannot be read, or is not told any more, says nothing: the one known holds. One
-    that falls is not believed, nor is what its answer says. One that rises is believed of the
-    first answer of a connection only: a source that comes back has cut the ones before.
+    If the era of an answer is invalid or missing, the known era stays. If it is lower than the
+    known era, it is ignored and the answer is discarded. If it is higher, it is accepted only
+    from the first answer on a connection, because a restored source has closed all connections
+    that existed before.
 
     Args:
-        name: under which findings name it, as the platform does.
+        name: the platform's name of the era, used in findings.
     """
 
     def __init__(self, name: str) -> None:
         self._name = name
         self.known: int | None = None
-        """``None`` before the first answer; 0 for a source that tells none."""
+        """``None`` before the first answer; 0 for a source that reports no era."""
         self.known_since = -math.inf
-        """When the present era was first heard of, in monotonic seconds."""
-        self._told = False
+        """When the present era was first reported, in monotonic seconds."""
+        self._has_reported = False
         self._findings: tuple[ItemFinding, ...] = ()
 
     @property
     def number(self) -> int:
-        """The era by which documents are numbered."""
+        """The era used in document numbers."""
         return self.known or 0
 
     def pop_findings(self) -> tuple[ItemFinding, ...]:
-        """Return what was wrong with the answers since the last call."""
+        """Return the findings about answers since the last call."""
         found, self._findings = self._findings, ()
         return found
 
-    def update(self, now: float, value: bytes | None, sent_in: int | None, fresh: bool) -> None:
-        """Take in what an answer tells.
+    def update(
+        self, now: float, value: bytes | None, sent_in: int | None, new_connection: bool
+    ) -> None:
+        """Process the era of an answer.
 
         Args:
             now: monotonic seconds.
-            value: the era as it is told; ``None`` where none is.
-            sent_in: ``known`` when the call began.
-            fresh: whether the answer is its connection's first.
+            value: the era as reported; ``None`` if the answer has none.
+            sent_in: ``known`` when the request was sent.
+            new_connection: whether the answer is the first on its connection.
 
         Raises:
-            SourceEraError: what the answer says must not be used; the call may be made anew.
+            SourceEraError: the answer must not be used; the request may be repeated.
         """
         try:
-            told = self._read(value)
+            reported = self._parse(value)
         except ItemFormatError as error:
             self._findings = (error.finding_for(self._name),)
-            told = self.number
+            reported = self.number
         if self.known is None:
-            self._begin(now, told)
+            self._set_era(now, reported)
             return
-        if told < self.known:
-            if told != sent_in:
-                self._find(f"fell from {self.known} to {told}")
-            raise SourceEraError(f"of era {told}, after one of era {self.known}")
-        if told > self.known and not fresh:
-            self._find(f"{self.known} and {told} on one connection")
-            raise SourceEraError(f"era {told} on a connection of era {self.known}")
-        if told > self.known:
-            self._begin(now, told)
+        if reported < self.known:
+            if reported != sent_in:
+                self._add_finding(f"fell from {self.known} to {reported}")
+            raise SourceEraError(f"answer of era {reported} after one of era {self.known}")
+        if reported > self.known and not new_connection:
+            self._add_finding(f"{self.known} and {reported} on one connection")
+            raise SourceEraError(f"era {reported} on a connection of era {self.known}")
+        if reported > self.known:
+            self._set_era(now, reported)
         if sent_in is not None and sent_in != self.known:
-            raise SourceEraError(f"era {self.known} has begun; reading all anew")
+            raise SourceEraError(f"era {self.known} has begun; all documents must be read again")
 
-    def _read(self, value: bytes | None) -> int:
+    def _parse(self, value: bytes | None) -> int:
         if value is None:
-            if self._told:
-                raise ItemFormatError(ItemProblem.ERA, "not told any more")
+            if self._has_reported:
+                raise ItemFormatError(ItemProblem.ERA, "no longer reported")
             return self.number
-        is_number = value.isdigit() and len(value) <= LONGEST_ERA
+        is_number = value.isdigit() and len(value) <= ERA_DIGITS_MAX
         if not is_number or int(value) > ERA_MAX:
-            shown = value[:SHOWN_CHARACTERS].decode("latin-1")
-            raise ItemFormatError(ItemProblem.ERA, f"no number up to {ERA_MAX}: {shown!r}")
-        self._told = True
+            shown = value[:SHOWN_CHARACTERS_MAX].decode("latin-1")
+            raise ItemFormatError(ItemProblem.ERA, f"not a number up to {ERA_MAX}: {shown!r}")
+        self._has_reported = True
         return int(value)
 
-    def _begin(self, now: float, era: int) -> None:
+    def _set_era(self, now: float, era: int) -> None:
         self.known = era
         self.known_since = now
 
-    def _find(self, detail: str) -> None:
+    def _add_finding(self, detail: str) -> None:
         self._findings = (ItemFinding(self._name, ItemProblem.ERA, detail),)
--- a/src/pewtertack/wire/__init__.py
+++ b/src/pewtertack/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Typed messages between nodes and their encoding."""
+"""Messages between nodes, and their encoding as authenticated frames."""
--- a/src/pewtertack/wire/errors.py
+++ b/src/pewtertack/wire/errors.py
@@ -1,4 +1,4 @@
-"""Why a peer's frame was refused. Every refusal is counted by its ``code``."""
+"""Errors for refused frames. Refusals are counted by ``code``."""
 
 from __future__ import annotations
 
@@ -8,42 +8,42 @@
 
 
 class OversizedFrameError(ProtocolError):
-    """The frame is longer than its channel allows."""
+    """The frame is longer than its transport allows."""
 
     code: ClassVar[str] = "frame-oversized"
 
 
 class TruncatedFrameError(ProtocolError):
-    """The frame ends before its announced or smallest possible length."""
+    """The frame is shorter than its announced length or than any valid frame."""
 
     code: ClassVar[str] = "frame-truncated"
 
 
 class StrangerFrameError(ProtocolError):
-    """The tag does not match: the sender lacks the fleet key, or the frame was altered."""
+    """The authentication tag does not match: wrong fleet key, or the frame was altered."""
 
     code: ClassVar[str] = "frame-stranger"
 
 
 class MalformedFrameError(ProtocolError):
-    """The authenticated body is not an envelope, or its message has wrong fields."""
+    """The authenticated body is no envelope, or its message has invalid fields."""
 
     code: ClassVar[str] = "frame-malformed"
 
 
 class WrongVersionError(ProtocolError):
-    """The sender speaks another version of the protocol."""
+    """The sender uses another version of the protocol."""
 
     code: ClassVar[str] = "frame-wrong-version"
 
 
 class UnknownMessageError(ProtocolError):
-    """The message's tag is not in the protocol."""
+    """The protocol has no message with this tag."""
 
     code: ClassVar[str] = "frame-unknown-message"
 
 
 class ReplayedFrameError(ProtocolError):
-    """The counter was seen before, or is older than the window of its sender."""
+    """The frame counter was seen before, or is older than the sender's replay window."""
 
     code: ClassVar[str] = "frame-replayed"
--- a/src/pewtertack/wire/frames.py
+++ b/src/pewtertack/wire/frames.py
@@ -1,13 +1,13 @@
-"""Authenticated frames: how one message travels between two nodes.
+"""Authenticated frames, each with one message between two nodes.
 
-A frame is a tag of 16 bytes (blake2b, keyed with the fleet key, over the body)
-and a body, which is a CBOR array: protocol version, sender, the sender's
-advertised address, its incarnation, its frame counter, message. The tag is
-checked before the body is decoded, so only holders of the key reach the decoder.
-While a fleet changes its key a reader accepts further keys, which sign nothing.
+A frame is a tag of 16 bytes (keyed BLAKE2b of the body with the fleet key) and a
+body, which is a CBOR array: protocol version, sender, the sender's advertised
+address, its incarnation, its frame counter, message. The tag is checked before the
+body is decoded, so only holders of the key reach the decoder. During a key change a
+reader accepts further keys, which are not used for signing.
 
-A frame is not bound to its receiver and carries no time: a recorded frame can be
-replayed to a node that never got it. Messages are idempotent, so this does no harm.
+A frame is not bound to its receiver and has no timestamp: a recorded frame can be
+replayed to a node that never received it. Messages are idempotent, so this is harmless.
 """
 
 from __future__ import annotations
@@ -36,17 +36,17 @@
 KEY_BYTES_MIN = 16
 KEY_BYTES_MAX = hashlib.blake2b.MAX_KEY_SIZE
 DATAGRAM_BYTES_MAX = 1200
-"""Largest frame sent by UDP: fits every usual path without fragmentation."""
+"""Largest frame sent over UDP: fits the MTU of all common paths without fragmentation."""
 ENVELOPE_BYTES_MAX = 64 * 1024
 STREAM_BYTES_MAX = SIZE_LIMIT + ENVELOPE_BYTES_MAX
 """Largest frame sent over TCP: a snapshot of the largest tree. The estimate that limits
-a tree's size is above the size of its encoded form."""
+a tree's size is larger than its encoded size."""
 
 _ENVELOPE_ITEMS = 6
 _DEPTH_MAX = 64
-"""Nesting of containers in a body, a few levels above the deepest valid tree."""
+"""Nesting limit of a body, a few levels above the deepest valid tree."""
 _CBOR_TAGS_ALLOWED = frozenset({2, 3})
-"""Big integers; every other CBOR tag makes values that no JSON tree holds."""
+"""Big integers; all other CBOR tags give values that a JSON tree cannot contain."""
 _MESSAGE_TAGS: frozenset[int] = frozenset(kind.__struct_config__.tag for kind in get_args(Message))
 
 
@@ -73,7 +73,7 @@
     """Return the frame of ``envelope``.
 
     Raises:
-        OversizedFrameError: the frame would not even fit a stream.
+        OversizedFrameError: the frame is too long even for a stream.
     """
     fields = _EnvelopeBody(
         PROTOCOL_VERSION,
@@ -85,17 +85,17 @@
     )
     body: bytes = cbor2.dumps(msgspec.to_builtins(fields, builtin_types=(bytes,)))
     if TAG_BYTES + len(body) > STREAM_BYTES_MAX:
-        raise OversizedFrameError(f"{len(body)} bytes, {STREAM_BYTES_MAX} are allowed")
+        raise OversizedFrameError(f"{len(body)} bytes; the limit is {STREAM_BYTES_MAX}")
     return tag_of(body, key) + body
 
 
 class FrameReader:
-    """Checks and decodes frames; remembers counters to refuse repeated ones.
+    """Authenticates and decodes frames; refuses repeated ones by their counters.
 
     Args:
-        key: tried first.
-        accepted_keys: tried only on frames that ``key`` did not sign.
-        guard: the counters seen.
+        key: the fleet key, tried first.
+        accepted_keys: further keys, tried only on frames that ``key`` did not sign.
+        guard: the replay guard; a new one by default.
     """
 
     def __init__(
@@ -108,13 +108,13 @@
         self._accepted_keys = accepted_keys
         self._guard = guard or ReplayGuard()
         self.frames_by_accepted_keys = 0
-        """Frames that another key than the own one signed."""
+        """Number of frames that were signed with an accepted key other than ``key``."""
 
     def read(self, frame: bytes, size_limit: int = STREAM_BYTES_MAX) -> Envelope:
         """Return the envelope of ``frame``.
 
         Raises:
-            ProtocolError: one of the types of ``pewtertack.wire.errors``.
+            ProtocolError: the frame is refused; one of the types in ``pewtertack.wire.errors``.
         """
         body = self._authenticate(frame, size_limit)
         envelope = _envelope_from(_decode(body))
@@ -123,9 +123,9 @@
 
     def _authenticate(self, frame: bytes, size_limit: int) -> bytes:
         if len(frame) > size_limit:
-            raise OversizedFrameError(f"{len(frame)} bytes, {size_limit} are allowed")
+            raise OversizedFrameError(f"{len(frame)} bytes; the limit is {size_limit}")
         if len(frame) <= TAG_BYTES:
-            raise TruncatedFrameError(f"{len(frame)} bytes hold no message")
+            raise TruncatedFrameError(f"{len(frame)} bytes are too short for a message")
         body = frame[TAG_BYTES:]
         tag = frame[:TAG_BYTES]
         if not hmac.compare_digest(tag, tag_of(body, self._key)):
@@ -146,11 +146,11 @@
 
 
 def _refuse_cbor_tag(*_: Any) -> NoReturn:
-    raise MalformedFrameError("a CBOR tag that no message uses")
+    raise MalformedFrameError("the body contains a CBOR tag that is not allowed")
 
 
 class _TagDecoders(dict[int, Any]):
-    """Decoders that refuse every tag, known to the library or not, but those allowed."""
+    """CBOR tag decoders that refuse all tags except the allowed ones, also the library's own."""
 
     def __missing__(self, number: int) -> Any:
         if number in _CBOR_TAGS_ALLOWED:
@@ -178,9 +178,9 @@
 
 def _envelope_from(items: Any) -> Envelope:
     if not isinstance(items, list) or not items:
-        raise MalformedFrameError("the body is no array")
+        raise MalformedFrameError("the body is not a non-empty array")
     if items[0] != PROTOCOL_VERSION:
-        raise WrongVersionError(f"version {items[0]!r}, {PROTOCOL_VERSION} is spoken")
+        raise WrongVersionError(f"protocol version {items[0]!r}; this node uses {PROTOCOL_VERSION}")
     _check_message_tag(items)
     try:
         body = msgspec.convert(items, _EnvelopeBody)
@@ -191,7 +191,7 @@
 
 def _check_message_tag(items: list[Any]) -> None:
     if len(items) != _ENVELOPE_ITEMS or not isinstance(items[-1], list) or not items[-1]:
-        raise MalformedFrameError("the envelope holds no message")
+        raise MalformedFrameError("the envelope contains no message")
     tag = items[-1][0]
     if not isinstance(tag, int) or tag not in _MESSAGE_TAGS:
-        raise UnknownMessageError(f"message {tag!r}")
+        raise UnknownMessageError(f"unknown message tag {tag!r}")
--- a/src/pewtertack/wire/messages.py
+++ b/src/pewtertack/wire/messages.py
@@ -1,8 +1,8 @@
 """Typed messages between nodes.
 
-Every message is a msgspec struct encoded as a CBOR array whose first item is
-the message's tag. Messages are idempotent: versions only grow and membership
-updates are ordered by incarnation, so loss, repetition and reordering do no harm.
+Every message is a msgspec struct encoded as a CBOR array whose first item is the
+message's tag. Messages are idempotent: versions only grow and membership updates are
+ordered by incarnation, so loss, duplication and reordering are harmless.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class MemberStatus(IntEnum):
-    """What a node believes of another. Higher values win within one incarnation."""
+    """A member's status as seen by a node. Higher values win within one incarnation."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -34,10 +34,10 @@
 
 
 class MemberUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """A statement about one member, spread by piggyback.
+    """The status of one member, disseminated within probe messages.
 
-    ``incarnation`` is the start time of the process in milliseconds, raised by
-    the member itself to refute a suspicion or to outlive its predecessor.
+    ``incarnation`` is the start time of the process in milliseconds. The member itself
+    raises it to refute a suspicion or to exceed its predecessor's.
     """
 
     name: str
@@ -49,16 +49,16 @@
 
 
 class VersionState(msgspec.Struct, frozen=True, array_like=True):
-    """The versions that a node has; rides on every probe.
+    """The versions that a node has; part of every probe message.
 
-    ``held`` is the newest configuration stored whole, ``committed`` the newest
-    known to be held by a quorum, ``machine_list`` the number of the list in use.
-    ``serving`` is false while the node joins. Most of the time the committed
-    revision is the held one, so only another one is encoded.
+    ``held`` is the newest configuration that is stored completely, ``committed`` the
+    newest known to be held by a quorum, ``machine_list`` the number of the list in use.
+    ``serving`` is false while the node joins. The committed revision is encoded only if it
+    differs from the held one, which is rare.
     """
 
     held: RevisionId
-    committed_if_not_held: RevisionId | None
+    committed_if_different: RevisionId | None
     machine_list: int
     serving: bool
 
@@ -66,23 +66,23 @@
     def of(
         cls, held: RevisionId, committed: RevisionId, machine_list: int, serving: bool
     ) -> VersionState:
-        """Return the state in its shortest form."""
+        """Return the state in its shortest encoding."""
         return cls(held, None if committed == held else committed, machine_list, serving)
 
     @property
     def committed(self) -> RevisionId:
         """The newest revision known to be held by a quorum."""
-        return self.held if self.committed_if_not_held is None else self.committed_if_not_held
+        return self.held if self.committed_if_different is None else self.committed_if_different
 
     @property
     def newest(self) -> RevisionId:
-        """The newest revision that this tells of."""
+        """The newer of the held and the committed revision."""
         committed = self.committed
         return committed if committed.number > self.held.number else self.held
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Direct probe; ``sequence`` comes back in the acknowledgement."""
+    """Direct probe; the acknowledgement repeats ``sequence``."""
 
     sequence: int
     state: VersionState
@@ -98,24 +98,24 @@
 
 
 class PingRequest(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """Ask a third member to probe ``target`` on the sender's behalf."""
+    """Request to a third member to probe ``target`` on behalf of the sender."""
 
     sequence: int
     target: str
 
 
 class IndirectAcknowledge(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """Tell the requester of an indirect probe that ``target`` answered."""
+    """Notice to the requester of an indirect probe that ``target`` has answered."""
 
     sequence: int
     target: str
 
 
 class Announce(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """Eager notice of new versions, sent to a bounded number of peers.
+    """Immediate notice of new versions, sent to a limited number of peers.
 
-    ``delta`` carries the newest configuration edit inline when it is small and
-    the profile allows it.
+    ``delta`` contains the newest configuration change if it is small and the profile
+    allows it.
     """
 
     state: VersionState
@@ -123,10 +123,10 @@
 
 
 class Pull(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """Ask for everything after ``have`` of one document, or for ``exact`` alone.
+    """Request for everything after ``have`` of one document, or for ``exact`` alone.
 
-    ``exact`` serves a node that already holds something newer than the committed
-    revision but never held that one.
+    ``exact`` is for a node that already holds a newer revision than the committed one
+    but has never held the committed one.
     """
 
     kind: DocumentKind
@@ -135,14 +135,14 @@
 
 
 class DeltaAnswer(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """Deltas, oldest first, that lead from the puller's revision to the sender's."""
+    """Deltas, oldest first, from the puller's revision to the sender's."""
 
     kind: DocumentKind
     deltas: tuple[Delta, ...]
 
 
 class SnapshotAnswer(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """A whole document, for a joiner or a node too far behind."""
+    """A whole document, for a node that joins or is too far behind for deltas."""
 
     kind: DocumentKind
     revision: RevisionId
@@ -157,26 +157,26 @@
 
 
 class Busy(msgspec.Struct, frozen=True, array_like=True, tag=9):
-    """The sender serves as many snapshots as it may; pull again after this long."""
+    """Refusal of a pull because the sender's snapshot limit is reached; retry after this time."""
 
     kind: DocumentKind
     retry_after_milliseconds: int
 
 
 class HeldReport(msgspec.Struct, frozen=True, array_like=True, tag=10):
-    """Tell a commit coordinator that the sender holds ``revision``."""
+    """Report to a commit coordinator that the sender holds ``revision``."""
 
     revision: RevisionId
 
 
 class JoinRequest(msgspec.Struct, frozen=True, array_like=True, tag=11):
-    """A starting or woken node asks a peer for versions and members."""
+    """Request of a node that starts, or resumes after a pause, for versions and members."""
 
     member: MemberUpdate
 
 
 class JoinAnswer(msgspec.Struct, frozen=True, array_like=True, tag=12):
-    """Versions of the answering peer, the peer itself, and a sample of members."""
+    """Answer with the peer's versions, the peer's own status, and a sample of members."""
 
     state: VersionState
     member: MemberUpdate
@@ -184,16 +184,16 @@
 
 
 class LeavingBackend(msgspec.Struct, frozen=True, array_like=True):
-    """A back end, by name, address and start, that takes no new work."""
+    """A back end that accepts no new work, by name, address and start time."""
 
     name: str
     address: str
     started_at: int = 0
-    """``Machine.started_at``: what is told of one life says nothing of the next."""
+    """``Machine.started_at``: the notice does not apply to a later incarnation."""
 
 
 class BackendsLeaving(msgspec.Struct, frozen=True, array_like=True, tag=13):
-    """Back ends that told a node they are leaving; passed on once by each node."""
+    """Back ends that have announced to a node that they leave; each node forwards it once."""
 
     backends: tuple[LeavingBackend, ...]
 
@@ -202,9 +202,9 @@
 
 
 class SourceAges(msgspec.Struct, frozen=True, array_like=True):
-    """How long ago the source confirmed each document that the sender holds.
+    """Time since the source last confirmed each document that the sender holds.
 
-    ``None`` where it has not. Time on the way is not counted.
+    ``None`` if the source has not confirmed it. Transmission time is not included.
     """
 
     configuration: Milliseconds | None
@@ -216,44 +216,44 @@
 
 
 class ReaderHeartbeat(msgspec.Struct, frozen=True, array_like=True, tag=14):
-    """A reader of the source tells what it holds and how old the source's word on it is.
+    """A source reader's report of what it holds, and when the source confirmed that.
 
-    ``deltas`` bring the newest changes along when they fit one datagram.
+    ``deltas`` contain the newest changes if they fit into the datagram.
     """
 
     state: VersionState
     list_digest: bytes
-    """Digest of the machine list, whose number stands in ``state``."""
+    """Digest of the machine list; its number is in ``state``."""
     ages: SourceAges
     deltas: tuple[DeltaAnswer, ...] = ()
     wide_link: bool = False
-    """Whether the sender goes before readers with narrow links."""
+    """Whether the sender takes precedence over readers with narrow links."""
 
 
 class EndedBackend(msgspec.Struct, frozen=True, array_like=True):
-    """The end of a back end under a request, by a number that no other end has."""
+    """One crash of a back end during a request, identified by a unique number."""
 
     number: Annotated[int, msgspec.Meta(ge=0)]
     age_ms: Milliseconds
 
 
 class CrashedRequest(msgspec.Struct, frozen=True, array_like=True):
-    """A request that ran when back ends ended, by its fingerprint alone."""
+    """A request during which back ends crashed, identified by its fingerprint only."""
 
     fingerprint: Annotated[bytes, msgspec.Meta(min_length=16, max_length=16)]
     crashes: Annotated[tuple[EndedBackend, ...], msgspec.Meta(max_length=64)]
     answered_ms_ago: Milliseconds | None = None
-    """How long ago a back end last answered it, which clears it of earlier ends."""
+    """Time since a back end last answered it, which clears it of earlier crashes."""
 
 
 class CrashReports(msgspec.Struct, frozen=True, array_like=True, tag=16):
-    """What the sender knows of requests under which back ends ended."""
+    """What the sender knows of requests during which back ends crashed."""
 
     requests: Annotated[tuple[CrashedRequest, ...], msgspec.Meta(max_length=256)]
 
 
 class DepartedBackend(msgspec.Struct, frozen=True, array_like=True):
-    """An entry of a machine list whose back end is known to have gone."""
+    """An entry of a machine list whose back end is known to have left."""
 
     name: str
     address: str
@@ -263,13 +263,13 @@
 
     @classmethod
     def of(cls, machine: Machine) -> DepartedBackend:
-        """Return the short form of a list's entry."""
+        """Return the short form of a machine list's entry."""
         return cls(
             machine.name, machine.address, machine.service, machine.started_at, machine.listed_at
         )
 
     def machine(self) -> Machine:
-        """Return the entry as far as it is told; its zone is not."""
+        """Return the entry as far as it is known; the message has no zone."""
         return Machine(
             self.name,
             MachineRole.BACKEND,
@@ -282,48 +282,50 @@
 
 
 class KeptBackend(Machine, frozen=True, array_like=True):
-    """A back end that is in use although a list does not name it, or names an earlier life."""
+    """A back end in use although a list lacks it or lists an earlier incarnation."""
 
     @classmethod
     def of(cls, machine: Machine) -> KeptBackend:
-        """Return the form for messages."""
+        """Return the machine in the form used in messages."""
         return cls(*msgspec.structs.astuple(machine))
 
     def machine(self) -> Machine:
-        """Return the entry as lists hold it."""
+        """Return the machine in the form used in machine lists."""
         return Machine(*msgspec.structs.astuple(self))
 
 
 class ListOverrides(msgspec.Struct, frozen=True, array_like=True, tag=17):
-    """What the sender holds against a machine list of a new era of the source.
+    """The sender's overrides of a machine list of a new era of the source.
 
-    Told to starting peers, in several messages if need be, while it holds.
+    Sent to starting peers while the overrides are valid, in several messages if necessary.
     """
 
     number: int
-    """Of the list."""
+    """The number of the machine list."""
     remaining_ms: Milliseconds
-    """For how much longer it holds."""
+    """For how much longer the overrides are valid."""
     leaving: tuple[LeavingBackend, ...] = ()
-    """Listed as live, known to be leaving."""
+    """Back ends listed as live, but known to be leaving."""
     gone: tuple[DepartedBackend, ...] = ()
+    """Back ends listed, but known to have left."""
     kept: tuple[KeptBackend, ...] = ()
+    """Back ends in use that the list lacks."""
 
 
 class EndedEvacuation(msgspec.Struct, frozen=True, array_like=True):
-    """A zone whose evacuation has ended, though a copy of the source may still show it."""
+    """A zone whose evacuation has ended, although a restored copy may still contain it."""
 
     zone: str
     created_until_revision: Annotated[int, msgspec.Meta(ge=0)]
-    """A revision up to which the source's item of the evacuation was made."""
+    """The source's item of the evacuation was created no later than this revision."""
 
 
 class EvacuationsEnded(msgspec.Struct, frozen=True, array_like=True, tag=18):
-    """Which evacuations the sender has seen to end; told to starting peers while that holds."""
+    """Evacuations that the sender has seen end; sent to starting peers in the hold period."""
 
     era: int
     age_ms: Milliseconds
-    """Since the sender first heard of the era."""
+    """Time since the sender first learned of the era."""
     zones: Annotated[tuple[EndedEvacuation, ...], msgspec.Meta(max_length=64)]
 
 
--- a/src/pewtertack/wire/replay.py
+++ b/src/pewtertack/wire/replay.py
@@ -1,4 +1,4 @@
-"""Recognition of repeated frames by a window of counters per sending process."""
+"""Replay detection with a sliding window of frame counters per sending process."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 from pewtertack.wire.errors import ReplayedFrameError
 
 WINDOW_COUNTERS = 1024
-"""How far behind the newest frame of a process an older one may arrive.
+"""By how many counters a frame may arrive later than newer frames of the same process.
 
-One counter numbers all frames of a process, whoever receives them, so a slow
-stream must not be overtaken by more datagrams than this.
+One counter numbers all frames of a process, to all receivers, so no more datagrams than
+this may overtake a frame on a slow stream.
 """
 
-WINDOW_LIMIT = 8192
-"""Sending processes remembered; the one that was silent longest is forgotten first."""
+WINDOWS_MAX = 8192
+"""Number of sending processes remembered; the least recently active one is evicted first."""
 
 Process = tuple[str, int]
 """Name and incarnation of a sending process."""
 
 
 class _Window(msgspec.Struct):
-    """Bit ``n`` of ``seen`` stands for the counter ``newest - n``."""
+    """Counters seen of one process; bit ``n`` of ``seen`` stands for counter ``newest - n``."""
 
     newest: int
     seen: int
@@ -32,10 +32,10 @@
 class ReplayGuard:
     """Accepts each counter of a process once.
 
-    Memory is bounded by ``window_limit`` windows of ``WINDOW_COUNTERS`` bits.
+    Memory is limited to ``window_limit`` windows of ``WINDOW_COUNTERS`` bits.
     """
 
-    def __init__(self, window_limit: int = WINDOW_LIMIT) -> None:
+    def __init__(self, window_limit: int = WINDOWS_MAX) -> None:
         self._windows: OrderedDict[Process, _Window] = OrderedDict()
         self._window_limit = window_limit
 
@@ -43,23 +43,23 @@
         return len(self._windows)
 
     def accept(self, sender: str, incarnation: int, counter: int) -> None:
-        """Record the counter.
+        """Record a frame counter.
 
         Raises:
-            ReplayedFrameError: it was recorded before or is older than the window.
+            ReplayedFrameError: the counter was recorded before or is older than the window.
         """
         process = (sender, incarnation)
         window = self._windows.get(process)
         if window is None:
-            self._remember(process, counter)
+            self._add_window(process, counter)
             return
         self._windows.move_to_end(process)
         if counter > window.newest:
             _advance(window, counter)
         else:
-            _fill(window, counter)
+            _mark_seen(window, counter)
 
-    def _remember(self, process: Process, counter: int) -> None:
+    def _add_window(self, process: Process, counter: int) -> None:
         self._windows[process] = _Window(newest=counter, seen=1)
         if len(self._windows) > self._window_limit:
             self._windows.popitem(last=False)
@@ -72,8 +72,8 @@
     window.newest = counter
 
 
-def _fill(window: _Window, counter: int) -> None:
+def _mark_seen(window: _Window, counter: int) -> None:
     bit = 1 << min(window.newest - counter, WINDOW_COUNTERS)
     if bit >> WINDOW_COUNTERS or window.seen & bit:
-        raise ReplayedFrameError(f"counter {counter} after {window.newest}")
+        raise ReplayedFrameError(f"counter {counter} repeated or too old; newest {window.newest}")
     window.seen |= bit
