--- a/src/pewtertack/node/gateway/application.py
+++ b/src/pewtertack/node/gateway/application.py
@@ -22,14 +22,14 @@
 from pewtertack.node.gateway.context import GatewayContext
 from pewtertack.node.gateway.forwarding import GatewayForwarding
 from pewtertack.node.gateway.hop import (
-    LEAVE_BY,
+    FINISH_BY,
     PROBE_ANSWERED,
     WITHDRAW,
     HopRequest,
     failure_header,
-    for_gateway_alone,
+    gateway_only_header,
+    parse_finish_by,
     read_hop,
-    read_leave_by,
 )
 from pewtertack.node.gateway.incarnations import Incarnation, Incarnations
 from pewtertack.node.gateway.metrics import GatewayMetrics
@@ -63,11 +63,11 @@
 from pewtertack.routing.runs import RunsBeside, none_in_vain
 from pewtertack.settings import Settings
 
-STOP_MARGIN = 2.0
+STOP_TIME_FACTOR = 2.0
 """A stopping gateway takes requests whose mean time fits so often before the stop."""
 HOP_HEAD_BYTES = 8 * 1024
 """Of the headers that nodes add between them."""
-LONGEST_TIME = 3600.0
+DEFAULT_TIMEOUT_SECONDS = 3600.0
 """Seconds that a request without a deadline may take; proxies always send one."""
 
 
@@ -109,7 +109,7 @@
     def __init__(
         self,
         clock: Callable[[], float],
-        place: GatewaySettings,
+        settings: GatewaySettings,
         edge: EdgeHeaders,
         log: RecordEvent = ignore_event,
         registry: MetricsRegistry | None = None,
@@ -118,7 +118,7 @@
         runs: RunsBeside | None = None,
     ) -> None:
         self._clock = clock
-        self._place = place
+        self._settings = settings
         self._log = GatewayLog(log, clock)
         self._metrics = GatewayMetrics(registry or MetricsRegistry())
         super().__init__(ConnectionPool(clock))
@@ -132,7 +132,7 @@
             clock,
             self.connections,
             edge,
-            place.address,
+            settings.address,
             self._log,
             self._metrics,
             CrashWatch(self._note_crash),
@@ -141,7 +141,7 @@
             runs,
             runs.in_vain if policies.begun_runs is BegunRuns.FINISHABLE else none_in_vain,
             self.requests,
-            pacer=_pacer_of(clock, place, policies),
+            pacer=_make_pacer(clock, settings, policies),
         )
         self._incarnations = Incarnations(clock, policies)
         self._stops_at = math.inf
@@ -154,7 +154,7 @@
     @property
     def address(self) -> str:
         """``ip:port`` of the back end beside this node."""
-        return self._place.address
+        return self._settings.address
 
     async def run(self) -> None:
         """Ask the back end whether it is cold, whenever that is due, until cancelled."""
@@ -165,24 +165,24 @@
         address = str(settings.backend.address)
         if settings.backend.address is None or address == self.address:
             return
-        self._place = msgspec.structs.replace(self._place, address=address)
+        self._settings = msgspec.structs.replace(self._settings, address=address)
         self._context = msgspec.structs.replace(self._context, address=address)
 
     def use_configuration(self, configuration: ResolvedConfiguration) -> None:
         """Keep to the service's settings, and to the operator's word on this zone."""
-        self.service = configuration.services.get(self._place.service)
+        self.service = configuration.services.get(self._settings.service)
         self.longest_head = max(HEAD_BYTES, configuration.head_bytes) + HOP_HEAD_BYTES
         self._use_bounds(self.service)
-        evacuated = self._place.zone in configuration.evacuated
+        evacuated = self._settings.zone in configuration.evacuated
         if evacuated != self._evacuated:
             self._evacuated = evacuated
             self._note_evacuation()
 
     def _use_bounds(self, service: ResolvedService | None) -> None:
         """Bound a cold back end as its service says; one of no known service says nothing."""
-        place = self._place
+        settings = self._settings
         rate, length = (service.cold_rate, service.cold_start) if service is not None else (0, 0)
-        bounds = ColdBounds(rate, length, place.cold_overage, place.cold_slack)
+        bounds = ColdBounds(rate, length, settings.cold_overage, settings.cold_slack)
         self._incarnations.use_bounds(bounds)
 
     def _note_evacuation(self) -> None:
@@ -190,11 +190,11 @@
         if self._evacuated:
             self._incarnations.refuse_waiting(_evacuated)
         else:
-            self._incarnations.forget_warmth()
+            self._incarnations.assume_cold()
 
     def after_suspension(self) -> None:
         """The back end may have turned cold, unseen by this node."""
-        self._incarnations.forget_warmth()
+        self._incarnations.assume_cold()
 
     def cold_starts(self) -> list[ColdStart]:
         """Return what is known of the back ends that take work (``WatchedBackend``)."""
@@ -208,7 +208,7 @@
             self.connections.drop(self.address)
         if self.origins is not None:
             beside = [item for item in machines.machines if item.gateway]
-            zone = self._place.zone
+            zone = self._settings.zone
             near = Counter(item.service for item in beside if item.zone == zone)
             self.origins.use_machines(near, len({item.service for item in beside}))
 
@@ -226,11 +226,11 @@
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve one request (ASGI entry point)."""
-        own = for_gateway_alone(scope["headers"])
+        own = gateway_only_header(scope["headers"])
         if own is not None:
-            await self._answer_own(send, *own)
+            await self._answer_gateway_request(send, *own)
             return
-        with self.requests.one():
+        with self.requests.count_one():
             await self._serve(scope, receive, send)
 
     def _note_crash(self, backend: str, broken: tuple[BrokenExchange, ...]) -> None:
@@ -248,8 +248,8 @@
         try:
             head = read_head(scope["headers"], NODE_EDGE)
             request = read_hop(scope["headers"])
-            if request.senseless_time:
-                self._metrics.note_senseless_time()
+            if request.invalid_stop_time:
+                self._metrics.note_invalid_stop_time()
             self._note_origin(request)
             await self._forward(scope, receive, send, head, request)
         except RequestFailedError as error:
@@ -273,15 +273,15 @@
         if request is None or self.origins is None:
             return []
         if self.origins.is_within(request.route, request.within):
-            self._metrics.note_within(request.route, admitted=False)
+            self._metrics.note_nested(request.route, admitted=False)
         return origin_headers(self.origins, request)
 
-    async def _answer_own(self, send: Send, name: bytes, value: bytes) -> None:
+    async def _answer_gateway_request(self, send: Send, name: bytes, value: bytes) -> None:
         """Do what another node asks of the gateway itself."""
         if name == WITHDRAW:
             await self.requests.withdraw_one(value.decode("latin-1"))
-        elif name == LEAVE_BY:
-            self._note_stopping_sender(value)
+        elif name == FINISH_BY:
+            self._handle_finish_by(value)
         elif self.leaving or self.requests.draining:
             error: NotRunError = DrainingError("the node beside the back end is stopping")
             await _refuse(send, error, RequestHead(), [])
@@ -296,17 +296,17 @@
         await send({"type": "http.response.start", "status": PROBE_ANSWERED, "headers": []})
         await send({"type": "http.response.body", "body": b""})
 
-    def _note_stopping_sender(self, value: bytes) -> None:
+    def _handle_finish_by(self, value: bytes) -> None:
         """A node that has sent requests stops: answer those before it has."""
-        seconds, ids = read_leave_by(value)
+        seconds, ids = parse_finish_by(value)
         if not ids:
-            self._metrics.note_senseless_time()
+            self._metrics.note_invalid_stop_time()
             return
         moment = self._clock() + seconds
-        named = [item for item in self.requests.under_way if item.request_id in ids]
+        named = [item for item in self.requests.active if item.request_id in ids]
         for request in named:
-            request.leave_by(moment)
-        self._log.sender_stops(seconds, len(ids), len(named))
+            request.finish_by(moment)
+        self._log.sender_stopping(seconds, len(ids), len(named))
 
     async def _is_backend_down(self) -> bool:
         """Ask for a back end that had ended whether it is back, so that no request need to."""
@@ -322,7 +322,7 @@
     ) -> None:
         incarnation = self._admit(request)
         now = self._clock()
-        deadline = deadline_of(now, head.deadline, LONGEST_TIME)
+        deadline = deadline_of(now, head.deadline, DEFAULT_TIMEOUT_SECONDS)
         forwarding = GatewayForwarding(
             self._context,
             incarnation.admission,
@@ -332,7 +332,7 @@
             head,
             request,
             deadline,
-            lambda: self._check_open(incarnation, request),
+            lambda: self._check_accepting(incarnation, request),
         )
         try:
             await forwarding.run()
@@ -354,40 +354,40 @@
 
     def _admit(self, request: HopRequest) -> Incarnation:
         incarnation = self._incarnations.get(request.backend)
-        if self.requests.draining or not self._ends_in_time(incarnation, request):
-            raise _not_offered(DrainingError("the node beside the back end is stopping"))
-        self._check_open(incarnation, request)
+        if self.requests.draining or not self._fits_before_stop(incarnation, request):
+            raise _mark_not_offered(DrainingError("the node beside the back end is stopping"))
+        self._check_accepting(incarnation, request)
         return incarnation
 
-    def _check_open(self, incarnation: Incarnation, request: HopRequest) -> None:
+    def _check_accepting(self, incarnation: Incarnation, request: HopRequest) -> None:
         """Raise why a back end is given no more requests, where that is so."""
         if not incarnation.takes_work:
             raise incarnation.gone(request.started_at)
         if self._evacuated:
             raise _evacuated()
 
-    def _ends_in_time(self, incarnation: Incarnation, request: HopRequest) -> bool:
+    def _fits_before_stop(self, incarnation: Incarnation, request: HopRequest) -> bool:
         """Tell whether the request will most likely have ended when the node stops."""
         needed = incarnation.admission.expected_time(request.route) or request.objective
         if self._context.pacer is not None:
             needed += self._context.pacer.answer_time(request.route, request.rank)
-        return self._clock() + needed * STOP_MARGIN < self._stops_at
+        return self._clock() + needed * STOP_TIME_FACTOR < self._stops_at
 
 
-def _pacer_of(
-    clock: Callable[[], float], place: GatewaySettings, policies: Policies
+def _make_pacer(
+    clock: Callable[[], float], settings: GatewaySettings, policies: Policies
 ) -> LinkPacer | None:
     """Return what paces long answers; ``None`` where they leave at once."""
-    if policies.long_bodies is not LongBodies.IN_TURNS or not place.link_mbps:
+    if policies.long_bodies is not LongBodies.IN_TURNS or not settings.link_mbps:
         return None
-    return LinkPacer(clock, LinkShare(place.link_mbps))
+    return LinkPacer(clock, LinkShare(settings.link_mbps))
 
 
 def _evacuated() -> ZoneEvacuatedError:
     return ZoneEvacuatedError("the zone is evacuated")
 
 
-def _not_offered(error: RequestFailedError) -> RequestFailedError:
+def _mark_not_offered(error: RequestFailedError) -> RequestFailedError:
     error.offered = False
     return error
 
--- a/src/pewtertack/node/gateway/cold_watch.py
+++ b/src/pewtertack/node/gateway/cold_watch.py
@@ -23,9 +23,9 @@
 
 logger = logging.getLogger(__name__)
 
-LOOK_SECONDS = 0.1
+CHECK_SECONDS = 0.1
 """Between two looks whether a question is due."""
-LOOK_UNBOUNDED_SECONDS = 1.0
+UNBOUNDED_CHECK_SECONDS = 1.0
 """The same while its service bounds nothing."""
 ANSWER_SECONDS = 0.4
 TIMEOUTS = ServiceTimeouts(ANSWER_SECONDS, ANSWER_SECONDS, ANSWER_SECONDS)
@@ -70,24 +70,24 @@
             while self._header:
                 service = self._backend.service
                 if service is not None and service.cold_rate <= 0:
-                    await asyncio.sleep(LOOK_UNBOUNDED_SECONDS)
+                    await asyncio.sleep(UNBOUNDED_CHECK_SECONDS)
                     continue
                 if service is not None:
-                    await self._ask_due(service.health_path)
-                await asyncio.sleep(LOOK_SECONDS)
+                    await self._query_due(service.health_path)
+                await asyncio.sleep(CHECK_SECONDS)
         finally:
             if self._client is not None:
                 self._client.close()
 
-    async def _ask_due(self, path: str) -> None:
+    async def _query_due(self, path: str) -> None:
         for cold in self._backend.cold_starts():
             if cold.asks(self._clock()):
-                await self._ask(cold, path)
+                await self._query(cold, path)
 
-    async def _ask(self, cold: ColdStart, path: str) -> None:
+    async def _query(self, cold: ColdStart, path: str) -> None:
         """Learn what the health answer says; one that says nothing changes nothing."""
         client = self._client_for(self._backend.address)
-        asked_at = self._clock()
+        sent_at = self._clock()
         try:
             answer = await client.get(path, TIMEOUTS)
         except (ServiceUnreachableError, AnswerTooLargeError) as error:
@@ -95,7 +95,7 @@
             return  # it is asked again; meanwhile what was known holds
         remaining = self._remaining_of(answer)
         if remaining is not None:
-            cold.learn(asked_at, self._clock(), remaining)
+            cold.learn(sent_at, self._clock(), remaining)
 
     def _client_for(self, address: str) -> HttpClient:
         """Return a client that keeps its connection from one question to the next."""
--- a/src/pewtertack/node/gateway/context.py
+++ b/src/pewtertack/node/gateway/context.py
@@ -10,9 +10,9 @@
 from pewtertack.node.crash_watch import CrashWatch
 from pewtertack.node.gateway.metrics import GatewayMetrics
 from pewtertack.node.gateway.reception import BodyReception
-from pewtertack.node.gateway.sending import HeldBytes
+from pewtertack.node.gateway.sending import BufferedBytes
 from pewtertack.node.pacing import LinkPacer
-from pewtertack.node.proxy.body import KeptBodies
+from pewtertack.node.proxy.body import BufferedBodies
 from pewtertack.node.proxy.edge import EdgeHeaders
 from pewtertack.node.proxy.in_flight import RequestsInFlight
 from pewtertack.node.proxy.request_log import GatewayLog
@@ -41,5 +41,5 @@
     reception: BodyReception = msgspec.field(default_factory=BodyReception)
     pacer: LinkPacer | None = None
     """``None`` where long answers leave at once."""
-    held: HeldBytes = msgspec.field(default_factory=HeldBytes)
-    bodies: KeptBodies = msgspec.field(default_factory=KeptBodies)
+    held: BufferedBytes = msgspec.field(default_factory=BufferedBytes)
+    bodies: BufferedBodies = msgspec.field(default_factory=BufferedBodies)
--- a/src/pewtertack/node/gateway/forwarding.py
+++ b/src/pewtertack/node/gateway/forwarding.py
@@ -34,7 +34,7 @@
     without_names,
 )
 from pewtertack.node.proxy.in_flight import Progress
-from pewtertack.node.proxy.lifetime import LifeEnd, RequestLife, end_error
+from pewtertack.node.proxy.lifetime import LifetimeEnd, RequestLifetime, end_error
 from pewtertack.routing.admission import Admission
 from pewtertack.routing.outcomes import (
     BackendFailedError,
@@ -47,16 +47,16 @@
 )
 from pewtertack.routing.places import AdmissionTicket
 
-REFUSED_BEFORE = 0.5
+REFUSAL_LEAD_SECONDS = 0.5
 """So long before the sender's node carries answers no longer, what has not begun is refused: as
 that node asks for by itself, whose word may come late or not at all."""
 CONNECT_SECONDS = 0.25
 """For a connection to the back end, which is on the same machine."""
-NOTICED_DELAY = 0.02
+MIN_READ_DELAY_SECONDS = 0.02
 """Seconds. In an answer that took less, the system's coarse times tell no delay of this node."""
 
 
-def _always_open() -> None:
+def _accept_all() -> None:
     """Let all go on to the back end."""
 
 
@@ -73,10 +73,10 @@
         head: RequestHead,
         request: HopRequest,
         deadline: float,
-        check_open: Callable[[], None] = _always_open,
+        check_accepting: Callable[[], None] = _accept_all,
     ) -> None:
         self._context = context
-        self._check_open = check_open
+        self._check_accepting = check_accepting
         """Raises why the back end is given nothing more, where it is not."""
         self._admission = admission
         self._request = request
@@ -86,10 +86,10 @@
         self._has_body = head.has_body
         self._body = RequestBody(receive, head.has_body, context.bodies)
         content = RequestContent(scope, self._headers, self._body)
-        self._suspicion = CrashGuard(content, context.reporter, context.crashes)
+        self._crash_guard = CrashGuard(content, context.reporter, context.crashes)
         self._body_on_demand = head.expects_continue
         self._caller: Caller = scope["extensions"][CALLER]
-        self._life = RequestLife(scope, deadline, context.clock)
+        self._lifetime = RequestLifetime(scope, deadline, context.clock)
         now = context.clock()
         self._ticket = AdmissionTicket(
             request.route,
@@ -100,8 +100,8 @@
             context.origins is not None
             and context.origins.is_within(request.route, request.within),
         )
-        gone_at = now + request.gone_in
-        self._link = LinkCheck(context.pacer, admission, self._ticket, gone_at)
+        sender_stops_at = now + request.sender_stops_in
+        self._link_check = LinkCheck(context.pacer, admission, self._ticket, sender_stops_at)
         self._sender: AnswerSender | None = None
         if context.pacer is not None:
             self._sender = AnswerSender(
@@ -109,11 +109,11 @@
                 context.pacer,
                 context.held,
                 self._ticket,
-                request.holds_back,
-                request.only_here,
+                request.buffers_start,
+                request.no_alternative,
             )
-            if self.sender_stops:
-                self._sender.leave_by(gone_at)
+            if self.sender_stopping:
+                self._sender.finish_by(sender_stops_at)
         self._exchange = Exchange(
             scope,
             self._sender or send,
@@ -124,14 +124,14 @@
             self._answer_headers,
         )
         self._connection: BackendConnection | None = None
-        self._delay = 0.0
+        self._read_delay = 0.0
         """For how long the answer lay unread, since this node was held up."""
-        self._sent = False
-        self._receiving: asyncio.Future[None] | None = None
+        self._may_have_run = False
+        self._body_task: asyncio.Future[None] | None = None
         """What receives the body, while the request may not go on without it."""
-        self._taken_back: NotRunError | None = None
+        self._pending_refusal: NotRunError | None = None
         """Why a request that had its slot is refused before its body has come."""
-        self._end_timer: asyncio.TimerHandle | None = None
+        self._sender_end_timer: asyncio.TimerHandle | None = None
         """Until the sender's end is near, where it stops."""
 
     @property
@@ -147,61 +147,63 @@
             TruncatedAnswerError: its answer broke off; the connection must be cut.
             CallerGoneError: the other node has given it up.
         """
-        if self._request.gone_in < math.inf:
-            self._expect_end()
+        if self._request.sender_stops_in < math.inf:
+            self._schedule_sender_end()
         try:
-            with self._context.requests.serving(self):
-                end = await self._life.run(self._admit_and_exchange)
+            with self._context.requests.track(self):
+                end = await self._lifetime.run(self._admit_and_exchange)
         finally:
-            self._exchange.forget_owner()
+            self._exchange.drop_callbacks()
             if self._has_body:
-                self._body.forget()
+                self._body.release()
             if self._sender is not None:
-                self._sender.forget()
-            if self._end_timer is not None:
-                self._end_timer.cancel()
-        if end is LifeEnd.FINISHED:
+                self._sender.close()
+            if self._sender_end_timer is not None:
+                self._sender_end_timer.cancel()
+        if end is LifetimeEnd.FINISHED:
             return
-        if end is LifeEnd.CALLER_GONE:
+        if end is LifetimeEnd.CALLER_GONE:
             self._note_cancelled()
             raise CallerGoneError
         if self._exchange.started:
             raise TruncatedAnswerError("the time was over during the answer")
         error = end_error(end)
-        error.offered = self._sent
-        raise error.with_outcome(Outcome.UNKNOWN if self._sent else Outcome.NOT_RUN)
+        error.offered = self._may_have_run
+        raise error.with_outcome(Outcome.UNKNOWN if self._may_have_run else Outcome.NOT_RUN)
 
     def _note_cancelled(self) -> None:
         hung = self._ticket.hung
-        self._context.log.cancelled(self.request_id, self._request.backend, self._sent, hung)
+        self._context.log.cancelled(
+            self.request_id, self._request.backend, self._may_have_run, hung
+        )
         if hung:
-            self._context.metrics.note_refused(BackendHungError.code, self._sent)
+            self._context.metrics.note_refused(BackendHungError.code, self._may_have_run)
 
     @property
-    def sender_stops(self) -> bool:
+    def sender_stopping(self) -> bool:
         """Whether the node that sent the request has been told to stop."""
-        return self._link.sender_stops
+        return self._link_check.sender_stopping
 
     @property
     def gateway(self) -> str:
         """This node is the gateway (``RequestUnderWay``)."""
         return ""
 
-    def leave_by(self, moment: float) -> None:
+    def finish_by(self, moment: float) -> None:
         """Answer before that moment, at which the node that sent the request has stopped."""
-        self._link.leave_by(moment)
+        self._link_check.finish_by(moment)
         if self._sender is not None:
-            self._sender.leave_by(self._link.gone_at)
-        self._expect_end()
+            self._sender.finish_by(self._link_check.sender_stops_at)
+        self._schedule_sender_end()
 
-    def _expect_end(self) -> None:
+    def _schedule_sender_end(self) -> None:
         """See to it that what has not begun is refused before the sender's node ends."""
-        if self._end_timer is not None:
-            self._end_timer.cancel()
-        left = self._link.gone_at - REFUSED_BEFORE - self._context.clock()
+        if self._sender_end_timer is not None:
+            self._sender_end_timer.cancel()
+        left = self._link_check.sender_stops_at - REFUSAL_LEAD_SECONDS - self._context.clock()
         refusal = WithdrawnError("the node that sent the request is stopping")
         loop = asyncio.get_running_loop()
-        self._end_timer = loop.call_later(max(0.0, left), self._take_back, refusal)
+        self._sender_end_timer = loop.call_later(max(0.0, left), self._refuse_unstarted, refusal)
 
     @property
     def progress(self) -> Progress:
@@ -216,19 +218,19 @@
             refusal: NotRunError = DrainingError("the node beside the back end is stopping")
         else:
             refusal = WithdrawnError("the node that sent the request is stopping")
-        self._take_back(refusal)
+        self._refuse_unstarted(refusal)
 
-    def _take_back(self, refusal: NotRunError) -> None:
+    def _refuse_unstarted(self, refusal: NotRunError) -> None:
         """Refuse the request unless it goes to its back end, or has gone."""
         self._admission.refuse(self._ticket, refusal)
         # What has its slot has not run as long as its body comes, which may take seconds.
-        if self._ticket.granted and self._receiving is not None and not self._receiving.done():
-            self._taken_back = refusal
-            self._receiving.cancel()
+        if self._ticket.granted and self._body_task is not None and not self._body_task.done():
+            self._pending_refusal = refusal
+            self._body_task.cancel()
 
     def stop(self) -> None:
         """End the request now (``RequestUnderWay``)."""
-        self._life.stop()
+        self._lifetime.stop()
 
     def log_unfinished(self) -> None:
         """Log how far it has come (``RequestUnderWay``)."""
@@ -242,13 +244,13 @@
             await self._wait_for_slot()
         try:
             await self._exchange_admitted()
-            if self._sender is not None and self._sender.sends:
-                await self._wait_for_link(self._sender)
+            if self._sender is not None and self._sender.is_sending:
+                await self._wait_until_sent(self._sender)
         except LinkEndsError as error:
-            self._context.log.gave_back(self.request_id, self._request.backend)
+            self._context.log.handed_back(self.request_id, self._request.backend)
             raise TruncatedAnswerError(str(error)) from error
 
-    async def _wait_for_link(self, sender: AnswerSender) -> None:
+    async def _wait_until_sent(self, sender: AnswerSender) -> None:
         began = self._context.clock()
         await sender.finish()
         seconds = self._context.clock() - began
@@ -259,34 +261,34 @@
         """Receive the body in its turn, which may come before the slot or after."""
         reception = self._context.reception
         self._submit()
-        receiving = asyncio.ensure_future(reception.receive(self._ticket, self._body.read_ahead))
-        receiving.add_done_callback(_take_note)
-        self._receiving = receiving
+        body_task = asyncio.ensure_future(reception.receive(self._ticket, self._body.read_ahead))
+        body_task.add_done_callback(_consume_exception)
+        self._body_task = body_task
         try:
             await self._wait_until_granted()
-            reception.start_next()
-            await self._wait_for_body(receiving)
+            reception.start_waiters()
+            await self._wait_for_body(body_task)
         finally:
-            receiving.cancel()
-            self._receiving = None  # may refer to what refers to this object
-            reception.forget(self._ticket)
+            body_task.cancel()
+            self._body_task = None  # may refer to what refers to this object
+            reception.release(self._ticket)
 
-    async def _wait_for_body(self, receiving: asyncio.Future[None]) -> None:
+    async def _wait_for_body(self, body_task: asyncio.Future[None]) -> None:
         try:
-            await receiving
-            self._check_open()  # what was said while it came ended the waiting of others alone
+            await body_task
+            self._check_accepting()  # what was said while it came ended the waiting of others alone
         except asyncio.CancelledError:
-            self._give_slot_back()
-            taken_back, self._taken_back = self._taken_back, None
+            self._release_slot()
+            taken_back, self._pending_refusal = self._pending_refusal, None
             if taken_back is None:
                 raise
             taken_back.offered = False
             raise taken_back from None
         except BaseException:
-            self._give_slot_back()
+            self._release_slot()
             raise
 
-    def _give_slot_back(self) -> None:
+    def _release_slot(self) -> None:
         """Nothing has run: how long the body took tells nothing of the back end's time."""
         self._ticket.started_at = self._context.clock()
         self._admission.finish(self._ticket, self._ticket.started_at, answered=False)
@@ -297,19 +299,19 @@
         metrics, route = self._context.metrics, self._request.route
         metrics.note_admitted(route, self._ticket.queued)
         if self._ticket.within:
-            metrics.note_within(route, admitted=True)
+            metrics.note_nested(route, admitted=True)
         answered = False
         self._context.runs.begin(route, self._ticket.rank)
         try:
             await self._attempt()
             answered = True
-            self._suspicion.note_answered(self.status)
+            self._crash_guard.note_answered(self.status)
             metrics.note_answered(route, self._context.clock() - self._ticket.started_at)
             log.answered(request, self._request.backend, self.status, self._ticket)
         finally:
             now = self._context.clock()
             self._context.runs.end(route, self._ticket.rank, now - self._ticket.started_at)
-            self._admission.finish(self._ticket, now, answered, self._delay)
+            self._admission.finish(self._ticket, now, answered, self._read_delay)
 
     async def _wait_for_slot(self) -> None:
         self._submit()
@@ -319,11 +321,11 @@
         ticket, now = self._ticket, self._context.clock()
         if not ticket.within and self._context.in_vain(ticket.route, now):
             ticket.lateness = ticket.lateness.yielding
-            self._context.metrics.note_in_vain(ticket.route)
+            self._context.metrics.note_deferred(ticket.route)
         try:
-            self._link.check(now)
+            self._link_check.check(now)
             if self._sender is not None:
-                self._sender.promise()
+                self._sender.reserve()
             self._admission.submit(ticket, now)
         except RequestFailedError as error:
             error.offered = False
@@ -338,46 +340,48 @@
 
     async def _attempt(self) -> None:
         if self._context.pacer is not None:
-            self._link.check_slot()
+            self._link_check.check_before_run()
         # Others may have come to know what it does while it waited here.
-        await self._suspicion.refuse_held(self._request.crash_limit, self._context.clock())
+        await self._crash_guard.refuse_if_held(self._request.crash_limit, self._context.clock())
         connections = self._context.connections
-        connection = await connections.take(self._context.address, CONNECT_SECONDS)
+        connection = await connections.acquire(self._context.address, CONNECT_SECONDS)
         self._connection = connection
         try:
-            await self._unless_hung(
+            await self._run_with_hang_checks(
                 self._exchange.run(connection, self._backend_headers(), self._context.edge),
                 connection,
             )
         except (BackendFailedError, TruncatedAnswerError) as error:
             if connection.sent:
-                self._sent = True  # the look for its end may be cut short
+                self._may_have_run = True  # the look for its end may be cut short
                 backend, address = self._request.backend, self._context.address
-                await self._suspicion.look_for_end(self.request_id, backend, address, error)
+                await self._crash_guard.check_for_crash(self.request_id, backend, address, error)
             raise
         except anyio.get_cancelled_exc_class():
-            self._sent = self._sent or connection.sent
+            self._may_have_run = self._may_have_run or connection.sent
             raise
         finally:
             self._connection = None
-            connections.give_back(connection)
+            connections.release(connection)
 
     def _note_answer(self, answer: AnswerHead) -> None:
         took = self._context.clock() - self._ticket.started_at
-        if took >= NOTICED_DELAY and self._connection is not None:
-            self._delay = self._connection.seconds_since_received()
+        if took >= MIN_READ_DELAY_SECONDS and self._connection is not None:
+            self._read_delay = self._connection.seconds_since_received()
 
-    async def _unless_hung(self, work: Awaitable[None], connection: BackendConnection) -> None:
+    async def _run_with_hang_checks(
+        self, work: Awaitable[None], connection: BackendConnection
+    ) -> None:
         """Do the work; tell the sender when it hangs, if the request may be sent elsewhere."""
         hangs = self._admission.hangs
         if hangs is None or not self._request.elsewhere:
             await work
             return
         clock = self._context.clock
-        looks = HangChecks(hangs, self._ticket, clock, connection.look, self._doubt)
-        await looks.over(work)
+        checks = HangChecks(hangs, self._ticket, clock, connection.look, self._report_hang)
+        await checks.run(work)
 
-    def _doubt(self) -> None:
+    def _report_hang(self) -> None:
         """Have the request given up, unless a stop of this node would then break off its run."""
         if not self._context.requests.leaving:
             self._caller.doubt(load_headers(self._admission, self._context.clock()))
@@ -404,7 +408,7 @@
         return headers
 
 
-def _take_note(receiving: asyncio.Future[None]) -> None:
+def _consume_exception(body_task: asyncio.Future[None]) -> None:
     """See the end of a body whose request was refused: what it raises concerns nobody."""
-    if not receiving.cancelled():
-        receiving.exception()
+    if not body_task.cancelled():
+        body_task.exception()
--- a/src/pewtertack/node/gateway/hang_checks.py
+++ b/src/pewtertack/node/gateway/hang_checks.py
@@ -13,7 +13,7 @@
 from pewtertack.routing.hanging import HangWatch
 from pewtertack.routing.places import AdmissionTicket
 
-TELL_AGAIN = 0.25
+REPORT_INTERVAL_SECONDS = 0.25
 """Seconds between two tellings: a sender that lacks a retry may have one by then."""
 
 
@@ -28,7 +28,7 @@
         tell: tells the sender, which may give the request up.
     """
 
-    __slots__ = ("_clock", "_hangs", "_is_answering", "_tell", "_ticket", "_timer")
+    __slots__ = ("_clock", "_hangs", "_is_answering", "_report", "_ticket", "_timer")
 
     def __init__(
         self,
@@ -36,16 +36,16 @@
         ticket: AdmissionTicket,
         clock: Callable[[], float],
         is_answering: Callable[[], bool],
-        tell: Callable[[], None],
+        report: Callable[[], None],
     ) -> None:
         self._hangs = hangs
         self._ticket = ticket
         self._clock = clock
         self._is_answering = is_answering
-        self._tell = tell
+        self._report = report
         self._timer: asyncio.TimerHandle | None = None
 
-    async def over(self, work: Awaitable[None]) -> None:
+    async def run(self, work: Awaitable[None]) -> None:
         """Do the work, and look whether it hangs while it lasts."""
         self._arm(self._hangs.first_look(self._ticket))
         try:
@@ -63,7 +63,7 @@
             return
         if self._hangs.hangs(self._ticket, self._clock()):
             self._ticket.hung = True
-            self._tell()
-            self._arm(max(TELL_AGAIN, self._hangs.next_look(self._ticket)))
+            self._report()
+            self._arm(max(REPORT_INTERVAL_SECONDS, self._hangs.next_look(self._ticket)))
         else:
             self._arm(self._hangs.next_look(self._ticket))
--- a/src/pewtertack/node/gateway/hop.py
+++ b/src/pewtertack/node/gateway/hop.py
@@ -46,7 +46,7 @@
 CALLER_SERVICE = b"x-pewtertack-caller-service"
 CRASH_LIMIT = b"x-pewtertack-crash-limit"
 """The route's ``crash_limit``, where it is not the usual one."""
-ELSEWHERE = b"x-pewtertack-elsewhere"
+REPORT_HANGS = b"x-pewtertack-elsewhere"
 """There when the request may be sent to another back end should this one hang on it: the sender
 wants to be told (``102 Processing``), and then decides anew."""
 NESTED = b"x-pewtertack-within"
@@ -55,12 +55,12 @@
 INCARNATION = b"x-pewtertack-life"
 """``Machine.started_at`` of the back end as the proxy knows it, where the platform tells it. A
 gateway that knows only a life before must not say of this one that it has left."""
-GONE_IN = b"x-pewtertack-gone-in-ms"
+SENDER_STOPS_IN = b"x-pewtertack-gone-in-ms"
 """There when the proxy's node stops: in how many milliseconds it will carry answers no longer."""
-HOLDS_BACK = b"x-pewtertack-holds-back"
+BUFFERS_START = b"x-pewtertack-holds-back"
 """There when the proxy holds the beginning of a long answer back (``Exchange.holds_back``): should
 it break off there, it asks another gateway, or its caller is told so; it is not cut."""
-ONLY_HERE = b"x-pewtertack-only-here"
+NO_ALTERNATIVE = b"x-pewtertack-only-here"
 """There beside it when the proxy would not ask another gateway for the answer: no other back end
 may take the request, its body can't be sent again, or it has no retry left. Then it is not given
 back for this node's own stop, at whose end the system is given what the link has not carried."""
@@ -83,25 +83,25 @@
 """In a request that is for the gateway alone: the id of one of the sender's requests, to be
 refused if it still waits. The refusal answers that request itself."""
 
-LEAVE_BY = b"x-pewtertack-leave-by"
+FINISH_BY = b"x-pewtertack-leave-by"
 """In a request that is for the gateway alone: milliseconds and ids. The sender's node
 stops, and carries answers to these of its requests for so much longer."""
-MOST_IDS = 100
+MAX_IDS = 100
 """Requests named in one such word; more are told in several."""
 
 ID_SEPARATOR = "\t"
 """Between time and ids of such a word; an id may have spaces, and nothing that is not printable."""
 
-GATEWAY_NAMES = frozenset({PROBE, WITHDRAW, LEAVE_BY})
+GATEWAY_NAMES = frozenset({PROBE, WITHDRAW, FINISH_BY})
 """Headers that make a request one for the gateway; only nodes send them."""
 NEEDED_NAMES = frozenset({BACKEND, SERVICE, ROUTE, RANK, OBJECTIVE, WAIT_POLICY, CALLER_SERVICE})
 REQUEST_NAMES = NEEDED_NAMES | {
     CRASH_LIMIT,
-    ELSEWHERE,
-    GONE_IN,
-    HOLDS_BACK,
+    REPORT_HANGS,
+    SENDER_STOPS_IN,
+    BUFFERS_START,
     INCARNATION,
-    ONLY_HERE,
+    NO_ALTERNATIVE,
     NESTED,
 }
 ANSWER_NAMES = frozenset({FAILURE, QUEUED, ORIGIN, LINK})
@@ -110,7 +110,7 @@
 PROBE_ANSWERED = 204
 """Answers what is for the gateway alone."""
 WAIT_POLICIES = {item.value: item for item in Lateness}
-LONGEST_TEXT = 256
+MAX_HEADER_LENGTH = 256
 _CLASS_RANKS = {work_class: rank for rank, work_class in enumerate(WorkClass)}
 
 
@@ -131,13 +131,13 @@
     """It may be sent to another back end should this one hang on it."""
     within: bool = False
     """The proxy takes it for one that a back end makes while it runs another request."""
-    gone_in: float = math.inf
+    sender_stops_in: float = math.inf
     """In how many seconds the proxy's node will carry its answer no longer."""
-    holds_back: bool = False
+    buffers_start: bool = False
     """Its answer may break off until the proxy passes its beginning on."""
-    only_here: bool = False
+    no_alternative: bool = False
     """Should its answer break off, it would not be had from another gateway."""
-    senseless_time: bool = False
+    invalid_stop_time: bool = False
     """``GONE_IN`` made no sense and is taken as not there."""
 
 
@@ -180,13 +180,15 @@
     """
     found = {name: value.decode("latin-1") for name, value in headers if name in REQUEST_NAMES}
     # ``map`` of built-in functions makes no calls of Python's own; a request has 15 headers here.
-    if not found.keys() >= NEEDED_NAMES or max(map(len, found.values())) > LONGEST_TEXT:
+    if not found.keys() >= NEEDED_NAMES or max(map(len, found.values())) > MAX_HEADER_LENGTH:
         raise InvalidRequestError("the request does not come from a node of the fleet")
     work_class, _, priority = found[RANK].partition(".")
     objective = found[OBJECTIVE]
     crash_limit = found.get(CRASH_LIMIT, str(DEFAULT_CRASH_LIMIT))
     life = found.get(INCARNATION, "0")
-    gone_in = _gone_in(found[GONE_IN]) if GONE_IN in found else math.inf
+    sender_stops_in = (
+        _parse_milliseconds_left(found[SENDER_STOPS_IN]) if SENDER_STOPS_IN in found else math.inf
+    )
     numbers = (work_class, priority, objective, crash_limit, life)
     if not all(map(str.isdecimal, numbers)):
         raise InvalidRequestError("the request's rank, objective or limit is no number")
@@ -203,28 +205,28 @@
         caller_service=found[CALLER_SERVICE],
         crash_limit=int(crash_limit),
         started_at=int(life),
-        elsewhere=ELSEWHERE in found,
+        elsewhere=REPORT_HANGS in found,
         within=NESTED in found,
-        gone_in=gone_in,
-        holds_back=HOLDS_BACK in found,
-        only_here=ONLY_HERE in found,
-        senseless_time=GONE_IN in found and gone_in == math.inf,
+        sender_stops_in=sender_stops_in,
+        buffers_start=BUFFERS_START in found,
+        no_alternative=NO_ALTERNATIVE in found,
+        invalid_stop_time=SENDER_STOPS_IN in found and sender_stops_in == math.inf,
     )
 
 
-def gone_in_text(seconds: float) -> str:
+def format_milliseconds_left(seconds: float) -> str:
     """Return ``GONE_IN``'s value; at least 1, as 0 makes no sense and would count as no word."""
     return str(max(1, int(seconds * 1000)))
 
 
-def _gone_in(text: str) -> float:
+def _parse_milliseconds_left(text: str) -> float:
     """Return the seconds of ``GONE_IN``; infinite where it makes no sense."""
     if not text.isdecimal() or int(text) == 0:
         return math.inf
     return int(text) / 1000
 
 
-def for_gateway_alone(headers: Headers) -> tuple[bytes, bytes] | None:
+def gateway_only_header(headers: Headers) -> tuple[bytes, bytes] | None:
     """Return the header that makes a request one for the gateway, not for its back end."""
     for item in headers:
         if item[0] in GATEWAY_NAMES:
@@ -238,22 +240,22 @@
     return OutgoingRequest(b"GET", b"/", headers)
 
 
-def leave_by_groups(ids: Sequence[str]) -> list[Sequence[str]]:
+def group_request_ids(ids: Sequence[str]) -> list[Sequence[str]]:
     """Return the ids in as many groups as there are words needed to name them."""
-    return [ids[start : start + MOST_IDS] for start in range(0, len(ids), MOST_IDS)]
+    return [ids[start : start + MAX_IDS] for start in range(0, len(ids), MAX_IDS)]
 
 
-def leave_by_word(gateway: str, seconds: float, ids: Sequence[str]) -> OutgoingRequest:
+def finish_by_request(gateway: str, seconds: float, ids: Sequence[str]) -> OutgoingRequest:
     """Return the request that tells a gateway until when answers to ``ids`` are carried."""
-    text = ID_SEPARATOR.join([gone_in_text(seconds), *ids])
-    headers = [(b"host", gateway.encode()), (LEAVE_BY, text.encode("latin-1"))]
+    text = ID_SEPARATOR.join([format_milliseconds_left(seconds), *ids])
+    headers = [(b"host", gateway.encode()), (FINISH_BY, text.encode("latin-1"))]
     return OutgoingRequest(b"GET", b"/", headers)
 
 
-def read_leave_by(value: bytes) -> tuple[float, frozenset[str]]:
+def parse_finish_by(value: bytes) -> tuple[float, frozenset[str]]:
     """Return the seconds and the ids of such a word; infinite and none if it makes no sense."""
     milliseconds, *ids = value.decode("latin-1").split(ID_SEPARATOR)
-    seconds = _gone_in(milliseconds)
+    seconds = _parse_milliseconds_left(milliseconds)
     return seconds, frozenset(ids) if seconds < math.inf else frozenset()
 
 
--- a/src/pewtertack/node/gateway/incarnations.py
+++ b/src/pewtertack/node/gateway/incarnations.py
@@ -19,7 +19,7 @@
 
 DEFAULT_SLOTS = 6
 """Slots of a back end of which the machine list does not tell them yet."""
-NAMES_KEPT = 256
+MAX_UNLISTED_NAMES = 256
 """Back ends that the newest list does not name and of which something is known. Senders may ask
 for any name: without a bound each would take memory for good."""
 
@@ -47,7 +47,7 @@
         return self.listed and not self.leaving
 
     @property
-    def may_be_forgotten(self) -> bool:
+    def evictable(self) -> bool:
         """Whether the newest list lacks it and nobody's request is here for it."""
         return not (self.told and self.listed) and self.admission.is_idle
 
@@ -62,11 +62,11 @@
         Of a life that began later, at ``wanted``, it says nothing for good. Nor does a list that
         lacks it: its entry goes while its heartbeats do not reach the store, and comes back then.
         """
-        error = self._kind_of_end(wanted)("the back end is leaving or gone")
+        error = self._refusal_type(wanted)("the back end is leaving or gone")
         error.offered = False
         return error
 
-    def _kind_of_end(self, wanted: int) -> type[NotRunError]:
+    def _refusal_type(self, wanted: int) -> type[NotRunError]:
         of_later_life = 0 < self.started_at < wanted
         if self.leaving and not of_later_life:
             return BackendLeftError
@@ -100,22 +100,22 @@
         if found is not None and not found.told:
             self._known[name] = self._known.pop(name)  # the last asked for is forgotten last
         if found is None:
-            self._forget_some()
+            self._evict_idle()
             cold = ColdStart(DEFAULT_SLOTS, self._clock(), self._bounds)
             found = self._known[name] = Incarnation(
                 Admission(DEFAULT_SLOTS, cold, self._policies), cold
             )
         return found
 
-    def _forget_some(self) -> None:
+    def _evict_idle(self) -> None:
         """Forget whom no list names beyond those kept: first the one least lately asked for that
         no list has ever named.
         """
-        if len(self._known) < NAMES_KEPT:
+        if len(self._known) < MAX_UNLISTED_NAMES:
             return
-        idle = [name for name, item in self._known.items() if item.may_be_forgotten]
+        idle = [name for name, item in self._known.items() if item.evictable]
         idle.sort(key=lambda name: self._known[name].told)
-        for name in idle[: max(0, len(idle) + 1 - NAMES_KEPT)]:
+        for name in idle[: max(0, len(idle) + 1 - MAX_UNLISTED_NAMES)]:
             del self._known[name]
 
     def apply_machine_list(self, listed: Mapping[str, Machine]) -> bool:
@@ -124,7 +124,7 @@
         Return whether one of them has started again. What is said late of the life before
         changes nothing.
         """
-        restarted = [name for name, machine in listed.items() if self._end_life_before(machine)]
+        restarted = [name for name, machine in listed.items() if self._retire_previous(machine)]
         for name, incarnation in self._known.items():
             if name not in listed:
                 incarnation.listed = False
@@ -134,7 +134,7 @@
             incarnation.hand_back_waiting()
         return bool(restarted)
 
-    def _end_life_before(self, machine: Machine) -> bool:
+    def _retire_previous(self, machine: Machine) -> bool:
         """Forget a life that has ended: what waits is handed back, what runs there ends itself."""
         known = self._known.get(machine.name)
         if known is None or not machine.is_of_life_after(known.started_at):
@@ -167,7 +167,7 @@
         for incarnation in self._known.values():
             incarnation.cold.use_bounds(bounds, now)
 
-    def forget_warmth(self) -> None:
+    def assume_cold(self) -> None:
         """Take all for cold until they say otherwise."""
         now = self._clock()
         for incarnation in self._known.values():
--- a/src/pewtertack/node/gateway/link_check.py
+++ b/src/pewtertack/node/gateway/link_check.py
@@ -14,7 +14,7 @@
 from pewtertack.routing.outcomes import DeadlineUnmeetableError, DrainingError
 from pewtertack.routing.places import AdmissionTicket
 
-LONGER_AHEAD = 1.5
+QUEUE_TIME_MARGIN = 1.5
 """What stands before an answer on a link may take so many times as long as reckoned: lengths
 differ, and what is short isn't foreseen."""
 
@@ -29,32 +29,32 @@
         gone_at: when the node that sent the request carries its answer no longer.
     """
 
-    __slots__ = ("_admission", "_pacer", "_ticket", "gone_at")
+    __slots__ = ("_admission", "_pacer", "_ticket", "sender_stops_at")
 
     def __init__(
         self,
         pacer: LinkPacer | None,
         admission: Admission,
         ticket: AdmissionTicket,
-        gone_at: float = math.inf,
+        sender_stops_at: float = math.inf,
     ) -> None:
         self._pacer = pacer
         self._admission = admission
         self._ticket = ticket
-        self.gone_at = gone_at
+        self.sender_stops_at = sender_stops_at
 
     @property
-    def sender_stops(self) -> bool:
+    def sender_stopping(self) -> bool:
         """Whether the node that sent the request has been told to stop."""
-        return self.gone_at < math.inf
+        return self.sender_stops_at < math.inf
 
     @property
     def rank(self) -> Rank:
         """The answer's rank on the link."""
-        return RECEIVER_STOPS if self.sender_stops else self._ticket.rank
+        return RECEIVER_STOPS if self.sender_stopping else self._ticket.rank
 
     @property
-    def _own_time(self) -> float:
+    def _transfer_seconds(self) -> float:
         """Seconds that the answer takes the link alone; 0 where it is short or not known."""
         return self._pacer.share.own_time(self._ticket.route) if self._pacer is not None else 0.0
 
@@ -68,14 +68,14 @@
         Raises:
             DeadlineUnmeetableError: its long answer would leave too late.
         """
-        if self._pacer is None and self.gone_at == math.inf:
+        if self._pacer is None and self.sender_stops_at == math.inf:
             return
-        own, ahead = self._own_time, 0.0
+        own, ahead = self._transfer_seconds, 0.0
         if own and self._pacer is not None:
             ahead = self._pacer.share.time_ahead(self.rank, now)
             if not (self._fits(now, own, ahead) or self._may_probe(ahead, now)):
                 raise DeadlineUnmeetableError("the link is taken for too long", ahead + own)
-        self._bound_end(self.gone_at - own - ahead)
+        self._limit_deadline(self.sender_stops_at - own - ahead)
 
     def _fits(self, now: float, own: float, ahead: float) -> bool:
         """Tell whether the answer would leave early enough.
@@ -85,28 +85,28 @@
         """
         ticket = self._ticket
         alone = now + own + self._admission.expected_time(ticket.route)
-        last = min(ticket.deadline, self.gone_at)
+        last = min(ticket.deadline, self.sender_stops_at)
         wanted = last if ticket.within else min(ticket.objective, last)
         latest = wanted if alone <= wanted else last
-        return alone + ahead <= latest and alone + LONGER_AHEAD * ahead <= last
+        return alone + ahead <= latest and alone + QUEUE_TIME_MARGIN * ahead <= last
 
     def _may_probe(self, ahead: float, now: float) -> bool:
         """Tell whether an answer may be let through to learn how long those of its route are."""
-        if self._pacer is None or ahead > 0 or self.sender_stops:
+        if self._pacer is None or ahead > 0 or self.sender_stopping:
             return False
         return self._pacer.share.may_probe(self._ticket.route, now)
 
-    def _bound_end(self, moment: float) -> None:
+    def _limit_deadline(self, moment: float) -> None:
         """Judge by an earlier end, where it is known how long the back end takes."""
         if self._admission.expected_time(self._ticket.route):
             self._ticket.deadline = min(self._ticket.deadline, moment)
 
-    def leave_by(self, moment: float) -> None:
+    def finish_by(self, moment: float) -> None:
         """The node that sent the request has been told to stop, and ends at that moment."""
-        self.gone_at = min(self.gone_at, moment)
-        self._bound_end(self.gone_at - self._own_time)
+        self.sender_stops_at = min(self.sender_stops_at, moment)
+        self._limit_deadline(self.sender_stops_at - self._transfer_seconds)
 
-    def check_slot(self) -> None:
+    def check_before_run(self) -> None:
         """Refuse what waited for its slot, and could not leave any more before this node stops.
 
         Raises:
--- a/src/pewtertack/node/gateway/metrics.py
+++ b/src/pewtertack/node/gateway/metrics.py
@@ -43,7 +43,7 @@
             "Requests that let others go first, since calls of such runs were turned away.",
             ("route",),
         )
-        self._senseless_times = registry.counter(
+        self._invalid_stop_times = registry.counter(
             "pewtertack_gateway_senseless_times",
             "Words of other nodes on when they stop that made no sense and were ignored.",
             (),
@@ -54,17 +54,17 @@
             (),
         )
 
-    def note_within(self, route: str, admitted: bool) -> None:
+    def note_nested(self, route: str, admitted: bool) -> None:
         """A call within has gone to the back end, or has ended without an answer."""
         self._within.inc((route, "admitted" if admitted else "refused"))
 
-    def note_in_vain(self, route: str) -> None:
+    def note_deferred(self, route: str) -> None:
         """A request lets others go first: runs of its route often end badly now."""
         self._in_vain.inc((route,))
 
-    def note_senseless_time(self) -> None:
+    def note_invalid_stop_time(self) -> None:
         """A node's word on when it stops made no sense."""
-        self._senseless_times.inc(())
+        self._invalid_stop_times.inc(())
 
     def note_crashed(self) -> None:
         """The back end ended while it ran requests."""
--- a/src/pewtertack/node/gateway/reception.py
+++ b/src/pewtertack/node/gateway/reception.py
@@ -13,9 +13,9 @@
 
 from pewtertack.routing.places import AdmissionTicket
 
-RECEIVED_AT_ONCE = 2
+MAX_CONCURRENT_BODIES = 2
 """Long bodies on their way to one gateway: two fill a link of 10 Mbit/s in windows of 32 KB."""
-MOST_AHEAD = 6
+MAX_EARLY_BODIES = 6
 """Bodies held whole while their requests wait for a slot; each at most ``body.AHEAD_BYTES``."""
 
 
@@ -30,11 +30,11 @@
 class BodyReception:
     """Hands out the turns to receive a long body, in the event loop's thread."""
 
-    __slots__ = ("_ahead", "_receiving", "_waiters")
+    __slots__ = ("_early", "_receiving", "_waiters")
 
     def __init__(self) -> None:
         self._receiving = 0
-        self._ahead: list[AdmissionTicket] = []
+        self._early: list[AdmissionTicket] = []
         """Requests whose bodies came, or come, before their slots."""
         self._waiters: list[_Waiter] = []
 
@@ -42,43 +42,43 @@
         """Wait for the ticket's turn, then read its body; when cancelled, leave the place."""
         waiter = _Waiter(ticket)
         self._waiters.append(waiter)
-        self.start_next()
+        self.start_waiters()
         try:
             await waiter.started.wait()
             await read()
         finally:
-            self._leave(waiter)
+            self._finish(waiter)
 
-    def forget(self, ticket: AdmissionTicket) -> None:
+    def release(self, ticket: AdmissionTicket) -> None:
         """The request has ended: its body is held no longer."""
-        if ticket in self._ahead:
-            self._ahead.remove(ticket)
-            self.start_next()
+        if ticket in self._early:
+            self._early.remove(ticket)
+            self.start_waiters()
 
-    def start_next(self) -> None:
+    def start_waiters(self) -> None:
         """Give the free turns out; to be called too when a ticket was granted."""
-        self._ahead = [ticket for ticket in self._ahead if not ticket.granted]
-        while self._receiving < RECEIVED_AT_ONCE:
-            waiter = self._first()
+        self._early = [ticket for ticket in self._early if not ticket.granted]
+        while self._receiving < MAX_CONCURRENT_BODIES:
+            waiter = self._next_waiter()
             if waiter is None:
                 return
             self._waiters.remove(waiter)
             self._receiving += 1
             if not waiter.ticket.granted:
-                self._ahead.append(waiter.ticket)
+                self._early.append(waiter.ticket)
             waiter.started.set()
 
-    def _first(self) -> _Waiter | None:
+    def _next_waiter(self) -> _Waiter | None:
         """Return whose turn is next: with a slot, or next in the queue while few are ahead."""
-        may_wait = len(self._ahead) < MOST_AHEAD
+        may_wait = len(self._early) < MAX_EARLY_BODIES
         waiters = (item for item in self._waiters if item.ticket.granted or may_wait)
         return min(
             waiters, key=lambda item: (not item.ticket.granted, item.ticket.order), default=None
         )
 
-    def _leave(self, waiter: _Waiter) -> None:
+    def _finish(self, waiter: _Waiter) -> None:
         if waiter.started.is_set():
             self._receiving -= 1
         else:
             self._waiters.remove(waiter)
-        self.start_next()
+        self.start_waiters()
--- a/src/pewtertack/node/gateway/slot_wait.py
+++ b/src/pewtertack/node/gateway/slot_wait.py
@@ -10,7 +10,7 @@
 from pewtertack.routing.admission import Admission
 from pewtertack.routing.places import AdmissionTicket
 
-SHORTEST_LOOK = 0.001
+MIN_RECHECK_SECONDS = 0.001
 """Seconds between two looks at a waiting request, where a timer has fired too early."""
 
 
@@ -42,7 +42,7 @@
         try:
             await self._until_decided()
         except BaseException:
-            self._give_up_place()
+            self._release_ticket()
             raise
         if self._ticket.refusal is not None:
             self._ticket.refusal.offered = False
@@ -51,20 +51,20 @@
     async def _until_decided(self) -> None:
         decided = anyio.Event()
         self._ticket.wake = decided.set
-        self._look_again()
+        self._recheck()
         try:
             await decided.wait()
         finally:
             self._timer.cancel()
 
-    def _look_again(self) -> None:
+    def _recheck(self) -> None:
         """Give the waiting ticket up when its time is over; see to it that this is noticed."""
         now = self._clock()
         self._admission.expire(self._ticket, now)
-        left = max(SHORTEST_LOOK, self._admission.expires_at(self._ticket) - now)
-        self._timer = asyncio.get_running_loop().call_later(left, self._look_again)
+        left = max(MIN_RECHECK_SECONDS, self._admission.expires_at(self._ticket) - now)
+        self._timer = asyncio.get_running_loop().call_later(left, self._recheck)
 
-    def _give_up_place(self) -> None:
+    def _release_ticket(self) -> None:
         if self._ticket.granted:
             self._admission.finish(self._ticket, self._clock(), answered=False)
         else:
--- a/src/pewtertack/node/proxy/application.py
+++ b/src/pewtertack/node/proxy/application.py
@@ -29,7 +29,7 @@
     RequestMetrics,
 )
 from pewtertack.node.proxy.probing import GatewayProber
-from pewtertack.node.proxy.request_log import Beliefs, ProxyLog, RecordEvent, ignore_event
+from pewtertack.node.proxy.request_log import KnownVersions, ProxyLog, RecordEvent, ignore_event
 from pewtertack.node.proxy.shutdown_notice import notify_gateways
 from pewtertack.node.proxy.upstream import ConnectionPool
 from pewtertack.routing.backend_events import (
@@ -122,8 +122,8 @@
         self.longest_head = 0
         """Bytes; the server takes more where it always does."""
         dispatcher = Dispatcher(random, self._note_backend_event, policies, retry_limits)
-        self._beliefs = Beliefs()
-        self._request_log = ProxyLog(log, clock, self._beliefs)
+        self._versions = KnownVersions()
+        self._request_log = ProxyLog(log, clock, self._versions)
         registry = registry or MetricsRegistry()
         self._metrics = RequestMetrics(registry)
         super().__init__(ConnectionPool(clock))
@@ -145,21 +145,21 @@
         self._prober = GatewayProber(dispatcher, clock)
         self._serving = False
         self._retry_after = 1.0
-        self._tell_leaving: LeavingObserver = _ignore_leaving
+        self._leaving_observer: LeavingObserver = _ignore_leaving
         self.configuration_wait = ConfigurationWait(clock)
         """Requests whose route a newer configuration may have."""
 
     def set_leaving_observer(self, observer: LeavingObserver) -> None:
         """Tell ``observer`` once of each back end that says in an answer that it leaves."""
-        self._tell_leaving = observer
+        self._leaving_observer = observer
 
     def use_configuration(self, configuration: ResolvedConfiguration) -> None:
         """Serve requests that begin from now on by ``configuration``."""
         self._table = RouteTable(configuration)
-        self.configuration_wait.note_swap()
+        self.configuration_wait.notify_changed()
         self.longest_head = configuration.head_bytes
-        self._beliefs.revision = configuration.revision.number
-        self._beliefs.revision_at = self._clock()
+        self._versions.revision = configuration.revision.number
+        self._versions.revision_at = self._clock()
         self._context.dispatcher.use_zone(configuration.zone)
         routes = frozenset(route.name for route in configuration.routes)
         self._context.dispatcher.keep_only(routes, configuration.services, self._clock())
@@ -172,8 +172,8 @@
 
     def use_machines(self, machines: MachineList) -> None:
         """Take over a newer machine list; an older one is ignored."""
-        self._beliefs.machine_list = machines.number
-        self._beliefs.machine_list_at = self._clock()
+        self._versions.machine_list = machines.number
+        self._versions.machine_list_at = self._clock()
         self._context.dispatcher.use_machines(machines, self._clock())
         self._context.connections.keep_only(self._context.dispatcher.addresses())
 
@@ -223,7 +223,7 @@
         """Serve one request (ASGI entry point)."""
         if scope["type"] != "http":
             raise InvalidRequestError(f"unsupported connection type {scope['type']}")
-        with self.requests.one():
+        with self.requests.count_one():
             await self._serve(scope, receive, send)
 
     async def _serve(self, scope: Scope, receive: Receive, send: Send) -> None:
@@ -256,7 +256,7 @@
         match happened:
             case BackendLeaving(backend):
                 self._log(Event.BACKEND_LEAVING, backend=backend.name, source="answer")
-                self._tell_leaving(backend.name, backend.address, backend.started_at)
+                self._leaving_observer(backend.name, backend.address, backend.started_at)
             case BackendListed(backend, change):
                 if change is ListChange.GONE:
                     self._context.connections.drop(backend.address)
@@ -266,7 +266,7 @@
                     service=backend.service,
                     zone=backend.zone,
                     address=backend.address,
-                    machine_list=self._beliefs.machine_list,
+                    machine_list=self._versions.machine_list,
                 )
             case BackendChanged(backend, ejected):
                 if backend.unreachable:
@@ -292,12 +292,12 @@
         try:
             route = table.match(head.host, scope["path"], scope["method"])
         except RouteNotFoundError:
-            table = await self._newer_table(head)
+            table = await self._wait_for_newer_table(head)
             route = table.match(head.host, scope["path"], scope["method"])
         configuration = table.configuration
         route = self._context.dispatcher.pick_service(route)
-        began = self._clock()
-        deadline = deadline_of(began, head.deadline, route.timeout)
+        started_at = self._clock()
+        deadline = deadline_of(started_at, head.deadline, route.timeout)
         forwarding = Forwarding(
             self._context, scope, receive, send, head, configuration, route, deadline
         )
@@ -307,7 +307,7 @@
             failed = forwarding.status >= InternalError.status
             if failed:
                 self._context.dispatcher.note_failed(route.name, self._clock())
-            took = self._clock() - began
+            took = self._clock() - started_at
             self._metrics.note_answered(route, took)
             backend = forwarding.ticket.backend
             if backend is not None:
@@ -318,12 +318,12 @@
         except CallerGoneError:
             failed = False  # nothing is known of its end
             self._metrics.note_failed(route, CALLER_GONE)
-            took = self._clock() - began
+            took = self._clock() - started_at
             self._request_log.ended(Event.REQUEST_CANCELLED, head.request_id, route, took)
         except TruncatedAnswerError:
             # the server cuts a connection whose answer was left incomplete
             self._metrics.note_failed(route, TRUNCATED)
-            took = self._clock() - began
+            took = self._clock() - started_at
             self._request_log.ended(Event.REQUEST_CUT, head.request_id, route, took)
         except Exception:
             if forwarding.status == 0:
@@ -334,7 +334,7 @@
             if forwarding.ticket.within:
                 self._context.runs.note_call(route.name, self._clock(), failed)
 
-    async def _newer_table(self, head: RequestHead) -> RouteTable:
+    async def _wait_for_newer_table(self, head: RequestHead) -> RouteTable:
         """Return the table of a newer configuration, which may have the request's route.
 
         Raises:
--- a/src/pewtertack/node/proxy/attempt_ends.py
+++ b/src/pewtertack/node/proxy/attempt_ends.py
@@ -18,7 +18,9 @@
     ZoneEvacuatedError,
 )
 
-GONE_REASONS = frozenset({BackendGoneError.code, DrainingError.code, ZoneEvacuatedError.code})
+UNREACHABLE_REASONS = frozenset(
+    {BackendGoneError.code, DrainingError.code, ZoneEvacuatedError.code}
+)
 """Refusals of a gateway that hold for other requests too: the back end cannot be reached."""
 
 
@@ -27,7 +29,7 @@
     if isinstance(error, GatewayRefusedError) and error.reason == BackendLeftError.code:
         return AttemptEnd.GONE
     if isinstance(error, GatewayRefusedError):
-        return AttemptEnd.UNREACHABLE if error.reason in GONE_REASONS else AttemptEnd.REFUSED
+        return AttemptEnd.UNREACHABLE if error.reason in UNREACHABLE_REASONS else AttemptEnd.REFUSED
     if isinstance(error, BackendHungError):
         return AttemptEnd.HUNG
     if isinstance(error, BackendShedError):
--- a/src/pewtertack/node/proxy/body.py
+++ b/src/pewtertack/node/proxy/body.py
@@ -12,12 +12,12 @@
 from pewtertack.node.proxy.answers import Receive
 from pewtertack.routing.outcomes import BodiesFullError, Outcome, SlowRequestError
 
-REPLAY_BYTES = 512 * 1024
+MAX_REPLAY_BYTES = 512 * 1024
 """A longer body cannot be sent a second time: to another gateway, or as a retry."""
-AHEAD_BYTES = REPLAY_BYTES - 64 * 1024
+READ_AHEAD_BYTES = MAX_REPLAY_BYTES - 64 * 1024
 """So much of a long body is received before another node is asked for room: as long as its
 caller sends, nobody need wait for it, and that a caller has gone is seen only while reading."""
-ALL_KEPT_BYTES = 16 * 1024 * 1024
+TOTAL_BODY_BUFFER_BYTES = 16 * 1024 * 1024
 """What is kept of all requests' bodies together. Back ends that read nothing would have copies of
 hundreds kept; a node has 20 MB at rest, and 200 where it has least."""
 IDLE_SECONDS = 10.0
@@ -42,18 +42,18 @@
     """The caller closed its connection before its request was read."""
 
 
-class KeptBodies:
+class BufferedBodies:
     """How many bytes of all requests' bodies one application keeps."""
 
-    __slots__ = ("count",)
+    __slots__ = ("byte_count",)
 
     def __init__(self) -> None:
-        self.count = 0
+        self.byte_count = 0
 
     @property
     def full(self) -> bool:
         """Whether no more should be kept."""
-        return self.count >= ALL_KEPT_BYTES
+        return self.byte_count >= TOTAL_BODY_BUFFER_BYTES
 
     def check(self) -> None:
         """Refuse a long body at once while there is no room to keep it.
@@ -74,31 +74,31 @@
         bodies: what is kept of all of them; the request's own share until ``forget``.
     """
 
-    def __init__(self, receive: Receive, expected: bool, bodies: KeptBodies) -> None:
+    def __init__(self, receive: Receive, expected: bool, bodies: BufferedBodies) -> None:
         self.complete = not expected
         """Whether all of it has been received."""
         self._receive = receive
         self._bodies = bodies
-        self._kept: list[bytes] | None = []
+        self._chunks: list[bytes] | None = []
         self._received_bytes = 0
-        self._kept_bytes = 0
+        self._buffered_bytes = 0
         self._beginning: bytes | None = None
         """What counts of a body that is kept no longer."""
 
     @property
     def beginning(self) -> bytes | None:
         """The first ``BEGINNING_BYTES``, or all of a shorter body; ``None`` until it has come."""
-        if self._kept is None:
+        if self._chunks is None:
             return self._beginning
-        beginning = b"".join(self._kept)[:BEGINNING_BYTES]
+        beginning = b"".join(self._chunks)[:BEGINNING_BYTES]
         return beginning if self.complete or len(beginning) == BEGINNING_BYTES else None
 
     @property
     def replayable(self) -> bool:
         """Whether everything received so far can be sent again."""
-        return self._kept is not None
+        return self._chunks is not None
 
-    async def read_ahead(self, size: int = AHEAD_BYTES) -> None:
+    async def read_ahead(self, size: int = READ_AHEAD_BYTES) -> None:
         """Receive the body, or the first ``size`` bytes of it, before it is streamed.
 
         Less where no more may be kept of all bodies: the rest comes at the back end's pace.
@@ -108,8 +108,8 @@
             SlowRequestError: the caller sent nothing for ``IDLE_SECONDS``; nothing has run.
         """
         try:
-            while not self.complete and self._received_bytes < size and self._may_keep:
-                self._keep(await self._next_chunk())
+            while not self.complete and self._received_bytes < size and self._may_buffer:
+                self._append(await self._next_chunk())
         except SlowRequestError as error:
             raise error.with_outcome(Outcome.NOT_RUN) from None
 
@@ -120,27 +120,27 @@
             CallerGoneError: the caller has gone.
             SlowRequestError: the caller sent nothing for ``IDLE_SECONDS``.
         """
-        assert self._kept is not None
-        for chunk in tuple(self._kept):
+        assert self._chunks is not None
+        for chunk in tuple(self._chunks):
             yield chunk
         while not self.complete:
             chunk = await self._next_chunk()
-            self._keep(chunk)
-            if not self._may_keep:
-                self._drop_kept()
+            self._append(chunk)
+            if not self._may_buffer:
+                self._discard_chunks()
             if chunk:
                 yield chunk
 
     @property
-    def _may_keep(self) -> bool:
+    def _may_buffer(self) -> bool:
         """Whether to keep more; the beginning, which tells requests apart, is kept in any case."""
         return self._received_bytes < BEGINNING_BYTES or not self._bodies.full
 
-    def forget(self) -> None:
+    def release(self) -> None:
         """The request has ended: nothing of its body is kept any longer."""
-        self._bodies.count -= self._kept_bytes
-        self._kept_bytes = 0
-        self._kept = None
+        self._bodies.byte_count -= self._buffered_bytes
+        self._buffered_bytes = 0
+        self._chunks = None
 
     async def _next_chunk(self) -> bytes:
         with anyio.move_on_after(IDLE_SECONDS) as scope:
@@ -152,18 +152,18 @@
         self.complete = not message.get("more_body", False)
         return bytes(message.get("body", b""))
 
-    def _keep(self, chunk: bytes) -> None:
+    def _append(self, chunk: bytes) -> None:
         self._received_bytes += len(chunk)
-        if self._kept is None or not chunk:
+        if self._chunks is None or not chunk:
             return
-        self._kept.append(chunk)
-        self._kept_bytes += len(chunk)
-        self._bodies.count += len(chunk)
-        if self._received_bytes > REPLAY_BYTES:
-            self._drop_kept()
+        self._chunks.append(chunk)
+        self._buffered_bytes += len(chunk)
+        self._bodies.byte_count += len(chunk)
+        if self._received_bytes > MAX_REPLAY_BYTES:
+            self._discard_chunks()
 
-    def _drop_kept(self) -> None:
+    def _discard_chunks(self) -> None:
         """Keep nothing but what counts of it: it can't be sent a second time any more."""
-        if self._kept is not None:
-            self._beginning = b"".join(self._kept)[:BEGINNING_BYTES]
-        self.forget()
+        if self._chunks is not None:
+            self._beginning = b"".join(self._chunks)[:BEGINNING_BYTES]
+        self.release()
--- a/src/pewtertack/node/proxy/configuration_wait.py
+++ b/src/pewtertack/node/proxy/configuration_wait.py
@@ -12,10 +12,10 @@
 
 from pewtertack.core.replication.replica import Lag
 
-WAITING_MAX = 64
+MAX_WAITING = 64
 """Requests that wait at once; each holds its connection and its head, none its body."""
-SHARE_OF_DEADLINE = 0.25
-LONGEST_WAIT = 1.0
+DEADLINE_SHARE = 0.25
+MAX_WAIT_SECONDS = 1.0
 """Seconds."""
 
 
@@ -36,12 +36,12 @@
         self.waiting = 0
         """Requests that wait for it."""
         self._clock = clock
-        self._swapped = anyio.Event()
+        self._changed = anyio.Event()
 
-    def note_swap(self) -> None:
+    def notify_changed(self) -> None:
         """Another configuration is in force."""
-        self._swapped.set()
-        self._swapped = anyio.Event()
+        self._changed.set()
+        self._changed = anyio.Event()
 
     async def wait(self, deadline: float) -> bool:
         """Wait for another configuration; tell whether there is one.
@@ -49,12 +49,12 @@
         Args:
             deadline: of the request, in monotonic seconds; of its time a share is spent.
         """
-        if self.waiting >= WAITING_MAX or self.lag() is not Lag.COMING:
+        if self.waiting >= MAX_WAITING or self.lag() is not Lag.COMING:
             return False
-        swapped, left = self._swapped, deadline - self._clock()
+        swapped, left = self._changed, deadline - self._clock()
         self.waiting += 1
         try:
-            with anyio.move_on_after(min(left * SHARE_OF_DEADLINE, LONGEST_WAIT)):
+            with anyio.move_on_after(min(left * DEADLINE_SHARE, MAX_WAIT_SECONDS)):
                 await swapped.wait()
         finally:
             self.waiting -= 1
--- a/src/pewtertack/node/proxy/crash_guard.py
+++ b/src/pewtertack/node/proxy/crash_guard.py
@@ -27,16 +27,16 @@
         watch: tells whether a back end has ended.
     """
 
-    __slots__ = ("_content", "_reporter", "_watch", "ends")
+    __slots__ = ("_content", "_reporter", "_watch", "crash_count")
 
     def __init__(self, content: RequestContent, reporter: CrashReporter, watch: CrashWatch) -> None:
         self._content = content
         self._reporter = reporter
         self._watch = watch
-        self.ends = 0
+        self.crash_count = 0
         """Back ends known to have ended under the request, at its own attempts too."""
 
-    async def refuse_held(self, limit: int, now: float) -> None:
+    async def refuse_if_held(self, limit: int, now: float) -> None:
         """Refuse what no node may send to a back end.
 
         Raises:
@@ -69,7 +69,7 @@
         if fingerprint is not None and ledger.count(fingerprint):
             self._reporter.report_answer(fingerprint)
 
-    async def look_for_end(
+    async def check_for_crash(
         self,
         request_id: str,
         backend: str,
@@ -92,9 +92,9 @@
         ledger = self._reporter.ledger
         fingerprint = await self._content.fingerprint_in(ledger)
         if fingerprint is not None:
-            self.ends = max(self.ends, ledger.count(fingerprint))
+            self.crash_count = max(self.crash_count, ledger.count(fingerprint))
         return fingerprint
 
     def _refusal(self, fingerprint: bytes) -> RequestEndsBackendsError:
         ran = f"they ran request {fingerprint.hex()}"
-        return RequestEndsBackendsError(f"{self.ends} back ends ended while {ran}")
+        return RequestEndsBackendsError(f"{self.crash_count} back ends ended while {ran}")
--- a/src/pewtertack/node/proxy/deadlines.py
+++ b/src/pewtertack/node/proxy/deadlines.py
@@ -11,81 +11,81 @@
 from heapq import heapify, heappop, heappush
 from itertools import count
 
-MANY = 128
+MIN_CANCELLED_TO_COMPACT = 128
 """From so many on, entries whose requests have ended are cleared away once they are the most."""
 
 
 class Deadline:
     """One deadline: ``pass_`` is called once it is over, unless it is taken back before."""
 
-    __slots__ = ("pass_",)
+    __slots__ = ("callback",)
 
-    def __init__(self, pass_: Callable[[], None]) -> None:
-        self.pass_: Callable[[], None] | None = pass_
+    def __init__(self, callback: Callable[[], None]) -> None:
+        self.callback: Callable[[], None] | None = callback
 
 
 class Deadlines:
     """The deadlines of one event loop."""
 
-    __slots__ = ("_armed_for", "_ended", "_heap", "_numbers", "_timer", "loop")
+    __slots__ = ("_timer_at", "_cancelled", "_heap", "_numbers", "_timer", "loop")
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
         self._heap: list[tuple[float, int, Deadline]] = []
         self._numbers = count()
-        self._ended = 0
+        self._cancelled = 0
         """Entries whose deadlines were taken back."""
         self._timer: asyncio.TimerHandle | None = None
-        self._armed_for = 0.0
+        self._timer_at = 0.0
 
-    def add(self, seconds: float, pass_: Callable[[], None]) -> Deadline:
+    def add(self, seconds: float, callback: Callable[[], None]) -> Deadline:
         """Have ``pass_`` called in so many seconds."""
-        deadline = Deadline(pass_)
+        deadline = Deadline(callback)
         moment = self.loop.time() + seconds
         heappush(self._heap, (moment, next(self._numbers), deadline))
-        if self._timer is None or moment < self._armed_for:
+        if self._timer is None or moment < self._timer_at:
             self._arm(moment)
         return deadline
 
     def cancel(self, deadline: Deadline) -> None:
         """Do not call it; one that has passed is left alone."""
-        if deadline.pass_ is None:
+        if deadline.callback is None:
             return
-        deadline.pass_ = None
-        self._ended += 1
-        if self._ended >= MANY and self._ended * 2 > len(self._heap):
-            self._heap = [entry for entry in self._heap if entry[2].pass_ is not None]
+        deadline.callback = None
+        self._cancelled += 1
+        if self._cancelled >= MIN_CANCELLED_TO_COMPACT and self._cancelled * 2 > len(self._heap):
+            self._heap = [entry for entry in self._heap if entry[2].callback is not None]
             heapify(self._heap)
-            self._ended = 0
+            self._cancelled = 0
 
     def _arm(self, moment: float) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._armed_for = moment
+        self._timer_at = moment
         self._timer = self.loop.call_at(moment, self._expire_due)
 
     def _expire_due(self) -> None:
         """Call what is due; wait for the next that has not been taken back."""
         self._timer = None
-        due = max(self.loop.time(), self._armed_for)
-        while self._heap and (self._heap[0][0] <= due or self._heap[0][2].pass_ is None):
+        due = max(self.loop.time(), self._timer_at)
+        while self._heap and (self._heap[0][0] <= due or self._heap[0][2].callback is None):
             deadline = heappop(self._heap)[2]
-            if deadline.pass_ is None:
-                self._ended -= 1
+            if deadline.callback is None:
+                self._cancelled -= 1
                 continue
-            pass_, deadline.pass_ = deadline.pass_, None
-            pass_()
+            callback, deadline.callback = deadline.callback, None
+            callback()
         if self._heap:
             self._arm(self._heap[0][0])
 
 
-_of_loop: Deadlines | None = None
+_current: Deadlines | None = None
 
 
 def deadlines() -> Deadlines:
     """Return those of the running loop; a process has one loop at a time."""
-    global _of_loop
+    global _current
     loop = asyncio.get_running_loop()
-    if _of_loop is None or _of_loop.loop is not loop:
-        _of_loop = Deadlines(loop)
-    return _of_loop
+    if _current is None or _current.loop is not loop:
+        _current = Deadlines(loop)
+    return _current
--- a/src/pewtertack/node/proxy/edge.py
+++ b/src/pewtertack/node/proxy/edge.py
@@ -6,7 +6,7 @@
 
 REQUEST_ID = b"x-request-id"
 DEADLINE = b"x-deadline-ms"
-READ = frozenset({b"host", b"content-length", b"transfer-encoding", b"expect", b"connection"})
+READ_NAMES = frozenset({b"host", b"content-length", b"transfer-encoding", b"expect", b"connection"})
 """Names that are read at every edge."""
 
 
@@ -32,7 +32,7 @@
         names = (self.request_id, self.deadline, self.expected_backend, self.caller_service)
         own = frozenset(name for name in names if name)
         msgspec.structs.force_setattr(self, "own", own)
-        msgspec.structs.force_setattr(self, "read", READ | {self.request_id, self.deadline})
+        msgspec.structs.force_setattr(self, "read", READ_NAMES | {self.request_id, self.deadline})
 
 
 DEFAULT_EDGE = EdgeHeaders()
--- a/src/pewtertack/node/proxy/exchange.py
+++ b/src/pewtertack/node/proxy/exchange.py
@@ -39,12 +39,12 @@
     RequestFailedError,
 )
 
-SHED_BODY_BYTES = 64 * 1024
+MAX_SHED_BODY_BYTES = 64 * 1024
 SHED_BODY_SECONDS = 0.02
 """A shed answer's body is read for this long at most, to keep the connection."""
-LONGEST_RETRY_AFTER = 3600.0
-WRONG_BACKEND_STATUS = 421
-WHOLE_BODY_BYTES = 64 * 1024
+MAX_RETRY_AFTER_SECONDS = 3600.0
+MISDIRECTED_STATUS = 421
+START_BUFFER_BYTES = 64 * 1024
 """An answer of at most this length is passed on only when it is there to its end; of a longer
 one so much is held back while it could still be had elsewhere. It bounds what a node holds of
 one answer for that, and costs 0.1 s on a link of 5 Mbit/s, the slowest that sheets name."""
@@ -76,7 +76,7 @@
         self.status = 0
         self.end = AttemptEnd.CANCELLED
         """What the last answer's head told of its attempt."""
-        self.holds_back = False
+        self.buffers_start = False
         """Whether the request may be sent once more if its answer breaks off in time."""
         self.may_leave: MayLeave = stay
         """Asked when a gateway takes its back end to hang on the request."""
@@ -89,7 +89,7 @@
         self._more_headers = more_headers
         self._edge = DEFAULT_EDGE
 
-    def forget_owner(self) -> None:
+    def drop_callbacks(self) -> None:
         """Drop the callbacks: no attempt follows, and the owner need not wait for the collector."""
         self._on_answer = ignore_answer
         self._more_headers = list
@@ -125,14 +125,14 @@
             raise CrossedAnswerError("the back end answered another request")
         self._on_answer(answer)
         if answer.failure is not None:
-            await _finish_shed(connection)
-            retry_after = _fraction(answer.retry_after)
+            await _drain_short_body(connection)
+            retry_after = _parse_fractional_retry_after(answer.retry_after)
             raise error_from_failure(answer.failure, start.status, retry_after)
         self.end = end_of_answer(start.status, answer.outcome, answer.retries)
         if self._is_not_run(start.status, answer):
             self.end = AttemptEnd.SHED
         if self.end is AttemptEnd.SHED:
-            await _finish_shed(connection)
+            await _drain_short_body(connection)
             raise _shed_error(start, answer)
         self._check_framing(connection, start, answer)
         await self._relay(connection, start, answer)
@@ -144,7 +144,7 @@
         return needs_id and answer.failure is None
 
     def _is_not_run(self, status: int, answer: AnswerHead) -> bool:
-        wrong_backend = bool(self._edge.expected_backend) and status == WRONG_BACKEND_STATUS
+        wrong_backend = bool(self._edge.expected_backend) and status == MISDIRECTED_STATUS
         return answer.not_run or wrong_backend
 
     def _request(self, headers: RawHeaders, body_on_demand: bool) -> OutgoingRequest:
@@ -175,23 +175,23 @@
         self, connection: BackendConnection, start: AnswerStart, answer: AnswerHead
     ) -> None:
         caller = self._scope["extensions"][CALLER]
-        if not self.holds_back:
+        if not self.buffers_start:
             caller.drop_body()  # no other attempt follows that would need it
-        if answer.length is not None and answer.length <= WHOLE_BODY_BYTES:
+        if answer.length is not None and answer.length <= START_BUFFER_BYTES:
             whole = connection.take_whole()
             if whole is None:
-                whole = await _whole_body(connection)
-            if self.holds_back:
+                whole = await _read_whole_body(connection)
+            if self.buffers_start:
                 caller.drop_body()
-            head = self._start(start.status, answer)
+            head = self._begin_answer(start.status, answer)
             head[WHOLE] = whole
             await self._send(head)
             return
-        hold = self.holds_back and answer.length is not None  # one without may be a stream
-        first = await _first_part(connection) if hold else b""
-        if self.holds_back:
+        hold = self.buffers_start and answer.length is not None  # one without may be a stream
+        first = await _read_start(connection) if hold else b""
+        if self.buffers_start:
             caller.drop_body()
-        await self._send(self._start(start.status, answer))
+        await self._send(self._begin_answer(start.status, answer))
         if first:
             await self._send({"type": "http.response.body", "body": first, "more_body": True})
             first = b""  # not held while the rest passes
@@ -203,7 +203,7 @@
             raise TruncatedAnswerError(str(error)) from error
         await self._send({"type": "http.response.body", "body": b""})
 
-    def _start(self, status: int, answer: AnswerHead) -> Message:
+    def _begin_answer(self, status: int, answer: AnswerHead) -> Message:
         """Return the head to pass on, as begun."""
         own = (self._caller_edge.request_id, self._head.request_id.encode())
         headers = [*answer.headers, own, *self._more_headers()]
@@ -214,7 +214,7 @@
         return {"type": "http.response.start", "status": status, "headers": headers}
 
 
-async def _whole_body(connection: BackendConnection) -> bytes:
+async def _read_whole_body(connection: BackendConnection) -> bytes:
     """Return the body of an answer of which nothing was passed on yet.
 
     Raises:
@@ -226,7 +226,7 @@
         raise BackendFailedError(f"the answer broke off: {error}") from error
 
 
-async def _first_part(connection: BackendConnection) -> bytes:
+async def _read_start(connection: BackendConnection) -> bytes:
     """Return the beginning of an answer's body, as much as is held back.
 
     Raises:
@@ -235,7 +235,7 @@
     parts: list[bytes] = []
     held = 0
     try:
-        while held < WHOLE_BODY_BYTES and (chunk := await connection.read_chunk()):
+        while held < START_BUFFER_BYTES and (chunk := await connection.read_chunk()):
             parts.append(chunk)
             held += len(chunk)
     except ExchangeBrokenError as error:
@@ -243,11 +243,11 @@
     return b"".join(parts)
 
 
-async def _finish_shed(connection: BackendConnection) -> None:
+async def _drain_short_body(connection: BackendConnection) -> None:
     """Read the small body of a shed answer, or else close the connection."""
     whole = connection.take_whole()
     if whole is not None:
-        if len(whole) > SHED_BODY_BYTES:
+        if len(whole) > MAX_SHED_BODY_BYTES:
             connection.abort()
         return
     received = 0
@@ -255,7 +255,7 @@
         try:
             while chunk := await connection.read_chunk():
                 received += len(chunk)
-                if received > SHED_BODY_BYTES:
+                if received > MAX_SHED_BODY_BYTES:
                     break
             else:
                 return
@@ -266,9 +266,11 @@
 
 def _shed_error(start: AnswerStart, answer: AnswerHead) -> RequestFailedError:
     """Return the failure of a request that the back end did not run."""
-    if start.status == WRONG_BACKEND_STATUS:
+    if start.status == MISDIRECTED_STATUS:
         return BackendGoneError("another back end has the address")
-    return BackendShedError("the back end did not run the request", _seconds(answer.retry_after))
+    return BackendShedError(
+        "the back end did not run the request", _parse_retry_after(answer.retry_after)
+    )
 
 
 def _broken_exchange_error(
@@ -281,20 +283,20 @@
     return error.with_outcome(Outcome.UNKNOWN if connection.sent else Outcome.NOT_RUN)
 
 
-def _seconds(retry_after: str | None) -> float | None:
+def _parse_retry_after(retry_after: str | None) -> float | None:
     """Read a back end's ``Retry-After`` in seconds, ``None`` without one; not dates."""
     if retry_after is None:
         return None
     if not retry_after.strip().isdecimal():
         return DEFAULT_RETRY_AFTER
-    return min(float(retry_after), LONGEST_RETRY_AFTER)
+    return min(float(retry_after), MAX_RETRY_AFTER_SECONDS)
 
 
-def _fraction(retry_after: str | None) -> float | None:
+def _parse_fractional_retry_after(retry_after: str | None) -> float | None:
     """Read a gateway's ``Retry-After``, which may have a fraction."""
     if retry_after is None:
         return None
     try:
-        return min(max(float(retry_after), 0.0), LONGEST_RETRY_AFTER)
+        return min(max(float(retry_after), 0.0), MAX_RETRY_AFTER_SECONDS)
     except ValueError:
         return DEFAULT_RETRY_AFTER
--- a/src/pewtertack/node/proxy/forwarding.py
+++ b/src/pewtertack/node/proxy/forwarding.py
@@ -11,12 +11,12 @@
 from pewtertack.node.crash_reporter import CrashReporter
 from pewtertack.node.crash_watch import CrashWatch
 from pewtertack.node.gateway.hop import (
-    ELSEWHERE,
-    GONE_IN,
-    HOLDS_BACK,
+    BUFFERS_START,
     INCARNATION,
-    ONLY_HERE,
-    gone_in_text,
+    NO_ALTERNATIVE,
+    REPORT_HANGS,
+    SENDER_STOPS_IN,
+    format_milliseconds_left,
     hop_headers,
 )
 from pewtertack.node.http.connection import BackendConnection
@@ -24,7 +24,12 @@
 from pewtertack.node.http.framing import RawHeaders
 from pewtertack.node.proxy.answers import Receive, Send
 from pewtertack.node.proxy.attempt_ends import attempt_end_for
-from pewtertack.node.proxy.body import REPLAY_BYTES, CallerGoneError, KeptBodies, RequestBody
+from pewtertack.node.proxy.body import (
+    MAX_REPLAY_BYTES,
+    BufferedBodies,
+    CallerGoneError,
+    RequestBody,
+)
 from pewtertack.node.proxy.content import RequestContent
 from pewtertack.node.proxy.crash_guard import CrashGuard
 from pewtertack.node.proxy.edge import DEFAULT_EDGE, NODE_EDGE, EdgeHeaders
@@ -38,7 +43,7 @@
     forwarded_headers,
 )
 from pewtertack.node.proxy.in_flight import Progress, RequestsInFlight
-from pewtertack.node.proxy.lifetime import LifeEnd, RequestLife, end_error
+from pewtertack.node.proxy.lifetime import LifetimeEnd, RequestLifetime, end_error
 from pewtertack.node.proxy.metrics import RequestMetrics
 from pewtertack.node.proxy.request_log import ProxyLog
 from pewtertack.node.proxy.shutdown_notice import ShutdownDeadline
@@ -80,7 +85,7 @@
     crashes: CrashWatch = msgspec.field(default_factory=CrashWatch)
     """For back ends without a gateway; a gateway sees to its own."""
     shutdown: ShutdownDeadline = msgspec.field(default_factory=ShutdownDeadline)
-    bodies: KeptBodies = msgspec.field(default_factory=KeptBodies)
+    bodies: BufferedBodies = msgspec.field(default_factory=BufferedBodies)
 
 
 class Forwarding:
@@ -109,18 +114,18 @@
         self._revision = configuration.revision.number
         self._body = RequestBody(receive, head.has_body, context.bodies)
         content = RequestContent(scope, self._headers, self._body)
-        self._suspicion = CrashGuard(content, context.reporter, context.crashes)
+        self._crash_guard = CrashGuard(content, context.reporter, context.crashes)
         self._exchange = Exchange(scope, send, head, self._body, self._note_answer, context.edge)
-        self._exchange.holds_back = route.repeatable and route.retry_limit > 0
-        self._exchange.may_leave = self._leave_hung
+        self._exchange.buffers_start = route.repeatable and route.retry_limit > 0
+        self._exchange.may_leave = self._on_hang_report
         self._ticket = Ticket(route, self._service, deadline)
         self._ticket.body_bytes = head.body_bytes
         self._ticket.caller_deadline = caller_deadline_of(context.clock(), head.deadline, deadline)
-        self._life = RequestLife(scope, deadline, context.clock)
-        self._began = context.clock()
-        self._offered = False
+        self._lifetime = RequestLifetime(scope, deadline, context.clock)
+        self._started_at = context.clock()
+        self._attempt_active = False
         """Whether an attempt is under way."""
-        self._sent = False
+        self._may_have_run = False
         """Whether an attempt may have run."""
         self._connection: BackendConnection | None = None
         """What carries the attempt under way."""
@@ -146,16 +151,18 @@
             CallerGoneError: the caller has gone.
         """
         try:
-            with self._context.requests.serving(self):
-                end = await self._life.run(self._run_attempts)
+            with self._context.requests.track(self):
+                end = await self._lifetime.run(self._run_attempts)
         except RequestFailedError as error:
-            raise error.with_outcome(Outcome.UNKNOWN if self._sent else error.outcome) from None
+            raise error.with_outcome(
+                Outcome.UNKNOWN if self._may_have_run else error.outcome
+            ) from None
         finally:
-            self._exchange.forget_owner()
+            self._exchange.drop_callbacks()
             if self._head.has_body:
-                self._body.forget()
-        if end is not LifeEnd.FINISHED:
-            self._raise_cancelled(end)
+                self._body.release()
+        if end is not LifetimeEnd.FINISHED:
+            self._raise_cut_short(end)
 
     @property
     def request_id(self) -> str:
@@ -167,7 +174,7 @@
         """How far the request has come."""
         if self._exchange.started:
             return Progress.ANSWERING
-        return Progress.OFFERED if self._offered else Progress.WAITING
+        return Progress.OFFERED if self._attempt_active else Progress.WAITING
 
     @property
     def gateway(self) -> str:
@@ -178,7 +185,7 @@
         # Also where it may not have begun: it waits there for its body to be asked for.
         return backend.gateway
 
-    def leave_by(self, moment: float) -> None:
+    def finish_by(self, moment: float) -> None:
         """Its caller is no node that stops (``RequestUnderWay``)."""
 
     async def withdraw(self) -> None:
@@ -195,23 +202,25 @@
 
     def stop(self) -> None:
         """End the request now (``RequestUnderWay``)."""
-        self._life.stop()
+        self._lifetime.stop()
 
     def log_unfinished(self) -> None:
         """Log how far it has come (``RequestUnderWay``)."""
         if self._context.log is not None:
-            took = self._context.clock() - self._began
+            took = self._context.clock() - self._started_at
             received = self._body.complete
             self._context.log.unfinished(
                 self.request_id, self._ticket, self.progress, received, took
             )
 
-    def _raise_cancelled(self, end: LifeEnd) -> None:
-        if end is LifeEnd.CALLER_GONE:
+    def _raise_cut_short(self, end: LifetimeEnd) -> None:
+        if end is LifetimeEnd.CALLER_GONE:
             raise CallerGoneError
         if self._exchange.started:
             raise TruncatedAnswerError("the time was over during the answer")
-        raise end_error(end).with_outcome(Outcome.UNKNOWN if self._sent else Outcome.NOT_RUN)
+        raise end_error(end).with_outcome(
+            Outcome.UNKNOWN if self._may_have_run else Outcome.NOT_RUN
+        )
 
     async def _run_attempts(self) -> None:
         if self._head.body_is_large:
@@ -221,7 +230,7 @@
         while True:
             self._check_withdrawn()
             limit = self._route.crash_limit
-            await self._suspicion.refuse_unless_admitted(limit, self._context.clock())
+            await self._crash_guard.refuse_unless_admitted(limit, self._context.clock())
             await self._wait_for_backend()
             if self._withdrawn:
                 self._finish(AttemptEnd.CANCELLED)
@@ -230,7 +239,7 @@
                 await self._attempt()
                 return
             except RequestFailedError as error:
-                self._sent = self._sent or error.outcome is Outcome.UNKNOWN
+                self._may_have_run = self._may_have_run or error.outcome is Outcome.UNKNOWN
                 if error.outcome is Outcome.NOT_RUN:
                     self._check_withdrawn()
                 if self._withdrawn:
@@ -244,8 +253,8 @@
 
     def _decide_retry(self, error: RequestFailedError) -> RetryDecision:
         if isinstance(error, BackendCrashedError):
-            self._suspicion.ends += 1
-            if 0 < self._route.crash_limit <= self._suspicion.ends:
+            self._crash_guard.crash_count += 1
+            if 0 < self._route.crash_limit <= self._crash_guard.crash_count:
                 return RetryDecision(RetryReason.ENDS_BACKENDS)
         now, replayable = self._context.clock(), self._body.replayable
         return self._context.dispatcher.decide_retry(self._ticket, error, now, replayable)
@@ -281,12 +290,12 @@
                 with anyio.move_on_after(look_at - now):
                     await granted.wait()
         except BaseException:
-            self._give_up_place()
+            self._release_ticket()
             raise
         if ticket.refusal is not None:
             raise ticket.take_refusal()
 
-    def _give_up_place(self) -> None:
+    def _release_ticket(self) -> None:
         if self._ticket.backend is None:
             self._context.dispatcher.withdraw(self._ticket)
         else:
@@ -298,12 +307,12 @@
         if self._context.log is not None:
             self._context.log.routed(self._head.request_id, self._ticket, self._revision)
         end = AttemptEnd.CANCELLED
-        self._offered = True
+        self._attempt_active = True
         try:
             await self._exchange_with(backend)
             end = self._exchange.end
             if not backend.gateway:
-                self._suspicion.note_answered(self.status)
+                self._crash_guard.note_answered(self.status)
         except RequestFailedError as error:
             end = attempt_end_for(error)
             raise
@@ -311,16 +320,16 @@
             end = AttemptEnd.BROKEN
             raise
         except anyio.get_cancelled_exc_class():
-            end = AttemptEnd.CANCELLED if self._life.caller_gone else AttemptEnd.TIMED_OUT
+            end = AttemptEnd.CANCELLED if self._lifetime.caller_gone else AttemptEnd.TIMED_OUT
             raise
         finally:
-            self._offered = False
+            self._attempt_active = False
             self._finish(end)
 
     async def _exchange_with(self, backend: Backend) -> None:
         connections = self._context.connections
         address = backend.gateway or backend.address
-        connection = await connections.take(address, self._service.connect_timeout)
+        connection = await connections.acquire(address, self._service.connect_timeout)
         try:
             edge = NODE_EDGE if backend.gateway else self._context.edge
             self._connection = connection
@@ -329,16 +338,18 @@
             await self._exchange.run(connection, headers, edge, on_demand)
         except (BackendFailedError, TruncatedAnswerError) as error:
             if connection.sent and not backend.gateway:
-                self._sent = True  # the look for its end may be cut short
+                self._may_have_run = True  # the look for its end may be cut short
                 name = backend.name
-                await self._suspicion.look_for_end(self.request_id, name, backend.address, error)
+                await self._crash_guard.check_for_crash(
+                    self.request_id, name, backend.address, error
+                )
             raise
         except anyio.get_cancelled_exc_class():
-            self._sent = self._sent or connection.sent
+            self._may_have_run = self._may_have_run or connection.sent
             raise
         finally:
             self._connection = None
-            connections.give_back(connection, long_lived=bool(backend.gateway))
+            connections.release(connection, long_lived=bool(backend.gateway))
 
     def _attempt_headers(self, backend: Backend, edge: EdgeHeaders) -> RawHeaders:
         now = self._context.clock()
@@ -351,27 +362,27 @@
         within = self._ticket.within
         run_rank = self._context.runs.usual_rank() if within else None
         hop = hop_headers(self._route, backend.name, objective, lateness, caller, within, run_rank)
-        if self._may_leave():
-            hop.append((ELSEWHERE, b"1"))
-        if self._exchange.holds_back:
-            hop.append((HOLDS_BACK, b"1"))
+        if self._may_abandon():
+            hop.append((REPORT_HANGS, b"1"))
+        if self._exchange.buffers_start:
+            hop.append((BUFFERS_START, b"1"))
             # Short answers wait for no link, and are not worth the look.
             long = self._route.name not in self._context.dispatcher.short_answers
-            if long and not self._may_repeat(now):
-                hop.append((ONLY_HERE, b"1"))
+            if long and not self._can_repeat(now):
+                hop.append((NO_ALTERNATIVE, b"1"))
         if backend.started_at:
             hop.append((INCARNATION, b"%d" % backend.started_at))
         if self._context.shutdown.begun:
             left = self._context.shutdown.seconds_left(now)
-            hop.append((GONE_IN, gone_in_text(left).encode()))
+            hop.append((SENDER_STOPS_IN, format_milliseconds_left(left).encode()))
         return [*self._headers, *own, *hop]
 
-    def _may_repeat(self, now: float) -> bool:
+    def _can_repeat(self, now: float) -> bool:
         """Tell whether an answer that breaks off could be had elsewhere; else it would be lost."""
-        fits = not self._head.chunked and self._head.body_bytes <= REPLAY_BYTES
+        fits = not self._head.chunked and self._head.body_bytes <= MAX_REPLAY_BYTES
         return fits and self._context.dispatcher.may_repeat(self._ticket, now)
 
-    def _leave_hung(self, doubt: RawHeaders) -> bool:
+    def _on_hang_report(self, doubt: RawHeaders) -> bool:
         """Learn that the back end has most likely hung on the attempt; tell whether to leave it.
 
         A back end itself says by the same status that it is at work.
@@ -382,9 +393,9 @@
         load = dict(doubt).get(BACKEND_LOAD, b"").decode("latin-1")
         now = self._context.clock()
         self._context.dispatcher.note_hung(self._ticket, now, parse_load(load))
-        return self._may_leave()
+        return self._may_abandon()
 
-    def _may_leave(self) -> bool:
+    def _may_abandon(self) -> bool:
         """Tell whether the attempt under way is better made elsewhere if its back end hangs.
 
         A node that stops leaves none: the back end may be at work after all, and its answer is
@@ -416,7 +427,7 @@
         if word is not None:
             self._context.dispatcher.note_link(self._ticket, word, self._context.clock(), begun)
         elif self._context.metrics is not None:
-            self._context.metrics.note_senseless_link()
+            self._context.metrics.note_invalid_link_report()
 
     def _finish(self, end: AttemptEnd) -> None:
         self._context.dispatcher.finish(self._ticket, self._context.clock(), end)
--- a/src/pewtertack/node/proxy/headers.py
+++ b/src/pewtertack/node/proxy/headers.py
@@ -17,7 +17,7 @@
 BACKEND_LOAD = b"x-backend-load"
 BACKEND_STATE = b"x-backend-state"
 RETRIES = RETRIES_HEADER.encode()
-MAXIMUM_REQUEST_ID = 128
+MAX_REQUEST_ID_LENGTH = 128
 
 HOP_BY_HOP = frozenset(
     {
@@ -38,8 +38,8 @@
     | hop.GATEWAY_NAMES
     | {b"expect", REQUEST_ID, DEADLINE, BACKEND_LOAD, BACKEND_STATE}
 )
-FRAMING = frozenset({b"content-length", b"transfer-encoding"})
-NOTED_PREFIXES = (b"x-", b"retry-")
+FRAMING_NAMES = frozenset({b"content-length", b"transfer-encoding"})
+NODE_HEADER_PREFIXES = (b"x-", b"retry-")
 """Of the names in an answer that say something to the node."""
 NOT_RETURNED = HOP_BY_HOP | hop.ANSWER_NAMES | {REQUEST_ID, BACKEND_LOAD, BACKEND_STATE}
 
@@ -73,7 +73,7 @@
     """
     head = RequestHead()
     hosts = lengths = codings = 0
-    for name, value in _of_names(headers, edge.read):
+    for name, value in _select_names(headers, edge.read):
         if name == b"host":
             hosts += 1
             head.host = _host_name(value)
@@ -98,7 +98,7 @@
     return head
 
 
-def _of_names(headers: RawHeaders, names: Set[bytes]) -> RawHeaders:
+def _select_names(headers: RawHeaders, names: Set[bytes]) -> RawHeaders:
     return [item for item in headers if item[0] in names]
 
 
@@ -124,7 +124,7 @@
 def _usable_request_id(value: bytes) -> str:
     """Return the caller's id, or "" for one that is not safe to repeat in logs."""
     text = value.decode("latin-1").strip()
-    usable = 0 < len(text) <= MAXIMUM_REQUEST_ID and text.isascii() and text.isprintable()
+    usable = 0 < len(text) <= MAX_REQUEST_ID_LENGTH and text.isascii() and text.isprintable()
     return text if usable else ""
 
 
@@ -216,12 +216,12 @@
     request_id = edge.request_id
     for raw_name, value in headers:
         name = raw_name.lower()
-        if name in FRAMING:
+        if name in FRAMING_NAMES:
             answer.framed = True
             if name == b"content-length" and value.strip().isdigit():
                 answer.length = int(value)
-        elif name.startswith(NOTED_PREFIXES):
-            _note(answer, name, value, edge)
+        elif name.startswith(NODE_HEADER_PREFIXES):
+            _read_node_header(answer, name, value, edge)
         elif name == b"connection":
             options |= _options(value)
         if name not in NOT_RETURNED and name != request_id:
@@ -231,7 +231,7 @@
     return answer
 
 
-def _note_gateway(answer: AnswerHead, name: bytes, text: str) -> None:
+def _read_gateway_header(answer: AnswerHead, name: bytes, text: str) -> None:
     if name == hop.FAILURE:
         answer.failure = text
     elif name == hop.ORIGIN:
@@ -242,14 +242,14 @@
         answer.queued = int(text) / 1000 if text.isdecimal() else 0.0
 
 
-def _note(answer: AnswerHead, name: bytes, value: bytes, edge: EdgeHeaders) -> None:
+def _read_node_header(answer: AnswerHead, name: bytes, value: bytes, edge: EdgeHeaders) -> None:
     text = value.decode("latin-1")
     if name == edge.request_id:
         answer.request_id = text
     elif name == edge.not_run:
         answer.not_run = True
     elif name in hop.ANSWER_NAMES:
-        _note_gateway(answer, name, text)
+        _read_gateway_header(answer, name, text)
     elif name == BACKEND_LOAD:
         answer.load = text
     elif name == BACKEND_STATE:
--- a/src/pewtertack/node/proxy/in_flight.py
+++ b/src/pewtertack/node/proxy/in_flight.py
@@ -38,7 +38,7 @@
     def gateway(self) -> str:
         """``ip:port`` of the other node that has it now; empty if none has."""
 
-    def leave_by(self, moment: float) -> None:
+    def finish_by(self, moment: float) -> None:
         """Have its answer leave by then: the node that sent the request stops."""
 
     def log_unfinished(self) -> None:
@@ -51,7 +51,7 @@
         """End it now, with a failure that tells what is known of it."""
 
 
-class _Counted:
+class _CountContext:
     """Counts one request while it is served.
 
     A class: a generator's context took 3 us more, four times a hop over two nodes.
@@ -73,20 +73,20 @@
     ) -> None:
         self._requests.count -= 1
         if self._requests.draining:
-            self._requests.notice_idle()
+            self._requests.check_idle()
 
 
-class _Served:
+class _ActiveContext:
     """Keeps one request among those under way."""
 
-    __slots__ = ("_request", "_under_way")
+    __slots__ = ("_request", "_active")
 
-    def __init__(self, under_way: set[ActiveRequest], request: ActiveRequest) -> None:
-        self._under_way = under_way
+    def __init__(self, active: set[ActiveRequest], request: ActiveRequest) -> None:
+        self._active = active
         self._request = request
 
     def __enter__(self) -> None:
-        self._under_way.add(self._request)
+        self._active.add(self._request)
 
     def __exit__(
         self,
@@ -94,7 +94,7 @@
         error: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        self._under_way.discard(self._request)
+        self._active.discard(self._request)
 
 
 class RequestsInFlight:
@@ -105,36 +105,36 @@
         self.draining = False
         self.leaving = False
         """Whether the node has been told to stop."""
-        self.under_way: set[ActiveRequest] = set()
+        self.active: set[ActiveRequest] = set()
         """Those of the counted that are being served."""
         self._idle = anyio.Event()
 
-    def one(self) -> _Counted:
+    def count_one(self) -> _CountContext:
         """Return a context that counts one request while it is served."""
-        return _Counted(self)
+        return _CountContext(self)
 
-    def serving(self, request: ActiveRequest) -> _Served:
+    def track(self, request: ActiveRequest) -> _ActiveContext:
         """Return a context that keeps ``request`` among those under way."""
-        return _Served(self.under_way, request)
+        return _ActiveContext(self.active, request)
 
     def start_draining(self) -> None:
         """Note that the node stops once nothing is in flight."""
         self.draining = True
-        self.notice_idle()
+        self.check_idle()
 
     def log_unfinished(self) -> None:
         """Log what is still under way."""
-        for request in self.under_way:
+        for request in self.active:
             request.log_unfinished()
 
     async def withdraw(self) -> None:
         """Have those that no back end works on refused; the others go on."""
-        await self._withdraw(tuple(self.under_way))
+        await self._withdraw(tuple(self.active))
 
     async def withdraw_one(self, request_id: str) -> None:
         """Have the request of that id refused, if no back end works on it."""
         await self._withdraw(
-            [request for request in self.under_way if request.request_id == request_id]
+            [request for request in self.active if request.request_id == request_id]
         )
 
     async def _withdraw(self, requests: Iterable[ActiveRequest]) -> None:
@@ -143,7 +143,7 @@
                 tasks.start_soon(self._withdraw_one, request)
 
     async def _withdraw_one(self, request: ActiveRequest) -> None:
-        if request in self.under_way:  # it may have ended since
+        if request in self.active:  # it may have ended since
             await request.withdraw()
 
     def stop(self) -> None:
@@ -151,7 +151,7 @@
 
         Those could only be cut: they go on until the process itself ends.
         """
-        for request in tuple(self.under_way):
+        for request in tuple(self.active):
             if request.progress is not Progress.ANSWERING:
                 request.stop()
 
@@ -159,7 +159,7 @@
         """Return when draining has begun and nothing is in flight."""
         await self._idle.wait()
 
-    def notice_idle(self) -> None:
+    def check_idle(self) -> None:
         """See whether what ``wait_drained`` waits for has come."""
         if self.draining and self.count == 0:
             self._idle.set()
--- a/src/pewtertack/node/proxy/lifetime.py
+++ b/src/pewtertack/node/proxy/lifetime.py
@@ -16,7 +16,7 @@
 )
 
 
-class LifeEnd(Enum):
+class LifetimeEnd(Enum):
     """How a request's work ended, where it raised nothing."""
 
     FINISHED = "finished"
@@ -25,14 +25,14 @@
     STOPPED = "stopped"
 
 
-def end_error(end: LifeEnd) -> RequestFailedError:
+def end_error(end: LifetimeEnd) -> RequestFailedError:
     """Return the failure of a request whose work was cut short; its outcome is yet to be set."""
-    if end is LifeEnd.STOPPED:
+    if end is LifetimeEnd.STOPPED:
         return DrainingError("the node stops and has no more time for the request")
     return DeadlineExceededError("the deadline passed")
 
 
-class RequestLife:
+class RequestLifetime:
     """Runs a request's work until it ends, is stopped, its deadline passes or its caller goes.
 
     The work is cut short by one cancellation of its task. A cancel scope of anyio, which repeats
@@ -40,14 +40,14 @@
     the work waits once it has been cancelled.
     """
 
-    __slots__ = ("_caller", "_clock", "_cut_short", "_deadline", "_stopped", "_task")
+    __slots__ = ("_caller", "_clock", "_cancelled", "_deadline", "_stopped", "_task")
 
     def __init__(self, scope: Scope, deadline: float, clock: Callable[[], float]) -> None:
         self._caller: Caller = scope["extensions"][CALLER]
         self._deadline = deadline
         self._clock = clock
         self._stopped = False
-        self._cut_short = False
+        self._cancelled = False
         self._task: asyncio.Task[object] | None = None
         """What does the work, while it does."""
 
@@ -59,36 +59,36 @@
     def stop(self) -> None:
         """End the work: the node has no more time for it."""
         self._stopped = True
-        self._cut()
+        self._cancel_work()
 
-    def _cut(self) -> None:
+    def _cancel_work(self) -> None:
         """Cancel the work, once; never called by what does it."""
-        if self._task is not None and not self._cut_short:
-            self._cut_short = True
+        if self._task is not None and not self._cancelled:
+            self._cancelled = True
             self._task.cancel()
 
-    async def run(self, work: Callable[[], Awaitable[None]]) -> LifeEnd:
+    async def run(self, work: Callable[[], Awaitable[None]]) -> LifetimeEnd:
         """Do the work; what it raises passes through."""
         task = asyncio.current_task()
         assert task is not None
         self._task = task
         cancelled_before = task.cancelling()
-        others = deadlines()
-        deadline = others.add(self._deadline - self._clock(), self._cut)
-        self._caller.on_gone = self._cut
+        timers = deadlines()
+        deadline = timers.add(self._deadline - self._clock(), self._cancel_work)
+        self._caller.on_gone = self._cancel_work
         if self._caller.gone or self._stopped:
-            others.loop.call_soon(self._cut)
+            timers.loop.call_soon(self._cancel_work)
         try:
             await work()
-            return LifeEnd.FINISHED
+            return LifetimeEnd.FINISHED
         except asyncio.CancelledError:
-            if not self._cut_short or task.cancelling() > cancelled_before + 1:
+            if not self._cancelled or task.cancelling() > cancelled_before + 1:
                 raise  # the server ends the task itself
         finally:
             self._caller.on_gone = self._task = None
-            others.cancel(deadline)
-            if self._cut_short:
+            timers.cancel(deadline)
+            if self._cancelled:
                 task.uncancel()
         if self.caller_gone:
-            return LifeEnd.CALLER_GONE
-        return LifeEnd.STOPPED if self._stopped else LifeEnd.DEADLINE
+            return LifetimeEnd.CALLER_GONE
+        return LifetimeEnd.STOPPED if self._stopped else LifetimeEnd.DEADLINE
--- a/src/pewtertack/node/proxy/metrics.py
+++ b/src/pewtertack/node/proxy/metrics.py
@@ -36,7 +36,7 @@
             "Failed attempts by why the request was, or was not, sent once more.",
             ("reason",),
         )
-        self._senseless_links = registry.counter(
+        self._invalid_link_reports = registry.counter(
             "pewtertack_senseless_links",
             "Words of gateways on the lines of their links that made no sense and were ignored.",
             (),
@@ -47,9 +47,9 @@
             ("service", "zone"),
         )
 
-    def note_senseless_link(self) -> None:
+    def note_invalid_link_report(self) -> None:
         """A gateway's word on its link made no sense."""
-        self._senseless_links.inc(())
+        self._invalid_link_reports.inc(())
 
     def note_answered(self, route: ResolvedRoute, seconds: float) -> None:
         """A request was answered whole."""
--- a/src/pewtertack/node/proxy/probing.py
+++ b/src/pewtertack/node/proxy/probing.py
@@ -20,7 +20,7 @@
 from pewtertack.routing.dispatcher import Dispatcher
 from pewtertack.routing.outcomes import BackendUnreachableError
 
-LOOK_SECONDS = 0.1
+CHECK_SECONDS = 0.1
 PROBE_SECONDS = 0.3
 """For connection and answer together."""
 
@@ -31,11 +31,11 @@
     def __init__(self, dispatcher: Dispatcher, clock: Callable[[], float]) -> None:
         self._dispatcher = dispatcher
         self._clock = clock
-        self._wanted = anyio.Event()
+        self._needed = anyio.Event()
 
     def wake(self) -> None:
         """A gateway is out of reach from now on."""
-        self._wanted.set()
+        self._needed.set()
 
     async def run(self) -> None:
         """Probe until cancelled.
@@ -46,10 +46,10 @@
         async with anyio.create_task_group() as tasks:
             while True:
                 if not self._dispatcher.any_unreachable():
-                    self._wanted = anyio.Event()
-                    await self._wanted.wait()
+                    self._needed = anyio.Event()
+                    await self._needed.wait()
                 self._start_due(tasks)
-                await anyio.sleep(LOOK_SECONDS)
+                await anyio.sleep(CHECK_SECONDS)
 
     def _start_due(self, tasks: TaskGroup) -> None:
         for backend in self._dispatcher.probes_due(self._clock()):
@@ -71,7 +71,7 @@
     except BackendUnreachableError:
         return False
     try:
-        response = await connection.exchange(_question(gateway))
+        response = await connection.exchange(_probe_request(gateway))
         return response.status == PROBE_ANSWERED
     except ExchangeBrokenError:
         return False
@@ -79,5 +79,5 @@
         connection.abort()
 
 
-def _question(gateway: str) -> OutgoingRequest:
+def _probe_request(gateway: str) -> OutgoingRequest:
     return OutgoingRequest(b"GET", b"/", [(b"host", gateway.encode()), (PROBE, b"1")])
--- a/src/pewtertack/node/proxy/request_log.py
+++ b/src/pewtertack/node/proxy/request_log.py
@@ -42,7 +42,7 @@
         return seconds  # endless, or no number
 
 
-def parts_of(value: float, parts: int) -> float:
+def round_to_parts(value: float, parts: int) -> float:
     """Return ``value`` to whole parts of 1, halves upwards.
 
     ``round`` with digits works in decimals and takes 1 us, this 0.3; a hop has a dozen.
@@ -53,7 +53,7 @@
         return value  # endless, or no number
 
 
-class Beliefs(msgspec.Struct):
+class KnownVersions(msgspec.Struct):
     """Versions by which a proxy decides, and since when it has them (monotonic seconds)."""
 
     revision: int = 0
@@ -65,17 +65,19 @@
 class ProxyLog:
     """Lines of a proxy. Times in fields are milliseconds, ages seconds."""
 
-    def __init__(self, record: RecordEvent, clock: Callable[[], float], beliefs: Beliefs) -> None:
+    def __init__(
+        self, record: RecordEvent, clock: Callable[[], float], beliefs: KnownVersions
+    ) -> None:
         self._record = record
         self._clock = clock
-        self._beliefs = beliefs
+        self._versions = beliefs
 
     def routed(self, request: str, ticket: Ticket, revision: int) -> None:
         """An attempt has its back end."""
         backend = ticket.backend
         assert backend is not None
         now = self._clock()
-        known = self._beliefs
+        known = self._versions
         self._record(
             Event.REQUEST_ROUTED,
             request=request,
@@ -85,9 +87,9 @@
             zone=backend.zone,
             attempt=len(ticket.excluded) + 1,
             reason=ticket.choice,
-            load=f"{parts_of(backend.occupancy(now) * _slots(ticket), 10)}/{_slots(ticket)}",
+            load=f"{round_to_parts(backend.occupancy(now) * _slots(ticket), 10)}/{_slots(ticket)}",
             load_age=_age(now, backend.reported_at),
-            slowness=parts_of(backend.slowness, 100),
+            slowness=round_to_parts(backend.slowness, 100),
             revision=revision,
             revision_age=_age(now, known.revision_at),
             machine_list=known.machine_list,
@@ -153,8 +155,8 @@
             detail=error.message,
             status=error.answer_status,
             retry_after=error.retry_after,
-            revision=self._beliefs.revision,
-            machine_list=self._beliefs.machine_list,
+            revision=self._versions.revision,
+            machine_list=self._versions.machine_list,
         )
 
     def unfinished(
@@ -264,11 +266,11 @@
         took = milliseconds(seconds)
         self._record(Event.GATEWAY_SENT, request=request, backend=backend, took=took)
 
-    def gave_back(self, request: str, backend: str) -> None:
+    def handed_back(self, request: str, backend: str) -> None:
         """A long answer will not leave before this node or its receiver stops, and is not cut."""
         self._record(Event.GATEWAY_GAVE_BACK, request=request, backend=backend)
 
-    def sender_stops(self, seconds: float, named: int, found: int) -> None:
+    def sender_stopping(self, seconds: float, named: int, found: int) -> None:
         """Another node stops in so many seconds; of the requests it named some are here."""
         left = milliseconds(seconds)
         self._record(Event.SENDER_STOPS, left=left, named=named, found=found)
@@ -306,4 +308,4 @@
 
 def _age(now: float, since: float) -> float | None:
     """Return the seconds since a moment, ``None`` for one that never was."""
-    return parts_of(now - since, 1000) if since > 0 else None
+    return round_to_parts(now - since, 1000) if since > 0 else None
--- a/src/pewtertack/node/proxy/shutdown_notice.py
+++ b/src/pewtertack/node/proxy/shutdown_notice.py
@@ -16,16 +16,16 @@
 
 import anyio
 
-from pewtertack.node.gateway.hop import leave_by_groups, leave_by_word
+from pewtertack.node.gateway.hop import finish_by_request, group_request_ids
 from pewtertack.node.http.answer_reading import ExchangeBrokenError
 from pewtertack.node.http.cycle import LOGGER
 from pewtertack.node.http.messages import OutgoingRequest
 from pewtertack.node.proxy.in_flight import RequestsInFlight
 from pewtertack.node.proxy.upstream import ConnectionPool
-from pewtertack.node.proxy.withdrawal import ask_gateway
+from pewtertack.node.proxy.withdrawal import send_to_gateway
 from pewtertack.routing.outcomes import BackendUnreachableError
 
-TELL_SECONDS = 1.0
+NOTIFY_SECONDS = 1.0
 """For connection and answer together: a gateway out of reach for longer answers nothing in time."""
 
 logger = logging.getLogger(LOGGER)
@@ -61,29 +61,29 @@
     if not stop.begun:
         return  # it waits for all answers, without end
     ids: dict[str, list[str]] = defaultdict(list)
-    for request in requests.under_way:
+    for request in requests.active:
         ids[request.gateway].append(request.request_id)
     ids.pop("", None)
     async with anyio.create_task_group() as tasks:
         for gateway, named in ids.items():
-            for group in leave_by_groups(named):
-                word = partial(_word, stop, clock, gateway, group)
-                tasks.start_soon(_tell, connections, gateway, word)
+            for request_ids in group_request_ids(named):
+                build = partial(_build_notice, stop, clock, gateway, request_ids)
+                tasks.start_soon(_notify, connections, gateway, build)
 
 
-def _word(
+def _build_notice(
     stop: ShutdownDeadline, clock: Callable[[], float], gateway: str, ids: Sequence[str]
 ) -> OutgoingRequest:
     """Return the word on some requests; the time left is that of the moment."""
-    return leave_by_word(gateway, stop.seconds_left(clock()), ids)
+    return finish_by_request(gateway, stop.seconds_left(clock()), ids)
 
 
-async def _tell(
-    connections: ConnectionPool, gateway: str, word: Callable[[], OutgoingRequest]
+async def _notify(
+    connections: ConnectionPool, gateway: str, build: Callable[[], OutgoingRequest]
 ) -> None:
     try:
-        with anyio.move_on_after(TELL_SECONDS) as telling:
-            await ask_gateway(connections, gateway, word)
+        with anyio.move_on_after(NOTIFY_SECONDS) as telling:
+            await send_to_gateway(connections, gateway, build)
     except (BackendUnreachableError, ExchangeBrokenError) as error:
         logger.warning("a gateway could not be told of the stop: %s", error)
         return
--- a/src/pewtertack/node/proxy/upstream.py
+++ b/src/pewtertack/node/proxy/upstream.py
@@ -31,7 +31,7 @@
         self._sweep: asyncio.TimerHandle | None = None
         self._sweep_at = math.inf
 
-    async def take(self, address: str, connect_timeout: float) -> BackendConnection:
+    async def acquire(self, address: str, connect_timeout: float) -> BackendConnection:
         """Return an idle connection that is alive, or a new one.
 
         Raises:
@@ -47,7 +47,7 @@
             connection.abort()
         return await connect(address, connect_timeout)
 
-    def give_back(self, connection: BackendConnection, long_lived: bool = False) -> None:
+    def release(self, connection: BackendConnection, long_lived: bool = False) -> None:
         """Keep the connection for reuse when its exchange ended cleanly, else close it.
 
         ``long_lived`` says that the other end keeps idle connections for longer.
@@ -59,9 +59,9 @@
         seconds = GATEWAY_IDLE_SECONDS if long_lived else IDLE_SECONDS
         now = self._clock()
         idle.append((now + seconds, connection))
-        self._sweep_by(now + seconds, now)
+        self._schedule_sweep(now + seconds, now)
 
-    def _sweep_by(self, moment: float, now: float) -> None:
+    def _schedule_sweep(self, moment: float, now: float) -> None:
         """See to it that what expires at ``moment`` is closed soon after."""
         if self._sweep is not None:
             if self._sweep_at <= moment + SWEEP_SECONDS:
@@ -77,7 +77,7 @@
         now = self._clock()
         self._close_idle(now, self._idle.keys())
         if self._idle:
-            self._sweep_by(min(idle[0][0] for idle in self._idle.values()), now)
+            self._schedule_sweep(min(idle[0][0] for idle in self._idle.values()), now)
 
     def drop(self, address: str) -> None:
         """Close idle connections to an address whose machine may be gone."""
--- a/src/pewtertack/node/proxy/withdrawal.py
+++ b/src/pewtertack/node/proxy/withdrawal.py
@@ -18,7 +18,7 @@
 from pewtertack.node.proxy.upstream import ConnectionPool
 from pewtertack.routing.outcomes import BackendUnreachableError
 
-TAKE_BACK_SECONDS = 0.3
+WITHDRAW_SECONDS = 0.3
 """For connection and answer together; a gateway out of reach refuses nothing in time."""
 
 logger = logging.getLogger(LOGGER)
@@ -30,13 +30,15 @@
     Whether it did is told by the answer to the request itself.
     """
     try:
-        with anyio.move_on_after(TAKE_BACK_SECONDS):
-            await ask_gateway(connections, gateway, lambda: withdrawal_request(gateway, request_id))
+        with anyio.move_on_after(WITHDRAW_SECONDS):
+            await send_to_gateway(
+                connections, gateway, lambda: withdrawal_request(gateway, request_id)
+            )
     except (BackendUnreachableError, ExchangeBrokenError) as error:
         logger.warning("a request could not be taken back: %s", error)
 
 
-async def ask_gateway(
+async def send_to_gateway(
     connections: ConnectionPool, gateway: str, make: Callable[[], OutgoingRequest]
 ) -> None:
     """Send a request that is for the gateway at ``ip:port`` alone, and read its answer.
@@ -47,9 +49,9 @@
         BackendUnreachableError: no connection was made.
         ExchangeBrokenError: no answer came.
     """
-    connection = await connections.take(gateway, TAKE_BACK_SECONDS)
+    connection = await connections.acquire(gateway, WITHDRAW_SECONDS)
     try:
         await connection.exchange(make())
         await connection.read_whole()
     finally:
-        connections.give_back(connection, long_lived=True)
+        connections.release(connection, long_lived=True)
--- a/tests/node/gateway/test_body_on_demand.py
+++ b/tests/node/gateway/test_body_on_demand.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from pewtertack.node.gateway.reception import MOST_AHEAD
+from pewtertack.node.gateway.reception import MAX_EARLY_BODIES
 from pewtertack.node.proxy import body as bodies
 from pewtertack.node.proxy.in_flight import Progress
 from tests.node.gateway.test_gateway import GatewayTestCase, answer_well, header
@@ -88,19 +88,19 @@
         return task
 
     async def until_waiting(self, count: int) -> None:
-        under_way: Any = self.gateways[0].requests.under_way
+        active: Any = self.gateways[0].requests.active
         async with asyncio.timeout(FEW_SECONDS):
-            while sum(item.progress is Progress.WAITING for item in under_way) < count:
+            while sum(item.progress is Progress.WAITING for item in active) < count:
                 await asyncio.sleep(0.005)
 
     async def test_few_bodies_come_ahead_of_their_slots_and_all_arrive_whole(self) -> None:
         held = await self.begin_held()
         calls = [await self.call(upload("run-1"))]
-        waiting = MOST_AHEAD + 2
+        waiting = MAX_EARLY_BODIES + 2
         calls += [await self.call(upload(f"wait-{number}")) for number in range(waiting)]
         await self.until_waiting(waiting)
-        self.assertEqual(self.relay.asked_for_bodies, 1 + MOST_AHEAD)
-        self.assertLess(self.relay.received, (2 + MOST_AHEAD) * SIZE)
+        self.assertEqual(self.relay.asked_for_bodies, 1 + MAX_EARLY_BODIES)
+        self.assertLess(self.relay.received, (2 + MAX_EARLY_BODIES) * SIZE)
         held.go_on.set()
         for task in calls:
             self.assertEqual((await asyncio.wait_for(task, FEW_SECONDS)).status, 200)
@@ -108,7 +108,7 @@
         self.assertNotIn("expect", "".join(self.heads).lower())
 
     async def test_no_more_are_taken_while_as_many_wait_as_a_node_keeps(self) -> None:
-        with mock.patch.object(bodies, "ALL_KEPT_BYTES", 2 * SIZE):
+        with mock.patch.object(bodies, "TOTAL_BODY_BUFFER_BYTES", 2 * SIZE):
             held = await self.begin_held()
             calls = [await self.call(upload(f"kept-{number}")) for number in range(2)]
             await self.until_waiting(1)
@@ -133,10 +133,10 @@
 
     async def test_a_connection_that_breaks_before_the_body_was_asked_for_ran_nothing(self) -> None:
         held = await self.begin_held()
-        for number in range(1 + MOST_AHEAD):
+        for number in range(1 + MAX_EARLY_BODIES):
             await self.call(upload(f"ahead-{number}"))
         waiting = await self.call(upload("wait-1"))
-        await self.until_waiting(1 + MOST_AHEAD)
+        await self.until_waiting(1 + MAX_EARLY_BODIES)
         self.relay.cut()
         answer = await asyncio.wait_for(waiting, FEW_SECONDS)
         self.assert_refused(answer, 503, "not-run")
@@ -171,7 +171,9 @@
     async def test_a_stopping_proxy_takes_back_what_waits_with_and_without_its_body(self) -> None:
         await self.begin_held()
         running = await self.call(upload("run-1"))
-        waiting = [await self.call(upload(f"wait-{number}")) for number in range(2 + MOST_AHEAD)]
+        waiting = [
+            await self.call(upload(f"wait-{number}")) for number in range(2 + MAX_EARLY_BODIES)
+        ]
         await self.until_waiting(len(waiting))
         await self.proxy.withdraw_waiting()
         for task in waiting:
@@ -180,13 +182,13 @@
 
     async def test_a_caller_that_goes_is_noticed_while_its_body_waits(self) -> None:
         held = await self.begin_held()
-        for number in range(1 + MOST_AHEAD):
+        for number in range(1 + MAX_EARLY_BODIES):
             await self.call(upload(f"ahead-{number}"))
         _, writer = await begin_call(self.address, upload("wait-1", 360_000))
-        await self.until_waiting(1 + MOST_AHEAD)
+        await self.until_waiting(1 + MAX_EARLY_BODIES)
         writer.close()
         async with asyncio.timeout(FEW_SECONDS):
-            while self.proxy.in_flight > 1 + MOST_AHEAD:
+            while self.proxy.in_flight > 1 + MAX_EARLY_BODIES:
                 await asyncio.sleep(0.005)
         held.go_on.set()
         await asyncio.sleep(0.2)
--- a/tests/node/gateway/test_ends_cut_short.py
+++ b/tests/node/gateway/test_ends_cut_short.py
@@ -10,13 +10,13 @@
 from tests.node.gateway.test_gateway import GatewayTestCase, answer_well
 from tests.node.proxy.harness import raw_call, request_bytes
 
-LOOK_SECONDS = 0.5
+CHECK_SECONDS = 0.5
 LOOKED_AT = "pewtertack.node.crash_watch.nobody_listens"
 
 
 async def look_slowly(address: str) -> bool:
     """Take long to find out that the back end still listens."""
-    await asyncio.sleep(LOOK_SECONDS)
+    await asyncio.sleep(CHECK_SECONDS)
     return False
 
 
@@ -41,7 +41,7 @@
             )
             await asyncio.sleep(0.2)
             for gateway in self.gateways:
-                for request in tuple(gateway.requests.under_way):
+                for request in tuple(gateway.requests.active):
                     request.stop()
             answer = await call
         self.assertEqual(len(ran), 1)
--- a/tests/node/gateway/test_hanging.py
+++ b/tests/node/gateway/test_hanging.py
@@ -163,7 +163,7 @@
         before = len(self.heads)
         asyncio.get_running_loop().slow_callback_duration = 2 * HELD_UP_SECONDS
         with (
-            mock.patch.object(GatewayForwarding, "_doubt") as doubt,
+            mock.patch.object(GatewayForwarding, "_report_hang") as doubt,
             mock.patch.object(HangWatch, "hangs", hangs_when_late),
         ):
             for _ in range(2):
--- a/tests/node/gateway/test_large_answers.py
+++ b/tests/node/gateway/test_large_answers.py
@@ -4,7 +4,7 @@
 import tracemalloc
 from typing import Any
 
-from pewtertack.node.proxy.exchange import WHOLE_BODY_BYTES
+from pewtertack.node.proxy.exchange import START_BUFFER_BYTES
 from tests.node.gateway.test_gateway import GatewayTestCase, header
 from tests.node.proxy.harness import begin_call, raw_call, request_bytes
 
@@ -48,7 +48,7 @@
         return answer.status, len(answer.body)
 
     async def test_one_of_which_nothing_was_passed_on_is_tried_again(self) -> None:
-        for cut_after in (0, 1, WHOLE_BODY_BYTES // 2):
+        for cut_after in (0, 1, START_BUFFER_BYTES // 2):
             with self.subTest(cut_after):
                 backends = CutAnswers(cut_after)
                 self.assertEqual(await self.call(backends, repeatable=True), (200, LENGTH))
--- a/tests/node/gateway/test_link_words.py
+++ b/tests/node/gateway/test_link_words.py
@@ -87,7 +87,7 @@
             answer = await raw_call(address, GET)
         self.assertEqual(answer.status, 200)
         self.assertEqual(self.backend.link_free_at, 0.0)
-        self.assertEqual(list(self.proxy._metrics._senseless_links.values.values()), [1.0])
+        self.assertEqual(list(self.proxy._metrics._invalid_link_reports.values.values()), [1.0])
 
 
 if __name__ == "__main__":
--- a/tests/node/gateway/test_lives.py
+++ b/tests/node/gateway/test_lives.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from pewtertack.core.machines import Machine, MachineList, MachineRole, MachineState
-from pewtertack.node.gateway.incarnations import NAMES_KEPT, Incarnations
+from pewtertack.node.gateway.incarnations import MAX_UNLISTED_NAMES, Incarnations
 from pewtertack.routing.cold import ColdBounds
 from pewtertack.routing.outcomes import BackendGoneError, BackendLeftError
 from pewtertack.routing.patience import Lateness
@@ -106,16 +106,16 @@
     def test_names_that_no_list_tells_of_are_forgotten(self) -> None:
         self.subject.apply_machine_list(said(BEFORE))
         living = self.subject.get("b1")
-        for number in range(3 * NAMES_KEPT):
+        for number in range(3 * MAX_UNLISTED_NAMES):
             self.subject.get(f"asked-{number}")
-        self.assertLessEqual(len(self.subject), NAMES_KEPT + 1)
+        self.assertLessEqual(len(self.subject), MAX_UNLISTED_NAMES + 1)
         self.assertIs(self.subject.get("b1"), living)
         self.assertIsNone(self.subject.find("asked-0"))
 
     def test_one_that_is_asked_for_or_has_work_is_not_forgotten(self) -> None:
         asked, at_work = self.subject.get("asked"), self.subject.get("at-work")
         at_work.admission.submit(request(), 0.0)
-        for number in range(3 * NAMES_KEPT):
+        for number in range(3 * MAX_UNLISTED_NAMES):
             self.subject.get(f"asked-{number}")
             self.subject.get("asked")
         self.assertIs(self.subject.find("asked"), asked)
@@ -124,17 +124,17 @@
     def test_who_was_said_to_leave_is_kept_before_names_that_no_list_has_told_of(self) -> None:
         self.subject.apply_machine_list(said(BEFORE, state=MachineState.LEAVING))
         self.subject.apply_machine_list({})
-        for number in range(3 * NAMES_KEPT):
+        for number in range(3 * MAX_UNLISTED_NAMES):
             self.subject.get(f"asked-{number}")
         self.subject.apply_machine_list(said(BEFORE))
         self.assertFalse(self.subject.get("b1").takes_work)
 
     def test_those_that_lists_name_no_longer_are_bounded_too(self) -> None:
-        for number in range(3 * NAMES_KEPT):
+        for number in range(3 * MAX_UNLISTED_NAMES):
             name = f"b{number}"
             self.subject.apply_machine_list({name: msgspec.structs.replace(LIVING, name=name)})
-        self.assertLessEqual(len(self.subject), NAMES_KEPT + 1)
-        self.assertIsNotNone(self.subject.find(f"b{3 * NAMES_KEPT - 1}"))
+        self.assertLessEqual(len(self.subject), MAX_UNLISTED_NAMES + 1)
+        self.assertIsNotNone(self.subject.find(f"b{3 * MAX_UNLISTED_NAMES - 1}"))
 
     def test_a_start_that_is_told_for_the_first_time_is_no_new_life(self) -> None:
         unknown = self.subject.get("b1")
--- a/tests/node/gateway/test_own_stop.py
+++ b/tests/node/gateway/test_own_stop.py
@@ -7,10 +7,10 @@
 import msgspec
 
 from pewtertack.events import Event
-from pewtertack.node.gateway.hop import HOLDS_BACK, ONLY_HERE, hop_headers, read_hop
-from pewtertack.node.gateway.sending import HELD_BYTES
+from pewtertack.node.gateway.hop import BUFFERS_START, NO_ALTERNATIVE, hop_headers, read_hop
+from pewtertack.node.gateway.sending import ANSWER_BUFFER_BYTES
 from pewtertack.node.pacing import LinkPacer
-from pewtertack.node.proxy.body import REPLAY_BYTES
+from pewtertack.node.proxy.body import MAX_REPLAY_BYTES
 from pewtertack.node.proxy.request_log import RecordEvent
 from pewtertack.routing.link import LinkShare
 from pewtertack.routing.patience import Lateness
@@ -172,7 +172,7 @@
         self.assertEqual(await self.answers(), [(200, DOWNLOAD)] * CALLS)
 
     async def test_but_what_is_too_long_to_be_held_whole_is(self) -> None:
-        self.size = HELD_BYTES + DOWNLOAD
+        self.size = ANSWER_BUFFER_BYTES + DOWNLOAD
         await self.begin_to_stop()
         self.assertIn(Event.GATEWAY_GAVE_BACK, self.events)
         self.assertLessEqual(self.gateways[0].in_flight, 1)
@@ -207,7 +207,7 @@
         await self.assert_none_given_back()
 
     async def test_nothing_is_given_back_whose_body_can_not_be_sent_again(self) -> None:
-        self.body = b"p" * (REPLAY_BYTES + 1)
+        self.body = b"p" * (MAX_REPLAY_BYTES + 1)
         await self.begin()
         await self.assert_none_given_back()
 
@@ -296,7 +296,7 @@
 class WordTest(GatewayTestCase):
     async def test_a_gateway_is_told_which_answers_can_be_had_elsewhere(self) -> None:
         headers = hop_headers(route(), "b0", 1.0, Lateness.ALLOWED, "desk")
-        self.assertFalse(read_hop(headers).holds_back)
-        self.assertTrue(read_hop([*headers, (HOLDS_BACK, b"1")]).holds_back)
-        self.assertFalse(read_hop(headers).only_here)
-        self.assertTrue(read_hop([*headers, (ONLY_HERE, b"1")]).only_here)
+        self.assertFalse(read_hop(headers).buffers_start)
+        self.assertTrue(read_hop([*headers, (BUFFERS_START, b"1")]).buffers_start)
+        self.assertFalse(read_hop(headers).no_alternative)
+        self.assertTrue(read_hop([*headers, (NO_ALTERNATIVE, b"1")]).no_alternative)
--- a/tests/node/gateway/test_reception.py
+++ b/tests/node/gateway/test_reception.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from pewtertack.node.gateway.reception import MOST_AHEAD, RECEIVED_AT_ONCE, BodyReception
+from pewtertack.node.gateway.reception import MAX_CONCURRENT_BODIES, MAX_EARLY_BODIES, BodyReception
 from pewtertack.routing.places import AdmissionTicket
 
 
@@ -51,33 +51,33 @@
 
     async def test_so_many_come_at_once_and_the_queue_s_next_follows(self) -> None:
         await self.begin(*(ticket(place) for place in (3, 1, 2)))
-        self.assertEqual(self.begun, [3, 1][:RECEIVED_AT_ONCE])
+        self.assertEqual(self.begun, [3, 1][:MAX_CONCURRENT_BODIES])
         await self.end(3)
         self.assertEqual(self.begun, [3, 1, 2])
 
     async def test_a_request_with_a_slot_goes_first(self) -> None:
-        await self.begin(*(ticket(place) for place in range(RECEIVED_AT_ONCE + 2)))
+        await self.begin(*(ticket(place) for place in range(MAX_CONCURRENT_BODIES + 2)))
         await self.begin(ticket(9, granted=True))
         await self.end(0)
         self.assertEqual(self.begun[-1], 9)
 
     async def test_only_so_many_are_held_before_their_slots(self) -> None:
-        tickets = [ticket(place) for place in range(MOST_AHEAD + 2)]
+        tickets = [ticket(place) for place in range(MAX_EARLY_BODIES + 2)]
         await self.begin(*tickets)
-        for place in range(MOST_AHEAD):
+        for place in range(MAX_EARLY_BODIES):
             await self.end(place)
-        self.assertEqual(len(self.begun), MOST_AHEAD)
+        self.assertEqual(len(self.begun), MAX_EARLY_BODIES)
         tickets[0].granted = True
-        self.reception.start_next()
+        self.reception.start_waiters()
         await self.settle()
-        self.assertEqual(len(self.begun), MOST_AHEAD + 1)
-        self.reception.forget(tickets[1])
+        self.assertEqual(len(self.begun), MAX_EARLY_BODIES + 1)
+        self.reception.release(tickets[1])
         await self.settle()
-        self.assertEqual(len(self.begun), MOST_AHEAD + 2)
+        self.assertEqual(len(self.begun), MAX_EARLY_BODIES + 2)
 
     async def test_one_that_is_cancelled_leaves_its_place_and_its_turn(self) -> None:
-        await self.begin(*(ticket(place) for place in range(RECEIVED_AT_ONCE + 2)))
-        self.tasks[RECEIVED_AT_ONCE].cancel()  # waits
+        await self.begin(*(ticket(place) for place in range(MAX_CONCURRENT_BODIES + 2)))
+        self.tasks[MAX_CONCURRENT_BODIES].cancel()  # waits
         self.tasks[0].cancel()  # receives
         await self.settle()
-        self.assertEqual(self.begun, [*range(RECEIVED_AT_ONCE), RECEIVED_AT_ONCE + 1])
+        self.assertEqual(self.begun, [*range(MAX_CONCURRENT_BODIES), MAX_CONCURRENT_BODIES + 1])
--- a/tests/node/gateway/test_sending.py
+++ b/tests/node/gateway/test_sending.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from pewtertack.node.gateway.sending import HELD_BYTES, AnswerSender, HeldBytes
+from pewtertack.node.gateway.sending import ANSWER_BUFFER_BYTES, AnswerSender, BufferedBytes
 from pewtertack.node.http.cycle import WHOLE
 from pewtertack.node.pacing import LinkPacer
 from pewtertack.routing.link import LONG_BYTES, LinkShare
@@ -28,7 +28,7 @@
 class SenderTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.sent: list[Any] = []
-        self.held = HeldBytes()
+        self.held = BufferedBytes()
         self.pacer = LinkPacer(time.monotonic, LinkShare(MEGABITS))
 
     def make(self, route: str = "export") -> AnswerSender:
@@ -65,11 +65,11 @@
         sender = self.make()
         await self.answer(sender, data[:LONG_BYTES], data[LONG_BYTES:])
         self.assertLess(len(self.body()), len(data))
-        self.assertEqual(self.held.count, len(data) - len(self.body()))
+        self.assertEqual(self.held.byte_count, len(data) - len(self.body()))
         await sender.finish()
         self.assertEqual(self.body(), data)
         self.assertFalse(self.sent[-1].get("more_body", False))
-        self.assertEqual(self.held.count, 0)
+        self.assertEqual(self.held.byte_count, 0)
 
     async def test_an_answer_counts_from_its_promise_to_its_place_in_line_without_a_gap(
         self,
@@ -86,7 +86,7 @@
         share = self.pacer.share
         share.note_answer("export", size)
         sender = self.make()
-        sender.promise()
+        sender.reserve()
         own = share.own_time("export")
         self.assertAlmostEqual(share.time_ahead(BULK, time.monotonic()), own, delta=0.001)
         await self.begin(sender, size)
@@ -97,7 +97,7 @@
             self.assertGreater(ahead, own * 0.9 - LONG_BYTES / share.bytes_per_second)
             if len(self.sent) > 4:
                 break
-        sender.forget()
+        sender.close()
         await asyncio.sleep(0.01)
         self.assertEqual(share.time_ahead(BULK, time.monotonic() + 1.0), 0.0)
 
@@ -106,7 +106,7 @@
         sender = self.make()
         await sender({"type": "http.response.start", "status": 200, "headers": [], WHOLE: data})
         self.assertNotIn(WHOLE, self.sent[0])
-        self.assertEqual(self.held.count, len(data) - len(self.body()))
+        self.assertEqual(self.held.byte_count, len(data) - len(self.body()))
         await sender.finish()
         self.assertEqual(self.body(), data)
         self.assertGreater(self.pacer.answer_time("export", BULK), 0.0)
@@ -191,7 +191,7 @@
             await sender({"type": "http.response.body", "body": b""})
         await asyncio.sleep(0)
         for sender in senders:
-            sender.leave_by(now + 5.0)
+            sender.finish_by(now + 5.0)
         for sender in senders:
             await sender.finish()
         self.assertEqual(order[0], "u")
@@ -247,7 +247,7 @@
         reckoned beside the time that each answer took, and fewer late ones with this alone changed.
         """
         share = self.pacer.share
-        share.note_sent(HELD_BYTES, time.monotonic())
+        share.note_sent(ANSWER_BUFFER_BYTES, time.monotonic())
         sender = self.make()
         size = 10 * LONG_BYTES
         await self.begin(sender, size)
@@ -257,16 +257,16 @@
             await asyncio.sleep(0)
             seconds = share.time_ahead(BULK, time.monotonic() + 60.0)
             self.assertAlmostEqual(seconds * share.bytes_per_second, size, delta=1)
-        sender.forget()
+        sender.close()
 
     async def test_an_answer_of_unknown_length_is_reckoned_with_as_usual_until_it_is_whole(
         self,
     ) -> None:
         share = self.pacer.share
         share.note_answer("export", 10 * LONG_BYTES)
-        share.note_sent(HELD_BYTES, time.monotonic())
+        share.note_sent(ANSWER_BUFFER_BYTES, time.monotonic())
         sender = self.make()
-        sender.promise()
+        sender.reserve()
         await sender({"type": "http.response.start", "status": 200, "headers": []})
         piece = {"type": "http.response.body", "body": b"x" * 2 * LONG_BYTES}
         await sender(piece | {"more_body": True})
@@ -288,34 +288,34 @@
         async with asyncio.timeout(1.0):
             await quick.finish()
         self.assertEqual(self.body().count(b"q"), 2 * LONG_BYTES)
-        slow.forget()
-        self.assertEqual(self.held.count, 0)
+        slow.close()
+        self.assertEqual(self.held.byte_count, 0)
 
     async def test_of_a_very_long_answer_little_is_held(self) -> None:
         sender = self.make()
         most = 0
-        part = b"x" * (HELD_BYTES // 2)
+        part = b"x" * (ANSWER_BUFFER_BYTES // 2)
         await self.begin(sender, 4 * len(part))
         for _ in range(4):
             await sender({"type": "http.response.body", "body": part, "more_body": True})
-            most = max(most, self.held.count)
+            most = max(most, self.held.byte_count)
         await sender({"type": "http.response.body", "body": b""})
         await sender.finish()
-        self.assertLessEqual(most, HELD_BYTES + len(part))
+        self.assertLessEqual(most, ANSWER_BUFFER_BYTES + len(part))
         self.assertEqual(len(self.body()), 4 * len(part))
 
     async def test_what_is_to_come_is_reckoned_with_until_it_is_sent_or_given_up(self) -> None:
         share = self.pacer.share
-        share.note_answer("export", HELD_BYTES)
+        share.note_answer("export", ANSWER_BUFFER_BYTES)
         alone = share.answer_time("export", BULK, time.monotonic())
         sent, given_up = self.make(), self.make()
-        sent.promise()
-        given_up.promise()
+        sent.reserve()
+        given_up.reserve()
         self.assertAlmostEqual(share.answer_time("export", BULK, time.monotonic()), 3 * alone)
-        given_up.forget()
+        given_up.close()
         await self.answer(sent, b"x" * LONG_BYTES, b"x" * LONG_BYTES)
         await sent.finish()
-        sent.forget()
+        sent.close()
         after = share.answer_time("export", BULK, time.monotonic() + 1.0)
         self.assertLess(after, 1.01 * alone)
 
@@ -327,13 +327,13 @@
             self.pacer.share.note_answer("export", 5 * LONG_BYTES)
             await asyncio.gather(*(self.some_end(chance) for _ in range(8)))
             share = self.pacer.share
-            self.assertEqual((share._line, self.held.count), ([], 0), f"seed {seed}")
+            self.assertEqual((share._line, self.held.byte_count), ([], 0), f"seed {seed}")
             self.assertLess(sum(share._promised.values()), 0.001, f"seed {seed}")
 
     async def some_end(self, chance: random.Random) -> None:
         """Take an answer to some end: refused, broken off, given up while it is sent, whole."""
         sender = self.make()
-        sender.promise()
+        sender.reserve()
         pieces = chance.randrange(5)
         announced = [(b"content-length", b"%d" % (4 * LONG_BYTES))] if chance.random() < 0.5 else []
         try:
@@ -351,25 +351,25 @@
         except TimeoutError:
             pass
         finally:
-            sender.forget()
+            sender.close()
         await asyncio.sleep(0)
 
     async def test_one_that_is_given_up_leaves_the_line(self) -> None:
         first, second = self.make(), self.make()
-        size = HELD_BYTES // 2
+        size = ANSWER_BUFFER_BYTES // 2
         for sender, letter in ((first, b"f"), (second, b"s")):
             await self.answer(sender, letter * (LONG_BYTES + 1), letter * (size - LONG_BYTES - 1))
         going = asyncio.create_task(first.finish())
         await asyncio.sleep(0)
         going.cancel()
         await asyncio.gather(going, return_exceptions=True)
-        first.forget()
+        first.close()
         sent = self.body().count(b"f")
         self.assertLess(sent, size)
         await second.finish()
         self.assertEqual(self.body().count(b"f"), sent)
         self.assertEqual(self.body().replace(b"f", b""), b"s" * size)
-        self.assertEqual(self.held.count, 0)
+        self.assertEqual(self.held.byte_count, 0)
 
 
 class PathTest(GatewayTestCase):
--- a/tests/node/gateway/test_slow_readers.py
+++ b/tests/node/gateway/test_slow_readers.py
@@ -25,11 +25,11 @@
 class SlowReaderTest(GatewayTestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.under_way = 0
+        self.active = 0
         self.whole = 0
 
     async def answer_large(self, _reader: Any, writer: Any, head: str) -> bool:
-        self.under_way += 1
+        self.active += 1
         try:
             writer.write(head_of(head, LENGTH))
             for _ in range(LENGTH // len(PART)):
@@ -38,7 +38,7 @@
             self.whole += 1
             return True
         finally:
-            self.under_way -= 1
+            self.active -= 1
 
     async def begin(self, count: int) -> list[socket.socket]:
         """Send requests of callers that take in little by themselves, and read nothing yet."""
@@ -58,7 +58,7 @@
 
     async def until_ended(self) -> None:
         async with asyncio.timeout(FAR_BELOW_DEADLINE):
-            while not self.heads or self.under_way:
+            while not self.heads or self.active:
                 await asyncio.sleep(0.02)
 
     async def test_one_that_takes_nothing_is_ended_and_its_slot_is_free(self) -> None:
@@ -112,11 +112,11 @@
         with mock.patch.object(unread, "MOST_UNREAD", 10):
             await self.begin(40)
             async with asyncio.timeout(FAR_BELOW_DEADLINE):
-                while len(self.heads) < 40 or self.under_way > 10:
+                while len(self.heads) < 40 or self.active > 10:
                     await asyncio.sleep(0.02)
             await asyncio.sleep(1.0)
         self.assertEqual([len(server.unread) for server in self.servers], [10, 10])
-        self.assertEqual((self.under_way, self.whole), (10, 0))
+        self.assertEqual((self.active, self.whole), (10, 0))
 
     async def test_what_the_system_holds_for_one_that_reads_nothing_is_bounded(self) -> None:
         """Guards against megabytes of each such answer in the memory of a node's machine."""
--- a/tests/node/gateway/test_stop.py
+++ b/tests/node/gateway/test_stop.py
@@ -47,8 +47,8 @@
         await self.until(lambda: self.progress_at(0) == ["offered", "waiting"])
 
     def progress_at(self, gateway: int) -> list[str]:
-        under_way: Any = self.gateways[gateway].requests.under_way
-        return sorted(request.progress for request in under_way)
+        active: Any = self.gateways[gateway].requests.active
+        return sorted(request.progress for request in active)
 
     async def call(self, name: str) -> asyncio.Task[Answer]:
         task = asyncio.create_task(raw_call(self.address, upload(name), 30.0))
@@ -97,7 +97,7 @@
     async def test_what_no_gateway_could_be_asked_of_is_answered_as_unknown(self) -> None:
         await self.begin()
         unreachable = BackendUnreachableError("no connection")
-        with mock.patch.object(self.proxy._context.connections, "take", side_effect=unreachable):
+        with mock.patch.object(self.proxy._context.connections, "acquire", side_effect=unreachable):
             await self.proxy.withdraw_waiting()
         self.proxy.stop_requests()
         for task in (self.running, self.waiting):
--- a/tests/node/gateway/test_stopping_senders.py
+++ b/tests/node/gateway/test_stopping_senders.py
@@ -10,14 +10,14 @@
 
 from pewtertack.events import Event
 from pewtertack.node.gateway.hop import (
-    GONE_IN,
-    LEAVE_BY,
-    MOST_IDS,
+    FINISH_BY,
+    MAX_IDS,
+    SENDER_STOPS_IN,
+    finish_by_request,
+    group_request_ids,
     hop_headers,
-    leave_by_groups,
-    leave_by_word,
+    parse_finish_by,
     read_hop,
-    read_leave_by,
 )
 from pewtertack.node.pacing import LinkPacer
 from pewtertack.node.proxy.in_flight import Progress
@@ -39,29 +39,29 @@
 class WordTest(unittest.TestCase):
     def read(self, text: bytes) -> Any:
         headers = hop_headers(route(), "b0", 1.0, Lateness.ALLOWED, "desk")
-        return read_hop([*headers, (GONE_IN, text)])
+        return read_hop([*headers, (SENDER_STOPS_IN, text)])
 
     def test_the_time_left_is_read(self) -> None:
-        self.assertEqual(self.read(b"2500").gone_in, 2.5)
-        self.assertFalse(self.read(b"2500").senseless_time)
+        self.assertEqual(self.read(b"2500").sender_stops_in, 2.5)
+        self.assertFalse(self.read(b"2500").invalid_stop_time)
 
     def test_what_makes_no_sense_is_as_if_it_were_not_there(self) -> None:
         for text in (b"", b"0", b"-1", b"soon", b"1.5", b"1e3"):
             with self.subTest(text):
                 request = self.read(text)
-                self.assertEqual(request.gone_in, math.inf)
-                self.assertTrue(request.senseless_time)
-                self.assertEqual(read_leave_by(text + b"\tcall-1"), (math.inf, frozenset()))
+                self.assertEqual(request.sender_stops_in, math.inf)
+                self.assertTrue(request.invalid_stop_time)
+                self.assertEqual(parse_finish_by(text + b"\tcall-1"), (math.inf, frozenset()))
 
     def test_without_the_word_nothing_is_counted(self) -> None:
         request = read_hop(hop_headers(route(), "b0", 1.0, Lateness.ALLOWED, "desk"))
-        self.assertEqual((request.gone_in, request.senseless_time), (math.inf, False))
+        self.assertEqual((request.sender_stops_in, request.invalid_stop_time), (math.inf, False))
 
     def test_many_requests_are_named_in_several_words(self) -> None:
-        ids = [f"call-{number}" for number in range(2 * MOST_IDS + 1)]
-        words = [leave_by_word("127.0.0.1:1", 2.5, group) for group in leave_by_groups(ids)]
-        read = [read_leave_by(dict(word.headers)[LEAVE_BY]) for word in words]
-        self.assertEqual([len(named) for _, named in read], [MOST_IDS, MOST_IDS, 1])
+        ids = [f"call-{number}" for number in range(2 * MAX_IDS + 1)]
+        words = [finish_by_request("127.0.0.1:1", 2.5, group) for group in group_request_ids(ids)]
+        read = [parse_finish_by(dict(word.headers)[FINISH_BY]) for word in words]
+        self.assertEqual([len(named) for _, named in read], [MAX_IDS, MAX_IDS, 1])
         self.assertEqual({seconds for seconds, _ in read}, {2.5})
         self.assertEqual(frozenset().union(*(named for _, named in read)), frozenset(ids))
 
@@ -106,9 +106,9 @@
     ) -> None:
         own = asyncio.create_task(self.call("own"))
         await self.until_sent(OTHERS + 2)
-        for under_way in self.proxy.requests.under_way.copy():
-            if under_way.request_id != "own":
-                self.proxy.requests.under_way.discard(under_way)  # sent by other nodes
+        for active in self.proxy.requests.active.copy():
+            if active.request_id != "own":
+                self.proxy.requests.active.discard(active)  # sent by other nodes
         self.stop_in(MOST_SECONDS)
         await self.proxy.announce_stop()
         async with asyncio.timeout(MOST_SECONDS):
@@ -132,16 +132,16 @@
 
     async def test_at_the_end_of_a_stop_only_what_has_no_answer_yet_is_ended(self) -> None:
         requests = self.gateway.requests
-        own = [item for item in requests.under_way if item.progress is Progress.ANSWERING]
+        own = [item for item in requests.active if item.progress is Progress.ANSWERING]
         self.assertTrue(own)
         requests.stop()
         self.assertEqual(len((await self.others[0]).body), DOWNLOAD)
 
     async def test_a_senseless_word_changes_nothing_and_is_counted(self) -> None:
         for text in (b"soon\tother-1", b"0\tother-1", b"500"):
-            self.gateway._note_stopping_sender(text)
+            self.gateway._handle_finish_by(text)
         self.assertNotIn(Event.SENDER_STOPS, self.events)
-        counted = self.gateway._metrics._senseless_times.values
+        counted = self.gateway._metrics._invalid_stop_times.values
         self.assertEqual(counted, {(): 3})
 
 
--- a/tests/node/gateway/test_words_of_a_stop.py
+++ b/tests/node/gateway/test_words_of_a_stop.py
@@ -15,8 +15,8 @@
 import msgspec
 
 from pewtertack.node.daemon import _announce_stop
-from pewtertack.node.gateway.hop import LEAVE_BY, leave_by_word, read_leave_by
-from pewtertack.node.gateway.reception import MOST_AHEAD
+from pewtertack.node.gateway.hop import FINISH_BY, finish_by_request, parse_finish_by
+from pewtertack.node.gateway.reception import MAX_EARLY_BODIES
 from pewtertack.node.pacing import LinkPacer
 from pewtertack.node.proxy.shutdown_notice import ShutdownDeadline, notify_gateways
 from pewtertack.routing.link import LinkShare
@@ -37,21 +37,21 @@
 class WordTest(unittest.IsolatedAsyncioTestCase):
     def test_an_id_with_a_space_is_named_whole(self) -> None:
         ids = ["order 7", "call-1"]
-        value = dict(leave_by_word(GATEWAY, 2.0, ids).headers)[LEAVE_BY]
-        self.assertEqual(read_leave_by(value), (2.0, frozenset(ids)))
+        value = dict(finish_by_request(GATEWAY, 2.0, ids).headers)[FINISH_BY]
+        self.assertEqual(parse_finish_by(value), (2.0, frozenset(ids)))
 
     def test_no_time_left_is_not_taken_for_time_without_end(self) -> None:
         for seconds in (0.0, 0.0004):
-            value = dict(leave_by_word(GATEWAY, seconds, ["call-1"]).headers)[LEAVE_BY]
-            self.assertLess(read_leave_by(value)[0], math.inf)
+            value = dict(finish_by_request(GATEWAY, seconds, ["call-1"]).headers)[FINISH_BY]
+            self.assertLess(parse_finish_by(value)[0], math.inf)
 
     async def test_a_stop_without_an_end_tells_nobody(self) -> None:
         stop, connections = ShutdownDeadline(), mock.Mock()
         stop.begin(math.inf)
         request = mock.Mock(gateway=GATEWAY, request_id="call-1")
-        requests = mock.Mock(under_way={request})
+        requests = mock.Mock(active={request})
         await notify_gateways(stop, time.monotonic, connections, requests)
-        connections.take.assert_not_called()
+        connections.acquire.assert_not_called()
 
     async def test_the_time_left_is_that_at_which_the_word_is_sent(self) -> None:
         """A connection that takes long to be made made the end look that much later."""
@@ -59,16 +59,16 @@
         connection = mock.Mock(exchange=mock.AsyncMock(side_effect=sent.append))
         connection.read_whole = mock.AsyncMock(return_value=b"")
 
-        async def take(*_: Any) -> Any:
+        async def acquire(*_: Any) -> Any:
             await asyncio.sleep(0.4)
             return connection
 
         stop = ShutdownDeadline()
         ends_at = time.monotonic() + 2.0
         stop.begin(ends_at)
-        requests = mock.Mock(under_way={mock.Mock(gateway=GATEWAY, request_id="call-1")})
-        await notify_gateways(stop, time.monotonic, mock.Mock(take=take), requests)
-        seconds, _ = read_leave_by(dict(sent[0].headers)[LEAVE_BY])
+        requests = mock.Mock(active={mock.Mock(gateway=GATEWAY, request_id="call-1")})
+        await notify_gateways(stop, time.monotonic, mock.Mock(acquire=acquire), requests)
+        seconds, _ = parse_finish_by(dict(sent[0].headers)[FINISH_BY])
         self.assertLessEqual(seconds, ends_at - time.monotonic() + 0.1)
 
 
@@ -96,7 +96,7 @@
 
     async def until_at_gateway(self, count: int) -> None:
         async with asyncio.timeout(FEW_SECONDS):
-            while len(self.gateways[0].requests.under_way) < count:
+            while len(self.gateways[0].requests.active) < count:
                 await asyncio.sleep(0.005)
 
     async def stop_in(self, seconds: float) -> None:
@@ -107,7 +107,7 @@
         """Cause: only requests on connections whose back end may have begun were named."""
         self.assertEqual((await (await self.begin("first"))).status, 200)
         self.seconds = FEW_SECONDS
-        names = ["runs it", *(f"upload-{number}" for number in range(MOST_AHEAD + 1))]
+        names = ["runs it", *(f"upload-{number}" for number in range(MAX_EARLY_BODIES + 1))]
         for name in names:
             await self.begin(name, b"x" * LARGE_BODY)
         await self.until_at_gateway(len(names))
@@ -115,23 +115,23 @@
         self.assertEqual(sorted(self.told()), names)
 
     def told(self) -> list[str]:
-        under_way: Any = self.gateways[0].requests.under_way
-        return [item.request_id for item in under_way if item.sender_stops]
+        active: Any = self.gateways[0].requests.active
+        return [item.request_id for item in active if item.sender_stopping]
 
     async def test_a_word_that_was_lost_is_said_again(self) -> None:
         """Cause: it was said once; a gateway out of reach just then never heard of the stop."""
         self.seconds = FEW_SECONDS
         await self.begin("runs")
         await self.until_at_gateway(1)
-        take, lost = self.proxy.connections.take, [BackendUnreachableError("no connection")]
+        acquire, lost = self.proxy.connections.acquire, [BackendUnreachableError("no connection")]
 
         async def lose_first(address: str, seconds: float) -> Any:
             if lost:
                 raise lost.pop()
-            return await take(address, seconds)
+            return await acquire(address, seconds)
 
         self.proxy.start_leaving(3.0)
-        with mock.patch.object(self.proxy.connections, "take", lose_first):
+        with mock.patch.object(self.proxy.connections, "acquire", lose_first):
             await _announce_stop(self.proxy)
         self.assertEqual(self.told(), ["runs"])
 
--- a/tests/node/proxy/test_catching_up.py
+++ b/tests/node/proxy/test_catching_up.py
@@ -8,7 +8,11 @@
 
 from pewtertack.core.replication.replica import Lag
 from pewtertack.node.proxy import configuration_wait
-from pewtertack.node.proxy.configuration_wait import LONGEST_WAIT, WAITING_MAX, ConfigurationWait
+from pewtertack.node.proxy.configuration_wait import (
+    MAX_WAIT_SECONDS,
+    MAX_WAITING,
+    ConfigurationWait,
+)
 from tests.node.proxy.harness import Answer, ProxyTestCase, raw_call, request_bytes, respond
 from tests.routing.samples import configuration, route
 
@@ -49,7 +53,7 @@
     async def test_without_a_deadline_it_waits_no_longer_than_is_stated(self) -> None:
         answer, took = await self.call("/new/x")
         self.assertEqual(answer.status, 503)
-        self.assertLess(took, LONGEST_WAIT + 0.5)
+        self.assertLess(took, MAX_WAIT_SECONDS + 0.5)
 
     async def test_it_is_told_so_at_once_where_the_newer_one_was_refused(self) -> None:
         self.lag = Lag.REFUSED
@@ -69,8 +73,8 @@
         self.assertEqual(answer.status, 404)
 
     async def test_of_many_few_wait_and_the_rest_is_refused_at_once(self) -> None:
-        calls = [self.call("/new/x", "x-deadline-ms: 16000") for _ in range(WAITING_MAX + 20)]
-        with mock.patch.object(configuration_wait, "LONGEST_WAIT", 4.0):
+        calls = [self.call("/new/x", "x-deadline-ms: 16000") for _ in range(MAX_WAITING + 20)]
+        with mock.patch.object(configuration_wait, "MAX_WAIT_SECONDS", 4.0):
             answers = await asyncio.gather(*calls)
         self.assertEqual({answer.status for answer, _ in answers}, {503})
         self.assertEqual(sum(took < 3.0 for _, took in answers), 20)
--- a/tests/node/proxy/test_deadlines.py
+++ b/tests/node/proxy/test_deadlines.py
@@ -4,7 +4,7 @@
 import unittest
 from random import Random
 
-from pewtertack.node.proxy.deadlines import MANY, Deadlines, deadlines
+from pewtertack.node.proxy.deadlines import MIN_CANCELLED_TO_COMPACT, Deadlines, deadlines
 
 
 class DeadlinesTest(unittest.IsolatedAsyncioTestCase):
@@ -16,10 +16,10 @@
     def add(self, number: int, seconds: float) -> object:
         due = self.loop.time() + seconds
 
-        def pass_() -> None:
+        def callback() -> None:
             self.passed.append((number, self.loop.time() - due))
 
-        return self.deadlines.add(seconds, pass_)
+        return self.deadlines.add(seconds, callback)
 
     async def test_each_passes_in_its_time_whatever_the_order(self) -> None:
         seconds = [0.06, 0.02, 0.04, -1.0, 0.02]
@@ -58,9 +58,9 @@
     async def test_what_is_taken_back_is_not_kept(self) -> None:
         random = Random(1)
         kept = [self.add(number, 0.05) for number in range(3)]
-        for _ in range(20 * MANY):
+        for _ in range(20 * MIN_CANCELLED_TO_COMPACT):
             self.deadlines.cancel(self.add(9, random.uniform(10.0, 3600.0)))
-        self.assertLessEqual(len(self.deadlines._heap), 2 * MANY + len(kept))
+        self.assertLessEqual(len(self.deadlines._heap), 2 * MIN_CANCELLED_TO_COMPACT + len(kept))
         await asyncio.sleep(0.1)
         self.assertEqual([number for number, _ in self.passed], [0, 1, 2])
 
--- a/tests/node/proxy/test_lifetime.py
+++ b/tests/node/proxy/test_lifetime.py
@@ -8,7 +8,7 @@
 import anyio
 
 from pewtertack.node.http.cycle import CALLER
-from pewtertack.node.proxy.lifetime import LifeEnd, RequestLife
+from pewtertack.node.proxy.lifetime import LifetimeEnd, RequestLifetime
 
 LONG = 60.0
 
@@ -35,9 +35,9 @@
         self.caller = LeavingCaller()
         self.cancelled = 0
 
-    def life(self, seconds: float = LONG) -> RequestLife:
+    def life(self, seconds: float = LONG) -> RequestLifetime:
         scope = {"extensions": {CALLER: self.caller}}
-        return RequestLife(scope, time.monotonic() + seconds, time.monotonic)
+        return RequestLifetime(scope, time.monotonic() + seconds, time.monotonic)
 
     async def wait(self) -> None:
         try:
@@ -61,28 +61,28 @@
         async def work() -> None:
             await asyncio.sleep(0)
 
-        self.assertIs(await self.life().run(work), LifeEnd.FINISHED)
+        self.assertIs(await self.life().run(work), LifetimeEnd.FINISHED)
         await self.assert_untouched()
 
     async def test_the_deadline(self) -> None:
-        self.assertIs(await self.life(0.02).run(self.wait), LifeEnd.DEADLINE)
+        self.assertIs(await self.life(0.02).run(self.wait), LifetimeEnd.DEADLINE)
         self.assertEqual(self.cancelled, 1)
         await self.assert_untouched()
 
     async def test_a_deadline_that_has_passed(self) -> None:
-        self.assertIs(await self.life(-1.0).run(self.wait), LifeEnd.DEADLINE)
+        self.assertIs(await self.life(-1.0).run(self.wait), LifetimeEnd.DEADLINE)
         await self.assert_untouched()
 
     async def test_the_caller_leaves(self) -> None:
         self.loop.call_later(0.01, self.caller.leave)
         life = self.life()
-        self.assertIs(await life.run(self.wait), LifeEnd.CALLER_GONE)
+        self.assertIs(await life.run(self.wait), LifetimeEnd.CALLER_GONE)
         self.assertTrue(life.caller_gone)
         await self.assert_untouched()
 
     async def test_the_caller_has_left_before(self) -> None:
         self.caller.gone = True
-        self.assertIs(await self.life().run(self.wait), LifeEnd.CALLER_GONE)
+        self.assertIs(await self.life().run(self.wait), LifetimeEnd.CALLER_GONE)
         await self.assert_untouched()
 
     async def test_work_that_waits_for_nothing_ends_though_the_caller_has_left(self) -> None:
@@ -91,14 +91,14 @@
         async def work() -> None:
             """Wait for nothing."""
 
-        self.assertIs(await self.life().run(work), LifeEnd.FINISHED)
+        self.assertIs(await self.life().run(work), LifetimeEnd.FINISHED)
         await self.assert_untouched()
 
     async def test_it_is_stopped_once_though_told_again_and_again(self) -> None:
         life = self.life()
         for _ in range(3):
             self.loop.call_later(0.01, life.stop)
-        self.assertIs(await life.run(self.wait), LifeEnd.STOPPED)
+        self.assertIs(await life.run(self.wait), LifetimeEnd.STOPPED)
         self.assertEqual(self.cancelled, 1)
         life.stop()
         await self.assert_untouched()
@@ -106,7 +106,7 @@
     async def test_stopped_before_it_began(self) -> None:
         life = self.life()
         life.stop()
-        self.assertIs(await life.run(self.wait), LifeEnd.STOPPED)
+        self.assertIs(await life.run(self.wait), LifetimeEnd.STOPPED)
         await self.assert_untouched()
 
     async def test_cut_short_within_a_scope_of_its_own(self) -> None:
@@ -114,7 +114,7 @@
             with anyio.move_on_after(LONG):
                 await self.wait()
 
-        self.assertIs(await self.life(0.02).run(work), LifeEnd.DEADLINE)
+        self.assertIs(await self.life(0.02).run(work), LifetimeEnd.DEADLINE)
         await self.assert_untouched()
 
     async def test_both_times_are_over_at_once(self) -> None:
@@ -123,7 +123,7 @@
                 await self.wait()
             await self.wait()
 
-        self.assertIs(await self.life(0.02).run(work), LifeEnd.DEADLINE)
+        self.assertIs(await self.life(0.02).run(work), LifetimeEnd.DEADLINE)
         await self.assert_untouched()
 
     async def test_what_it_raises_when_cut_short_passes_through(self) -> None:
--- a/tests/node/proxy/test_probing.py
+++ b/tests/node/proxy/test_probing.py
@@ -77,10 +77,10 @@
             (True, GATEWAY_IDLE_SECONDS + 0.1, False),
         ):
             with self.subTest(long_lived=long_lived, idle=idle):
-                first = await store.take(address, 1.0)
-                store.give_back(first, long_lived)
+                first = await store.acquire(address, 1.0)
+                store.release(first, long_lived)
                 now += idle
-                second = await store.take(address, 1.0)
+                second = await store.acquire(address, 1.0)
                 self.assertEqual(second is first, kept)
                 second.abort()
 
@@ -91,7 +91,7 @@
         backend = RawBackend(wait_for_end)
         address = await backend.start(self)
         store = ConnectionPool(time.monotonic)
-        first = await store.take(address, 1.0)
-        store.give_back(first)
+        first = await store.acquire(address, 1.0)
+        store.release(first)
         store.drop(address)
-        self.assertIsNot(await store.take(address, 1.0), first)
+        self.assertIsNot(await store.acquire(address, 1.0), first)
--- a/tests/node/proxy/test_unread_bodies.py
+++ b/tests/node/proxy/test_unread_bodies.py
@@ -6,7 +6,7 @@
 
 from pewtertack.core.crashes.fingerprint import BEGINNING_BYTES
 from pewtertack.node.proxy import body as bodies
-from pewtertack.node.proxy.body import KeptBodies, RequestBody
+from pewtertack.node.proxy.body import BufferedBodies, RequestBody
 from pewtertack.routing.outcomes import BodiesFullError
 
 CHUNK = bytes(64 * 1024)
@@ -26,10 +26,10 @@
 
 class KeptBodiesTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
-        patch = mock.patch.object(bodies, "ALL_KEPT_BYTES", LIMIT)
+        patch = mock.patch.object(bodies, "TOTAL_BODY_BUFFER_BYTES", LIMIT)
         patch.start()
         self.addCleanup(patch.stop)
-        self.kept = KeptBodies()
+        self.kept = BufferedBodies()
 
     def body(self, chunks: int) -> RequestBody:
         return RequestBody(receive_of(chunks), True, self.kept)
@@ -38,12 +38,12 @@
         first, second = self.body(6), self.body(6)
         await first.read_ahead()
         await second.read_ahead()
-        self.assertEqual(self.kept.count, LIMIT + len(CHUNK))
+        self.assertEqual(self.kept.byte_count, LIMIT + len(CHUNK))
         with self.assertRaises(BodiesFullError):
             self.kept.check()
         self.assertEqual(sum([len(chunk) async for chunk in second.stream()]), 6 * len(CHUNK))
         self.assertFalse(second.replayable)
-        self.assertEqual(self.kept.count, LIMIT)
+        self.assertEqual(self.kept.byte_count, LIMIT)
         self.assertGreaterEqual(len(second.beginning or b""), BEGINNING_BYTES)
 
     async def test_a_request_that_has_ended_keeps_nothing(self) -> None:
@@ -52,9 +52,9 @@
             await item.read_ahead(len(CHUNK))
             async for _ in item.stream():
                 pass
-            item.forget()
-            item.forget()
-        self.assertEqual(self.kept.count, 0)
+            item.release()
+            item.release()
+        self.assertEqual(self.kept.byte_count, 0)
         self.kept.check()
 
     async def test_the_beginning_is_kept_in_any_case(self) -> None:
--- a/tests/node/proxy/test_upstream.py
+++ b/tests/node/proxy/test_upstream.py
@@ -32,7 +32,7 @@
         """Return a connection that is kept after an exchange, and its other end."""
         loop = asyncio.get_running_loop()
         accepting = asyncio.create_task(loop.sock_accept(self.listener))
-        connection = await self.store.take(self.address, PATIENCE)
+        connection = await self.store.acquire(self.address, PATIENCE)
         self.addCleanup(connection.abort)
         other_end, _ = await accepting
         self.addCleanup(other_end.close)
@@ -42,18 +42,18 @@
         await loop.sock_sendall(other_end, ANSWER)
         await exchange
         await connection.read_whole()
-        self.store.give_back(connection)
+        self.store.release(connection)
         return connection, other_end
 
     async def assert_another_is_taken(self) -> None:
-        taken = await self.store.take(self.address, PATIENCE)
+        taken = await self.store.acquire(self.address, PATIENCE)
         self.addCleanup(taken.abort)
         self.assertIsNot(taken, self.kept)
 
     async def test_one_on_which_nothing_came_is_used_again(self) -> None:
-        self.assertIs(await self.store.take(self.address, PATIENCE), self.kept)
-        self.store.give_back(self.kept)
-        self.assertIs(await self.store.take(self.address, PATIENCE), self.kept)
+        self.assertIs(await self.store.acquire(self.address, PATIENCE), self.kept)
+        self.store.release(self.kept)
+        self.assertIs(await self.store.acquire(self.address, PATIENCE), self.kept)
 
     async def test_one_that_has_ended_is_not(self) -> None:
         self.other_end.close()
