--- a/src/pewtertack/node/proxy/forwarding.py
+++ b/src/pewtertack/node/proxy/forwarding.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from pewtertack.core.configuration.resolved import ResolvedConfiguration, ResolvedRoute
+from pewtertack.node.crash_detection import CrashDetector
 from pewtertack.node.crash_reporter import CrashReporter
-from pewtertack.node.crash_watch import CrashWatch
 from pewtertack.node.gateway.hop import (
     BUFFERS_START,
     INCARNATION,
@@ -82,7 +82,7 @@
     reporter: CrashReporter = msgspec.field(default_factory=CrashReporter)
     runs: RunsBeside = msgspec.field(default_factory=RunsBeside)
     """What the back end beside this node runs."""
-    crashes: CrashWatch = msgspec.field(default_factory=CrashWatch)
+    crashes: CrashDetector = msgspec.field(default_factory=CrashDetector)
     """For back ends without a gateway; a gateway sees to its own."""
     shutdown: ShutdownDeadline = msgspec.field(default_factory=ShutdownDeadline)
     bodies: BufferedBodies = msgspec.field(default_factory=BufferedBodies)
--- a/src/pewtertack/node/proxy/lifetime.py
+++ b/src/pewtertack/node/proxy/lifetime.py
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable, Callable
 from enum import Enum
 
-from pewtertack.node.http.cycle import CALLER, Scope
+from pewtertack.node.http.cycle import CALLER_EXTENSION, Scope
 from pewtertack.node.proxy.body import Caller
 from pewtertack.node.proxy.deadlines import deadlines
 from pewtertack.routing.outcomes import (
@@ -43,7 +43,7 @@
     __slots__ = ("_caller", "_clock", "_cancelled", "_deadline", "_stopped", "_task")
 
     def __init__(self, scope: Scope, deadline: float, clock: Callable[[], float]) -> None:
-        self._caller: Caller = scope["extensions"][CALLER]
+        self._caller: Caller = scope["extensions"][CALLER_EXTENSION]
         self._deadline = deadline
         self._clock = clock
         self._stopped = False
@@ -75,7 +75,7 @@
         cancelled_before = task.cancelling()
         timers = deadlines()
         deadline = timers.add(self._deadline - self._clock(), self._cancel_work)
-        self._caller.on_gone = self._cancel_work
+        self._caller.on_caller_gone = self._cancel_work
         if self._caller.gone or self._stopped:
             timers.loop.call_soon(self._cancel_work)
         try:
@@ -85,7 +85,7 @@
             if not self._cancelled or task.cancelling() > cancelled_before + 1:
                 raise  # the server ends the task itself
         finally:
-            self._caller.on_gone = self._task = None
+            self._caller.on_caller_gone = self._task = None
             timers.cancel(deadline)
             if self._cancelled:
                 task.uncancel()
--- a/src/pewtertack/node/proxy/withdrawal.py
+++ b/src/pewtertack/node/proxy/withdrawal.py
@@ -12,16 +12,16 @@
 import anyio
 
 from pewtertack.node.gateway.hop import withdrawal_request
-from pewtertack.node.http.answer_reading import ExchangeBrokenError
-from pewtertack.node.http.cycle import LOGGER
+from pewtertack.node.http.cycle import LOGGER_NAME
 from pewtertack.node.http.messages import OutgoingRequest
+from pewtertack.node.http.response_reading import ExchangeBrokenError
 from pewtertack.node.proxy.upstream import ConnectionPool
 from pewtertack.routing.outcomes import BackendUnreachableError
 
 WITHDRAW_SECONDS = 0.3
 """For connection and answer together; a gateway out of reach refuses nothing in time."""
 
-logger = logging.getLogger(LOGGER)
+logger = logging.getLogger(LOGGER_NAME)
 
 
 async def withdraw_from_gateway(connections: ConnectionPool, gateway: str, request_id: str) -> None:
@@ -52,6 +52,6 @@
     connection = await connections.acquire(gateway, WITHDRAW_SECONDS)
     try:
         await connection.exchange(make())
-        await connection.read_whole()
+        await connection.read_body()
     finally:
         connections.release(connection, long_lived=True)
