--- a/src/pewtertack/lab/cost/parts.py
+++ b/src/pewtertack/lab/cost/parts.py
@@ -40,7 +40,7 @@
         "BackendConnection._send_head",
         "GatewayForwarding._look_again",
         "BodyReception.receive",
-        "AnswerSender._send_buffered",
+        "ResponseSender._send_buffered",
         "Deadlines._expire_due",
         "HangChecks._check",
         "CrashDetector._settle",
--- a/src/pewtertack/lab/cost/requests.py
+++ b/src/pewtertack/lab/cost/requests.py
@@ -36,9 +36,9 @@
 from pewtertack.node.gateway.application import GatewayApplication, GatewaySettings
 from pewtertack.node.http.cycle import Scope
 from pewtertack.node.http.server import HttpServer
-from pewtertack.node.proxy.answers import Receive, Send
 from pewtertack.node.proxy.application import ProxyApplication
 from pewtertack.node.proxy.edge import DEFAULT_EDGE
+from pewtertack.node.proxy.failure_responses import Receive, Send
 from pewtertack.node.proxy.refusals import typed_refusal
 
 MICROSECONDS = 1_000_000
--- a/src/pewtertack/lab/weakening.py
+++ b/src/pewtertack/lab/weakening.py
@@ -29,14 +29,14 @@
 from pewtertack.node.proxy import exchange
 from pewtertack.node.proxy.application import ProxyApplication
 from pewtertack.node.proxy.edge import DEFAULT_EDGE, EdgeHeaders
-from pewtertack.node.proxy.headers import AnswerHead
+from pewtertack.node.proxy.headers import ResponseMeta
 from pewtertack.node.proxy.shutdown_notice import ShutdownDeadline
 from pewtertack.platform import store
 from pewtertack.routing import dispatcher
 from pewtertack.routing.outcomes import Outcome, RequestFailedError
 from pewtertack.routing.retries import AttemptRecord, RetryReason
 
-AnswerReader = Callable[[RawHeaders, EdgeHeaders], AnswerHead]
+AnswerReader = Callable[[RawHeaders, EdgeHeaders], ResponseMeta]
 BreakReader = Callable[[BackendConnection, ExchangeBrokenError], RequestFailedError]
 RetryRule = Callable[[AttemptRecord, RequestFailedError, float], RetryReason]
 MachinesUser = Callable[[ProxyApplication, MachineList], None]
@@ -62,15 +62,15 @@
 def _accept_crossed_answers() -> None:
     """Pass an answer on without a look at the request that it belongs to."""
 
-    def wrapper(read_answer: AnswerReader) -> AnswerReader:
-        def read_without_id(headers: RawHeaders, edge: EdgeHeaders = DEFAULT_EDGE) -> AnswerHead:
-            answer = read_answer(headers, edge)
+    def wrapper(read_response_meta: AnswerReader) -> AnswerReader:
+        def read_without_id(headers: RawHeaders, edge: EdgeHeaders = DEFAULT_EDGE) -> ResponseMeta:
+            answer = read_response_meta(headers, edge)
             answer.request_id = None
             return answer
 
         return read_without_id
 
-    _wrap(exchange, "read_answer", wrapper)
+    _wrap(exchange, "read_response_meta", wrapper)
 
 
 def _retry_whatever_may_have_run() -> None:
@@ -105,9 +105,9 @@
 def _ignore_leaving() -> None:
     """Give work to back ends that say, or are listed, as leaving."""
 
-    def wrap_reader(read_answer: AnswerReader) -> AnswerReader:
-        def read_as_staying(headers: RawHeaders, edge: EdgeHeaders = DEFAULT_EDGE) -> AnswerHead:
-            answer = read_answer(headers, edge)
+    def wrap_reader(read_response_meta: AnswerReader) -> AnswerReader:
+        def read_as_staying(headers: RawHeaders, edge: EdgeHeaders = DEFAULT_EDGE) -> ResponseMeta:
+            answer = read_response_meta(headers, edge)
             answer.leaving = False
             return answer
 
@@ -120,7 +120,7 @@
 
         return use_all_as_live
 
-    _wrap(exchange, "read_answer", wrap_reader)
+    _wrap(exchange, "read_response_meta", wrap_reader)
     _wrap(ProxyApplication, "use_machines", wrap_use)
 
 
--- a/src/pewtertack/node/gateway/application.py
+++ b/src/pewtertack/node/gateway/application.py
@@ -38,10 +38,10 @@
 from pewtertack.node.http.framing import RawHeaders
 from pewtertack.node.http.heads import DEFAULT_HEAD_LIMIT
 from pewtertack.node.pacing import LinkPacer
-from pewtertack.node.proxy.answers import Receive, Send, send_failure
 from pewtertack.node.proxy.body import CallerGoneError
 from pewtertack.node.proxy.edge import NODE_EDGE, EdgeHeaders
 from pewtertack.node.proxy.exchange import TruncatedAnswerError
+from pewtertack.node.proxy.failure_responses import Receive, Send, send_failure
 from pewtertack.node.proxy.headers import RequestHead, read_head
 from pewtertack.node.proxy.in_flight import DrainableApplication
 from pewtertack.node.proxy.request_log import GatewayLog, RecordEvent, ignore_event
@@ -228,7 +228,7 @@
         """Serve one request (ASGI entry point)."""
         own = gateway_only_header(scope["headers"])
         if own is not None:
-            await self._answer_gateway_request(send, *own)
+            await self._handle_gateway_request(send, *own)
             return
         with self.requests.count_one():
             await self._serve(scope, receive, send)
@@ -276,7 +276,7 @@
             self._metrics.note_nested(request.route, admitted=False)
         return origin_headers(self.origins, request)
 
-    async def _answer_gateway_request(self, send: Send, name: bytes, value: bytes) -> None:
+    async def _handle_gateway_request(self, send: Send, name: bytes, value: bytes) -> None:
         """Do what another node asks of the gateway itself."""
         if name == WITHDRAW:
             await self.requests.withdraw_one(value.decode("latin-1"))
--- a/src/pewtertack/node/gateway/forwarding.py
+++ b/src/pewtertack/node/gateway/forwarding.py
@@ -14,21 +14,21 @@
 from pewtertack.node.gateway.hop import HopRequest
 from pewtertack.node.gateway.link_check import LinkCheck
 from pewtertack.node.gateway.report_headers import link_headers, load_headers, origin_headers
-from pewtertack.node.gateway.sending import AnswerSender
+from pewtertack.node.gateway.sending import ResponseSender
 from pewtertack.node.gateway.slot_wait import SlotWait
 from pewtertack.node.http.connection import BackendConnection
 from pewtertack.node.http.cycle import CALLER_EXTENSION, Scope
 from pewtertack.node.http.framing import RawHeaders
 from pewtertack.node.pacing import LinkEndsError
-from pewtertack.node.proxy.answers import Receive, Send
 from pewtertack.node.proxy.body import Caller, CallerGoneError, RequestBody
 from pewtertack.node.proxy.content import RequestContent
 from pewtertack.node.proxy.crash_guard import CrashGuard
 from pewtertack.node.proxy.edge import NODE_EDGE
 from pewtertack.node.proxy.exchange import Exchange, TruncatedAnswerError
+from pewtertack.node.proxy.failure_responses import Receive, Send
 from pewtertack.node.proxy.headers import (
-    AnswerHead,
     RequestHead,
+    ResponseMeta,
     attempt_headers,
     backend_headers,
     without_names,
@@ -102,9 +102,9 @@
         )
         sender_stops_at = now + request.sender_stops_in
         self._link_check = LinkCheck(context.pacer, admission, self._ticket, sender_stops_at)
-        self._sender: AnswerSender | None = None
+        self._sender: ResponseSender | None = None
         if context.pacer is not None:
-            self._sender = AnswerSender(
+            self._sender = ResponseSender(
                 send,
                 context.pacer,
                 context.held,
@@ -119,9 +119,9 @@
             self._sender or send,
             head,
             self._body,
-            self._note_answer,
+            self._on_response,
             NODE_EDGE,
-            self._answer_headers,
+            self._response_headers,
         )
         self._connection: BackendConnection | None = None
         self._read_delay = 0.0
@@ -250,7 +250,7 @@
             self._context.log.handed_back(self.request_id, self._request.backend)
             raise TruncatedAnswerError(str(error)) from error
 
-    async def _wait_until_sent(self, sender: AnswerSender) -> None:
+    async def _wait_until_sent(self, sender: ResponseSender) -> None:
         began = self._context.clock()
         await sender.finish()
         seconds = self._context.clock() - began
@@ -364,7 +364,7 @@
             self._connection = None
             connections.release(connection)
 
-    def _note_answer(self, answer: AnswerHead) -> None:
+    def _on_response(self, answer: ResponseMeta) -> None:
         took = self._context.clock() - self._ticket.started_at
         if took >= MIN_READ_DELAY_SECONDS and self._connection is not None:
             self._read_delay = self._connection.seconds_since_received()
@@ -395,7 +395,7 @@
             *backend_headers(edge, self._request.backend, self._request.caller_service),
         ]
 
-    def _answer_headers(self) -> RawHeaders:
+    def _response_headers(self) -> RawHeaders:
         self._ticket.answering = True
         queued = int(self._ticket.queued * 1000)
         headers = [
--- a/src/pewtertack/node/gateway/sending.py
+++ b/src/pewtertack/node/gateway/sending.py
@@ -10,15 +10,15 @@
 
 from pewtertack.node.http.cycle import WHOLE_BODY, Message
 from pewtertack.node.pacing import LinkEndsError, LinkPacer, QueuedBody
-from pewtertack.node.proxy.answers import Send
 from pewtertack.node.proxy.exchange import START_BUFFER_BYTES
+from pewtertack.node.proxy.failure_responses import Send
 from pewtertack.routing.link import LONG_BYTES
 from pewtertack.routing.long_body import RECEIVER_STOPS
 from pewtertack.routing.places import AdmissionTicket
 
-ANSWER_BUFFER_BYTES = 256 * 1024
+RESPONSE_BUFFER_BYTES = 256 * 1024
 """So much of one answer is held; the back end waits with the rest of a longer one."""
-TOTAL_ANSWER_BUFFER_BYTES = 4 * 1024 * 1024
+NODE_BUFFER_BYTES = 4 * 1024 * 1024
 """The same for all answers of a node together."""
 
 
@@ -31,7 +31,7 @@
         self.byte_count = 0
 
 
-class AnswerSender:
+class ResponseSender:
     """Sends one answer (ASGI ``send``); ``finish`` waits until all of it has left.
 
     Args:
@@ -192,9 +192,9 @@
     @property
     def _must_pause(self) -> bool:
         """Whether the back end has to wait; one that has ended, only for the sum of all."""
-        if self._buffered_bytes > ANSWER_BUFFER_BYTES and not self._complete:
+        if self._buffered_bytes > RESPONSE_BUFFER_BYTES and not self._complete:
             return True
-        return self._buffered_bytes > 0 and self._node_buffer.byte_count > TOTAL_ANSWER_BUFFER_BYTES
+        return self._buffered_bytes > 0 and self._node_buffer.byte_count > NODE_BUFFER_BYTES
 
     async def _send_buffered(self) -> None:
         """Send what is there, in turns; no place is held in the line for what is to come."""
@@ -219,7 +219,7 @@
         size = whole - self._sent_bytes
         retryable_bytes = max(0, START_BUFFER_BYTES - self._sent_bytes) if self._holds_back else 0
         # The back end has a longer one in part when the process ends: it would be cut after all.
-        no_alternative = self._only_here and whole <= ANSWER_BUFFER_BYTES
+        no_alternative = self._only_here and whole <= RESPONSE_BUFFER_BYTES
         with self._pacer.queue_body(
             self._rank,
             size,
--- a/src/pewtertack/node/proxy/application.py
+++ b/src/pewtertack/node/proxy/application.py
@@ -15,11 +15,11 @@
 from pewtertack.node.crash_detection import BrokenExchange, CrashDetector, fingerprints_of
 from pewtertack.node.crash_reporter import CrashReporter
 from pewtertack.node.http.cycle import Scope
-from pewtertack.node.proxy.answers import Receive, Send, send_failure
 from pewtertack.node.proxy.body import CallerGoneError
 from pewtertack.node.proxy.configuration_wait import ConfigurationWait
 from pewtertack.node.proxy.edge import DEFAULT_EDGE, EdgeHeaders
 from pewtertack.node.proxy.exchange import TruncatedAnswerError
+from pewtertack.node.proxy.failure_responses import Receive, Send, send_failure
 from pewtertack.node.proxy.forwarding import Forwarding, ForwardingContext
 from pewtertack.node.proxy.headers import RequestHead, read_head
 from pewtertack.node.proxy.in_flight import DrainableApplication
--- a/src/pewtertack/node/proxy/body.py
+++ b/src/pewtertack/node/proxy/body.py
@@ -9,7 +9,7 @@
 
 from pewtertack.core.crashes.fingerprint import BEGINNING_BYTES
 from pewtertack.node.http.framing import RawHeaders
-from pewtertack.node.proxy.answers import Receive
+from pewtertack.node.proxy.failure_responses import Receive
 from pewtertack.routing.outcomes import BodiesFullError, Outcome, SlowRequestError
 
 MAX_REPLAY_BYTES = 512 * 1024
--- a/src/pewtertack/node/proxy/exchange.py
+++ b/src/pewtertack/node/proxy/exchange.py
@@ -17,13 +17,13 @@
 from pewtertack.node.http.framing import NO_BODY_STATUSES, RawHeaders
 from pewtertack.node.http.messages import OutgoingRequest, ResponseHead
 from pewtertack.node.http.response_reading import ExchangeBrokenError
-from pewtertack.node.proxy.answers import Send
 from pewtertack.node.proxy.body import RequestBody
 from pewtertack.node.proxy.edge import DEFAULT_EDGE, EdgeHeaders
+from pewtertack.node.proxy.failure_responses import Send
 from pewtertack.node.proxy.headers import (
-    AnswerHead,
     RequestHead,
-    read_answer,
+    ResponseMeta,
+    read_response_meta,
 )
 from pewtertack.routing.answers import end_of_answer
 from pewtertack.routing.ends import AttemptEnd
@@ -54,7 +54,7 @@
     """The back end's answer broke off after its head was passed on."""
 
 
-def ignore_answer(answer: AnswerHead) -> None:
+def ignore_metadata(answer: ResponseMeta) -> None:
     """Learn nothing from the head of an answer."""
 
 
@@ -67,7 +67,7 @@
         send: Send,
         head: RequestHead,
         body: RequestBody,
-        on_answer: Callable[[AnswerHead], None],
+        on_metadata: Callable[[ResponseMeta], None],
         caller_edge: EdgeHeaders = DEFAULT_EDGE,
         more_headers: Callable[[], RawHeaders] = list,
     ) -> None:
@@ -78,22 +78,22 @@
         """What the last answer's head told of its attempt."""
         self.buffers_start = False
         """Whether the request may be sent once more if its answer breaks off in time."""
-        self.may_leave: MayAbandon = never_abandon
+        self.may_abandon: MayAbandon = never_abandon
         """Asked when a gateway takes its back end to hang on the request."""
         self._scope = scope
         self._send = send
         self._head = head
         self._body = body
-        self._on_answer = on_answer
+        self._on_metadata = on_metadata
         self._caller_edge = caller_edge
         self._more_headers = more_headers
         self._edge = DEFAULT_EDGE
 
     def drop_callbacks(self) -> None:
         """Drop the callbacks: no attempt follows, and the owner need not wait for the collector."""
-        self._on_answer = ignore_answer
+        self._on_metadata = ignore_metadata
         self._more_headers = list
-        self.may_leave = never_abandon
+        self.may_abandon = never_abandon
 
     async def run(
         self,
@@ -114,16 +114,16 @@
         self._edge = edge
         try:
             request = self._request(headers, body_on_demand)
-            start = await connection.exchange(request, self.may_leave)
+            start = await connection.exchange(request, self.may_abandon)
         except ExchangeLeftError as error:
             raise BackendHungError("the back end hangs on the request") from error
         except ExchangeBrokenError as error:
             raise _broken_exchange_error(connection, error) from error
-        answer = read_answer(start.headers, edge)
+        answer = read_response_meta(start.headers, edge)
         if self._is_crossed(start.status, answer):
             connection.abort()
             raise CrossedAnswerError("the back end answered another request")
-        self._on_answer(answer)
+        self._on_metadata(answer)
         if answer.failure is not None:
             await _drain_short_body(connection)
             retry_after = _parse_fractional_retry_after(answer.retry_after)
@@ -137,13 +137,13 @@
         self._check_framing(connection, start, answer)
         await self._relay(connection, start, answer)
 
-    def _is_crossed(self, status: int, answer: AnswerHead) -> bool:
+    def _is_crossed(self, status: int, answer: ResponseMeta) -> bool:
         if answer.request_id is not None:
             return answer.request_id != self._head.request_id
         needs_id = self._edge.identified_answers and not self._is_not_run(status, answer)
         return needs_id and answer.failure is None
 
-    def _is_not_run(self, status: int, answer: AnswerHead) -> bool:
+    def _is_not_run(self, status: int, answer: ResponseMeta) -> bool:
         wrong_backend = bool(self._edge.expected_backend) and status == MISDIRECTED_STATUS
         return answer.not_run or wrong_backend
 
@@ -164,7 +164,7 @@
         )
 
     def _check_framing(
-        self, connection: BackendConnection, start: ResponseHead, answer: AnswerHead
+        self, connection: BackendConnection, start: ResponseHead, answer: ResponseMeta
     ) -> None:
         bodiless = self._scope["method"] == "HEAD" or start.status in NO_BODY_STATUSES
         if not (answer.framed or bodiless or self._edge.unframed_answers):
@@ -172,7 +172,7 @@
             raise BackendFailedError("the end of the back end's answer cannot be told")
 
     async def _relay(
-        self, connection: BackendConnection, start: ResponseHead, answer: AnswerHead
+        self, connection: BackendConnection, start: ResponseHead, answer: ResponseMeta
     ) -> None:
         caller = self._scope["extensions"][CALLER_EXTENSION]
         if not self.buffers_start:
@@ -183,7 +183,7 @@
                 whole = await _read_whole_body(connection)
             if self.buffers_start:
                 caller.drop_body()
-            head = self._begin_answer(start.status, answer)
+            head = self._begin_response(start.status, answer)
             head[WHOLE_BODY] = whole
             await self._send(head)
             return
@@ -191,7 +191,7 @@
         first = await _read_start(connection) if hold else b""
         if self.buffers_start:
             caller.drop_body()
-        await self._send(self._begin_answer(start.status, answer))
+        await self._send(self._begin_response(start.status, answer))
         if first:
             await self._send({"type": "http.response.body", "body": first, "more_body": True})
             first = b""  # not held while the rest passes
@@ -203,7 +203,7 @@
             raise TruncatedAnswerError(str(error)) from error
         await self._send({"type": "http.response.body", "body": b""})
 
-    def _begin_answer(self, status: int, answer: AnswerHead) -> Message:
+    def _begin_response(self, status: int, answer: ResponseMeta) -> Message:
         """Return the head to pass on, as begun."""
         own = (self._caller_edge.request_id, self._head.request_id.encode())
         headers = [*answer.headers, own, *self._more_headers()]
@@ -264,7 +264,7 @@
     connection.abort()
 
 
-def _shed_error(start: ResponseHead, answer: AnswerHead) -> RequestFailedError:
+def _shed_error(start: ResponseHead, answer: ResponseMeta) -> RequestFailedError:
     """Return the failure of a request that the back end did not run."""
     if start.status == MISDIRECTED_STATUS:
         return BackendGoneError("another back end has the address")
--- a/src/pewtertack/node/proxy/forwarding.py
+++ b/src/pewtertack/node/proxy/forwarding.py
@@ -22,7 +22,6 @@
 from pewtertack.node.http.connection import BackendConnection
 from pewtertack.node.http.cycle import Scope
 from pewtertack.node.http.framing import RawHeaders
-from pewtertack.node.proxy.answers import Receive, Send
 from pewtertack.node.proxy.attempt_ends import attempt_end_for
 from pewtertack.node.proxy.body import (
     MAX_REPLAY_BYTES,
@@ -34,10 +33,11 @@
 from pewtertack.node.proxy.crash_guard import CrashGuard
 from pewtertack.node.proxy.edge import DEFAULT_EDGE, NODE_EDGE, EdgeHeaders
 from pewtertack.node.proxy.exchange import Exchange, TruncatedAnswerError
+from pewtertack.node.proxy.failure_responses import Receive, Send
 from pewtertack.node.proxy.headers import (
     BACKEND_LOAD,
-    AnswerHead,
     RequestHead,
+    ResponseMeta,
     attempt_headers,
     backend_headers,
     forwarded_headers,
@@ -115,9 +115,9 @@
         self._body = RequestBody(receive, head.has_body, context.bodies)
         content = RequestContent(scope, self._headers, self._body)
         self._crash_guard = CrashGuard(content, context.reporter, context.crashes)
-        self._exchange = Exchange(scope, send, head, self._body, self._note_answer, context.edge)
+        self._exchange = Exchange(scope, send, head, self._body, self._on_response, context.edge)
         self._exchange.buffers_start = route.repeatable and route.retry_limit > 0
-        self._exchange.may_leave = self._on_hang_report
+        self._exchange.may_abandon = self._on_hang_report
         self._ticket = Ticket(route, self._service, deadline)
         self._ticket.body_bytes = head.body_bytes
         self._ticket.caller_deadline = caller_deadline_of(context.clock(), head.deadline, deadline)
@@ -408,7 +408,7 @@
             return False
         return self._context.dispatcher.may_leave(self._ticket, self._context.clock())
 
-    def _note_answer(self, answer: AnswerHead) -> None:
+    def _on_response(self, answer: ResponseMeta) -> None:
         self._ticket.queued = answer.queued
         if answer.failure is None:
             self._context.dispatcher.note_length(self._route.name, answer.length)
--- a/src/pewtertack/node/proxy/headers.py
+++ b/src/pewtertack/node/proxy/headers.py
@@ -41,7 +41,7 @@
 FRAMING_NAMES = frozenset({b"content-length", b"transfer-encoding"})
 NODE_HEADER_PREFIXES = (b"x-", b"retry-")
 """Of the names in an answer that say something to the node."""
-NOT_RETURNED = HOP_BY_HOP | hop.ANSWER_NAMES | {REQUEST_ID, BACKEND_LOAD, BACKEND_STATE}
+NOT_RETURNED = HOP_BY_HOP | hop.RESPONSE_NAMES | {REQUEST_ID, BACKEND_LOAD, BACKEND_STATE}
 
 
 class RequestHead(msgspec.Struct):
@@ -182,7 +182,7 @@
     return [(name, value.encode()) for name, value in named if name and value]
 
 
-class AnswerHead(msgspec.Struct):
+class ResponseMeta(msgspec.Struct):
     """What the proxy reads from a back end's headers."""
 
     headers: RawHeaders
@@ -209,9 +209,9 @@
     """Whether the end of the body can be told from a broken connection."""
 
 
-def read_answer(headers: RawHeaders, edge: EdgeHeaders = DEFAULT_EDGE) -> AnswerHead:
+def read_response_meta(headers: RawHeaders, edge: EdgeHeaders = DEFAULT_EDGE) -> ResponseMeta:
     """Sort a back end's headers into what is passed on and what is for the node."""
-    answer = AnswerHead([])
+    answer = ResponseMeta([])
     options: frozenset[bytes] = frozenset()
     request_id = edge.request_id
     for raw_name, value in headers:
@@ -231,7 +231,7 @@
     return answer
 
 
-def _read_gateway_header(answer: AnswerHead, name: bytes, text: str) -> None:
+def _read_gateway_header(answer: ResponseMeta, name: bytes, text: str) -> None:
     if name == hop.FAILURE:
         answer.failure = text
     elif name == hop.ORIGIN:
@@ -242,13 +242,13 @@
         answer.queued = int(text) / 1000 if text.isdecimal() else 0.0
 
 
-def _read_node_header(answer: AnswerHead, name: bytes, value: bytes, edge: EdgeHeaders) -> None:
+def _read_node_header(answer: ResponseMeta, name: bytes, value: bytes, edge: EdgeHeaders) -> None:
     text = value.decode("latin-1")
     if name == edge.request_id:
         answer.request_id = text
     elif name == edge.not_run:
         answer.not_run = True
-    elif name in hop.ANSWER_NAMES:
+    elif name in hop.RESPONSE_NAMES:
         _read_gateway_header(answer, name, text)
     elif name == BACKEND_LOAD:
         answer.load = text
--- a/src/pewtertack/node/proxy/refusals.py
+++ b/src/pewtertack/node/proxy/refusals.py
@@ -4,7 +4,7 @@
 
 from pewtertack.node.http.cycle import CLOSE_HEADER, STATUS_LINES
 from pewtertack.node.http.refusals import RefusalReason
-from pewtertack.node.proxy.answers import failure_body, failure_head
+from pewtertack.node.proxy.failure_responses import failure_body, failure_head
 from pewtertack.routing.outcomes import (
     HeadersTooLargeError,
     InvalidRequestError,
--- a/tests/lab/test_weakening.py
+++ b/tests/lab/test_weakening.py
@@ -50,7 +50,7 @@
     def test_the_answers_identity_is_no_longer_read(self) -> None:
         with mock.patch.dict(vars(exchange)):
             switch_off("answer_identity")
-            read: Any = vars(exchange)["read_answer"]
+            read: Any = vars(exchange)["read_response_meta"]
             self.assertIsNone(read([(b"x-request-id", b"r1")]).request_id)
 
     def test_gateways_are_not_told_that_a_node_stops(self) -> None:
--- a/tests/node/gateway/test_own_stop.py
+++ b/tests/node/gateway/test_own_stop.py
@@ -8,7 +8,7 @@
 
 from pewtertack.events import Event
 from pewtertack.node.gateway.hop import BUFFERS_START, NO_ALTERNATIVE, hop_headers, read_hop
-from pewtertack.node.gateway.sending import ANSWER_BUFFER_BYTES
+from pewtertack.node.gateway.sending import RESPONSE_BUFFER_BYTES
 from pewtertack.node.pacing import LinkPacer
 from pewtertack.node.proxy.body import MAX_REPLAY_BYTES
 from pewtertack.node.proxy.request_log import RecordEvent
@@ -172,7 +172,7 @@
         self.assertEqual(await self.answers(), [(200, DOWNLOAD)] * CALLS)
 
     async def test_but_what_is_too_long_to_be_held_whole_is(self) -> None:
-        self.size = ANSWER_BUFFER_BYTES + DOWNLOAD
+        self.size = RESPONSE_BUFFER_BYTES + DOWNLOAD
         await self.begin_to_stop()
         self.assertIn(Event.GATEWAY_GAVE_BACK, self.events)
         self.assertLessEqual(self.gateways[0].in_flight, 1)
--- a/tests/node/gateway/test_sending.py
+++ b/tests/node/gateway/test_sending.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from pewtertack.node.gateway.sending import ANSWER_BUFFER_BYTES, AnswerSender, BufferedBytes
+from pewtertack.node.gateway.sending import RESPONSE_BUFFER_BYTES, BufferedBytes, ResponseSender
 from pewtertack.node.http.cycle import WHOLE_BODY
 from pewtertack.node.pacing import LinkPacer
 from pewtertack.routing.link import LONG_BYTES, LinkShare
@@ -31,19 +31,19 @@
         self.held = BufferedBytes()
         self.pacer = LinkPacer(time.monotonic, LinkShare(MEGABITS))
 
-    def make(self, route: str = "export") -> AnswerSender:
+    def make(self, route: str = "export") -> ResponseSender:
         now = time.monotonic()
         ticket = AdmissionTicket(route, BULK, now + 1.0, now + 5.0)
-        return AnswerSender(self.send, self.pacer, self.held, ticket)
+        return ResponseSender(self.send, self.pacer, self.held, ticket)
 
     async def send(self, message: Any) -> None:
         self.sent.append(message)
 
-    async def begin(self, sender: AnswerSender, length: int) -> None:
+    async def begin(self, sender: ResponseSender, length: int) -> None:
         headers = [(b"content-length", b"%d" % length)]
         await sender({"type": "http.response.start", "status": 200, "headers": headers})
 
-    async def answer(self, sender: AnswerSender, *parts: bytes) -> None:
+    async def answer(self, sender: ResponseSender, *parts: bytes) -> None:
         await self.begin(sender, sum(len(part) for part in parts))
         for part in parts:
             await sender({"type": "http.response.body", "body": part, "more_body": True})
@@ -151,9 +151,9 @@
         def piece(letter: bytes, size: int) -> dict[str, Any]:
             return {"type": "http.response.body", "body": letter * size, "more_body": True}
 
-        begun = AnswerSender(send, self.pacer, self.held, late)
+        begun = ResponseSender(send, self.pacer, self.held, late)
         timely = AdmissionTicket("other", BULK, now + 50.0, now + 60.0)
-        fresh = AnswerSender(send, self.pacer, self.held, timely)
+        fresh = ResponseSender(send, self.pacer, self.held, timely)
         await self.begin(begun, 20 * LONG_BYTES)
         await begun(piece(b"l", LONG_BYTES // 2))
         await begun(piece(b"l", 4 * LONG_BYTES))
@@ -184,7 +184,7 @@
         senders = []
         for letter, left in ((b"p", 20.0), (b"u", 0.3)):
             ticket = AdmissionTicket("export", BULK, now + left / 2, now + left)
-            sender = AnswerSender(send, self.pacer, self.held, ticket)
+            sender = ResponseSender(send, self.pacer, self.held, ticket)
             await self.begin(sender, LONG_BODY)
             await sender(
                 {"type": "http.response.body", "body": letter * LONG_BODY, "more_body": True}
@@ -217,13 +217,13 @@
         self.pacer = LinkPacer(time.monotonic, LinkShare(20.0))
         now = time.monotonic()
         late = AdmissionTicket("export", BULK, now - 0.1, now + 1.0)
-        sender = AnswerSender(self.send, self.pacer, self.held, late)
+        sender = ResponseSender(self.send, self.pacer, self.held, late)
 
         async def keep_coming() -> None:
             while True:
                 now = time.monotonic()
                 timely = AdmissionTicket("export", BULK, now + 0.3, now + 1.4)
-                newer = AnswerSender(ignore, self.pacer, self.held, timely)
+                newer = ResponseSender(ignore, self.pacer, self.held, timely)
                 await self.answer(newer, b"n" * 4 * LONG_BYTES)
                 await newer.finish()
 
@@ -250,7 +250,7 @@
         reckoned beside the time that each answer took, and fewer late ones with this alone changed.
         """
         share = self.pacer.share
-        share.note_sent(ANSWER_BUFFER_BYTES, time.monotonic())
+        share.note_sent(RESPONSE_BUFFER_BYTES, time.monotonic())
         sender = self.make()
         size = 10 * LONG_BYTES
         await self.begin(sender, size)
@@ -267,7 +267,7 @@
     ) -> None:
         share = self.pacer.share
         share.note_answer("export", 10 * LONG_BYTES)
-        share.note_sent(ANSWER_BUFFER_BYTES, time.monotonic())
+        share.note_sent(RESPONSE_BUFFER_BYTES, time.monotonic())
         sender = self.make()
         sender.reserve()
         await sender({"type": "http.response.start", "status": 200, "headers": []})
@@ -297,19 +297,19 @@
     async def test_of_a_very_long_answer_little_is_held(self) -> None:
         sender = self.make()
         most = 0
-        part = b"x" * (ANSWER_BUFFER_BYTES // 2)
+        part = b"x" * (RESPONSE_BUFFER_BYTES // 2)
         await self.begin(sender, 4 * len(part))
         for _ in range(4):
             await sender({"type": "http.response.body", "body": part, "more_body": True})
             most = max(most, self.held.byte_count)
         await sender({"type": "http.response.body", "body": b""})
         await sender.finish()
-        self.assertLessEqual(most, ANSWER_BUFFER_BYTES + len(part))
+        self.assertLessEqual(most, RESPONSE_BUFFER_BYTES + len(part))
         self.assertEqual(len(self.body()), 4 * len(part))
 
     async def test_what_is_to_come_is_reckoned_with_until_it_is_sent_or_given_up(self) -> None:
         share = self.pacer.share
-        share.note_answer("export", ANSWER_BUFFER_BYTES)
+        share.note_answer("export", RESPONSE_BUFFER_BYTES)
         alone = share.answer_time("export", BULK, time.monotonic())
         sent, given_up = self.make(), self.make()
         sent.reserve()
@@ -359,7 +359,7 @@
 
     async def test_one_that_is_given_up_leaves_the_line(self) -> None:
         first, second = self.make(), self.make()
-        size = ANSWER_BUFFER_BYTES // 2
+        size = RESPONSE_BUFFER_BYTES // 2
         for sender, letter in ((first, b"f"), (second, b"s")):
             await self.answer(sender, letter * (LONG_BYTES + 1), letter * (size - LONG_BYTES - 1))
         going = asyncio.create_task(first.finish())
