--- a/src/pewtertack/cli/rollout_causes.py
+++ b/src/pewtertack/cli/rollout_causes.py
@@ -8,7 +8,7 @@
 
 from pewtertack.cli.rollout_stages import moments_of, newest_heard, number_at
 from pewtertack.cli.status_reports import NodeReport
-from pewtertack.core.replication.answer_times import SLOW_SECONDS
+from pewtertack.core.replication.answer_times import SLOW_ANSWER_SECONDS
 from pewtertack.core.replication.stages import Stage
 from pewtertack.errors import ReadFailure
 from pewtertack.node.status import FindingStatus, NodeStatus, ReadStatus
@@ -75,7 +75,7 @@
     if node.in_force.number >= revision:
         return None
     why = _why(revision, node)
-    heard = moments_of(revision, node).get(Stage.HEARD)
+    heard = moments_of(revision, node).get(Stage.REPORTED)
     rejection = node.last_rejection
     return NodeLack(
         report.admin,
@@ -121,4 +121,4 @@
         return Lack.SOURCE_SLOW if read.failure in SLOW_FAILURES else Lack.SOURCE_FAILING
     if read.open_for is not None and read.open_for > read.may_wait + ANSWER_SECONDS:
         return Lack.SOURCE_SLOW
-    return Lack.SOURCE_SLOW if usual > SLOW_SECONDS else Lack.NOT_HEARD
+    return Lack.SOURCE_SLOW if usual > SLOW_ANSWER_SECONDS else Lack.NOT_HEARD
--- a/src/pewtertack/cli/rollout_reports.py
+++ b/src/pewtertack/cli/rollout_reports.py
@@ -100,7 +100,7 @@
     moments = {
         report.admin: moments_of(revision, report.status) for report in nodes if report.status
     }
-    heard = [times[Stage.HEARD] for times in moments.values() if Stage.HEARD in times]
+    heard = [times[Stage.REPORTED] for times in moments.values() if Stage.REPORTED in times]
     first_heard = min(heard, default=None)
     lacking = tuple(
         lack for lack in (lack_of(revision, report) for report in reports) if lack is not None
--- a/src/pewtertack/cli/rollout_stages.py
+++ b/src/pewtertack/cli/rollout_stages.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from pewtertack.core.replication.stages import REVISIONS_KEPT, Stage
+from pewtertack.core.replication.stages import MAX_TRACKED_REVISIONS, Stage
 from pewtertack.node.status import NodeStatus, StagesStatus
 
 
@@ -14,7 +14,7 @@
 def number_at(node: NodeStatus, stage: Stage) -> int:
     """Return the newest revision that has reached a stage at a node."""
     numbers = {
-        Stage.HEARD: newest_heard(node),
+        Stage.REPORTED: newest_heard(node),
         Stage.HELD: max(node.held.number, node.in_force.number),
         Stage.COMMITTED: node.committed.number,
         Stage.IN_FORCE: node.in_force.number,
@@ -25,7 +25,7 @@
 def moments_of(revision: int, node: NodeStatus) -> dict[Stage, float]:
     """Return the Unix times at which ``revision`` or a newer one reached its stages."""
     kept = node.stages
-    if len(kept) >= REVISIONS_KEPT and kept[-1].number > revision:
+    if len(kept) >= MAX_TRACKED_REVISIONS and kept[-1].number > revision:
         return {}  # when it was heard of is no longer known
     moments: dict[Stage, float] = {}
     for item in kept:
@@ -38,7 +38,7 @@
 
 def _times(item: StagesStatus) -> list[tuple[Stage, float]]:
     times = {
-        Stage.HEARD: item.heard,
+        Stage.REPORTED: item.heard,
         Stage.HELD: item.held,
         Stage.COMMITTED: item.committed,
         Stage.IN_FORCE: item.in_force,
--- a/src/pewtertack/core/configuration/memory.py
+++ b/src/pewtertack/core/configuration/memory.py
@@ -2,8 +2,8 @@
 
 A configuration of two thousand routes of which one changes was checked and resolved whole
 on every node. Documents are never altered in place, and a newer one shares the tables that
-it leaves alone (``DocumentStore.share``): a table that is the very same object was checked
-before, and resolves as before where what it inherits is the same.
+it leaves alone (``DocumentStore.share_with_newest``): a table that is the very same object was
+checked before, and resolves as before where what it inherits is the same.
 """
 
 from __future__ import annotations
--- a/src/pewtertack/core/crashes/fingerprint.py
+++ b/src/pewtertack/core/crashes/fingerprint.py
@@ -11,7 +11,7 @@
 
 DIGEST_BYTES = 8
 """Of head and body each: two of a thousand different requests meet once in 10^13 fleets."""
-BEGINNING_BYTES = 64 * 1024
+BODY_PREFIX_BYTES = 64 * 1024
 """So much of a body counts: longer ones are not kept whole."""
 CALLER_HEADERS = frozenset({b"authorization", b"cookie", b"host"})
 
@@ -30,11 +30,11 @@
 
     Args:
         head: its ``head_digest``.
-        beginning: the first ``BEGINNING_BYTES`` of its body, or all of a shorter one.
+        beginning: the first ``BODY_PREFIX_BYTES`` of its body, or all of a shorter one.
     """
     return head + blake2b(beginning, digest_size=DIGEST_BYTES).digest()
 
 
-def head_of(fingerprint: bytes) -> bytes:
+def head_digest_of(fingerprint: bytes) -> bytes:
     """Return the ``head_digest`` that a fingerprint begins with."""
     return fingerprint[:DIGEST_BYTES]
--- a/src/pewtertack/core/effects.py
+++ b/src/pewtertack/core/effects.py
@@ -9,7 +9,7 @@
 
 from pewtertack.core.configuration.resolved import ResolvedConfiguration
 from pewtertack.core.machines import MachineList
-from pewtertack.core.replication.stages import Stage, Way
+from pewtertack.core.replication.stages import DeliveryChannel, Stage
 from pewtertack.core.revision import NO_REVISION, Document, RevisionId
 from pewtertack.events import Event
 from pewtertack.wire.messages import DocumentKind, Message
@@ -84,7 +84,7 @@
     """A revision has reached a stage ``seconds`` after this node first heard of it."""
 
     stage: Stage
-    way: Way
+    way: DeliveryChannel
     seconds: float
 
 
--- a/src/pewtertack/core/membership/detector.py
+++ b/src/pewtertack/core/membership/detector.py
@@ -18,7 +18,7 @@
 RECONNECT_PROBERS = 8
 """How many nodes probe an unreachable member in one reconnect interval, on average."""
 
-RELAYS_LIMIT = 64
+MAX_RELAYED_PROBES = 64
 """Indirect probes which one node runs for others at a time."""
 
 
@@ -76,7 +76,7 @@
         self._table = table
         self._profile = profile
         self._random = random
-        self._round: list[str] = []
+        self._pending_targets: list[str] = []
         self._probe: _Probe | None = None
         self._next_probe_at = now + random.uniform(0, profile.probe_interval)
         self._next_reconnect_at = now + profile.reconnect_interval
@@ -101,7 +101,7 @@
         self._next_probe_at = now
         self._suspected_at = dict.fromkeys(self._suspected_at, now)
 
-    def acknowledged(self, sequence: int) -> RelayAnswered | None:
+    def on_acknowledge(self, sequence: int) -> RelayAnswered | None:
         """Take in a direct acknowledgement; return a relayed answer if it was one."""
         if self._probe is not None and self._probe.sequence == sequence:
             self._probe = None
@@ -111,11 +111,11 @@
             return None
         return RelayAnswered(relay.requester, relay.sequence, relay.target)
 
-    def relay(self, requester: str, sequence: int, target: str) -> ProbeDirect | None:
+    def start_relay(self, requester: str, sequence: int, target: str) -> ProbeDirect | None:
         """Start a probe for another member, unless the target is unknown."""
         if self._table.get(target) is None:
             return None
-        if len(self._relays) >= RELAYS_LIMIT:
+        if len(self._relays) >= MAX_RELAYED_PROBES:
             self._relays.pop(next(iter(self._relays)))
         own_sequence = self._new_sequence()
         self._relays[own_sequence] = _Relay(requester, sequence, target)
@@ -135,10 +135,10 @@
             return self._suspect(probe.target, now)
         if waited >= self._profile.acknowledge_timeout and not probe.indirect:
             self._probe = msgspec.structs.replace(probe, indirect=True)
-            return self._ask_helpers(probe)
+            return self._probe_indirectly(probe)
         return []
 
-    def _ask_helpers(self, probe: _Probe) -> list[DetectorAction]:
+    def _probe_indirectly(self, probe: _Probe) -> list[DetectorAction]:
         names = self._table.reachable.sample(self._random, self._profile.indirect_probes + 1)
         helpers = tuple(name for name in names if name != probe.target)
         helpers = helpers[: self._profile.indirect_probes]
@@ -154,18 +154,18 @@
 
     def _next_target(self) -> str | None:
         while True:
-            if not self._round:
-                self._round = self._probe_targets()
-                self._random.shuffle(self._round)
-                if not self._round:
+            if not self._pending_targets:
+                self._pending_targets = self._probe_targets()
+                self._random.shuffle(self._pending_targets)
+                if not self._pending_targets:
                     return None
-            name = self._round.pop()
+            name = self._pending_targets.pop()
             member = self._table.get(name)
             if member is not None and member.status is not MemberStatus.DEAD:
                 return name
 
     def _probe_targets(self) -> list[str]:
-        members = self._table.all()
+        members = self._table.all_members()
         return sorted(
             member.update.name for member in members if member.status is not MemberStatus.DEAD
         )
@@ -177,7 +177,7 @@
         everybody's view would be probed by all.
         """
         self._next_reconnect_at = now + self._profile.reconnect_interval
-        names = self._table.unreachable()
+        names = self._table.unreachable_names()
         share = RECONNECT_PROBERS * len(names) / (len(self._table) + 1)
         if self._random.random() >= share:
             return []
@@ -196,10 +196,10 @@
     def _declare(self, member: Member, status: MemberStatus, now: float) -> list[DetectorAction]:
         update = msgspec.structs.replace(member.update, status=status)
         self._table.merge(update, now)
-        self.note(update, now)
+        self.update_suspicion(update, now)
         return [StatusChanged(update)]
 
-    def note(self, update: MemberUpdate, now: float) -> None:
+    def update_suspicion(self, update: MemberUpdate, now: float) -> None:
         """Start or end the suspicion of a member after its status changed."""
         if update.status is MemberStatus.SUSPECT:
             self._suspected_at.setdefault(update.name, now)
@@ -209,20 +209,20 @@
     def _expire_suspicions(self, now: float) -> list[DetectorAction]:
         if not self._suspected_at:
             return []
-        limit = self._suspicion_time()
+        limit = self._suspicion_timeout()
         actions: list[DetectorAction] = []
         for name, since in list(self._suspected_at.items()):
             if now - since >= limit:
-                actions += self._bury(name, now)
+                actions += self._declare_dead(name, now)
         return actions
 
-    def _bury(self, name: str, now: float) -> list[DetectorAction]:
+    def _declare_dead(self, name: str, now: float) -> list[DetectorAction]:
         self._suspected_at.pop(name, None)
         member = self._table.get(name)
         if member is None or member.status is not MemberStatus.SUSPECT:
             return []
         return self._declare(member, MemberStatus.DEAD, now)
 
-    def _suspicion_time(self) -> float:
+    def _suspicion_timeout(self) -> float:
         decades = math.ceil(math.log10(len(self._table) + 2))
         return self._profile.suspicion_rounds * decades * self._profile.probe_interval
--- a/src/pewtertack/core/membership/rumors.py
+++ b/src/pewtertack/core/membership/gossip.py
@@ -13,12 +13,12 @@
 """Each update is passed on this often per decade of fleet size."""
 
 
-class RumorQueue:
+class GossipQueue:
     """The newest update of each member, least often sent first."""
 
     def __init__(self) -> None:
         self._updates: dict[str, MemberUpdate] = {}
-        self._sent: dict[str, int] = {}
+        self._send_counts: dict[str, int] = {}
 
     def __len__(self) -> int:
         return len(self._updates)
@@ -26,21 +26,21 @@
     def add(self, update: MemberUpdate) -> None:
         """Queue ``update`` in place of an earlier one about the same member."""
         self._updates[update.name] = update
-        self._sent[update.name] = 0
+        self._send_counts[update.name] = 0
 
-    def take(self, fleet_size: int) -> tuple[MemberUpdate, ...]:
+    def take_for_message(self, fleet_size: int) -> tuple[MemberUpdate, ...]:
         """Return the updates for one message and count them as sent."""
         if not self._updates:
             return ()
         limit = TRANSMISSIONS_PER_DECADE * math.ceil(math.log10(fleet_size + 2))
-        names = sorted(self._updates, key=self._sent.__getitem__)[:UPDATES_PER_MESSAGE]
+        names = sorted(self._updates, key=self._send_counts.__getitem__)[:UPDATES_PER_MESSAGE]
         taken = tuple(self._updates[name] for name in names)
         for name in names:
-            self._count(name, limit)
+            self._count_sent(name, limit)
         return taken
 
-    def _count(self, name: str, limit: int) -> None:
-        self._sent[name] += 1
-        if self._sent[name] >= limit:
+    def _count_sent(self, name: str, limit: int) -> None:
+        self._send_counts[name] += 1
+        if self._send_counts[name] >= limit:
             del self._updates[name]
-            del self._sent[name]
+            del self._send_counts[name]
--- a/src/pewtertack/core/membership/ring.py
+++ b/src/pewtertack/core/membership/ring.py
@@ -12,13 +12,13 @@
 SCORE_BYTES = 8
 
 
-def score_of(key: str) -> int:
+def hash_score(key: str) -> int:
     """Return the position of ``key`` on the ring."""
     digest = hashlib.blake2b(key.encode(), digest_size=SCORE_BYTES).digest()
     return int.from_bytes(digest, "big")
 
 
-class Ring:
+class HashRing:
     """A set of names, sorted by score; additions and removals cost O(log n) searches."""
 
     def __init__(self) -> None:
@@ -29,14 +29,14 @@
 
     def add(self, name: str) -> None:
         """Add ``name`` unless it is there."""
-        entry = (score_of(name), name)
+        entry = (hash_score(name), name)
         index = bisect.bisect_left(self._entries, entry)
         if index == len(self._entries) or self._entries[index] != entry:
             self._entries.insert(index, entry)
 
     def remove(self, name: str) -> None:
         """Remove ``name`` if it is there."""
-        entry = (score_of(name), name)
+        entry = (hash_score(name), name)
         index = bisect.bisect_left(self._entries, entry)
         if index < len(self._entries) and self._entries[index] == entry:
             del self._entries[index]
@@ -54,7 +54,7 @@
         size = len(self._entries)
         if not size:
             return []
-        origin = bisect.bisect_left(self._entries, (score_of(key), "")) + start
+        origin = bisect.bisect_left(self._entries, (hash_score(key), "")) + start
         return [self._entries[(origin + step) % size][1] for step in range(min(count, size))]
 
     def sample(self, random: Random, count: int) -> list[str]:
--- a/src/pewtertack/core/membership/service.py
+++ b/src/pewtertack/core/membership/service.py
@@ -16,7 +16,7 @@
     ProbeIndirect,
     StatusChanged,
 )
-from pewtertack.core.membership.rumors import RumorQueue
+from pewtertack.core.membership.gossip import GossipQueue
 from pewtertack.core.membership.table import (
     UNCONFIRMED_INCARNATION,
     MemberTable,
@@ -34,7 +34,7 @@
     VersionState,
 )
 
-FORGET_INTERVAL = 5.0
+FORGET_INTERVAL_SECONDS = 5.0
 
 STATUS_EVENTS = {
     MemberStatus.ALIVE: Event.MEMBER_ALIVE,
@@ -58,8 +58,8 @@
         self._profile = profile
         self.table = MemberTable(identity, profile.dead_retention, profile.forget_after)
         self.detector = FailureDetector(self.table, profile, random, now)
-        self.rumors = RumorQueue()
-        self.own = MemberUpdate(
+        self.gossip = GossipQueue()
+        self.own_update = MemberUpdate(
             identity.name,
             identity.address,
             identity.zone,
@@ -68,25 +68,25 @@
             MemberStatus.ALIVE,
         )
         self.superseded = False
-        self._established = False
-        self._next_forget_at = now + FORGET_INTERVAL
-        self.rumors.add(self.own)
+        self._detects_replacements = False
+        self._next_forget_at = now + FORGET_INTERVAL_SECONDS
+        self.gossip.add(self.own_update)
 
-    def establish(self) -> None:
+    def detect_replacements(self) -> None:
         """From now on a higher incarnation of the own name is a replacement's."""
-        self._established = True
+        self._detects_replacements = True
 
     def tick(self, now: float, state: VersionState) -> list[Effect]:
         """Return the probes that are due."""
         if now >= self._next_forget_at:
-            self._next_forget_at = now + FORGET_INTERVAL
+            self._next_forget_at = now + FORGET_INTERVAL_SECONDS
             self.table.forget_dead(now)
         effects: list[Effect] = []
         for action in self.detector.tick(now):
-            effects += self._carry_out(action, state)
+            effects += self._execute(action, state)
         return effects
 
-    def _carry_out(self, action: DetectorAction, state: VersionState) -> list[Effect]:
+    def _execute(self, action: DetectorAction, state: VersionState) -> list[Effect]:
         match action:
             case ProbeDirect(target, sequence):
                 return self.send(target, self._ping(target, sequence, state))
@@ -94,11 +94,11 @@
                 request = PingRequest(sequence, target)
                 return [effect for name in helpers for effect in self.send(name, request)]
             case StatusChanged(update):
-                return self._spread(update)
+                return self._gossip_update(update)
 
     def _ping(self, target: str, sequence: int, state: VersionState) -> Ping:
         """Tell a member that is believed suspect or dead so, for it to refute."""
-        updates = self.rumors.take(len(self.table))
+        updates = self.gossip.take_for_message(len(self.table))
         member = self.table.get(target)
         if member is not None and member.status is not MemberStatus.ALIVE:
             others = (update for update in updates if update.name != target)
@@ -114,8 +114,8 @@
         self, now: float, sender: str, address: str, ping: Ping, state: VersionState
     ) -> list[Effect]:
         """Answer a direct probe."""
-        effects = self.take_updates(now, ping.updates)
-        updates = self.rumors.take(len(self.table))
+        effects = self.merge_updates(now, ping.updates)
+        updates = self.gossip.take_for_message(len(self.table))
         updates = self._with_sender_status(sender, updates)
         effects.append(Send(sender, address, Acknowledge(ping.sequence, state, updates)))
         return effects
@@ -131,8 +131,8 @@
 
     def on_acknowledge(self, now: float, answer: Acknowledge) -> list[Effect]:
         """Take in the answer to a probe of ours, passing on one made for another."""
-        effects = self.take_updates(now, answer.updates)
-        relayed = self.detector.acknowledged(answer.sequence)
+        effects = self.merge_updates(now, answer.updates)
+        relayed = self.detector.on_acknowledge(answer.sequence)
         if relayed is not None:
             message = IndirectAcknowledge(relayed.sequence, relayed.target)
             effects += self.send(relayed.requester, message)
@@ -142,31 +142,31 @@
         self, sender: str, request: PingRequest, state: VersionState
     ) -> list[Effect]:
         """Probe a member for another."""
-        probe = self.detector.relay(sender, request.sequence, request.target)
-        return self._carry_out(probe, state) if probe is not None else []
+        probe = self.detector.start_relay(sender, request.sequence, request.target)
+        return self._execute(probe, state) if probe is not None else []
 
     def on_indirect_acknowledge(self, answer: IndirectAcknowledge) -> None:
         """A helper reached the member that we could not reach ourselves."""
-        self.detector.acknowledged(answer.sequence)
+        self.detector.on_acknowledge(answer.sequence)
 
-    def heard_from(self, now: float, update: MemberUpdate) -> list[Effect]:
+    def on_self_report(self, now: float, update: MemberUpdate) -> list[Effect]:
         """Take in what a live process says of itself in person."""
-        return self.take_updates(now, (update,))
+        return self.merge_updates(now, (update,))
 
-    def take_updates(self, now: float, updates: tuple[MemberUpdate, ...]) -> list[Effect]:
+    def merge_updates(self, now: float, updates: tuple[MemberUpdate, ...]) -> list[Effect]:
         """Merge statements about members, spreading what was news."""
         effects: list[Effect] = []
         for update in updates:
-            if update.name == self.own.name:
-                self._hear_of_self(update)
-            elif self._confirms_listed(update):
+            if update.name == self.own_update.name:
+                self._on_own_update(update)
+            elif self._only_confirms_listed(update):
                 self.table.merge(update, now)
             elif self.table.merge(update, now):
-                self.detector.note(update, now)
-                effects += self._spread(update)
+                self.detector.update_suspicion(update, now)
+                effects += self._gossip_update(update)
         return effects
 
-    def _confirms_listed(self, update: MemberUpdate) -> bool:
+    def _only_confirms_listed(self, update: MemberUpdate) -> bool:
         """Tell whether it only says that a member lives whom the machine list has named.
 
         Every peer has that list: told on, the start of 195 nodes alone filled every probe
@@ -180,32 +180,38 @@
             and update.status is MemberStatus.ALIVE
         )
 
-    def _spread(self, update: MemberUpdate) -> list[Effect]:
+    def _gossip_update(self, update: MemberUpdate) -> list[Effect]:
         if update.incarnation != UNCONFIRMED_INCARNATION:
-            self.rumors.add(update)
+            self.gossip.add(update)
         fields = {"member": update.name, "member_incarnation": update.incarnation}
         return [Log(STATUS_EVENTS[update.status], fields)]
 
-    def _hear_of_self(self, update: MemberUpdate) -> None:
-        if update.incarnation > self.own.incarnation:
-            if self._established:
+    def _on_own_update(self, update: MemberUpdate) -> None:
+        if update.incarnation > self.own_update.incarnation:
+            if self._detects_replacements:
                 self.superseded = True
             else:
-                self._raise_above(update.incarnation)
-        elif update.incarnation == self.own.incarnation and update.status > self.own.status:
-            self._raise_above(update.incarnation)
-        elif update.incarnation < self.own.incarnation and update.status > self.own.status:
-            self.rumors.add(self.own)
-
-    def _raise_above(self, incarnation: int) -> None:
-        self.own = msgspec.structs.replace(self.own, incarnation=incarnation + 1)
-        self.rumors.add(self.own)
-
-    def leave(self) -> None:
+                self._raise_incarnation_above(update.incarnation)
+        elif (
+            update.incarnation == self.own_update.incarnation
+            and update.status > self.own_update.status
+        ):
+            self._raise_incarnation_above(update.incarnation)
+        elif (
+            update.incarnation < self.own_update.incarnation
+            and update.status > self.own_update.status
+        ):
+            self.gossip.add(self.own_update)
+
+    def _raise_incarnation_above(self, incarnation: int) -> None:
+        self.own_update = msgspec.structs.replace(self.own_update, incarnation=incarnation + 1)
+        self.gossip.add(self.own_update)
+
+    def announce_leaving(self) -> None:
         """Tell the fleet that this node is draining."""
-        self.own = msgspec.structs.replace(self.own, status=MemberStatus.LEAVING)
-        self.rumors.add(self.own)
+        self.own_update = msgspec.structs.replace(self.own_update, status=MemberStatus.LEAVING)
+        self.gossip.add(self.own_update)
 
-    def use_list(self, nodes: list[Machine], now: float) -> None:
+    def use_machine_list(self, nodes: list[Machine], now: float) -> None:
         """Seed the table from the platform's list."""
-        self.table.use_list(nodes, now)
+        self.table.use_machine_list(nodes, now)
--- a/src/pewtertack/core/membership/table.py
+++ b/src/pewtertack/core/membership/table.py
@@ -11,11 +11,11 @@
 
 from pewtertack.core.identity import NodeIdentity
 from pewtertack.core.machines import Machine
-from pewtertack.core.membership.ring import Ring
+from pewtertack.core.membership.ring import HashRing
 from pewtertack.wire.messages import MemberStatus, MemberUpdate
 
 UNCONFIRMED_INCARNATION = 0
-REACHABLE = (MemberStatus.ALIVE, MemberStatus.SUSPECT)
+REACHABLE_STATUSES = (MemberStatus.ALIVE, MemberStatus.SUSPECT)
 
 
 class Member(msgspec.Struct):
@@ -29,8 +29,8 @@
 
     update: MemberUpdate
     changed_at: float
-    process: int = 0
-    left: bool = False
+    process_incarnation: int = 0
+    left_gracefully: bool = False
 
     @property
     def status(self) -> MemberStatus:
@@ -49,7 +49,7 @@
         return len(self.zone_of) // 2 + 1
 
     @property
-    def zones_needed(self) -> int:
+    def required_zones(self) -> int:
         """In how many zones a quorum must lie."""
         return min(2, len(set(self.zone_of.values())))
 
@@ -62,10 +62,10 @@
         self._dead_retention = dead_retention
         self._forget_after = forget_after
         self._members: dict[str, Member] = {}
-        self._listed: frozenset[str] = frozenset()
-        self.list_known = False
-        self.reachable = Ring()
-        self._zones: dict[str, Ring] = {}
+        self._listed_names: frozenset[str] = frozenset()
+        self.machine_list_known = False
+        self.reachable = HashRing()
+        self._zones: dict[str, HashRing] = {}
 
     def __len__(self) -> int:
         return len(self._members)
@@ -77,15 +77,15 @@
         """Return the member called ``name``, if known."""
         return self._members.get(name)
 
-    def all(self) -> list[Member]:
+    def all_members(self) -> list[Member]:
         """Return every known member, whatever its status."""
         return list(self._members.values())
 
-    def zone(self, zone: str) -> Ring:
+    def reachable_in_zone(self, zone: str) -> HashRing:
         """Return the reachable members of ``zone``."""
-        return self._zones.setdefault(zone, Ring())
+        return self._zones.setdefault(zone, HashRing())
 
-    def zones(self) -> list[str]:
+    def reachable_zones(self) -> list[str]:
         """Return the zones with reachable members, sorted."""
         return sorted(name for name, ring in self._zones.items() if len(ring))
 
@@ -104,22 +104,22 @@
         process = 0
         left = False
         if known is not None:
-            self._unindex(known.update)
-            process = known.process
-            left = _ended_by_plan(known, update)
+            self._remove_from_rings(known.update)
+            process = known.process_incarnation
+            left = _left_gracefully(known, update)
         self._members[update.name] = Member(update, now, process, left)
-        if update.status in REACHABLE:
+        if update.status in REACHABLE_STATUSES:
             self.reachable.add(update.name)
-            self.zone(update.zone).add(update.name)
+            self.reachable_in_zone(update.zone).add(update.name)
 
-    def _unindex(self, update: MemberUpdate) -> None:
+    def _remove_from_rings(self, update: MemberUpdate) -> None:
         self.reachable.remove(update.name)
-        self.zone(update.zone).remove(update.name)
+        self.reachable_in_zone(update.zone).remove(update.name)
 
-    def use_list(self, machines: list[Machine], now: float) -> None:
+    def use_machine_list(self, machines: list[Machine], now: float) -> None:
         """Seed unknown members from the platform's list of nodes."""
-        self._listed = frozenset(machine.name for machine in machines)
-        self.list_known = True
+        self._listed_names = frozenset(machine.name for machine in machines)
+        self.machine_list_known = True
         for machine in machines:
             self._seed(machine, now)
 
@@ -138,7 +138,7 @@
             now,
         )
 
-    def heard_directly(self, name: str, address: str, process: int, now: float) -> None:
+    def record_contact(self, name: str, address: str, process: int, now: float) -> None:
         """Note a message of the process ``process`` of a known member.
 
         The message of a newer process than any stated so far shows that it lives.
@@ -146,53 +146,53 @@
         member = self._members.get(name)
         if member is None:
             return
-        member.process = max(member.process, process)
+        member.process_incarnation = max(member.process_incarnation, process)
         if process > member.update.incarnation:
             update = msgspec.structs.replace(
                 member.update, address=address, incarnation=process, status=MemberStatus.ALIVE
             )
             self.merge(update, now)
 
-    def reachable_processes(self) -> dict[str, int]:
+    def reachable_incarnations(self) -> dict[str, int]:
         """Return the newest known process of each reachable member."""
         return {
-            name: member.process
+            name: member.process_incarnation
             for name, member in self._members.items()
-            if member.status in REACHABLE
+            if member.status in REACHABLE_STATUSES
         }
 
     def forget_dead(self, now: float) -> None:
         """Drop dead members that no longer count for quorums."""
         for name, member in list(self._members.items()):
-            if member.status is MemberStatus.DEAD and not self._dead_counts(member, now):
+            if member.status is MemberStatus.DEAD and not self._dead_counts_for_quorum(member, now):
                 del self._members[name]
 
-    def _dead_counts(self, member: Member, now: float) -> bool:
+    def _dead_counts_for_quorum(self, member: Member, now: float) -> bool:
         """A machine that is unreachable but listed may live on behind a cut.
 
         One that said it was leaving has stopped by plan and may not.
         """
-        if member.left:
+        if member.left_gracefully:
             return False
         age = now - member.changed_at
-        if not self.list_known:
+        if not self.machine_list_known:
             return age < self._forget_after
-        return member.update.name in self._listed or age < self._dead_retention
+        return member.update.name in self._listed_names or age < self._dead_retention
 
     def quorum_members(self, now: float) -> QuorumMembers:
         """Return the members of which a majority must hold a revision, with this node."""
         zone_of = {self._identity.name: self._identity.zone}
         for name, member in self._members.items():
-            if self._counts(member, now):
+            if self._counts_for_quorum(member, now):
                 zone_of[name] = member.update.zone
         return QuorumMembers(zone_of)
 
-    def _counts(self, member: Member, now: float) -> bool:
+    def _counts_for_quorum(self, member: Member, now: float) -> bool:
         if member.status is MemberStatus.DEAD:
-            return self._dead_counts(member, now)
+            return self._dead_counts_for_quorum(member, now)
         return member.status is not MemberStatus.LEAVING
 
-    def unreachable(self) -> list[str]:
+    def unreachable_names(self) -> list[str]:
         """Return the names of dead members that still count, sorted."""
         return sorted(
             name for name, member in self._members.items() if member.status is MemberStatus.DEAD
@@ -205,8 +205,8 @@
     return new.status > old.status
 
 
-def _ended_by_plan(known: Member, update: MemberUpdate) -> bool:
+def _left_gracefully(known: Member, update: MemberUpdate) -> bool:
     """Tell whether a member found dead had said it was leaving."""
     if update.status is not MemberStatus.DEAD or update.incarnation != known.update.incarnation:
         return False
-    return known.left or known.status is MemberStatus.LEAVING
+    return known.left_gracefully or known.status is MemberStatus.LEAVING
--- a/src/pewtertack/core/node.py
+++ b/src/pewtertack/core/node.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from pewtertack.core.crashes.spreading import CrashSpreading
+from pewtertack.core.crashes.gossip import CrashGossip
 from pewtertack.core.effects import BringIntoForce, ContinueWork, Effect, Log, Send, SetServing
 from pewtertack.core.identity import NodeIdentity
 from pewtertack.core.inputs import (
@@ -116,7 +116,7 @@
         self._awaits_continuation = False
         """Whether a ``ContinueWork`` is outstanding."""
         self.membership = Membership(identity, profile, random, now)
-        self.crashes = CrashSpreading(identity, self.membership, random)
+        self.crashes = CrashGossip(identity, self.membership, random)
         is_seed = identity.address in seeds[:READING_SEEDS]
         self.replication = Replication(
             identity, profile, self.membership, random, now, is_seed, self.source
@@ -139,7 +139,7 @@
             effects += self._finish_joining(now)
         elif self.phase is NodePhase.SERVING and self._may_resolve(event):
             effects += self._advance_in_force(now)
-        effects += self.replication.heartbeats(now)
+        effects += self.replication.due_heartbeats(now)
         return effects + self._request_continuation()
 
     def _turn_budget(self) -> Budget:
@@ -162,7 +162,7 @@
         """Advance what is held first: new offers may keep coming."""
         self._awaits_continuation = False
         effects = self._advance_in_force(now) if self.phase is NodePhase.SERVING else []
-        return effects + self.replication.go_on(now)
+        return effects + self.replication.continue_work(now)
 
     def _dispatch(self, now: float, event: Input) -> list[Effect]:
         match event:
@@ -199,9 +199,9 @@
     def _on_suspect(self, now: float, event: BackendCrashed | SuspectAnswered) -> list[Effect]:
         match event:
             case BackendCrashed(fingerprints, number):
-                return self.crashes.crashed(now, fingerprints, number)
+                return self.crashes.on_crash(now, fingerprints, number)
             case SuspectAnswered(fingerprint):
-                return self.crashes.answered(now, fingerprint)
+                return self.crashes.on_answer(now, fingerprint)
 
     def _tick(self, now: float) -> list[Effect]:
         self._last_tick = now
@@ -261,8 +261,8 @@
             return []
         self.phase = NodePhase.LEAVING
         self.replication.serving = False
-        self.membership.leave()
-        ping = Ping(0, self.replication.state(), (self.membership.own,))
+        self.membership.announce_leaving()
+        ping = Ping(0, self.replication.state(), (self.membership.own_update,))
         names = self.membership.table.reachable.sample(self._random, self.profile.join_peers)
         effects: list[Effect] = [Log(Event.NODE_DRAINING, {})]
         for name in names:
@@ -272,7 +272,7 @@
     # Joining.
 
     def _ask_peers(self, now: float) -> list[Effect]:
-        request = JoinRequest(self.membership.own)
+        request = JoinRequest(self.membership.own_update)
         return [
             Send(name, address, request) for name, address in self._joiner.addresses_to_ask(now)
         ]
@@ -286,20 +286,23 @@
             return effects
         self.phase = NodePhase.SERVING
         self.replication.serving = True
-        self.membership.establish()
+        self.membership.detect_replacements()
         return [*effects, SetServing(True), Log(Event.NODE_SERVING, {})]
 
     def _knows_enough(self, now: float) -> bool:
         replica = self.replication.replica
-        if replica.committed.number == 0 or replica.store.recent(replica.committed) is None:
+        if (
+            replica.committed.number == 0
+            or replica.store.recent_document(replica.committed) is None
+        ):
             return False
         if self._joiner.newest_machine_list and self.replication.machine_list.machines.number == 0:
             return False
-        if self.replication.inquiry.is_pending(now):
+        if self.replication.restore_inquiry.is_pending(now):
             return False
         if self.source.durable:
             return self._knows_durable_source(now)
-        if not self._joiner.held_wait_over(now, replica.committed):
+        if not self._joiner.is_held_wait_over(now, replica.committed):
             return False
         return self._joiner.knows_enough(now, self.membership.table.quorum_members(now))
 
@@ -313,9 +316,9 @@
         if replication.era:
             return self._knows_by_peers(now)
         read_at = replication.reader.last_answer_at
-        if all(self._joiner.began_before(read_at.get(kind)) for kind in DocumentKind):
+        if all(self._joiner.started_before(read_at.get(kind)) for kind in DocumentKind):
             return True
-        if replication.freshness.oldest(now) <= self.profile.reader_lease:
+        if replication.freshness.max_age(now) <= self.profile.reader_lease:
             return True
         return self._knows_by_peers(now)
 
@@ -326,19 +329,19 @@
         """
         if self.replication.machine_list.machines.number == 0:
             return False
-        if self._joiner.heard_serving_peer:
+        if self._joiner.has_serving_answer:
             newest = self._joiner.newest_committed
             return self.replication.replica.committed.number >= newest.number
-        return self._joiner.waited_in_vain(now)
+        return self._joiner.waited_without_result(now)
 
     def _on_join_request(
         self, now: float, sender: MessageReceived, request: JoinRequest
     ) -> list[Effect]:
-        effects = self.membership.heard_from(now, request.member)
-        effects += self.replication.tell_joiner(now, sender.sender, sender.sender_address)
-        effects += self.crashes.for_joiner(now, sender.sender, sender.sender_address)
+        effects = self.membership.on_self_report(now, request.member)
+        effects += self.replication.messages_for_joiner(now, sender.sender, sender.sender_address)
+        effects += self.crashes.reports_for_joiner(now, sender.sender, sender.sender_address)
         members = self._members_for_joiner(sender.sender)
-        answer = JoinAnswer(self.replication.state(), self.membership.own, members)
+        answer = JoinAnswer(self.replication.state(), self.membership.own_update, members)
         effects.append(Send(sender.sender, sender.sender_address, answer))
         return effects
 
@@ -352,8 +355,8 @@
     def _on_join_answer(
         self, now: float, event: MessageReceived, answer: JoinAnswer
     ) -> list[Effect]:
-        effects = self.membership.take_updates(now, (answer.member, *answer.members))
-        self._joiner.answered(now, event.sender, answer.member.zone, answer.state)
+        effects = self.membership.merge_updates(now, (answer.member, *answer.members))
+        self._joiner.on_answer(now, event.sender, answer.member.zone, answer.state)
         return effects + self.replication.on_join_answer(
             now, event.sender, event.sender_address, answer.state
         )
@@ -366,7 +369,7 @@
             configuration = self.replication.replica.advance_in_force(self.replication.budget)
             if configuration is None:
                 return effects
-            told = self.replication.stages.in_force(now, configuration)
+            told = self.replication.stages.on_in_force(now, configuration)
             effects += [BringIntoForce(configuration), *told]
 
     # Messages.
@@ -375,7 +378,7 @@
         if event.sender == self.identity.name:
             return []
         sender, address = event.sender, event.sender_address
-        self.membership.table.heard_directly(sender, address, event.incarnation, now)
+        self.membership.table.record_contact(sender, address, event.incarnation, now)
         match event.message:
             case Ping() as ping:
                 effects = self._learn_lazily(now, event, ping.state)
@@ -430,7 +433,7 @@
                 self.replication.on_evacuations_ended(now, told)
                 return []
             case CrashReports() as reports:
-                return self.crashes.learn(now, reports)
+                return self.crashes.on_reports(now, reports)
             case _:
                 return []
 
@@ -448,4 +451,4 @@
     ) -> list[Effect]:
         if not self.profile.mechanisms.lazy_repair:
             return []
-        return self.replication.learn(now, event.sender, event.sender_address, state)
+        return self.replication.on_peer_state(now, event.sender, event.sender_address, state)
--- a/src/pewtertack/core/replication/announcing.py
+++ b/src/pewtertack/core/replication/announcing.py
@@ -40,16 +40,16 @@
     def _targets(self) -> list[str]:
         """Random members spread fast; the ring's successor leaves nobody out."""
         table = self._membership.table
-        own_zone = table.zone(self._identity.zone)
+        own_zone = table.reachable_in_zone(self._identity.zone)
         successor = own_zone.successors(self._identity.name, 0, 1)
         others = own_zone.sample(self._random, self._profile.fan_out - 1)
         near = list(dict.fromkeys(successor + others))
-        far_zones = [zone for zone in table.zones() if zone != self._identity.zone]
+        far_zones = [zone for zone in table.reachable_zones() if zone != self._identity.zone]
         self._random.shuffle(far_zones)
         far = [
             name
             for zone in far_zones[: self._profile.far_fan_out]
-            for name in table.zone(zone).sample(self._random, 1)
+            for name in table.reachable_in_zone(zone).sample(self._random, 1)
         ]
         return near + far
 
--- a/src/pewtertack/core/replication/answer_times.py
+++ b/src/pewtertack/core/replication/answer_times.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-LONGEST_PATIENCE = 8.0
+MAX_TIMEOUT_SECONDS = 8.0
 """Seconds."""
 MEAN_GAIN = 0.5
 """Weight of the last answer in the mean. It is high, so that a source that has become quick is soon
 taken as quick."""
 DEVIATION_GAIN = 0.25
-DEVIATIONS = 4.0
-SLOW_SECONDS = 0.5
+TIMEOUT_DEVIATIONS = 4.0
+SLOW_ANSWER_SECONDS = 0.5
 """A source that takes longer misses what happens while it answers."""
 
 
@@ -23,31 +23,35 @@
         shortest: seconds for which an answer is waited for at least.
     """
 
-    __slots__ = ("_deviation", "mean", "shortest")
+    __slots__ = ("_deviation_seconds", "mean_seconds", "min_timeout_seconds")
 
     def __init__(self, shortest: float) -> None:
-        self.shortest = shortest
-        self.mean: float | None = None
+        self.min_timeout_seconds = shortest
+        self.mean_seconds: float | None = None
         """Seconds; ``None`` before the first answer."""
-        self._deviation = 0.0
+        self._deviation_seconds = 0.0
 
-    def note(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         """Take in the time of one answer."""
-        if self.mean is None:
-            self.mean = seconds
-            self._deviation = seconds / 2
+        if self.mean_seconds is None:
+            self.mean_seconds = seconds
+            self._deviation_seconds = seconds / 2
             return
-        error = seconds - self.mean
-        self._deviation += DEVIATION_GAIN * (abs(error) - self._deviation)
-        self.mean += MEAN_GAIN * error
+        error = seconds - self.mean_seconds
+        self._deviation_seconds += DEVIATION_GAIN * (abs(error) - self._deviation_seconds)
+        self.mean_seconds += MEAN_GAIN * error
 
     @property
-    def patience(self) -> float:
+    def timeout_seconds(self) -> float:
         """Seconds after which an answer is overdue."""
-        usual = 0.0 if self.mean is None else self.mean + DEVIATIONS * self._deviation
-        return max(self.shortest, min(usual, LONGEST_PATIENCE))
+        usual = (
+            0.0
+            if self.mean_seconds is None
+            else self.mean_seconds + TIMEOUT_DEVIATIONS * self._deviation_seconds
+        )
+        return max(self.min_timeout_seconds, min(usual, MAX_TIMEOUT_SECONDS))
 
     @property
     def is_slow(self) -> bool:
         """Whether so much happens during an answer that the next read must not wait for it."""
-        return self.mean is not None and self.mean > SLOW_SECONDS
+        return self.mean_seconds is not None and self.mean_seconds > SLOW_ANSWER_SECONDS
--- a/src/pewtertack/core/replication/commit.py
+++ b/src/pewtertack/core/replication/commit.py
@@ -12,7 +12,7 @@
 from pewtertack.core.membership.table import QuorumMembers
 from pewtertack.core.revision import RevisionId
 
-CANDIDATES_KEPT = 8
+MAX_CANDIDATES = 8
 
 
 class CommitTally:
@@ -24,7 +24,7 @@
     def record(self, name: str, incarnation: int, held: RevisionId) -> None:
         """Note that process ``incarnation`` of ``name`` holds or has held ``held``."""
         self._candidates.setdefault(held, {})[name] = incarnation
-        if len(self._candidates) > CANDIDATES_KEPT:
+        if len(self._candidates) > MAX_CANDIDATES:
             del self._candidates[min(self._candidates, key=lambda candidate: candidate.number)]
 
     def drop_up_to(self, committed: RevisionId) -> None:
@@ -48,8 +48,8 @@
             if name in quorum.zone_of and incarnations.get(name) == incarnation
         ]
         zones = {quorum.zone_of[name] for name in holders}
-        return len(holders) >= quorum.majority and len(zones) >= quorum.zones_needed
+        return len(holders) >= quorum.majority and len(zones) >= quorum.required_zones
 
-    def reports(self, candidate: RevisionId) -> int:
+    def report_count(self, candidate: RevisionId) -> int:
         """Return how many processes reported ``candidate``, before any check."""
         return len(self._candidates.get(candidate, {}))
--- a/src/pewtertack/core/replication/freshness.py
+++ b/src/pewtertack/core/replication/freshness.py
@@ -6,7 +6,7 @@
 
 from pewtertack.wire.messages import DocumentKind, SourceAges
 
-MILLISECONDS = 1000.0
+MILLISECONDS_PER_SECOND = 1000.0
 
 
 class SourceFreshness:
@@ -16,11 +16,11 @@
     age that it tells, so the time on its way makes a document look that much fresher.
     """
 
-    __slots__ = ("_confirmed_at", "_deaf_until", "_suspended")
+    __slots__ = ("_confirmed_at", "_reports_ignored_until", "_suspended")
 
     def __init__(self) -> None:
         self._confirmed_at = dict.fromkeys(DocumentKind, -math.inf)
-        self._deaf_until = -math.inf
+        self._reports_ignored_until = -math.inf
         self._suspended: dict[DocumentKind, dict[int, float]] = {}
         """Confirmations of documents that are not held yet, by their numbers."""
 
@@ -44,12 +44,12 @@
             at = suspended.pop(number)
             self._confirmed_at[kind] = max(self._confirmed_at[kind], at)
 
-    def hear(self, now: float, kind: DocumentKind, age_milliseconds: int) -> None:
+    def record_peer_age(self, now: float, kind: DocumentKind, age_milliseconds: int) -> None:
         """A peer's word of such an age covers the held document."""
-        if now >= self._deaf_until:
-            self.confirm(kind, now - age_milliseconds / MILLISECONDS)
+        if now >= self._reports_ignored_until:
+            self.confirm(kind, now - age_milliseconds / MILLISECONDS_PER_SECOND)
 
-    def forget(self, now: float, deaf_for: float) -> None:
+    def reset(self, now: float, deaf_for: float) -> None:
         """Trust nothing confirmed so far, nor what peers say for ``deaf_for`` seconds.
 
         For a process that was paused: words that came meanwhile are older than they say.
@@ -57,13 +57,13 @@
         self._confirmed_at = dict.fromkeys(DocumentKind, -math.inf)
         for suspended in self._suspended.values():
             suspended.update(dict.fromkeys(suspended, -math.inf))
-        self._deaf_until = now + deaf_for
+        self._reports_ignored_until = now + deaf_for
 
     def age(self, now: float, kind: DocumentKind) -> float:
         """Return the seconds since the last confirmation; infinite without one."""
         return now - self._confirmed_at[kind]
 
-    def oldest(self, now: float) -> float:
+    def max_age(self, now: float) -> float:
         """Return the age of the document confirmed longest ago."""
         return max(self.age(now, kind) for kind in DocumentKind)
 
@@ -73,4 +73,4 @@
 
 
 def _milliseconds(age: float) -> int | None:
-    return None if math.isinf(age) else round(max(0.0, age) * MILLISECONDS)
+    return None if math.isinf(age) else round(max(0.0, age) * MILLISECONDS_PER_SECOND)
--- a/src/pewtertack/core/replication/heartbeats.py
+++ b/src/pewtertack/core/replication/heartbeats.py
@@ -9,7 +9,7 @@
 
 from pewtertack.core.effects import Effect, Send
 from pewtertack.core.identity import NodeIdentity
-from pewtertack.core.membership.ring import score_of
+from pewtertack.core.membership.ring import hash_score
 from pewtertack.core.membership.service import Membership
 from pewtertack.core.profile import TimingProfile
 from pewtertack.core.replication.freshness import SourceFreshness
@@ -22,10 +22,10 @@
     VersionState,
 )
 
-DELTAS_BYTES_MAX = 800
+MAX_DELTAS_BYTES = 800
 """Deltas that ride on a heartbeat: a frame of 1,200 bytes fits one datagram, of which the
 versions, digests and the envelope take up to 300."""
-EDIT_BYTES_MIN = 4
+MIN_EDIT_BYTES = 4
 """No edit is shorter: many need not be encoded to see that they are too long."""
 
 
@@ -50,25 +50,25 @@
         self._membership = membership
         self._freshness = freshness
         self._stores = stores
-        self._score = score_of(identity.name)
-        self._told = {kind: store.revision for kind, store in stores.items()}
+        self._score = hash_score(identity.name)
+        self._advertised = {kind: store.revision for kind, store in stores.items()}
         self._next_at = -math.inf
 
-    def due(self, now: float, state: VersionState) -> list[Effect]:
+    def due_heartbeats(self, now: float, state: VersionState) -> list[Effect]:
         """Return the heartbeats to send now, with every change since the last ones."""
-        news = any(self._told[kind] != store.revision for kind, store in self._stores.items())
+        news = any(self._advertised[kind] != store.revision for kind, store in self._stores.items())
         if not news and now < self._next_at:
             return []
         self._next_at = now + self._profile.heartbeat_interval
         heartbeat = self._heartbeat(now, state, self._deltas())
-        self._told = {kind: store.revision for kind, store in self._stores.items()}
+        self._advertised = {kind: store.revision for kind, store in self._stores.items()}
         return [
             effect for name in self._targets() for effect in self._membership.send(name, heartbeat)
         ]
 
     def for_joiner(self, now: float, name: str, address: str, state: VersionState) -> list[Effect]:
         """Return the word for one joining peer, if the source's word is within its lease."""
-        if self._freshness.oldest(now) > self._profile.reader_lease:
+        if self._freshness.max_age(now) > self._profile.reader_lease:
             return []
         return [Send(name, address, self._heartbeat(now, state, ()))]
 
@@ -84,13 +84,13 @@
         changed = tuple(
             answer
             for kind, store in self._stores.items()
-            for answer in self._chain(kind, store, self._told[kind])
+            for answer in self._chain(kind, store, self._advertised[kind])
         )
         edits = sum(len(delta.edits) for answer in changed for delta in answer.deltas)
-        if not changed or edits * EDIT_BYTES_MIN > DELTAS_BYTES_MAX:
+        if not changed or edits * MIN_EDIT_BYTES > MAX_DELTAS_BYTES:
             return ()
         size = len(cbor2.dumps(msgspec.to_builtins(changed, builtin_types=(bytes,))))
-        return changed if size <= DELTAS_BYTES_MAX else ()
+        return changed if size <= MAX_DELTAS_BYTES else ()
 
     def _chain(
         self, kind: DocumentKind, store: DocumentStore, told: RevisionId
@@ -100,11 +100,11 @@
 
     def _targets(self) -> list[str]:
         table = self._membership.table
-        own = table.zone(self._identity.zone)
+        own = table.reachable_in_zone(self._identity.zone)
         rank = own.count_below(self._score)
         targets = own.first(len(own))
-        for zone in table.zones():
+        for zone in table.reachable_zones():
             if zone != self._identity.zone:
-                readers = table.zone(zone).first(self._profile.readers_per_zone)
+                readers = table.reachable_in_zone(zone).first(self._profile.readers_per_zone)
                 targets.append(readers[rank % len(readers)])
         return targets
--- a/src/pewtertack/core/replication/join.py
+++ b/src/pewtertack/core/replication/join.py
@@ -16,7 +16,7 @@
 from pewtertack.core.revision import NO_REVISION, RevisionId
 from pewtertack.wire.messages import VersionState
 
-ASKED_AGAIN = 3
+REPEAT_REQUESTS_PER_ROUND = 3
 """Peers that did not serve when they answered which are asked again in one round: all may have
 started together, and a serving one may know what the joiner waits for."""
 
@@ -26,7 +26,7 @@
 
     zone: str
     state: VersionState
-    at: float
+    received_at: float
 
 
 class Joiner:
@@ -61,35 +61,37 @@
         self._started_at = now
         self._next_ask_at = now
 
-    def answered(self, now: float, name: str, zone: str, state: VersionState) -> None:
+    def on_answer(self, now: float, name: str, zone: str, state: VersionState) -> None:
         """Take in a peer's versions."""
         self._answers[name] = PeerAnswer(zone, state, now)
 
-    def _forget_old_answers(self, now: float) -> None:
+    def _discard_old_answers(self, now: float) -> None:
         """Ask anew: an old answer says little, and all may have come from one side of a cut."""
         oldest = now - self._profile.join_answer_lifetime
         for name, answer in list(self._answers.items()):
-            if answer.at < oldest:
+            if answer.received_at < oldest:
                 del self._answers[name]
 
     def addresses_to_ask(self, now: float) -> list[tuple[str, str]]:
         """Return (name, address) of the peers to ask now; seeds have no name yet."""
         if now < self._next_ask_at:
             return []
-        self._forget_old_answers(now)
+        self._discard_old_answers(now)
         self._next_ask_at = now + self._profile.join_retry * self._random.uniform(0.8, 1.2)
         targets = {name: self._address(name) for name in self._stratified_sample()}
         known = set(targets.values())
         asked = list(targets.items())
         if len(self._answers) < self._profile.join_peers:
             asked += [("", seed) for seed in self._seeds if seed not in known]
-        return asked + self._to_ask_again()
+        return asked + self._peers_to_ask_again()
 
-    def _to_ask_again(self) -> list[tuple[str, str]]:
+    def _peers_to_ask_again(self) -> list[tuple[str, str]]:
         """Return some of those that have answered, while none of them served."""
-        if self.heard_serving_peer or not self._answers:
+        if self.has_serving_answer or not self._answers:
             return []
-        names = self._random.sample(sorted(self._answers), min(ASKED_AGAIN, len(self._answers)))
+        names = self._random.sample(
+            sorted(self._answers), min(REPEAT_REQUESTS_PER_ROUND, len(self._answers))
+        )
         asked = [(name, self._address(name)) for name in names]
         return [(name, address) for name, address in asked if address]
 
@@ -99,7 +101,7 @@
 
     def _stratified_sample(self) -> list[str]:
         """Return unanswered members, as evenly over the zones as they allow."""
-        pools = [self._unanswered(zone) for zone in self._table.zones()]
+        pools = [self._unanswered(zone) for zone in self._table.reachable_zones()]
         self._random.shuffle(pools)
         chosen: list[str] = []
         wanted = self._profile.join_peers - len(self._answers)
@@ -110,13 +112,15 @@
         return chosen
 
     def _unanswered(self, zone: str) -> list[str]:
-        names = self._table.zone(zone).sample(self._random, 2 * self._profile.join_peers)
+        names = self._table.reachable_in_zone(zone).sample(
+            self._random, 2 * self._profile.join_peers
+        )
         unanswered = [name for name in names if name not in self._answers]
         self._random.shuffle(unanswered)
         return unanswered
 
     @property
-    def heard_serving_peer(self) -> bool:
+    def has_serving_answer(self) -> bool:
         """Whether any peer that serves has answered."""
         return any(answer.state.serving for answer in self._answers.values())
 
@@ -140,16 +144,16 @@
     def may_bootstrap(self, now: float) -> bool:
         """Whether no serving peer answered for long enough to read the platform."""
         waited = now - self._started_at
-        return not self.heard_serving_peer and waited >= self._profile.bootstrap_delay
+        return not self.has_serving_answer and waited >= self._profile.bootstrap_delay
 
-    def began_before(self, moment: float | None) -> bool:
+    def started_before(self, moment: float | None) -> bool:
         """Whether this round of joining began before ``moment``."""
         return moment is not None and self._started_at <= moment
 
-    def waited_in_vain(self, now: float) -> bool:
+    def waited_without_result(self, now: float) -> bool:
         """Whether nobody that serves has answered for as long as peers are waited for."""
         waited = now - self._started_at
-        return not self.heard_serving_peer and waited >= self._profile.join_patience
+        return not self.has_serving_answer and waited >= self._profile.join_patience
 
     def may_commit(self, now: float) -> bool:
         """Whether a joiner may decide a commit: the first fleet has nobody else to.
@@ -160,18 +164,18 @@
         """
         if not self.may_bootstrap(now):
             return False
-        return self._table.list_known or self._heard_every_seed()
+        return self._table.machine_list_known or self._every_seed_answered()
 
-    def _heard_every_seed(self) -> bool:
+    def _every_seed_answered(self) -> bool:
         heard = {self._address(name) for name in self._answers}
         return heard.issuperset(self._seeds)
 
     def knows_enough(self, now: float, quorum: QuorumMembers) -> bool:
         """Whether enough peers answered to know every revision in force."""
-        if self._isolated():
+        if self._is_isolated():
             return False
         needed = min(quorum.majority, self._profile.join_peers)
-        if self._zones_heard() < quorum.zones_needed:
+        if self._answered_zones() < quorum.required_zones:
             return False
         serving = sum(1 for answer in self._answers.values() if answer.state.serving)
         if serving >= needed:
@@ -179,14 +183,14 @@
         patient = now - self._started_at >= self._profile.join_patience
         return patient and len(self._answers) + 1 >= needed
 
-    def _isolated(self) -> bool:
+    def _is_isolated(self) -> bool:
         """Whether nothing tells how large the fleet is."""
-        return bool(self._seeds) and not self._answers and not self._table.list_known
+        return bool(self._seeds) and not self._answers and not self._table.machine_list_known
 
-    def _zones_heard(self) -> int:
+    def _answered_zones(self) -> int:
         return len({self._zone, *(answer.zone for answer in self._answers.values())})
 
-    def held_wait_over(self, now: float, committed: RevisionId) -> bool:
+    def is_held_wait_over(self, now: float, committed: RevisionId) -> bool:
         """Whether a newer held revision no longer holds up joining.
 
         A peer may hold a revision that a quorum already has in force, of which
--- a/src/pewtertack/core/replication/leaving.py
+++ b/src/pewtertack/core/replication/leaving.py
@@ -18,7 +18,7 @@
     """The notices about back ends of the current list."""
 
     def __init__(self) -> None:
-        self._leaving: set[LeavingBackend] = set()
+        self._notices: set[LeavingBackend] = set()
 
     def observe(
         self, notices: Iterable[LeavingBackend], machines: MachineList
@@ -26,20 +26,20 @@
         """Note back ends of the list as leaving and return those that were news."""
         listed = _backends(machines)
         news = tuple(
-            notice for notice in notices if notice in listed and notice not in self._leaving
+            notice for notice in notices if notice in listed and notice not in self._notices
         )
-        self._leaving.update(news)
+        self._notices.update(news)
         return news
 
     def apply(self, machines: MachineList) -> MachineList:
         """Return the list with noted back ends leaving, and forget unlisted ones."""
-        self._leaving &= _backends(machines)
-        if not self._leaving:
+        self._notices &= _backends(machines)
+        if not self._notices:
             return machines
-        return MachineList(machines.number, tuple(map(self._mark, machines.machines)))
+        return MachineList(machines.number, tuple(map(self._with_notice, machines.machines)))
 
-    def _mark(self, machine: Machine) -> Machine:
-        if _notice_of(machine) not in self._leaving:
+    def _with_notice(self, machine: Machine) -> Machine:
+        if _notice_of(machine) not in self._notices:
             return machine
         return msgspec.structs.replace(machine, state=MachineState.LEAVING)
 
--- a/src/pewtertack/core/replication/list_overrides.py
+++ b/src/pewtertack/core/replication/list_overrides.py
@@ -15,11 +15,11 @@
     ListOverrides,
 )
 
-MESSAGE_BYTES_MAX = 900
+MAX_MESSAGE_BYTES = 900
 """Of the entries of one message: with the envelope it fits one datagram."""
-MESSAGES_MAX = 8
+MAX_MESSAGES = 8
 """For one peer; what does not fit is left out, kept back ends first."""
-MILLISECONDS = 1000.0
+MILLISECONDS_PER_SECOND = 1000.0
 
 Override = LeavingBackend | DepartedBackend | KeptBackend
 
@@ -32,7 +32,7 @@
     for name, machine in names.items():
         if name not in current:
             gone.append(DepartedBackend.of(machine))
-        elif _leaves(current[name], machine):
+        elif _is_newly_leaving(current[name], machine):
             leaving.append(LeavingBackend(name, machine.address, machine.started_at))
     kept = [
         KeptBackend.of(machine)
@@ -42,7 +42,7 @@
     return [*leaving, *gone, *kept]
 
 
-def _leaves(current: Machine, listed: Machine) -> bool:
+def _is_newly_leaving(current: Machine, listed: Machine) -> bool:
     states = current.state, listed.state
     is_one = current.incarnation == listed.incarnation
     return is_one and states == (MachineState.LEAVING, MachineState.LIVE)
@@ -62,13 +62,13 @@
     """
     by_end: dict[int, list[Override]] = {}
     for override in overrides:
-        left = round(left_of(override.name) * MILLISECONDS)
+        left = round(left_of(override.name) * MILLISECONDS_PER_SECOND)
         if left > 0:
             by_end.setdefault(left, []).append(override)
     messages = [
-        _message(number, left, part) for left, held in by_end.items() for part in _parts(held)
+        _message(number, left, part) for left, held in by_end.items() for part in _chunks(held)
     ]
-    return tuple(messages[:MESSAGES_MAX])
+    return tuple(messages[:MAX_MESSAGES])
 
 
 def _message(number: int, left: int, part: list[Override]) -> ListOverrides:
@@ -81,13 +81,13 @@
     )
 
 
-def _parts(overrides: list[Override]) -> Iterator[list[Override]]:
+def _chunks(overrides: list[Override]) -> Iterator[list[Override]]:
     """Yield parts that fit one message each."""
     part: list[Override] = []
     size = 0
     for override in overrides:
         entry_size = len(cbor2.dumps(msgspec.to_builtins(override)))
-        if part and size + entry_size > MESSAGE_BYTES_MAX:
+        if part and size + entry_size > MAX_MESSAGE_BYTES:
             yield part
             part, size = [], 0
         part.append(override)
--- a/src/pewtertack/core/replication/machine_lists.py
+++ b/src/pewtertack/core/replication/machine_lists.py
@@ -21,7 +21,7 @@
     machine_list_from_document,
 )
 from pewtertack.core.replication.leaving import LeavingBackends
-from pewtertack.core.replication.store import DocumentStore, Step
+from pewtertack.core.replication.store import ChainStep, DocumentStore
 from pewtertack.core.revision import Document, RevisionId
 from pewtertack.events import Event
 from pewtertack.wire.messages import LeavingBackend, ListOverrides
@@ -38,7 +38,7 @@
 
     def __init__(self, hold_after_return: float = 0.0, began_at: float = -math.inf) -> None:
         self.store = DocumentStore()
-        self.returned = MachineListOverrides(hold_after_return, began_at)
+        self.overrides = MachineListOverrides(hold_after_return, began_at)
         self.era_change: EraChange | None = None
         """What the last change of era brought, until it is told."""
         self._listed = MachineList(0, ())
@@ -62,7 +62,7 @@
     def offer_deltas(self, now: float, deltas: tuple[Delta, ...]) -> list[Effect]:
         """Use the end of a chain if it is newer; a chain that does not fit changes nothing."""
         try:
-            steps = self.store.follow(deltas)
+            steps = self.store.resolve_chain(deltas)
         except DeltaMismatchError as error:
             return [Log(Event.MACHINE_LIST_FAILED, {"reason": str(error)})]
         if not steps:
@@ -79,37 +79,37 @@
             return [Log(Event.MACHINE_LIST_FAILED, {"reason": str(error)})]
         self.store.put(revision, document)
         self._listed = machines
-        self.era_change = self.returned.update(now, machines) or self.era_change
-        return self._use(now)
+        self.era_change = self.overrides.update(now, machines) or self.era_change
+        return self._refresh(now)
 
     def tick(self, now: float) -> list[Effect]:
         """Believe the list again where what was held against it holds no longer."""
-        return self._use(now) if self.returned.has_expired(now) else []
+        return self._refresh(now) if self.overrides.has_expired(now) else []
 
-    def _use(self, now: float) -> list[Effect]:
-        self.machines = self._leaving.apply(self.returned.overridden(now, self._listed))
+    def _refresh(self, now: float) -> list[Effect]:
+        self.machines = self._leaving.apply(self.overrides.overridden(now, self._listed))
         return [UseMachineList(self.machines)]
 
-    def hear(self, now: float, told: ListOverrides) -> list[Effect]:
+    def on_overrides(self, now: float, told: ListOverrides) -> list[Effect]:
         """Take in a peer's overrides of its list."""
-        return self._use(now) if self.returned.apply_report(now, told, self._listed) else []
+        return self._refresh(now) if self.overrides.apply_report(now, told, self._listed) else []
 
     def trust_new_entries(self, now: float) -> list[Effect]:
         """Use the back ends that are new in a new era: peers have told which of them have left."""
-        if not self.returned.new_entries:
+        if not self.overrides.new_entries:
             return []
-        self.returned.new_entries.clear()
-        return self._use(now)
+        self.overrides.new_entries.clear()
+        return self._refresh(now)
 
-    def overrides(self, now: float) -> tuple[ListOverrides, ...]:
+    def override_messages(self, now: float) -> tuple[ListOverrides, ...]:
         """Return the overrides of the list, for a starting peer; mostly none."""
-        if not self.returned.is_active(now):
+        if not self.overrides.is_active(now):
             return ()
         from pewtertack.core.replication.list_overrides import messages_of, overrides_against
 
         held = overrides_against(self._listed, self.machines)
         return messages_of(
-            self.revision.number, held, lambda name: self.returned.remaining_seconds(now, name)
+            self.revision.number, held, lambda name: self.overrides.remaining_seconds(now, name)
         )
 
     def renumber(self, now: float, revision: RevisionId) -> list[Effect]:
@@ -122,12 +122,12 @@
             return []
         if era_of(revision.number) != self.era:
             return self.offer(now, revision, self.store.document)
-        self.store.put_steps([Step(Delta(held, revision, ()), self.store.document)])
+        self.store.put_steps([ChainStep(Delta(held, revision, ()), self.store.document)])
         self._listed = MachineList(revision.number, self._listed.machines)
         self.machines = MachineList(revision.number, self.machines.machines)
         return []
 
-    def note_leaving(self, notices: tuple[LeavingBackend, ...]) -> tuple[LeavingBackend, ...]:
+    def mark_leaving(self, notices: tuple[LeavingBackend, ...]) -> tuple[LeavingBackend, ...]:
         """Take back ends out of use ahead of the list; return those that were news."""
         news = self._leaving.observe(notices, self.machines)
         if news:
--- a/src/pewtertack/core/replication/offers.py
+++ b/src/pewtertack/core/replication/offers.py
@@ -5,40 +5,40 @@
 from collections.abc import Callable
 
 from pewtertack.core.effects import Effect
-from pewtertack.core.replication.stages import Way
+from pewtertack.core.replication.stages import DeliveryChannel
 from pewtertack.core.slices import Budget, SlicedWork, Work
 
-MakeWork = Callable[[], Work[list[Effect]]]
+WorkFactory = Callable[[], Work[list[Effect]]]
 """Begins work that holds a configuration in its last step, if it is newer and valid."""
 
 
-class Offered:
+class Offer:
     """A configuration that was offered, by its number, and how it came."""
 
-    __slots__ = ("effects", "make", "number", "way")
+    __slots__ = ("effects", "make_work", "number", "channel")
 
-    def __init__(self, number: int, way: Way, make: MakeWork) -> None:
+    def __init__(self, number: int, way: DeliveryChannel, make: WorkFactory) -> None:
         self.number = number
-        self.way = way
-        self.make = make
+        self.channel = way
+        self.make_work = make
         self.effects: list[Effect] = []
         """What came of it."""
 
 
-class Offers:
+class OfferQueue:
     """Takes in one configuration after another.
 
     What is under work is finished before a newer one is begun: else versions that follow each
     other quickly would keep each other from ever being held.
     """
 
-    __slots__ = ("_offered", "_waiting", "_work")
+    __slots__ = ("_current", "_waiting", "_work")
 
     def __init__(self) -> None:
         self._work: SlicedWork[list[Effect]] | None = None
-        self._offered: Offered | None = None
+        self._current: Offer | None = None
         """What is under work."""
-        self._waiting: Offered | None = None
+        self._waiting: Offer | None = None
 
     @property
     def is_working(self) -> bool:
@@ -46,25 +46,25 @@
         return self._work is not None
 
     @property
-    def newest(self) -> int:
+    def newest_number(self) -> int:
         """The highest number under work or waiting; 0 for none."""
-        both = (self._offered, self._waiting)
+        both = (self._current, self._waiting)
         return max((item.number for item in both if item is not None), default=0)
 
-    def add(self, offered: Offered) -> None:
+    def add(self, offered: Offer) -> None:
         """Begin the work on a configuration, or let it wait in place of an older one."""
         if self._work is None:
-            self._work, self._offered = SlicedWork(offered.make()), offered
+            self._work, self._current = SlicedWork(offered.make_work()), offered
         elif self._waiting is None or offered.number >= self._waiting.number:
             self._waiting = offered
 
-    def advance(self, budget: Budget) -> Offered | None:
+    def advance(self, budget: Budget) -> Offer | None:
         """Go on with the work; return what was offered once it is done, and begin the next.
 
         Raises:
             DeltaMismatchError: a chain of deltas does not fit; the next is begun.
         """
-        work, offered = self._work, self._offered
+        work, offered = self._work, self._current
         if work is None or offered is None:
             return None
         try:
@@ -80,6 +80,6 @@
 
     def _begin_next(self) -> None:
         waiting, self._waiting = self._waiting, None
-        self._work = self._offered = None
+        self._work = self._current = None
         if waiting is not None:
             self.add(waiting)
--- a/src/pewtertack/core/replication/open_reads.py
+++ b/src/pewtertack/core/replication/open_reads.py
@@ -9,24 +9,24 @@
 from pewtertack.core.inputs import DocumentReadFailed
 from pewtertack.errors import ReadFailure
 
-OPEN_READS_MAX = 8
+MAX_OPEN_READS = 8
 """Reads of one document that are open at once."""
-ANSWER_BEGINS = 0.3
+ANSWER_START_SECONDS = 0.3
 """Seconds within which a quick source answers a read whose wait has passed."""
-LONGEST_GAP = 2.0
+MAX_READ_GAP_SECONDS = 2.0
 """Seconds between two reads of a source that answers none, unless it is known to be slow."""
 
 
 class OpenRead:
     """A read that the platform has not answered."""
 
-    __slots__ = ("allowed", "before_pause", "confirms", "effect", "opened_at")
+    __slots__ = ("allowed_seconds", "before_pause", "confirms", "effect", "opened_at")
 
     def __init__(self, effect: ReadDocument, opened_at: float, allowed: float) -> None:
         self.effect = effect
         self.opened_at = opened_at
         """Monotonic seconds."""
-        self.allowed = allowed
+        self.allowed_seconds = allowed
         """Seconds within which the answer is due, the wait included."""
         self.confirms = not effect.may_be_stale
         """Whether the platform has nothing newer as long as it is open."""
@@ -35,11 +35,13 @@
 
     def is_overdue(self, now: float) -> bool:
         """Tell whether the answer should have come."""
-        return now > self.opened_at + self.allowed
+        return now > self.opened_at + self.allowed_seconds
 
     def is_past_wait(self, now: float) -> bool:
         """Tell whether its answer should have begun: the source is slow, or was since a change."""
-        return self.effect.wait > 0 and now > self.opened_at + self.effect.wait + ANSWER_BEGINS
+        return (
+            self.effect.wait > 0 and now > self.opened_at + self.effect.wait + ANSWER_START_SECONDS
+        )
 
 
 class OpenReads:
@@ -49,13 +51,13 @@
     it, and the first answer counts.
     """
 
-    __slots__ = ("_reads", "failures", "last_failure", "unanswered")
+    __slots__ = ("_reads", "failure_count", "last_failure", "unanswered_count")
 
     def __init__(self) -> None:
         self._reads: list[OpenRead] = []
-        self.unanswered = 0
+        self.unanswered_count = 0
         """Reads that were opened beside overdue ones since the last answer."""
-        self.failures = 0
+        self.failure_count = 0
         """Failed reads since the last answer."""
         self.last_failure: ReadFailure | None = None
         """How the last of them ended."""
@@ -79,16 +81,16 @@
     @property
     def is_full(self) -> bool:
         """Whether no more may be opened."""
-        return len(self._reads) >= OPEN_READS_MAX
+        return len(self._reads) >= MAX_OPEN_READS
 
     def open(self, effect: ReadDocument, now: float, patience: float) -> None:
         """Note a read; ``patience`` is how long an answer may take beyond its wait, in seconds."""
         if self._reads and self.is_any_overdue(now):
-            self.unanswered += 1
-        if self.unanswered:
-            patience = max(patience, LONGEST_GAP)
+            self.unanswered_count += 1
+        if self.unanswered_count:
+            patience = max(patience, MAX_READ_GAP_SECONDS)
         read = OpenRead(effect, now, effect.wait + patience)
-        if self.unanswered:
+        if self.unanswered_count:
             read.confirms = False
         self._reads.append(read)
 
@@ -103,7 +105,7 @@
     def after_pause(self) -> None:
         """What is open since before a pause of this process is overdue, and confirms nothing."""
         for read in self._reads:
-            read.allowed = 0.0
+            read.allowed_seconds = 0.0
             read.confirms = False
             read.before_pause = True
 
@@ -117,15 +119,15 @@
     def answered(self, number: int) -> bool:
         """Remove an answered read; return whether its answer is no older than the last pause."""
         read = self.close(number)
-        self.unanswered = 0
-        self.failures = 0
+        self.unanswered_count = 0
+        self.failure_count = 0
         self.last_failure = None
         return read is None or not read.before_pause
 
     def failed(self, now: float, failed: DocumentReadFailed) -> dict[str, Any]:
         """Remove a failed read; return the fields of its log event."""
         read = self.close(failed.read_id)
-        self.failures += 1
+        self.failure_count += 1
         self.last_failure = failed.failure
         fields: dict[str, Any] = {"reason": failed.reason}
         if failed.failure is not None:
--- a/src/pewtertack/core/replication/answers.py
+++ b/src/pewtertack/core/replication/pull_server.py
@@ -18,11 +18,11 @@
 )
 from pewtertack.wire.packing import PullAnswer, pack
 
-RETRY_AFTER_MILLISECONDS = (200, 800)
+RETRY_AFTER_RANGE_MILLISECONDS = (200, 800)
 """Range from which a refused puller's come-back time is drawn."""
 
 
-class _LastPacked:
+class _PackedAnswerCache:
     """The answer that was packed last: at an edit, a whole zone pulls the same one."""
 
     __slots__ = ("answer", "packed")
@@ -31,25 +31,25 @@
         self.answer: PullAnswer | None = None
         self.packed: PackedAnswer | None = None
 
-    def of(self, answer: PullAnswer) -> PackedAnswer | None:
+    def packed_form(self, answer: PullAnswer) -> PackedAnswer | None:
         """Return ``answer`` packed; ``None`` if it goes as it is."""
         if answer != self.answer:
             self.answer, self.packed = answer, pack(answer)
         return self.packed
 
 
-class _Allowance:
+class _TokenBucket:
     """A token bucket of one second's worth."""
 
-    __slots__ = ("_filled_at", "_rate", "_tokens")
+    __slots__ = ("_refilled_at", "_rate", "_tokens")
 
     def __init__(self, rate: float, now: float) -> None:
         self._rate = self._tokens = rate
-        self._filled_at = now
+        self._refilled_at = now
 
     def take(self, now: float) -> bool:
-        self._tokens = min(self._rate, self._tokens + (now - self._filled_at) * self._rate)
-        self._filled_at = now
+        self._tokens = min(self._rate, self._tokens + (now - self._refilled_at) * self._rate)
+        self._refilled_at = now
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -73,9 +73,9 @@
     ) -> None:
         self._stores = stores
         rate = profile.wide_snapshots_per_second if wide_link else profile.snapshots_per_second
-        self._allowances = {kind: _Allowance(rate, now) for kind in DocumentKind}
+        self._snapshot_buckets = {kind: _TokenBucket(rate, now) for kind in DocumentKind}
         self._random = random
-        self._packed = {kind: _LastPacked() for kind in DocumentKind}
+        self._packed = {kind: _PackedAnswerCache() for kind in DocumentKind}
 
     def answer(self, now: float, pull: Pull) -> Message | None:
         """Return the answer to ``pull``, or nothing when there is nothing newer."""
@@ -89,11 +89,11 @@
         deltas = store.deltas_since(pull.have)
         if deltas is not None:
             answer = DeltaAnswer(pull.kind, deltas)
-            return self._packed[pull.kind].of(answer) or answer
+            return self._packed[pull.kind].packed_form(answer) or answer
         return self._snapshot(now, pull.kind, store.revision, store.document)
 
     def _answer_exact(self, now: float, kind: DocumentKind, revision: RevisionId) -> Message | None:
-        document = self._stores[kind].recent(revision)
+        document = self._stores[kind].recent_document(revision)
         if document is None:
             return None
         return self._snapshot(now, kind, revision, document)
@@ -101,7 +101,7 @@
     def _snapshot(
         self, now: float, kind: DocumentKind, revision: RevisionId, document: Document
     ) -> Message:
-        if not self._allowances[kind].take(now):
-            return Busy(kind, self._random.randint(*RETRY_AFTER_MILLISECONDS))
+        if not self._snapshot_buckets[kind].take(now):
+            return Busy(kind, self._random.randint(*RETRY_AFTER_RANGE_MILLISECONDS))
         answer = SnapshotAnswer(kind, revision, dict(document))
-        return self._packed[kind].of(answer) or answer
+        return self._packed[kind].packed_form(answer) or answer
--- a/src/pewtertack/core/replication/puller.py
+++ b/src/pewtertack/core/replication/puller.py
@@ -8,10 +8,10 @@
 
 from pewtertack.core.revision import RevisionId
 
-SOURCES_KEPT = 8
+MAX_PULL_CANDIDATES = 8
 
 
-class PullSource(msgspec.Struct, frozen=True):
+class PullCandidate(msgspec.Struct, frozen=True):
     """A peer that holds a revision."""
 
     name: str
@@ -35,33 +35,33 @@
 
     def __init__(self, timeout: float) -> None:
         self._timeout = timeout
-        self._sources: OrderedDict[str, PullSource] = OrderedDict()
-        self._outstanding: PullSource | None = None
-        self._heard_at = 0.0
+        self._candidates: OrderedDict[str, PullCandidate] = OrderedDict()
+        self._outstanding: PullCandidate | None = None
+        self._last_contact_at = 0.0
         """When the peer was asked, or something of its answer last came."""
         self._not_before = 0.0
 
     @property
-    def newest(self) -> int:
+    def newest_number(self) -> int:
         """The highest number that a remembered peer holds; 0 without any."""
-        return max((source.revision.number for source in self._sources.values()), default=0)
+        return max((source.revision.number for source in self._candidates.values()), default=0)
 
-    def offer(self, source: PullSource) -> None:
+    def offer(self, source: PullCandidate) -> None:
         """Remember a peer with something newer."""
-        self._sources[source.name] = source
-        self._sources.move_to_end(source.name)
-        while len(self._sources) > SOURCES_KEPT:
-            self._sources.popitem(last=False)
+        self._candidates[source.name] = source
+        self._candidates.move_to_end(source.name)
+        while len(self._candidates) > MAX_PULL_CANDIDATES:
+            self._candidates.popitem(last=False)
 
     def postpone(self, now: float, delay: float) -> None:
         """The peer asked is busy: try another after ``delay``."""
         self._outstanding = None
         self._not_before = now + delay
 
-    def arriving(self, now: float, host: str) -> None:
+    def on_frame_arriving(self, now: float, host: str) -> None:
         """A frame from ``host`` is arriving: the answer, if that is the peer asked."""
         if self._outstanding is not None and self._outstanding.host == host:
-            self._heard_at = now
+            self._last_contact_at = now
 
     def finish(self) -> None:
         """The outstanding pull was answered."""
@@ -69,17 +69,17 @@
 
     def forget_up_to(self, number: int) -> None:
         """Drop offers that are no longer newer than what is held."""
-        for name, source in list(self._sources.items()):
+        for name, source in list(self._candidates.items()):
             if source.revision.number <= number:
-                del self._sources[name]
+                del self._candidates[name]
 
-    def next_source(self, now: float) -> PullSource | None:
+    def next_candidate(self, now: float) -> PullCandidate | None:
         """Return the peer to pull from now, if a pull is due."""
-        if self._outstanding is not None and now - self._heard_at < self._timeout:
+        if self._outstanding is not None and now - self._last_contact_at < self._timeout:
             return None
-        if now < self._not_before or not self._sources:
+        if now < self._not_before or not self._candidates:
             return None
-        name = max(self._sources, key=lambda key: self._sources[key].revision.number)
-        self._outstanding = self._sources.pop(name)
-        self._heard_at = now
+        name = max(self._candidates, key=lambda key: self._candidates[key].revision.number)
+        self._outstanding = self._candidates.pop(name)
+        self._last_contact_at = now
         return self._outstanding
--- a/src/pewtertack/core/replication/quorum.py
+++ b/src/pewtertack/core/replication/quorum.py
@@ -33,12 +33,12 @@
         self._round = 0
         return self._report(now, held)
 
-    def report_again(self, now: float, held: RevisionId) -> list[Effect]:
+    def report_if_due(self, now: float, held: RevisionId) -> list[Effect]:
         """Report to the next coordinators when the earlier ones did not commit in time."""
         return self._report(now, held) if now >= self._next_report_at else []
 
     def _report(self, now: float, held: RevisionId) -> list[Effect]:
-        self.record(self._identity.name, self._identity.incarnation, held)
+        self.record_holder(self._identity.name, self._identity.incarnation, held)
         count = self._profile.commit_coordinators
         names = self._membership.table.reachable.successors(
             str(held.number), self._round * count, count
@@ -48,20 +48,20 @@
         message = HeldReport(held)
         return [effect for name in names for effect in self._membership.send(name, message)]
 
-    def record(self, name: str, process: int, held: RevisionId) -> None:
+    def record_holder(self, name: str, process: int, held: RevisionId) -> None:
         """Count a holder: the process ``process`` of ``name``."""
         self._tally.record(name, process, held)
 
-    def reached(self, now: float, revision: RevisionId) -> bool:
+    def has_quorum(self, now: float, revision: RevisionId) -> bool:
         """Tell whether a quorum of the members is known to hold ``revision``."""
         table = self._membership.table
         fewest = (len(table.reachable) + 1) // 2 + 1
-        if not self.may_commit or self._tally.reports(revision) < fewest:
+        if not self.may_commit or self._tally.report_count(revision) < fewest:
             return False
-        processes = table.reachable_processes()
+        processes = table.reachable_incarnations()
         processes[self._identity.name] = self._identity.incarnation
         return self._tally.is_held_by_quorum(revision, table.quorum_members(now), processes)
 
-    def decided(self, committed: RevisionId) -> None:
+    def on_commit(self, committed: RevisionId) -> None:
         """Forget reports that a commit has made useless."""
         self._tally.drop_up_to(committed)
--- a/src/pewtertack/core/replication/reader.py
+++ b/src/pewtertack/core/replication/reader.py
@@ -21,13 +21,13 @@
 from pewtertack.wire.messages import DocumentKind
 
 BACKOFF_FACTOR = 2.0
-SHORTEST_SHARE = 0.2
+MIN_WAIT_SHARE = 0.2
 """Of its usual wait, for the read after a change."""
-OVERDUE = 2.0
+OVERDUE_SECONDS = 2.0
 """Seconds beyond its wait after which a read that is still open confirms nothing."""
 
 
-class HeldOfSource(msgspec.Struct, frozen=True):
+class ReadContext(msgspec.Struct, frozen=True):
     """What a read needs to know of what this node holds, beside the numbers."""
 
     era: int = 0
@@ -45,7 +45,7 @@
     tree: Document | None = None
 
 
-NOTHING_HELD = HeldOfSource()
+EMPTY_READ_CONTEXT = ReadContext()
 
 
 class PlatformReader:
@@ -68,7 +68,7 @@
         self._freshness = freshness
         self._random = random
         self.open_reads = {kind: OpenReads() for kind in DocumentKind}
-        self._reads = 0
+        self._last_read_id = 0
         self._not_before = dict.fromkeys(DocumentKind, first_read_at)
         if narrow_link:
             self._not_before[DocumentKind.CONFIGURATION] += profile.narrow_patience
@@ -76,12 +76,12 @@
         self.last_answer_at: dict[DocumentKind, float] = {}
         self._paused: set[DocumentKind] = set()
         """Documents of which no answer has come since a pause of this process."""
-        self._seen: dict[DocumentKind, int] = {}
-        self._stale: dict[DocumentKind, int] = {}
+        self._last_numbers: dict[DocumentKind, int] = {}
+        self._stale_numbers: dict[DocumentKind, int] = {}
         self._changed: set[DocumentKind] = set()
         """Documents of which the last answer was a change, which ended the reads of all nodes."""
         self.reading = False
-        self._held = NOTHING_HELD
+        self._context = EMPTY_READ_CONTEXT
 
     def tick(
         self,
@@ -89,16 +89,16 @@
         allowed: bool,
         numbers: dict[DocumentKind, int],
         joining: bool = False,
-        held: HeldOfSource = NOTHING_HELD,
+        held: ReadContext = EMPTY_READ_CONTEXT,
     ) -> list[Effect]:
         """Return the reads that are due; ``numbers`` are those already held.
 
         ``joining`` tells that the node joins a fleet whose source is durable.
         """
-        self._held = held
-        effects = self._switch(self.readership.reads(now, allowed, joining))
+        self._context = held
+        effects = self._set_reading(self.readership.should_read(now, allowed, joining))
         self._confirm_by_open_reads(now)
-        looking = self.readership.looks_first and (allowed or joining)
+        looking = self.readership.starts_with_stale_read and (allowed or joining)
         for kind in DocumentKind:
             if looking and numbers[kind] == 0:
                 effects += self._read_if_due(now, kind, 0, may_be_stale=True)
@@ -106,7 +106,7 @@
                 effects += self._read_if_due(now, kind, numbers[kind], may_be_stale=False)
         return effects
 
-    def _switch(self, reading: bool) -> list[Effect]:
+    def _set_reading(self, reading: bool) -> list[Effect]:
         if reading == self.reading:
             return []
         self.reading = reading
@@ -117,19 +117,19 @@
 
         A connection that has silently gone is noticed by the platform adapter.
         """
-        overdue = max(OVERDUE, self.answer_times.patience)
+        overdue = max(OVERDUE_SECONDS, self.answer_times.timeout_seconds)
         for kind, reads in self.open_reads.items():
             answered_at = self.last_answer_at.get(kind)
             if answered_at is None or not any(self._confirms(read) for read in reads):
                 continue
-            if reads.failures or kind in self._stale or kind in self._paused:
+            if reads.failure_count or kind in self._stale_numbers or kind in self._paused:
                 continue
             if now - answered_at <= self._profile.read_wait + overdue:
                 self._freshness.confirm(kind, now)
 
     def _confirms(self, read: OpenRead) -> bool:
         """Tell whether an open read shows that nothing has changed: its cursor is of this era."""
-        return read.confirms and read.effect.era >= self._held.era
+        return read.confirms and read.effect.era >= self._context.era
 
     def after_pause(self) -> None:
         """What is open since before a pause of this process confirms nothing."""
@@ -142,8 +142,8 @@
     ) -> list[Effect]:
         if now < self._not_before[kind] or not self._may_open(now, kind):
             return []
-        self._reads += 1
-        of_source = self._held
+        self._last_read_id += 1
+        of_source = self._context
         read = ReadDocument(
             kind,
             self._known_number(kind, held),
@@ -156,9 +156,9 @@
             of_source.doubts_copy,
             of_source.held,
             of_source.tree,
-            self._reads,
+            self._last_read_id,
         )
-        self.open_reads[kind].open(read, now, self.answer_times.patience)
+        self.open_reads[kind].open(read, now, self.answer_times.timeout_seconds)
         return [read]
 
     def _may_open(self, now: float, kind: DocumentKind) -> bool:
@@ -187,24 +187,24 @@
         nodes at once, so the next ones are held for different times: then one of them begins soon
         after any change, and is told of it while answers to earlier reads are still on their way.
         """
-        if may_be_stale or self._is_to_confirm(kind) or self.open_reads[kind].is_any_overdue(now):
+        if may_be_stale or self._must_confirm(kind) or self.open_reads[kind].is_any_overdue(now):
             return 0.0
         longest = self._profile.read_wait
         if kind in self._changed:
             self._changed.discard(kind)
-            longest *= self._random.uniform(SHORTEST_SHARE, 1.0)
+            longest *= self._random.uniform(MIN_WAIT_SHARE, 1.0)
         if self._overlaps(kind):
             longest = min(longest, self._profile.read_overlap)
-        if self._held.era and self._held.doubts_copy:
+        if self._context.era and self._context.doubts_copy:
             longest = min(longest, NEW_ENTRY_WAIT_SECONDS)
         return longest
 
-    def _is_to_confirm(self, kind: DocumentKind) -> bool:
+    def _must_confirm(self, kind: DocumentKind) -> bool:
         """Tell whether a read is to confirm what is held, and not to wait for a change."""
         if kind in self._paused:
             return True
-        unconfirmed = kind not in self.last_answer_at or self.open_reads[kind].failures > 0
-        return unconfirmed and self.readership.looks_first
+        unconfirmed = kind not in self.last_answer_at or self.open_reads[kind].failure_count > 0
+        return unconfirmed and self.readership.starts_with_stale_read
 
     def _known_number(self, kind: DocumentKind, held: int) -> int:
         """Return the number to wait for a change of.
@@ -212,68 +212,68 @@
         A stale platform is asked for a change of its own stale number, and a
         rejected revision is not read again: either would be answered at once.
         """
-        return self._stale.get(kind) or max(held, self._seen.get(kind, 0))
+        return self._stale_numbers.get(kind) or max(held, self._last_numbers.get(kind, 0))
 
     def is_failing(self, kind: DocumentKind) -> bool:
         """Tell whether the last read of a document failed."""
-        return self.open_reads[kind].failures > 0
+        return self.open_reads[kind].failure_count > 0
 
-    def answered_with(self, now: float, answer: DocumentRead, held: int) -> None:
+    def on_document(self, now: float, answer: DocumentRead, held: int) -> None:
         """The platform answered with a document while the number ``held`` was held."""
         kind, number = answer.kind, answer.number
-        self._seen[kind] = number
+        self._last_numbers[kind] = number
         self._changed.add(kind)
         if number < held:
-            self._stale[kind] = number
-            self._note_answer(now, answer)
+            self._stale_numbers[kind] = number
+            self._record_answer(now, answer)
         else:
-            self._stale.pop(kind, None)
-            self.answered(now, answer)
+            self._stale_numbers.pop(kind, None)
+            self.on_answer(now, answer)
 
-    def answered(self, now: float, answer: DocumentRead | DocumentUnchanged) -> None:
+    def on_answer(self, now: float, answer: DocumentRead | DocumentUnchanged) -> None:
         """The platform gave a usable answer that is no older than what is held."""
-        if self._note_answer(now, answer):
+        if self._record_answer(now, answer):
             self._freshness.confirm(answer.kind, now)
 
-    def _note_answer(self, now: float, answer: DocumentRead | DocumentUnchanged) -> bool:
+    def _record_answer(self, now: float, answer: DocumentRead | DocumentUnchanged) -> bool:
         """Note an answer; return whether it is no older than the last pause of this process."""
         kind = answer.kind
-        recent = self._end_read(answer)
+        recent = self._close_read(answer)
         if not recent:
             self._not_before[kind] = now
             return False
         self._paused.discard(kind)
-        few_read = self.readership.tells_peers
+        few_read = self.readership.sends_heartbeats
         gap = self._profile.few_readers_gap if few_read else self._profile.read_gap
         self._not_before[kind] = now + gap
         self.last_answer_at[kind] = now
         return True
 
-    def _end_read(self, answer: DocumentRead | DocumentUnchanged) -> bool:
+    def _close_read(self, answer: DocumentRead | DocumentUnchanged) -> bool:
         recent = self.open_reads[answer.kind].answered(answer.read_id)
         if recent:
-            self._note_time(answer.answer_seconds)
+            self._record_time(answer.answer_seconds)
         return recent
 
-    def _note_time(self, seconds: float | None) -> None:
+    def _record_time(self, seconds: float | None) -> None:
         if seconds is not None:
-            self.answer_times.note(seconds)
+            self.answer_times.record(seconds)
 
-    def answered_stale(self, now: float, answer: DocumentRead) -> None:
+    def on_stale_document(self, now: float, answer: DocumentRead) -> None:
         """The platform gave an answer that may be old."""
         kind = answer.kind
-        self._end_read(answer)
+        self._close_read(answer)
         self._not_before[kind] = now
 
-    def failed(self, now: float, failed: DocumentReadFailed) -> dict[str, Any]:
+    def on_failure(self, now: float, failed: DocumentReadFailed) -> dict[str, Any]:
         """Wait before the next read: what the platform asked for, or longer each time.
 
         Returns what the log tells of the failure.
         """
         kind, retry_after = failed.kind, failed.retry_after
         reads = self.open_reads[kind]
-        self._note_time(failed.answer_seconds)
-        backoff = self._profile.read_backoff * BACKOFF_FACTOR**reads.failures
+        self._record_time(failed.answer_seconds)
+        backoff = self._profile.read_backoff * BACKOFF_FACTOR**reads.failure_count
         backoff = min(backoff, self._profile.read_backoff_limit)
         delay = max(retry_after or 0.0, backoff) * self._random.uniform(0.5, 1.5)
         self._not_before[kind] = now + delay
--- a/src/pewtertack/core/replication/readership.py
+++ b/src/pewtertack/core/replication/readership.py
@@ -10,22 +10,22 @@
 from typing import Protocol
 
 from pewtertack.core.identity import NodeIdentity
-from pewtertack.core.membership.ring import score_of
+from pewtertack.core.membership.ring import hash_score
 from pewtertack.core.membership.table import MemberTable
 from pewtertack.core.profile import TimingProfile
 from pewtertack.core.replication.freshness import SourceFreshness
 
-ELECTION_INTERVAL = 0.5
+ELECTION_INTERVAL_SECONDS = 0.5
 
 UNLISTED_SETTLE_FACTOR = 10.0
 """How many times longer a node of a large fleet must be chosen before it knows the
 machine list: a fleet that starts at once has views too small to agree by."""
 
-SMALL_FLEET = 32
+SMALL_FLEET_MEMBERS = 32
 """A node that knows fewer members does not wait for the list: few can be wrong."""
 
 
-class ReadershipParts:
+class ReadershipInputs:
     """What a way to decide the readership may look at."""
 
     __slots__ = (
@@ -61,14 +61,14 @@
 class Readership(Protocol):
     """Decides whether this node reads the platform."""
 
-    looks_first: bool
+    starts_with_stale_read: bool
     """Whether a node that holds nothing begins with a read that may be stale."""
 
     @property
-    def tells_peers(self) -> bool:
+    def sends_heartbeats(self) -> bool:
         """Whether readers send heartbeats, by which the others know that they need not read."""
 
-    def reads(self, now: float, allowed: bool, joining: bool) -> bool:
+    def should_read(self, now: float, allowed: bool, joining: bool) -> bool:
         """Tell whether to read now.
 
         Args:
@@ -77,22 +77,24 @@
             joining: whether it joins a fleet whose source is durable.
         """
 
-    def heard(self, now: float, name: str, in_own_zone: bool, wide_link: bool = False) -> None:
+    def on_heartbeat(
+        self, now: float, name: str, in_own_zone: bool, wide_link: bool = False
+    ) -> None:
         """A reader whose word is fresh has sent a heartbeat."""
 
 
-READERSHIPS: dict[str, Callable[[ReadershipParts], Readership]] = {}
+READERSHIPS: dict[str, Callable[[ReadershipInputs], Readership]] = {}
 """The ways to decide it, by the name that a profile gives."""
 
 
 def readership(
     name: str,
-) -> Callable[[Callable[[ReadershipParts], Readership]], Callable[[ReadershipParts], Readership]]:
+) -> Callable[[Callable[[ReadershipInputs], Readership]], Callable[[ReadershipInputs], Readership]]:
     """Register a way to decide the readership under ``name``."""
 
     def register(
-        made: Callable[[ReadershipParts], Readership],
-    ) -> Callable[[ReadershipParts], Readership]:
+        made: Callable[[ReadershipInputs], Readership],
+    ) -> Callable[[ReadershipInputs], Readership]:
         READERSHIPS[name] = made
         return made
 
@@ -107,39 +109,43 @@
     a storm do not add up to a crowd at the source. A joiner reads a durable source itself.
     """
 
-    looks_first = False
-    tells_peers = False
+    starts_with_stale_read = False
+    sends_heartbeats = False
 
-    def __init__(self, parts: ReadershipParts) -> None:
-        self._parts = parts
-        self._score = score_of(parts.identity.name)
+    def __init__(self, parts: ReadershipInputs) -> None:
+        self._inputs = parts
+        self._score = hash_score(parts.identity.name)
         self._chosen_since: float | None = None
         self._elected_by_list = False
         self._next_election_at = -math.inf
 
-    def reads(self, now: float, allowed: bool, joining: bool) -> bool:
+    def should_read(self, now: float, allowed: bool, joining: bool) -> bool:
         """Tell whether to read now."""
-        list_is_new = self._parts.table.list_known and not self._elected_by_list
+        list_is_new = self._inputs.table.machine_list_known and not self._elected_by_list
         if now >= self._next_election_at or list_is_new:
-            self._next_election_at = now + ELECTION_INTERVAL
+            self._next_election_at = now + ELECTION_INTERVAL_SECONDS
             self._elect(now)
         return joining or (allowed and self._is_settled(now))
 
-    def heard(self, now: float, name: str, in_own_zone: bool, wide_link: bool = False) -> None:
+    def on_heartbeat(
+        self, now: float, name: str, in_own_zone: bool, wide_link: bool = False
+    ) -> None:
         """Heartbeats decide nothing here."""
 
     def _is_settled(self, now: float) -> bool:
         """Tell whether the node has been chosen for long enough to trust its view."""
         if self._chosen_since is None:
             return False
-        table = self._parts.table
-        needed = self._parts.profile.reader_settle
-        if not (self._parts.is_seed or table.list_known or len(table) < SMALL_FLEET):
+        table = self._inputs.table
+        needed = self._inputs.profile.reader_settle
+        if not (
+            self._inputs.is_seed or table.machine_list_known or len(table) < SMALL_FLEET_MEMBERS
+        ):
             needed *= UNLISTED_SETTLE_FACTOR
         return now - self._chosen_since >= needed
 
     def _elect(self, now: float) -> None:
-        list_known = self._parts.table.list_known
+        list_known = self._inputs.table.machine_list_known
         if self._elected_by_list != list_known:
             self._elected_by_list = list_known
             self._chosen_since = None
@@ -153,13 +159,13 @@
 
         Before anybody knows the machine list, the seeds read for everyone.
         """
-        table, profile = self._parts.table, self._parts.profile
-        if self._parts.is_seed and not table.list_known:
+        table, profile = self._inputs.table, self._inputs.profile
+        if self._inputs.is_seed and not table.machine_list_known:
             return True
-        zone = self._parts.identity.zone
-        zones = len(set(table.zones()) | {zone})
+        zone = self._inputs.identity.zone
+        zones = len(set(table.reachable_zones()) | {zone})
         share = max(1, min(profile.readers_per_zone, profile.readers_total // zones))
-        return table.zone(zone).count_below(self._score) < share
+        return table.reachable_in_zone(zone).count_below(self._score) < share
 
 
 @readership("leased")
@@ -178,81 +184,85 @@
     and who was chosen by hash score alone stops when it hears of it.
     """
 
-    looks_first = True
+    starts_with_stale_read = True
 
-    def __init__(self, parts: ReadershipParts) -> None:
-        self._parts = parts
-        self._score = score_of(parts.identity.name)
+    def __init__(self, parts: ReadershipInputs) -> None:
+        self._inputs = parts
+        self._score = hash_score(parts.identity.name)
         self._large_since: float | None = None
         """Since when the node knows that not every one reads."""
         self._taking_over = False
         self._volunteered = False
         """Whether a wide link has made it one to read, as it stays until others go before it."""
-        self._heard_before: dict[str, float] = {}
+        self._preceding_readers_seen_at: dict[str, float] = {}
         """Readers of the own zone that go before this node: when each was last heard."""
 
-    def reads(self, now: float, allowed: bool, joining: bool) -> bool:
+    def should_read(self, now: float, allowed: bool, joining: bool) -> bool:
         """Tell whether to read now."""
         if not (allowed or joining):
             return False
-        if not self.tells_peers:
+        if not self.sends_heartbeats:
             return True
         if self._large_since is None:
-            self._large_since = max(now, self._parts.first_read_at)
-        table, profile = self._parts.table, self._parts.profile
-        rank = table.zone(self._parts.identity.zone).count_below(self._score)
-        if rank < profile.readers_per_zone or self._volunteers(now, rank, joining):
-            return self._readers_before(now) < profile.readers_per_zone
-        unconfirmed = self._unconfirmed_for(now)
-        replaced = self._readers_before(now) >= profile.readers_per_zone
+            self._large_since = max(now, self._inputs.first_read_at)
+        table, profile = self._inputs.table, self._inputs.profile
+        rank = table.reachable_in_zone(self._inputs.identity.zone).count_below(self._score)
+        if rank < profile.readers_per_zone or self._has_volunteered(now, rank, joining):
+            return self._preceding_readers(now) < profile.readers_per_zone
+        unconfirmed = self._unconfirmed_seconds(now)
+        replaced = self._preceding_readers(now) >= profile.readers_per_zone
         if self._taking_over:
             self._taking_over = not (replaced and unconfirmed <= profile.reader_lease)
         else:
             behind = profile.behind_patience if replaced else 0.0
-            self._taking_over = unconfirmed > self._patience(rank) + behind
+            self._taking_over = unconfirmed > self._takeover_age(rank) + behind
         return self._taking_over
 
     @property
-    def tells_peers(self) -> bool:
+    def sends_heartbeats(self) -> bool:
         """Whether the fleet is so large that not every node reads."""
-        return len(self._parts.table) + 1 >= self._parts.profile.reads_alone_below
+        return len(self._inputs.table) + 1 >= self._inputs.profile.reads_alone_below
 
-    def heard(self, now: float, name: str, in_own_zone: bool, wide_link: bool = False) -> None:
+    def on_heartbeat(
+        self, now: float, name: str, in_own_zone: bool, wide_link: bool = False
+    ) -> None:
         """Note a reader that goes before this node."""
-        alike = wide_link == self._parts.wide_link
-        before = score_of(name) < self._score if alike else wide_link
+        alike = wide_link == self._inputs.wide_link
+        before = hash_score(name) < self._score if alike else wide_link
         if in_own_zone and before:
-            self._heard_before[name] = now
+            self._preceding_readers_seen_at[name] = now
 
-    def _volunteers(self, now: float, rank: int, joining: bool) -> bool:
+    def _has_volunteered(self, now: float, rank: int, joining: bool) -> bool:
         """Tell whether this node, whatever its rank, is one to read.
 
         One that joins comes in sooner, and reads on once it serves: others have it by its word.
         """
-        if not self._parts.wide_link or self._volunteered:
+        if not self._inputs.wide_link or self._volunteered:
             return self._volunteered
         assert self._large_since is not None
-        profile, waited = self._parts.profile, now - self._large_since
+        profile, waited = self._inputs.profile, now - self._large_since
         wait = rank * profile.joiner_step if joining else (rank + 1) * profile.volunteer_step
         self._volunteered = waited >= wait
         return self._volunteered
 
-    def _unconfirmed_for(self, now: float) -> float:
+    def _unconfirmed_seconds(self, now: float) -> float:
         """Return for how long nothing has confirmed what is held, while others were to."""
         assert self._large_since is not None
-        return min(self._parts.freshness.oldest(now), now - self._large_since)
+        return min(self._inputs.freshness.max_age(now), now - self._large_since)
 
-    def _patience(self, rank: int) -> float:
+    def _takeover_age(self, rank: int) -> float:
         """Return how old the source's word may be before the node of this rank takes over."""
-        profile = self._parts.profile
+        profile = self._inputs.profile
         early = min(rank, profile.takeover_candidates) - profile.readers_per_zone
         late = max(0, rank - profile.takeover_candidates)
         waited = early * profile.takeover_step + late * profile.late_takeover_step
         return profile.reader_lease + waited
 
-    def _readers_before(self, now: float) -> int:
-        oldest = now - self._parts.profile.reader_lease
-        self._heard_before = {
-            name: heard_at for name, heard_at in self._heard_before.items() if heard_at >= oldest
+    def _preceding_readers(self, now: float) -> int:
+        oldest = now - self._inputs.profile.reader_lease
+        self._preceding_readers_seen_at = {
+            name: heard_at
+            for name, heard_at in self._preceding_readers_seen_at.items()
+            if heard_at >= oldest
         }
-        return len(self._heard_before)
+        return len(self._preceding_readers_seen_at)
--- a/src/pewtertack/core/replication/refusals.py
+++ b/src/pewtertack/core/replication/rejections.py
@@ -5,11 +5,11 @@
 from pewtertack.core.effects import Effect
 from pewtertack.core.replication.replica import ConfigurationReplica
 
-REPEAT_SECONDS = 60.0
+REPEAT_LOG_SECONDS = 60.0
 """Between two log events of a refusal that lasts."""
 
 
-class RefusalWatch:
+class RejectionMonitor:
     """Notices that a revision newer than the held one is refused, and logs it while that lasts."""
 
     __slots__ = ("_logged_at", "_replica", "since")
@@ -22,14 +22,14 @@
 
     def tick(self, now: float) -> list[Effect]:
         """Return the log event that is due."""
-        refused = self._replica.refused
+        refused = self._replica.current_rejection
         if refused is None:
             self.since = None
             return []
         if self.since is None:
             self.since = self._logged_at = now
             return []
-        if now - self._logged_at < REPEAT_SECONDS:
+        if now - self._logged_at < REPEAT_LOG_SECONDS:
             return []
         self._logged_at = now
-        return [self._replica.log_of(refused, lasting=now - self.since)]
+        return [self._replica.rejection_log(refused, lasting=now - self.since)]
--- a/src/pewtertack/core/replication/replica.py
+++ b/src/pewtertack/core/replication/replica.py
@@ -15,7 +15,7 @@
 from pewtertack.core.delta import Delta, DeltaMismatchError
 from pewtertack.core.effects import Effect, Log
 from pewtertack.core.profile import Mechanisms
-from pewtertack.core.replication.store import DocumentStore, entries_of
+from pewtertack.core.replication.store import DocumentStore, entry_count
 from pewtertack.core.revision import (
     NO_REVISION,
     Document,
@@ -26,9 +26,9 @@
 from pewtertack.core.slices import Budget, SlicedWork, Work, run_to_completion
 from pewtertack.events import Event
 
-REPORTED_FINDINGS = 5
+MAX_REPORTED_FINDINGS = 5
 WRONG_DIGEST = "snapshot digest"
-DIGESTED_PER_UNIT = 30
+DIGESTED_ENTRIES_PER_UNIT = 30
 """Entries whose digest is computed in one unit."""
 
 
@@ -61,8 +61,8 @@
         self._zone = zone
         self._mechanisms = mechanisms
         self.store = DocumentStore()
-        self._checked = CheckedTables()
-        self._resolved = ResolvedRoutes()
+        self._checked_tables = CheckedTables()
+        self._resolved_routes = ResolvedRoutes()
         self.committed = NO_REVISION
         self.in_force: ResolvedConfiguration | None = None
         self._resolving: SlicedWork[ResolvedConfiguration] | None = None
@@ -83,14 +83,16 @@
     @property
     def lag(self) -> Lag:
         """Whether the revision in force is the newest that is known."""
-        refused = self.refused.revision.number if self.refused is not None else 0
+        refused = (
+            self.current_rejection.revision.number if self.current_rejection is not None else 0
+        )
         newest = max(self.committed.number, refused)
         if newest <= self.in_force_number:
             return Lag.NONE
         return Lag.REFUSED if newest == refused else Lag.COMING
 
     @property
-    def refused(self) -> Rejection | None:
+    def current_rejection(self) -> Rejection | None:
         """The last refused revision while nothing as new is held."""
         rejection = self.last_rejection
         if rejection is None or rejection.revision.number <= self.held.number:
@@ -110,46 +112,48 @@
             return None
         if self.committed.number <= self.in_force_number:
             return None
-        return self.committed if self.store.recent(self.committed) is None else None
+        return self.committed if self.store.recent_document(self.committed) is None else None
 
     def offer_document(self, number: int, document: Document) -> list[Effect]:
         """Take in the source's answer."""
-        return run_to_completion(self.offering_document(number, document))
+        return run_to_completion(self.offer_document_in_slices(number, document))
 
-    def offering_document(self, number: int, document: Document) -> Work[list[Effect]]:
+    def offer_document_in_slices(self, number: int, document: Document) -> Work[list[Effect]]:
         """Do what ``offer_document`` does, in slices."""
-        yield _digest_units(document)
+        yield _digest_cost(document)
         revision = revision_id_of(number, document)
-        yield _digest_units(document)
-        return (yield from self.offering(revision, document))
+        yield _digest_cost(document)
+        return (yield from self.offer_in_slices(revision, document))
 
-    def offering_snapshot(self, revision: RevisionId, document: Document) -> Work[list[Effect]]:
+    def offer_snapshot_in_slices(
+        self, revision: RevisionId, document: Document
+    ) -> Work[list[Effect]]:
         """Take in a peer's whole document, in slices, if its digest is right."""
-        yield _digest_units(document)
+        yield _digest_cost(document)
         if revision_id_of(revision.number, document) != revision:
             return [Log(Event.FRAME_REFUSED, {"reason": WRONG_DIGEST})]
-        yield _digest_units(document)
-        return (yield from self.offering(revision, document))
+        yield _digest_cost(document)
+        return (yield from self.offer_in_slices(revision, document))
 
     def offer(self, revision: RevisionId, document: Document) -> list[Effect]:
         """Hold ``document`` if it is newer and valid."""
-        return run_to_completion(self.offering(revision, document))
+        return run_to_completion(self.offer_in_slices(revision, document))
 
-    def offering(self, revision: RevisionId, document: Document) -> Work[list[Effect]]:
+    def offer_in_slices(self, revision: RevisionId, document: Document) -> Work[list[Effect]]:
         """Do what ``offer`` does, in slices."""
-        refused = self._refuse_order(revision)
+        refused = self._refuse_by_order(revision)
         if refused is not None:
             return refused
-        document = yield from self._sharing(document)
-        rejected = yield from self._checking(revision, document)
+        document = yield from self._share_in_slices(document)
+        rejected = yield from self._check_in_slices(revision, document)
         if rejected is not None:
             return rejected
         if revision.number < self.held.number and revision == self.missing_committed:
-            self.store.keep(revision, document)
+            self.store.keep_recent(revision, document)
             return []
-        yield _digest_units(document)
+        yield _digest_cost(document)
         self.store.put(revision, document)
-        return [self._log_held()]
+        return [self._held_log()]
 
     def offer_deltas(self, deltas: tuple[Delta, ...]) -> list[Effect]:
         """Hold the end of a chain of deltas if it is newer and valid.
@@ -160,36 +164,36 @@
             DeltaMismatchError: the chain starts at the held revision but an edit
                 does not fit or the result has another digest.
         """
-        return run_to_completion(self.offering_deltas(deltas))
+        return run_to_completion(self.offer_deltas_in_slices(deltas))
 
-    def offering_deltas(self, deltas: tuple[Delta, ...]) -> Work[list[Effect]]:
+    def offer_deltas_in_slices(self, deltas: tuple[Delta, ...]) -> Work[list[Effect]]:
         """Do what ``offer_deltas`` does, in slices; it raises the same."""
-        yield _digest_units(self.store.document)
-        steps = self.store.follow(deltas)
+        yield _digest_cost(self.store.document)
+        steps = self.store.resolve_chain(deltas)
         if not steps:
             return []
         revision, document = steps[-1].delta.target, steps[-1].document
-        refused = self._refuse_order(revision)
+        refused = self._refuse_by_order(revision)
         if refused is not None:
             return refused
-        yield _digest_units(document)
-        rejected = yield from self._checking(revision, document)
+        yield _digest_cost(document)
+        rejected = yield from self._check_in_slices(revision, document)
         if rejected is not None:
             return rejected
         self.store.put_steps(steps)
-        return [self._log_held()]
+        return [self._held_log()]
 
-    def _sharing(self, document: Document) -> Work[Document]:
+    def _share_in_slices(self, document: Document) -> Work[Document]:
         """Return the document with the tables of the held one that it leaves alone.
 
         A source may answer with anything; what is no tree is left to validation.
         """
         try:
-            return (yield from self.store.sharing(document))
+            return (yield from self.store.share_in_slices(document))
         except (AttributeError, TypeError, DeltaMismatchError):
             return document
 
-    def _refuse_order(self, revision: RevisionId) -> list[Effect] | None:
+    def _refuse_by_order(self, revision: RevisionId) -> list[Effect] | None:
         """Refuse what is neither newer nor the committed revision we lack."""
         if revision == self.held:
             return []
@@ -199,23 +203,25 @@
             newer = revision.is_newer_than(self.held)
         except RevisionConflictError:
             self.conflicts += 1
-            return [self._log(Event.REVISION_CONFLICT, revision)]
+            return [self._revision_log(Event.REVISION_CONFLICT, revision)]
         if newer or not self._mechanisms.monotonic_numbers:
             return None
         self.stale_answers += 1
-        return [self._log(Event.REVISION_STALE, revision)]
+        return [self._revision_log(Event.REVISION_STALE, revision)]
 
-    def _checking(self, revision: RevisionId, document: Document) -> Work[list[Effect] | None]:
+    def _check_in_slices(
+        self, revision: RevisionId, document: Document
+    ) -> Work[list[Effect] | None]:
         """Return what refuses the document; nothing if it is valid."""
         if self.last_rejection is not None and self.last_rejection.revision == revision:
             return []
         if not self._mechanisms.validation:
             return None
-        findings = yield from checking_document(document, self._checked)
+        findings = yield from checking_document(document, self._checked_tables)
         if not findings:
             return None
         self.last_rejection = Rejection(revision, findings)
-        return [self.log_of(self.last_rejection)]
+        return [self.rejection_log(self.last_rejection)]
 
     def mark_committed(self, revision: RevisionId) -> bool:
         """Take in a commit mark; return whether it was news."""
@@ -259,29 +265,31 @@
             return None
         if self.in_force is not None and self.in_force.revision == target:
             return None
-        document = self.store.recent(target)
+        document = self.store.recent_document(target)
         if document is None:
             return None
-        return SlicedWork(resolving_checked(document, target, self._zone, self._resolved))
+        return SlicedWork(resolving_checked(document, target, self._zone, self._resolved_routes))
 
-    def log_of(self, rejection: Rejection, lasting: float | None = None) -> Log:
+    def rejection_log(self, rejection: Rejection, lasting: float | None = None) -> Log:
         """Return the event of a refusal; ``lasting`` is its age in seconds."""
-        log = self._log(Event.REVISION_REJECTED, rejection.revision)
-        log.fields["findings"] = list(map(str, rejection.findings[:REPORTED_FINDINGS]))
+        log = self._revision_log(Event.REVISION_REJECTED, rejection.revision)
+        log.fields["findings"] = list(map(str, rejection.findings[:MAX_REPORTED_FINDINGS]))
         if lasting is not None:
             log.fields["lasting"] = round(lasting, 3)
         return log
 
-    def _log_held(self) -> Log:
-        return self._log(Event.REVISION_HELD, self.held)
+    def _held_log(self) -> Log:
+        return self._revision_log(Event.REVISION_HELD, self.held)
 
-    def _log(self, event: Event, revision: RevisionId) -> Log:
+    def _revision_log(self, event: Event, revision: RevisionId) -> Log:
         fields = {"revision": revision.number, "digest": revision.digest.hex()}
         return Log(event, fields)
 
 
-def _digest_units(document: Document) -> float:
-    return entries_of(document) / DIGESTED_PER_UNIT if isinstance(document, Mapping) else 0.0
+def _digest_cost(document: Document) -> float:
+    return (
+        entry_count(document) / DIGESTED_ENTRIES_PER_UNIT if isinstance(document, Mapping) else 0.0
+    )
 
 
 __all__ = ["WRONG_DIGEST", "ConfigurationReplica", "DeltaMismatchError", "Rejection"]
--- a/src/pewtertack/core/replication/service.py
+++ b/src/pewtertack/core/replication/service.py
@@ -20,20 +20,20 @@
 from pewtertack.core.membership.service import Membership
 from pewtertack.core.profile import SourceProperties, TimingProfile
 from pewtertack.core.replication.announcing import Announcer
-from pewtertack.core.replication.answers import PullServer
 from pewtertack.core.replication.freshness import SourceFreshness
 from pewtertack.core.replication.heartbeats import HeartbeatSender
-from pewtertack.core.replication.inquiry import ReturnInquiry
 from pewtertack.core.replication.machine_lists import MachineListReplica
-from pewtertack.core.replication.offers import Offered, Offers
-from pewtertack.core.replication.pulling import Pulling
+from pewtertack.core.replication.offers import Offer, OfferQueue
+from pewtertack.core.replication.pull_scheduler import PullScheduler
+from pewtertack.core.replication.pull_server import PullServer
 from pewtertack.core.replication.quorum import QuorumCommit
-from pewtertack.core.replication.reader import HeldOfSource, PlatformReader
-from pewtertack.core.replication.readership import READERSHIPS, ReadershipParts
-from pewtertack.core.replication.refusals import RefusalWatch
+from pewtertack.core.replication.reader import PlatformReader, ReadContext
+from pewtertack.core.replication.readership import READERSHIPS, ReadershipInputs
+from pewtertack.core.replication.rejections import RejectionMonitor
 from pewtertack.core.replication.replica import WRONG_DIGEST, ConfigurationReplica
+from pewtertack.core.replication.restore_inquiry import RestoreInquiry
 from pewtertack.core.replication.stage_reports import StageReports
-from pewtertack.core.replication.stages import Way
+from pewtertack.core.replication.stages import DeliveryChannel
 from pewtertack.core.revision import RevisionId, revision_id_of
 from pewtertack.core.slices import Budget
 from pewtertack.events import Event
@@ -55,7 +55,7 @@
     VersionState,
 )
 
-MILLISECONDS = 1000.0
+MILLISECONDS_PER_SECOND = 1000.0
 FIRST_START_SPREAD = 1.25
 """Nodes that wait for the list do not all read at one moment."""
 FAILURE_EVENTS = {
@@ -83,28 +83,30 @@
         self._random = random
         self._source = source or SourceProperties()
         self.replica = ConfigurationReplica(identity.zone, profile.mechanisms)
-        self.refusals = RefusalWatch(self.replica)
+        self.rejections = RejectionMonitor(self.replica)
         self.machine_list = MachineListReplica(self._source.hold_after_return, now)
         self.era = 0
         """The latest era of the source that this node has heard of."""
         self._era_since = now
-        self.inquiry = ReturnInquiry(
+        self.restore_inquiry = RestoreInquiry(
             profile, membership.table, random, self._source.hold_after_return, now
         )
-        self._ended = EndedEvacuations()
-        self._away = math.inf
+        self._ended_evacuations = EndedEvacuations()
+        self._source_silence_seconds = math.inf
         """Seconds between the source's last word and the first of this era."""
         stores = {
             DocumentKind.CONFIGURATION: self.replica.store,
             DocumentKind.MACHINE_LIST: self.machine_list.store,
         }
-        self._server = PullServer(stores, profile, random, now, self._source.wide_link)
-        self._offers = Offers()
-        self._pulling = Pulling(self.replica, self.machine_list, self._offers, profile.pull_timeout)
+        self._pull_server = PullServer(stores, profile, random, now, self._source.wide_link)
+        self._offer_queue = OfferQueue()
+        self._pull_scheduler = PullScheduler(
+            self.replica, self.machine_list, self._offer_queue, profile.pull_timeout
+        )
         self.quorum = QuorumCommit(identity, profile, membership, now)
         self.freshness = SourceFreshness()
         first_read_at = now + self._first_read_delay()
-        parts = ReadershipParts(
+        parts = ReadershipInputs(
             identity,
             profile,
             membership.table,
@@ -149,10 +151,10 @@
 
     def after_pause(self, now: float, deaf_for: float) -> None:
         """Trust nothing that the source said before, nor peers' words of meanwhile."""
-        self.freshness.forget(now, deaf_for)
+        self.freshness.reset(now, deaf_for)
         self.reader.after_pause()
-        self.inquiry.restart(now)
-        self.machine_list.returned.new_entries.began_at = now
+        self.restore_inquiry.restart(now)
+        self.machine_list.overrides.new_entries.began_at = now
 
     def held_number(self, kind: DocumentKind) -> int:
         """Return the number of the newest held revision of a document."""
@@ -166,43 +168,43 @@
         A joiner reads a durable source itself, since that alone lets it serve.
         """
         numbers = {kind: self.held_number(kind) for kind in DocumentKind}
-        effects = self.machine_list.tick(now) + self.refusals.tick(now) + self._inquire(now)
+        effects = self.machine_list.tick(now) + self.rejections.tick(now) + self._due_inquiries(now)
         effects += self.reader.tick(
-            now, may_read, numbers, joining and self._source.durable, self._held_of_source(now)
+            now, may_read, numbers, joining and self._source.durable, self._read_context(now)
         )
-        effects += self._pulling.due(now)
+        effects += self._pull_scheduler.due_pulls(now)
         if self._has_uncommitted():
-            effects += self.quorum.report_again(now, self.replica.held)
-            effects += self._commit_if_reached(now, self.replica.held)
+            effects += self.quorum.report_if_due(now, self.replica.held)
+            effects += self._commit_if_held_by_quorum(now, self.replica.held)
         return effects
 
-    def _inquire(self, now: float) -> list[Effect]:
+    def _due_inquiries(self, now: float) -> list[Effect]:
         """Ask peers what they hold against lists of a new era."""
-        request = JoinRequest(self._membership.own)
-        names = self.inquiry.names_to_ask(now)
+        request = JoinRequest(self._membership.own_update)
+        names = self.restore_inquiry.peers_to_ask(now)
         return [effect for name in names for effect in self._membership.send(name, request)]
 
     def on_join_answer(
         self, now: float, sender: str, address: str, state: VersionState
     ) -> list[Effect]:
         """Take in a peer's versions; one that does not know of the era is told of it."""
-        effects = self.learn(now, sender, address, state)
-        if self.inquiry.answered(sender, state):
+        effects = self.on_peer_state(now, sender, address, state)
+        if self.restore_inquiry.on_join_answer(sender, state):
             effects.append(Send(sender, address, Announce(self.state())))
-        if self.inquiry.is_answered:
+        if self.restore_inquiry.is_answered:
             effects += self.machine_list.trust_new_entries(now)
         return effects
 
-    def _held_of_source(self, now: float) -> HeldOfSource:
+    def _read_context(self, now: float) -> ReadContext:
         """Return what a read is told, in era 0 too: the read may be the first of a new one."""
-        held, doubts = self.replica.held, self.inquiry.doubts_copy(now)
+        held, doubts = self.replica.held, self.restore_inquiry.doubts_copy(now)
         if held.number == 0:
-            return HeldOfSource(self.era, self._era_since, doubts_copy=doubts)
-        tree, ended = self.replica.store.document, dict(self._ended.ended)
-        evacuated = self._evacuated()
-        return HeldOfSource(self.era, self._era_since, evacuated, ended, doubts, held, tree)
+            return ReadContext(self.era, self._era_since, doubts_copy=doubts)
+        tree, ended = self.replica.store.document, dict(self._ended_evacuations.ended)
+        evacuated = self._evacuated_zones()
+        return ReadContext(self.era, self._era_since, evacuated, ended, doubts, held, tree)
 
-    def _evacuated(self) -> tuple[str, ...]:
+    def _evacuated_zones(self) -> tuple[str, ...]:
         """Return the zones that the held tree names."""
         return tuple(self.replica.store.document.get(RootSection.EVACUATED_ZONES.value, ()))
 
@@ -212,31 +214,31 @@
         """Take in a document that this node read."""
         kind, number, document = read.kind, read.number, read.document
         if kind is DocumentKind.MACHINE_LIST:
-            self._hear_era(now, number)
-        effects = self._note_regained(kind) + self.skipped_items.record(kind, read.findings)
+            self._observe_era(now, number)
+        effects = self._log_regained(kind) + self.skipped_items.record(kind, read.findings)
         effects += self.skipped_items.record_answer(kind, read.answer_findings)
         if kind is DocumentKind.CONFIGURATION:
             self.freshness.suspend(kind, number)
         if read.stale:
-            self.reader.answered_stale(now, read)
+            self.reader.on_stale_document(now, read)
         else:
-            self.reader.answered_with(now, read, self.held_number(kind))
+            self.reader.on_document(now, read, self.held_number(kind))
         if kind is DocumentKind.MACHINE_LIST:
             offered = self.machine_list.offer(now, revision_id_of(number, document), document)
             return effects + self._after_machine_list(now, offered)
-        self.stages.log.hear(now, number)
-        make = partial(self.replica.offering_document, number, document)
-        return effects + self._offer(now, Offered(number, Way.SOURCE, make))
+        self.stages.log.record_reported(now, number)
+        make = partial(self.replica.offer_document_in_slices, number, document)
+        return effects + self._offer(now, Offer(number, DeliveryChannel.SOURCE, make))
 
     def on_document_unchanged(self, now: float, answer: DocumentUnchanged) -> list[Effect]:
         """The source answered that the document has not changed."""
         kind = answer.kind
-        effects = self._note_regained(kind)
+        effects = self._log_regained(kind)
         effects += self.skipped_items.record_answer(kind, answer.answer_findings)
-        self.reader.answered(now, answer)
+        self.reader.on_answer(now, answer)
         return effects
 
-    def _note_regained(self, kind: DocumentKind) -> list[Effect]:
+    def _log_regained(self, kind: DocumentKind) -> list[Effect]:
         if not self.reader.is_failing(kind):
             return []
         return [Log(Event.SOURCE_REGAINED, {"document": kind.name})]
@@ -245,7 +247,7 @@
         """Back off from the platform."""
         kind = failed.kind
         was_failing = self.reader.is_failing(kind)
-        fields = self.reader.failed(now, failed)
+        fields = self.reader.on_failure(now, failed)
         effects: list[Effect] = [Log(FAILURE_EVENTS[kind], fields)]
         if failed.answer_findings:
             effects += self.skipped_items.record_answer(kind, failed.answer_findings)
@@ -255,13 +257,15 @@
 
     # What peers say of their versions.
 
-    def learn(self, now: float, sender: str, address: str, state: VersionState) -> list[Effect]:
+    def on_peer_state(
+        self, now: float, sender: str, address: str, state: VersionState
+    ) -> list[Effect]:
         """Take in a peer's versions: adopt its commit mark, pull what is newer."""
-        effects = self.stages.heard(now, sender, state.newest)
+        effects = self.stages.on_reported(now, sender, state.newest)
         effects += self._adopt_commit(now, state.committed)
-        self._hear_era(now, state.machine_list)
-        self._pulling.learn(sender, address, state)
-        effects += self._pulling.due(now)
+        self._observe_era(now, state.machine_list)
+        self._pull_scheduler.on_peer_state(sender, address, state)
+        effects += self._pull_scheduler.due_pulls(now)
         return effects
 
     def on_heartbeat(
@@ -270,31 +274,31 @@
         """Take in what a reader tells: its changes, its versions, how old the source's word is."""
         effects: list[Effect] = []
         for answer in heartbeat.deltas:
-            effects += self._take_delta_answer(now, answer, Way.HEARTBEAT)
+            effects += self._offer_delta_answer(now, answer, DeliveryChannel.HEARTBEAT)
         listed = RevisionId(heartbeat.state.machine_list, heartbeat.list_digest)
-        self._hear_era(now, listed.number)
+        self._observe_era(now, listed.number)
         effects += self._after_machine_list(now, self.machine_list.renumber(now, listed))
-        effects += self.learn(now, sender, address, heartbeat.state)
+        effects += self.on_peer_state(now, sender, address, heartbeat.state)
         if era_of(listed.number) < self.era:
             return effects  # the word of a source that has come back since confirms nothing
-        self._hear_ages(now, heartbeat)
+        self._record_peer_ages(now, heartbeat)
         lease = self._profile.reader_lease
         ages = (heartbeat.ages.of(kind) for kind in DocumentKind)
-        if all(age is not None and age <= lease * MILLISECONDS for age in ages):
+        if all(age is not None and age <= lease * MILLISECONDS_PER_SECOND for age in ages):
             member = self._membership.table.get(sender)
             near = member is not None and member.update.zone == self._identity.zone
-            self.reader.readership.heard(now, sender, near, heartbeat.wide_link)
+            self.reader.readership.on_heartbeat(now, sender, near, heartbeat.wide_link)
         return effects
 
-    def _hear_era(self, now: float, number: int) -> None:
+    def _observe_era(self, now: float, number: int) -> None:
         """A machine list of this number exists: its era has begun."""
         if era_of(number) > self.era:
             self.era = era_of(number)
             self._era_since = now
-            self.inquiry.begin_era(now, self.era)
-            self._away = self.freshness.age(now, DocumentKind.MACHINE_LIST)
+            self.restore_inquiry.begin_era(now, self.era)
+            self._source_silence_seconds = self.freshness.age(now, DocumentKind.MACHINE_LIST)
 
-    def _hear_ages(self, now: float, heartbeat: ReaderHeartbeat) -> None:
+    def _record_peer_ages(self, now: float, heartbeat: ReaderHeartbeat) -> None:
         """A peer's word covers what is held here if that is no older than what the peer holds."""
         told = {
             DocumentKind.CONFIGURATION: heartbeat.state.held.number,
@@ -303,26 +307,26 @@
         for kind, number in told.items():
             age = heartbeat.ages.of(kind)
             if age is not None and self.held_number(kind) >= number:
-                self.freshness.hear(now, kind, age)
+                self.freshness.record_peer_age(now, kind, age)
 
-    def heartbeats(self, now: float) -> list[Effect]:
+    def due_heartbeats(self, now: float) -> list[Effect]:
         """Return the heartbeats that a reader has to send now."""
-        if not (self.reader.reading and self.reader.readership.tells_peers):
+        if not (self.reader.reading and self.reader.readership.sends_heartbeats):
             return []
-        return self._heartbeats.due(now, self.state())
+        return self._heartbeats.due_heartbeats(now, self.state())
 
-    def tell_joiner(self, now: float, name: str, address: str) -> list[Effect]:
+    def messages_for_joiner(self, now: float, name: str, address: str) -> list[Effect]:
         """Return what only a serving peer knows: the source's word, if it is recent here, and
         what is held against lists of a new era."""
         effects: list[Effect] = [
-            Send(name, address, told) for told in self.machine_list.overrides(now)
+            Send(name, address, told) for told in self.machine_list.override_messages(now)
         ]
         age = now - self._era_since
-        if self.era and self._ended.ended and age < self._source.hold_after_return:
-            zones = starmap(EndedEvacuation, self._ended.ended.items())
-            told = EvacuationsEnded(self.era, round(age * MILLISECONDS), tuple(zones))
+        if self.era and self._ended_evacuations.ended and age < self._source.hold_after_return:
+            zones = starmap(EndedEvacuation, self._ended_evacuations.ended.items())
+            told = EvacuationsEnded(self.era, round(age * MILLISECONDS_PER_SECOND), tuple(zones))
             effects.append(Send(name, address, told))
-        if self.reader.readership.tells_peers:
+        if self.reader.readership.sends_heartbeats:
             effects += self._heartbeats.for_joiner(now, name, address, self.state())
         return effects
 
@@ -331,8 +335,8 @@
         effects: list[Effect] = []
         delta = message.delta
         if delta is not None and delta.base == self.replica.held:
-            effects += self._take_deltas(now, (delta,), Way.DELTA)
-        effects += self.learn(now, sender, address, message.state)
+            effects += self._offer_deltas(now, (delta,), DeliveryChannel.DELTA)
+        effects += self.on_peer_state(now, sender, address, message.state)
         if message.state.held.number < self.replica.held.number:
             effects.append(Send(sender, address, Announce(self.state())))
         return effects
@@ -341,7 +345,7 @@
 
     def on_pull(self, now: float, sender: str, address: str, pull: Pull) -> list[Effect]:
         """Serve a peer that lags."""
-        answer = self._server.answer(now, pull)
+        answer = self._pull_server.answer(now, pull)
         if answer is None:
             return []
         effects: list[Effect] = [Send(sender, address, answer)]
@@ -351,90 +355,96 @@
 
     def on_frame_arriving(self, now: float, host: str) -> None:
         """What a peer at ``host`` was asked for may be on its way."""
-        self._pulling.arriving(now, host)
+        self._pull_scheduler.on_frame_arriving(now, host)
 
     def on_deltas(self, now: float, answer: DeltaAnswer) -> list[Effect]:
         """Apply the deltas that a peer sent."""
-        self._pulling.answered(answer.kind)
-        return self._take_delta_answer(now, answer, Way.DELTA)
+        self._pull_scheduler.on_answer(answer.kind)
+        return self._offer_delta_answer(now, answer, DeliveryChannel.DELTA)
 
-    def _take_delta_answer(self, now: float, answer: DeltaAnswer, way: Way) -> list[Effect]:
+    def _offer_delta_answer(
+        self, now: float, answer: DeltaAnswer, way: DeliveryChannel
+    ) -> list[Effect]:
         if answer.kind is DocumentKind.CONFIGURATION:
-            return self._take_deltas(now, answer.deltas, way)
+            return self._offer_deltas(now, answer.deltas, way)
         return self._after_machine_list(now, self.machine_list.offer_deltas(now, answer.deltas))
 
     def on_snapshot(self, now: float, answer: SnapshotAnswer) -> list[Effect]:
         """Take in a whole document, if its digest is right."""
-        self._pulling.answered(answer.kind)
+        self._pull_scheduler.on_answer(answer.kind)
         revision, document = answer.revision, answer.document
         if answer.kind is DocumentKind.CONFIGURATION:
-            make = partial(self.replica.offering_snapshot, revision, document)
-            return self._offer(now, Offered(revision.number, Way.SNAPSHOT, make))
+            make = partial(self.replica.offer_snapshot_in_slices, revision, document)
+            return self._offer(now, Offer(revision.number, DeliveryChannel.SNAPSHOT, make))
         if revision_id_of(revision.number, document) != revision:
             return [Log(Event.FRAME_REFUSED, {"reason": WRONG_DIGEST})]
         return self._after_machine_list(now, self.machine_list.offer(now, revision, document))
 
     def on_busy(self, now: float, busy: Busy) -> None:
         """Come back later, or to another peer."""
-        self._pulling.busy(now, busy)
+        self._pull_scheduler.on_busy(now, busy)
 
-    def _take_deltas(self, now: float, deltas: tuple[Delta, ...], way: Way) -> list[Effect]:
+    def _offer_deltas(
+        self, now: float, deltas: tuple[Delta, ...], way: DeliveryChannel
+    ) -> list[Effect]:
         if not deltas:
             return []
-        make = partial(self.replica.offering_deltas, deltas)
-        return self._offer(now, Offered(deltas[-1].target.number, way, make))
+        make = partial(self.replica.offer_deltas_in_slices, deltas)
+        return self._offer(now, Offer(deltas[-1].target.number, way, make))
 
     # Holding and committing.
 
     @property
     def is_working(self) -> bool:
         """Whether an offered configuration is under work: ``go_on`` is to be called."""
-        return self._offers.is_working
+        return self._offer_queue.is_working
 
-    def _offer(self, now: float, offered: Offered) -> list[Effect]:
+    def _offer(self, now: float, offered: Offer) -> list[Effect]:
         """Offer a configuration to the replica, as far as this turn allows."""
-        idle = not self._offers.is_working
-        self._offers.add(offered)
-        return self.go_on(now) if idle else []
+        idle = not self._offer_queue.is_working
+        self._offer_queue.add(offered)
+        return self.continue_work(now) if idle else []
 
-    def go_on(self, now: float) -> list[Effect]:
+    def continue_work(self, now: float) -> list[Effect]:
         """Go on with offered configurations until none is left or the budget is spent."""
         try:
-            return self._work(now)
+            return self._advance_offers(now)
         finally:
-            if not self._offers.is_working:
+            if not self._offer_queue.is_working:
                 self.freshness.resume(DocumentKind.CONFIGURATION)
 
-    def _work(self, now: float) -> list[Effect]:
+    def _advance_offers(self, now: float) -> list[Effect]:
         effects: list[Effect] = []
-        while self._offers.is_working:
+        while self._offer_queue.is_working:
             before = self.replica.held
             try:
-                done = self._offers.advance(self.budget)
+                done = self._offer_queue.advance(self.budget)
             except DeltaMismatchError as error:
                 effects.append(Log(Event.FRAME_REFUSED, {"reason": str(error)}))
                 continue
             if done is None:
                 return effects
             effects += self._after_offer(now, before, done)
-            if self._offers.is_working:
+            if self._offer_queue.is_working:
                 self.freshness.resume(DocumentKind.CONFIGURATION, self.replica.held.number)
         return effects
 
-    def _after_offer(self, now: float, before: RevisionId, done: Offered) -> list[Effect]:
+    def _after_offer(self, now: float, before: RevisionId, done: Offer) -> list[Effect]:
         """Tell others if the replica now holds something new."""
         effects = list(done.effects)
-        held, refused = self.replica.held, self.replica.refused
+        held, refused = self.replica.held, self.replica.current_rejection
         ended = held if refused is None else refused.revision
-        self._pulling.forget_up_to(DocumentKind.CONFIGURATION, ended.number)
+        self._pull_scheduler.forget_up_to(DocumentKind.CONFIGURATION, ended.number)
         if held == before:
             return effects
-        effects += self.stages.held(now, held.number, done.way, effects)
-        self._ended.record_tree(self._evacuated(), split_tree_number(held.number)[1], self.era)
+        effects += self.stages.on_held(now, held.number, done.channel, effects)
+        self._ended_evacuations.record_tree(
+            self._evacuated_zones(), split_tree_number(held.number)[1], self.era
+        )
         if self._has_uncommitted() and not self._source.durable:
             effects += self.quorum.report(now, held)
         effects += self._announce(self._announcer.inline_delta(self.replica.store))
-        effects += self._commit_if_reached(now, held)
+        effects += self._commit_if_held_by_quorum(now, held)
         return effects
 
     def _has_uncommitted(self) -> bool:
@@ -446,28 +456,28 @@
         """Count a holder; commit when a quorum holds the revision."""
         if report.revision.number <= self.replica.committed.number:
             return self._membership.send(sender, Announce(self.state()))
-        effects = self.stages.heard(now, sender, report.revision)
-        self.quorum.record(sender, process, report.revision)
-        return effects + self._commit_if_reached(now, report.revision)
+        effects = self.stages.on_reported(now, sender, report.revision)
+        self.quorum.record_holder(sender, process, report.revision)
+        return effects + self._commit_if_held_by_quorum(now, report.revision)
 
-    def _commit_if_reached(self, now: float, revision: RevisionId) -> list[Effect]:
+    def _commit_if_held_by_quorum(self, now: float, revision: RevisionId) -> list[Effect]:
         if revision.number <= self.replica.committed.number:
             return []
-        if self._source.durable or self.quorum.reached(now, revision):
+        if self._source.durable or self.quorum.has_quorum(now, revision):
             return self._adopt_commit(now, revision)
         return []
 
     def _adopt_commit(self, now: float, revision: RevisionId) -> list[Effect]:
         if not self.replica.mark_committed(revision):
             return []
-        self.quorum.decided(revision)
-        return [*self.stages.committed(now, revision), *self._announce(None)]
+        self.quorum.on_commit(revision)
+        return [*self.stages.on_committed(now, revision), *self._announce(None)]
 
     # Spreading.
 
     def _announce(self, delta: Delta | None) -> list[Effect]:
         """Tell peers of something new; readers that send heartbeats tell by these."""
-        if self.reader.readership.tells_peers:
+        if self.reader.readership.sends_heartbeats:
             return []
         return self._announcer.send(Announce(self.state(), delta))
 
@@ -478,23 +488,23 @@
         if not any(isinstance(effect, UseMachineList) for effect in effects):
             return effects
         number = self.machine_list.revision.number
-        self._hear_era(now, number)
-        self._pulling.forget_up_to(DocumentKind.MACHINE_LIST, number)
-        self._membership.use_list(self.machine_list.nodes(), now)
-        return [*effects, *self._tell_era_change(now), *self._announce(None)]
+        self._observe_era(now, number)
+        self._pull_scheduler.forget_up_to(DocumentKind.MACHINE_LIST, number)
+        self._membership.use_machine_list(self.machine_list.nodes(), now)
+        return [*effects, *self._log_era_change(now), *self._announce(None)]
 
-    def _tell_era_change(self, now: float) -> list[Effect]:
+    def _log_era_change(self, now: float) -> list[Effect]:
         change, self.machine_list.era_change = self.machine_list.era_change, None
         if change is None:
             return []
         fields = msgspec.structs.asdict(change)
-        if not math.isinf(self._away):
-            fields["away_seconds"] = round(self._away, 3)
+        if not math.isinf(self._source_silence_seconds):
+            fields["away_seconds"] = round(self._source_silence_seconds, 3)
         return [Log(Event.SOURCE_RETURNED, fields)]
 
     def on_backends_leaving(self, notices: tuple[LeavingBackend, ...]) -> list[Effect]:
         """Take back ends out of use before the list says so, and pass it on once."""
-        news = self.machine_list.note_leaving(notices)
+        news = self.machine_list.mark_leaving(notices)
         if not news:
             return []
         machines = self.machine_list.machines
@@ -502,13 +512,13 @@
 
     def on_list_overrides(self, now: float, told: ListOverrides) -> list[Effect]:
         """Hold against lists of a new era what a peer holds."""
-        self._hear_era(now, told.number)
-        return self.machine_list.hear(now, told)
+        self._observe_era(now, told.number)
+        return self.machine_list.on_overrides(now, told)
 
     def on_evacuations_ended(self, now: float, told: EvacuationsEnded) -> None:
         """Hold against a copy which evacuations a peer has seen to end."""
         if told.era != self.era:
             return
-        self._era_since = min(self._era_since, now - told.age_ms / MILLISECONDS)
+        self._era_since = min(self._era_since, now - told.age_ms / MILLISECONDS_PER_SECOND)
         for ended in told.zones:
-            self._ended.record_report(ended.zone, ended.created_until_revision)
+            self._ended_evacuations.record_report(ended.zone, ended.created_until_revision)
--- a/src/pewtertack/core/replication/stage_reports.py
+++ b/src/pewtertack/core/replication/stage_reports.py
@@ -7,7 +7,7 @@
 from pewtertack.core.configuration.resolved import ResolvedConfiguration
 from pewtertack.core.effects import Effect, Log, StageReached
 from pewtertack.core.history import in_force_fields
-from pewtertack.core.replication.stages import RevisionStages, Stage, StageLog, Way
+from pewtertack.core.replication.stages import DeliveryChannel, RevisionStages, Stage, StageLog
 from pewtertack.core.revision import RevisionId
 from pewtertack.events import Event
 
@@ -20,29 +20,31 @@
     def __init__(self) -> None:
         self.log = StageLog()
 
-    def heard(self, now: float, peer: str, revision: RevisionId) -> list[Effect]:
+    def on_reported(self, now: float, peer: str, revision: RevisionId) -> list[Effect]:
         """A peer has told of a revision."""
-        if not self.log.hear(now, revision.number):
+        if not self.log.record_reported(now, revision.number):
             return []
         return [Log(Event.REVISION_HEARD, {**_fields_of(revision), "peer": peer})]
 
-    def held(self, now: float, number: int, way: Way, logged: list[Effect]) -> list[Effect]:
+    def on_held(
+        self, now: float, number: int, way: DeliveryChannel, logged: list[Effect]
+    ) -> list[Effect]:
         """A revision is held; what is ``logged`` of that is completed."""
-        stages = self.log.hold(now, number, way)
+        stages = self.log.record_held(now, number, way)
         for effect in logged:
             if isinstance(effect, Log) and effect.event is Event.REVISION_HELD:
                 effect.fields.update(_stage_fields(stages, Stage.HELD))
         return [_reached(stages, Stage.HELD)]
 
-    def committed(self, now: float, revision: RevisionId) -> list[Effect]:
+    def on_committed(self, now: float, revision: RevisionId) -> list[Effect]:
         """A revision is committed."""
-        stages = self.log.commit(now, revision.number)
+        stages = self.log.record_committed(now, revision.number)
         fields = {**_fields_of(revision), **_stage_fields(stages, Stage.COMMITTED)}
         return [Log(Event.REVISION_COMMITTED, fields), _reached(stages, Stage.COMMITTED)]
 
-    def in_force(self, now: float, configuration: ResolvedConfiguration) -> list[Effect]:
+    def on_in_force(self, now: float, configuration: ResolvedConfiguration) -> list[Effect]:
         """The node serves by a configuration from now on."""
-        stages = self.log.bring_into_force(now, configuration.revision.number)
+        stages = self.log.record_in_force(now, configuration.revision.number)
         fields = {**in_force_fields(configuration), **_stage_fields(stages, Stage.IN_FORCE)}
         return [Log(Event.REVISION_IN_FORCE, fields), _reached(stages, Stage.IN_FORCE)]
 
@@ -52,8 +54,8 @@
 
 
 def _stage_fields(stages: RevisionStages, stage: Stage) -> dict[str, Any]:
-    return {"way": stages.way.value, "since_heard": round(stages.seconds_to(stage), 3)}
+    return {"way": stages.channel.value, "since_heard": round(stages.seconds_to(stage), 3)}
 
 
 def _reached(stages: RevisionStages, stage: Stage) -> StageReached:
-    return StageReached(stage, stages.way, stages.seconds_to(stage))
+    return StageReached(stage, stages.channel, stages.seconds_to(stage))
--- a/src/pewtertack/core/replication/stages.py
+++ b/src/pewtertack/core/replication/stages.py
@@ -4,20 +4,20 @@
 
 from enum import StrEnum
 
-REVISIONS_KEPT = 16
+MAX_TRACKED_REVISIONS = 16
 
 
 class Stage(StrEnum):
     """What a revision reaches at a node, in this order."""
 
-    HEARD = "heard"
+    REPORTED = "heard"
     """The source or a peer has told of its number."""
     HELD = "held"
     COMMITTED = "committed"
     IN_FORCE = "in_force"
 
 
-class Way(StrEnum):
+class DeliveryChannel(StrEnum):
     """How a revision came to be held."""
 
     SOURCE = "source"
@@ -34,26 +34,26 @@
 class RevisionStages:
     """The moments of one revision; a stage that it has not reached is missing."""
 
-    __slots__ = ("number", "reached_at", "way")
+    __slots__ = ("number", "reached_at", "channel")
 
     def __init__(self, number: int, heard_at: float) -> None:
         self.number = number
-        self.way = Way.UNKNOWN
-        self.reached_at = {Stage.HEARD: heard_at}
+        self.channel = DeliveryChannel.UNKNOWN
+        self.reached_at = {Stage.REPORTED: heard_at}
         """In monotonic seconds."""
 
     def seconds_to(self, stage: Stage) -> float:
         """Return the seconds from hearing of the revision to a stage that it has reached."""
-        return self.reached_at[stage] - self.reached_at[Stage.HEARD]
+        return self.reached_at[stage] - self.reached_at[Stage.REPORTED]
 
 
 class StageLog:
-    """The stages of the latest revisions, ``REVISIONS_KEPT`` at most."""
+    """The stages of the latest revisions, ``MAX_TRACKED_REVISIONS`` at most."""
 
-    __slots__ = ("_by_number", "behind_since", "in_force", "newest_heard")
+    __slots__ = ("_by_number", "behind_since", "in_force", "newest_reported")
 
     def __init__(self) -> None:
-        self.newest_heard = 0
+        self.newest_reported = 0
         """The highest number that anybody has told of."""
         self.in_force = 0
         self.behind_since: float | None = None
@@ -64,38 +64,38 @@
         """Return the revisions that are kept, the newest first."""
         return tuple(self._by_number[number] for number in sorted(self._by_number, reverse=True))
 
-    def hear(self, now: float, number: int) -> bool:
+    def record_reported(self, now: float, number: int) -> bool:
         """Note that a revision exists; return whether none so new was known."""
-        if number <= self.newest_heard:
+        if number <= self.newest_reported:
             return False
-        self.newest_heard = number
+        self.newest_reported = number
         self._stages_of(now, number)
         if self.behind_since is None and number > self.in_force:
             self.behind_since = now
         return True
 
-    def hold(self, now: float, number: int, way: Way) -> RevisionStages:
+    def record_held(self, now: float, number: int, way: DeliveryChannel) -> RevisionStages:
         """Note that a revision is held, and how it came."""
-        stages = self._reach(now, number, Stage.HELD)
-        if stages.way is Way.UNKNOWN:
-            stages.way = way
+        stages = self._record(now, number, Stage.HELD)
+        if stages.channel is DeliveryChannel.UNKNOWN:
+            stages.channel = way
         return stages
 
-    def commit(self, now: float, number: int) -> RevisionStages:
+    def record_committed(self, now: float, number: int) -> RevisionStages:
         """Note that a revision is committed."""
-        return self._reach(now, number, Stage.COMMITTED)
+        return self._record(now, number, Stage.COMMITTED)
 
-    def bring_into_force(self, now: float, number: int) -> RevisionStages:
+    def record_in_force(self, now: float, number: int) -> RevisionStages:
         """Note that the node serves by a revision."""
-        stages = self._reach(now, number, Stage.IN_FORCE)
+        stages = self._record(now, number, Stage.IN_FORCE)
         self.in_force = number
         newer = [item for item in self._by_number.values() if item.number > number]
-        since = [item.reached_at[Stage.HEARD] for item in newer]
+        since = [item.reached_at[Stage.REPORTED] for item in newer]
         self.behind_since = min(since, default=None)
         return stages
 
-    def _reach(self, now: float, number: int, stage: Stage) -> RevisionStages:
-        self.hear(now, number)
+    def _record(self, now: float, number: int, stage: Stage) -> RevisionStages:
+        self.record_reported(now, number)
         stages = self._stages_of(now, number)
         stages.reached_at.setdefault(stage, now)
         return stages
@@ -108,5 +108,5 @@
         return stages
 
     def _forget_oldest(self, kept: int) -> None:
-        if len(self._by_number) > REVISIONS_KEPT:
+        if len(self._by_number) > MAX_TRACKED_REVISIONS:
             del self._by_number[min(number for number in self._by_number if number != kept)]
--- a/src/pewtertack/lab/crashes/fleet.py
+++ b/src/pewtertack/lab/crashes/fleet.py
@@ -5,7 +5,7 @@
 from functools import partial
 from random import Random
 
-from pewtertack.core.crashes.spreading import CrashSpreading
+from pewtertack.core.crashes.gossip import CrashGossip
 from pewtertack.core.effects import Effect, Send
 from pewtertack.core.identity import NodeIdentity
 from pewtertack.core.machines import Machine, MachineRole
@@ -46,12 +46,12 @@
         for number in range(size):
             scheduler.after(random.uniform(0, TICK_SECONDS), partial(self._tick, number))
 
-    def _node(self, name: str, machines: list[Machine]) -> CrashSpreading:
+    def _node(self, name: str, machines: list[Machine]) -> CrashGossip:
         identity = NodeIdentity(name, name, "zone", "region", FIRST_INCARNATION)
         random = Random(self._random.getrandbits(64))
         membership = Membership(identity, LEASED, random, self._scheduler.now)
-        membership.use_list(machines, self._scheduler.now)
-        return CrashSpreading(identity, membership, random)
+        membership.use_machine_list(machines, self._scheduler.now)
+        return CrashGossip(identity, membership, random)
 
     def _tick(self, number: int) -> None:
         self.carry_out(number, self.nodes[number].tick(self._scheduler.now))
@@ -72,7 +72,7 @@
             self._scheduler.after(latency, lambda: self._receive(receiver, reports))
 
     def _receive(self, number: int, reports: CrashReports) -> None:
-        self.carry_out(number, self.nodes[number].learn(self._scheduler.now, reports))
+        self.carry_out(number, self.nodes[number].on_reports(self._scheduler.now, reports))
 
 
 def _address(number: int) -> str:
--- a/src/pewtertack/lab/crashes/simulation.py
+++ b/src/pewtertack/lab/crashes/simulation.py
@@ -190,8 +190,8 @@
 
     def _admits(self, request: _Request) -> bool:
         ledger = self._fleet.nodes[request.node].ledger
-        request.known_ends = max(request.known_ends, ledger.count(request.fingerprint))
-        return ledger.admits(request.fingerprint, DEFAULT_CRASH_LIMIT, self._scheduler.now)
+        request.known_ends = max(request.known_ends, ledger.crash_count(request.fingerprint))
+        return ledger.try_admit(request.fingerprint, DEFAULT_CRASH_LIMIT, self._scheduler.now)
 
     def _answer(self, backend: _Backend, request: _Request) -> None:
         if request not in backend.running:
@@ -199,8 +199,8 @@
         backend.running.remove(request)
         self._second(request.began).served += 1
         node = self._fleet.nodes[backend.number]
-        if node.ledger.count(request.fingerprint):
-            effects = node.answered(self._scheduler.now, request.fingerprint)
+        if node.ledger.crash_count(request.fingerprint):
+            effects = node.on_answer(self._scheduler.now, request.fingerprint)
             self._fleet.carry_out(backend.number, effects)
 
     def _end(self, backend: _Backend, request: _Request) -> None:
@@ -230,12 +230,12 @@
     def _report(self, backend: _Backend, broken: list[_Request]) -> None:
         fingerprints = dict.fromkeys(request.fingerprint for request in broken)
         node = self._fleet.nodes[backend.number]
-        self._fleet.carry_out(backend.number, node.crashed(self._scheduler.now, fingerprints))
+        self._fleet.carry_out(backend.number, node.on_crash(self._scheduler.now, fingerprints))
         if len(self._ended_at) >= DEFAULT_CRASH_LIMIT and self._known_at is None:
             self._look_who_knows()
 
     def _look_who_knows(self) -> None:
-        counts = (node.ledger.count(self._ending) for node in self._fleet.nodes)
+        counts = (node.ledger.crash_count(self._ending) for node in self._fleet.nodes)
         if all(count >= DEFAULT_CRASH_LIMIT for count in counts):
             self._known_at = self._scheduler.now
         else:
--- a/src/pewtertack/lab/scale/run.py
+++ b/src/pewtertack/lab/scale/run.py
@@ -11,7 +11,7 @@
 
 from pewtertack.core.delta import Delta, compare
 from pewtertack.core.identity import NodeIdentity
-from pewtertack.core.membership.rumors import RumorQueue
+from pewtertack.core.membership.gossip import GossipQueue
 from pewtertack.core.profile import PROFILES
 from pewtertack.core.revision import Document, revision_id_of
 from pewtertack.lab.scale.memory import check_memory, resident_bytes
@@ -170,13 +170,13 @@
     def _complete_views(self) -> None:
         """Let all know all, as they would many minutes after a large fleet's formation."""
         processes = list(self._fleet.processes.values())
-        updates = [process.core.membership.own for process in processes]
+        updates = [process.core.membership.own_update for process in processes]
         for process in processes:
             membership = process.core.membership
             for update in updates:
                 if update.name != process.identity.name:
                     membership.table.merge(update, self._fleet.now)
-            membership.rumors = RumorQueue()
+            membership.gossip = GossipQueue()
 
     def _meter(self, name: str) -> PhaseMeter:
         meter = PhaseMeter(name, self._fleet, self._observer, self._snapshot_bytes)
--- a/src/pewtertack/lab/weakening.py
+++ b/src/pewtertack/lab/weakening.py
@@ -189,7 +189,7 @@
     def wrapper(_: object) -> Callable[[CrashLedger, bytes, int, float], bool]:
         return lambda ledger, fingerprint, number, at: False
 
-    _wrap(CrashLedger, "note_end", wrapper)
+    _wrap(CrashLedger, "record_crash", wrapper)
 
 
 def _ignore_evacuations() -> None:
@@ -240,7 +240,7 @@
 
 def _begin_reads_together() -> None:
     """Hold the read after a change as long as any other."""
-    setattr(reader, "SHORTEST_SHARE", 1.0)  # noqa: B010 (a constant is replaced)
+    setattr(reader, "MIN_WAIT_SHARE", 1.0)  # noqa: B010 (a constant is replaced)
 
 
 def _give_up_slow_answers() -> None:
--- a/src/pewtertack/node/proxy/body.py
+++ b/src/pewtertack/node/proxy/body.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from pewtertack.core.crashes.fingerprint import BEGINNING_BYTES
+from pewtertack.core.crashes.fingerprint import BODY_PREFIX_BYTES
 from pewtertack.node.http.framing import RawHeaders
 from pewtertack.node.proxy.failure_responses import Receive
 from pewtertack.routing.outcomes import BodiesFullError, Outcome, SlowRequestError
@@ -87,11 +87,11 @@
 
     @property
     def beginning(self) -> bytes | None:
-        """The first ``BEGINNING_BYTES``, or all of a shorter body; ``None`` until it has come."""
+        """The first ``BODY_PREFIX_BYTES``, or all of a shorter body; ``None`` until it has come."""
         if self._chunks is None:
             return self._beginning
-        beginning = b"".join(self._chunks)[:BEGINNING_BYTES]
-        return beginning if self.complete or len(beginning) == BEGINNING_BYTES else None
+        beginning = b"".join(self._chunks)[:BODY_PREFIX_BYTES]
+        return beginning if self.complete or len(beginning) == BODY_PREFIX_BYTES else None
 
     @property
     def replayable(self) -> bool:
@@ -134,7 +134,7 @@
     @property
     def _may_buffer(self) -> bool:
         """Whether to keep more; the beginning, which tells requests apart, is kept in any case."""
-        return self._received_bytes < BEGINNING_BYTES or not self._bodies.full
+        return self._received_bytes < BODY_PREFIX_BYTES or not self._bodies.full
 
     def release(self) -> None:
         """The request has ended: nothing of its body is kept any longer."""
@@ -165,5 +165,5 @@
     def _discard_chunks(self) -> None:
         """Keep nothing but what counts of it: it can't be sent a second time any more."""
         if self._chunks is not None:
-            self._beginning = b"".join(self._chunks)[:BEGINNING_BYTES]
+            self._beginning = b"".join(self._chunks)[:BODY_PREFIX_BYTES]
         self.release()
--- a/src/pewtertack/node/proxy/content.py
+++ b/src/pewtertack/node/proxy/content.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from pewtertack.core.crashes.fingerprint import BEGINNING_BYTES, fingerprint_of, head_digest
+from pewtertack.core.crashes.fingerprint import BODY_PREFIX_BYTES, fingerprint_of, head_digest
 from pewtertack.core.crashes.ledger import CrashLedger
 from pewtertack.node.http.cycle import Scope
 from pewtertack.node.http.framing import RawHeaders
@@ -41,12 +41,12 @@
         """
         if not self.may_be_in(ledger):
             return None
-        await self._body.read_ahead(BEGINNING_BYTES)
+        await self._body.read_ahead(BODY_PREFIX_BYTES)
         return self.fingerprint
 
     def may_be_in(self, ledger: CrashLedger) -> bool:
         """Tell whether a suspect has this request's head; costs nothing while there is none."""
-        return len(ledger) > 0 and ledger.knows_head(self._digest_head())
+        return len(ledger) > 0 and ledger.may_be_suspect(self._digest_head())
 
     def _digest_head(self) -> bytes:
         if self._head is None:
--- a/src/pewtertack/node/proxy/crash_guard.py
+++ b/src/pewtertack/node/proxy/crash_guard.py
@@ -47,7 +47,9 @@
         if not len(self._reporter.ledger):
             return
         fingerprint = await self._fingerprint_if_suspect()
-        if fingerprint is not None and self._reporter.ledger.holds(fingerprint, limit, now):
+        if fingerprint is not None and self._reporter.ledger.is_quarantined(
+            fingerprint, limit, now
+        ):
             raise self._refusal(fingerprint)
 
     async def refuse_unless_admitted(self, limit: int, now: float) -> None:
@@ -59,7 +61,7 @@
         if not len(self._reporter.ledger):
             return
         fingerprint = await self._fingerprint_if_suspect()
-        if fingerprint is not None and not self._reporter.ledger.admits(fingerprint, limit, now):
+        if fingerprint is not None and not self._reporter.ledger.try_admit(fingerprint, limit, now):
             raise self._refusal(fingerprint)
 
     def note_answered(self, status: int) -> None:
@@ -68,7 +70,7 @@
         if status >= FAILING_STATUS or not self._content.may_be_in(ledger):
             return
         fingerprint = self._content.fingerprint
-        if fingerprint is not None and ledger.count(fingerprint):
+        if fingerprint is not None and ledger.crash_count(fingerprint):
             self._reporter.report_suspect_answered(fingerprint)
 
     async def check_for_crash(
@@ -94,7 +96,7 @@
         ledger = self._reporter.ledger
         fingerprint = await self._content.fingerprint_in(ledger)
         if fingerprint is not None:
-            self.crash_count = max(self.crash_count, ledger.count(fingerprint))
+            self.crash_count = max(self.crash_count, ledger.crash_count(fingerprint))
         return fingerprint
 
     def _refusal(self, fingerprint: bytes) -> RequestEndsBackendsError:
--- a/src/pewtertack/node/status_page.py
+++ b/src/pewtertack/node/status_page.py
@@ -74,8 +74,8 @@
         items_passed_over=replication.skipped_items.current_count,
         items_found_wrong=replication.skipped_items.total_count,
         source_era=replication.era,
-        machines_kept=replication.machine_list.returned.kept_count,
-        newest_heard=stages.newest_heard,
+        machines_kept=replication.machine_list.overrides.kept_count,
+        newest_heard=stages.newest_reported,
         behind_for=_age(now, stages.behind_since),
         stages=_stages(now, stages.recent()),
         reads=_reads(view, now),
@@ -86,7 +86,7 @@
 def members_of(view: NodeView) -> tuple[MemberView, ...]:
     """Return the peers that the node knows, by name."""
     now = clock.now()
-    members = view.core.membership.table.all()
+    members = view.core.membership.table.all_members()
     views = (
         MemberView(
             name=member.update.name,
@@ -103,7 +103,7 @@
 
 
 def _peers_by_status(view: NodeView) -> dict[str, int]:
-    members = view.core.membership.table.all()
+    members = view.core.membership.table.all_members()
     return dict(Counter(member.status.name.lower() for member in members))
 
 
@@ -112,7 +112,7 @@
 
 
 def _source_answer_seconds(view: NodeView) -> float | None:
-    mean = view.core.replication.reader.answer_times.mean
+    mean = view.core.replication.reader.answer_times.mean_seconds
     return None if mean is None or not _may_read(view) else round(mean, 3)
 
 
@@ -124,7 +124,7 @@
 
 def _last_rejection(view: NodeView, now: float) -> RejectionStatus | None:
     replication = view.core.replication
-    status, since = _rejection(replication.replica.last_rejection), replication.refusals.since
+    status, since = _rejection(replication.replica.last_rejection), replication.rejections.since
     if status is None or since is None:
         return status
     unix_since = round(clock.unix_time() - (now - since), 3)
@@ -133,15 +133,15 @@
 
 def _refused_requests(view: NodeView, now: float) -> tuple[RefusedRequestStatus, ...]:
     ledger = view.core.crashes.ledger
-    held = [item for item in ledger if item.count >= DEFAULT_CRASH_LIMIT]
+    held = [item for item in ledger if item.crash_count >= DEFAULT_CRASH_LIMIT]
     return tuple(
         RefusedRequestStatus(
             item.fingerprint.hex(),
-            item.count,
-            round(now - min(item.ends.values()), 3),
-            round(now - item.last_end, 3),
+            item.crash_count,
+            round(now - min(item.crashes.values()), 3),
+            round(now - item.last_crash_at, 3),
         )
-        for item in sorted(held, key=lambda item: item.last_end, reverse=True)
+        for item in sorted(held, key=lambda item: item.last_crash_at, reverse=True)
     )
 
 
@@ -177,8 +177,8 @@
     return tuple(
         StagesStatus(
             item.number,
-            item.way.value,
-            round(item.reached_at[Stage.HEARD] + offset, 3),
+            item.channel.value,
+            round(item.reached_at[Stage.REPORTED] + offset, 3),
             _unix(offset, item.reached_at.get(Stage.HELD)),
             _unix(offset, item.reached_at.get(Stage.COMMITTED)),
             _unix(offset, item.reached_at.get(Stage.IN_FORCE)),
@@ -195,9 +195,9 @@
     failure = reads.last_failure.value if reads.last_failure is not None else ""
     oldest = reads.oldest
     if oldest is None:
-        return ReadStatus(failures=reads.failures, failure=failure)
+        return ReadStatus(failures=reads.failure_count, failure=failure)
     open_for = _age(now, oldest.opened_at)
-    return ReadStatus(open_for, oldest.effect.wait, reads.failures, failure, len(reads))
+    return ReadStatus(open_for, oldest.effect.wait, reads.failure_count, failure, len(reads))
 
 
 def _rejection(rejection: Rejection | None) -> RejectionStatus | None:
--- a/tests/cli/test_rollout_reports.py
+++ b/tests/cli/test_rollout_reports.py
@@ -13,7 +13,7 @@
 )
 from pewtertack.cli.status_reports import NodeReport
 from pewtertack.core.eras import tree_number
-from pewtertack.core.replication.stages import REVISIONS_KEPT, Stage
+from pewtertack.core.replication.stages import MAX_TRACKED_REVISIONS, Stage
 from pewtertack.node.status import (
     FindingStatus,
     ReadStatus,
@@ -76,7 +76,7 @@
         self.assertEqual((found.stages[-1].nodes, found.stages[-1].last), (2, 0.5))
 
     def test_a_revision_older_than_those_kept_has_no_times(self) -> None:
-        numbers = range(20 + REVISIONS_KEPT, 20, -1)
+        numbers = range(20 + MAX_TRACKED_REVISIONS, 20, -1)
         stages = tuple(StagesStatus(number, "delta", 990.0, 990.0) for number in numbers)
         found = self.rollout(report(node_status("a", numbers[0], stages=stages)))
         self.assertEqual((found.outcome, found.first_heard), (Outcome.COMPLETE, None))
--- a/tests/core/configuration/test_memory.py
+++ b/tests/core/configuration/test_memory.py
@@ -127,7 +127,7 @@
             offered = edited(document, random)
             if not with_zones:
                 offered.pop("zones", None)
-            shared = store.share(offered)
+            shared = store.share_with_newest(offered)
             self.assertEqual(revision_id_of(1, shared), revision_id_of(1, offered))
             findings = check_document(shared, checked)
             self.assertEqual(findings, check_document(offered), f"seed {seed}, {number}")
@@ -158,7 +158,7 @@
             for number in range(1, 20):
                 offered = edited({**document, "zones": {ZONE: {"routes": {}}}}, random)
                 offered.pop("zones", None)
-                shared = store.share(offered)
+                shared = store.share_with_newest(offered)
                 if not check_document(shared, checked):
                     document = offered
                     store.put(revision_id_of(number, offered), shared)
@@ -229,7 +229,7 @@
         store.put(revision_id_of(1, document), document)
         edited_tree = copy.deepcopy(document)
         edited_tree["routes"]["r7"]["timeout"] = "4s"
-        shared = store.share(edited_tree)
+        shared = store.share_with_newest(edited_tree)
         with mock.patch.object(Scope, "route_values", autospec=True, side_effect=real) as merged:
             self.assertEqual(check_document(shared, checked), ())
         self.assertEqual([call.args[1] for call in merged.call_args_list], ["r7"])
--- a/tests/core/crashes/test_spreading.py
+++ b/tests/core/crashes/test_gossip.py
@@ -3,10 +3,10 @@
 import unittest
 from random import Random
 
-from pewtertack.core.crashes.spreading import (
-    LOGGED_FROM,
-    NEWS_SECONDS,
-    CrashSpreading,
+from pewtertack.core.crashes.gossip import (
+    LOGGED_CRASHES_MIN,
+    SINGLE_CRASH_REPORT_SECONDS,
+    CrashGossip,
 )
 from pewtertack.core.effects import Effect, Log, Send
 from pewtertack.core.identity import NodeIdentity
@@ -38,7 +38,7 @@
         names = [f"n{number}" for number in range(size)]
         self.members = {name: self._membership(name, names, random) for name in names}
         self.nodes = {
-            name: CrashSpreading(_identity(name), member, Random(f"{seed}{name}"))
+            name: CrashGossip(_identity(name), member, Random(f"{seed}{name}"))
             for name, member in self.members.items()
         }
         self.logs: list[Log] = []
@@ -46,7 +46,7 @@
     def _membership(self, name: str, names: list[str], random: Random) -> Membership:
         membership = Membership(_identity(name), LEASED, random, self.now)
         listed = [Machine(item, MachineRole.NODE, "z", item) for item in names]
-        membership.use_list(listed, self.now)
+        membership.use_machine_list(listed, self.now)
         return membership
 
     def deliver(self, sender: str, effects: list[Effect]) -> None:
@@ -59,7 +59,7 @@
             elif isinstance(effect, Send) and not {origin, effect.name} & self.cut:
                 assert isinstance(effect.message, CrashReports)
                 self._weigh(origin, effect)
-                news = self.nodes[effect.name].learn(self.now, effect.message)
+                news = self.nodes[effect.name].on_reports(self.now, effect.message)
                 waiting += [(effect.name, item) for item in news]
 
     def _weigh(self, origin: str, effect: Send) -> None:
@@ -69,7 +69,7 @@
         self.longest = max(self.longest, size)
 
     def crash(self, name: str, *fingerprints: bytes) -> None:
-        self.deliver(name, self.nodes[name].crashed(self.now, fingerprints))
+        self.deliver(name, self.nodes[name].on_crash(self.now, fingerprints))
 
     def run(self, seconds: float) -> None:
         end = self.now + seconds
@@ -79,10 +79,10 @@
                 self.deliver(name, node.tick(self.now))
 
     def counts(self, item: bytes) -> set[int]:
-        return {node.ledger.count(item) for node in self.nodes.values()}
+        return {node.ledger.crash_count(item) for node in self.nodes.values()}
 
     def knowing(self, item: bytes, ends: int) -> int:
-        return sum(node.ledger.count(item) == ends for node in self.nodes.values())
+        return sum(node.ledger.crash_count(item) == ends for node in self.nodes.values())
 
 
 def _identity(name: str) -> NodeIdentity:
@@ -96,7 +96,7 @@
                 fleet = Fleet(size)
                 for number in range(LIMIT):
                     fleet.crash(f"n{number}", fingerprint(7))
-                fleet.run(NEWS_SECONDS / 2)
+                fleet.run(SINGLE_CRASH_REPORT_SECONDS / 2)
                 self.assertEqual(fleet.counts(fingerprint(7)), {LIMIT})
 
     def test_an_end_costs_a_node_less_than_a_kilobyte(self) -> None:
@@ -132,25 +132,25 @@
             fleet.run(1.0)
             fleet.cut = set()
             fleet.run(3.0)
-            late += fleet.nodes["n5"].ledger.count(fingerprint(7)) < LIMIT
+            late += fleet.nodes["n5"].ledger.crash_count(fingerprint(7)) < LIMIT
         self.assertEqual(late, 0)
 
     def test_a_joiner_is_told_of_old_ends(self) -> None:
         fleet = Fleet(3)
         fleet.cut = {"n2"}
         fleet.crash("n0", fingerprint(7))
-        fleet.now += 2 * NEWS_SECONDS
+        fleet.now += 2 * SINGLE_CRASH_REPORT_SECONDS
         fleet.cut = set()
-        fleet.deliver("n0", fleet.nodes["n0"].for_joiner(fleet.now, "n2", "n2"))
+        fleet.deliver("n0", fleet.nodes["n0"].reports_for_joiner(fleet.now, "n2", "n2"))
         suspect = next(iter(fleet.nodes["n2"].ledger))
-        self.assertAlmostEqual(suspect.last_end, 0.0, places=2)
+        self.assertAlmostEqual(suspect.last_crash_at, 0.0, places=2)
 
     def test_an_answer_clears_it_everywhere(self) -> None:
         fleet = Fleet(12)
         for number in range(LIMIT):
             fleet.crash(f"n{number}", fingerprint(7))
         fleet.now += 0.1
-        fleet.deliver("n9", fleet.nodes["n9"].answered(fleet.now, fingerprint(7)))
+        fleet.deliver("n9", fleet.nodes["n9"].on_answer(fleet.now, fingerprint(7)))
         self.assertEqual(fleet.counts(fingerprint(7)), {0})
 
     def test_nothing_is_said_while_no_back_end_ends_nor_long_after_a_single_one(self) -> None:
@@ -158,7 +158,7 @@
         fleet.run(2.0)
         self.assertEqual(fleet.bytes, 0)
         fleet.crash("n0", fingerprint(7))
-        fleet.run(NEWS_SECONDS + 1.0)
+        fleet.run(SINGLE_CRASH_REPORT_SECONDS + 1.0)
         fleet.bytes = 0
         fleet.run(2.0)
         self.assertEqual(fleet.bytes, 0)
@@ -170,10 +170,10 @@
         fleet.cut = {"n5"}
         for number in range(300):
             fleet.crash("n0", fingerprint(1000 + number), fingerprint(5000 + number))
-        fleet.nodes["n5"] = CrashSpreading(_identity("n5"), fleet.members["n5"], Random(2))
+        fleet.nodes["n5"] = CrashGossip(_identity("n5"), fleet.members["n5"], Random(2))
         fleet.cut = set()
         fleet.run(1.0)
-        self.assertEqual(fleet.nodes["n5"].ledger.count(fingerprint(7)), LIMIT)
+        self.assertEqual(fleet.nodes["n5"].ledger.crash_count(fingerprint(7)), LIMIT)
         self.assertLessEqual(fleet.longest, DATAGRAM_BYTES)
 
     def test_one_node_alone_tries_what_was_held(self) -> None:
@@ -184,7 +184,7 @@
         tried = [
             name
             for name, node in fleet.nodes.items()
-            if node.ledger.admits(fingerprint(7), LIMIT, fleet.now)
+            if node.ledger.try_admit(fingerprint(7), LIMIT, fleet.now)
         ]
         self.assertEqual(len(tried), 1)
 
@@ -192,7 +192,7 @@
         fleet = Fleet(3)
         for number in range(LIMIT):
             fleet.crash(f"n{number}", fingerprint(7))
-        self.assertEqual([log.fields["ends"] for log in fleet.logs], [LOGGED_FROM] * 3)
+        self.assertEqual([log.fields["ends"] for log in fleet.logs], [LOGGED_CRASHES_MIN] * 3)
 
 
 class InnocentTest(unittest.TestCase):
@@ -213,11 +213,11 @@
             fleet.now += 0.5
             running = [self._one(random, seen, repeats, number * 4 + place) for place in range(4)]
             for item in running:
-                ledger.note_end(item, number, fleet.now)
-                if not ledger.admits(item, LIMIT, fleet.now):
+                ledger.record_crash(item, number, fleet.now)
+                if not ledger.try_admit(item, LIMIT, fleet.now):
                     refused.add(item)
                 elif random.random() < answered_share:
-                    ledger.note_answered(item, fleet.now + 0.2)
+                    ledger.record_answer(item, fleet.now + 0.2)
             seen = (seen + running)[-40:]
         return len(refused)
 
--- a/tests/core/membership/test_detector.py
+++ b/tests/core/membership/test_detector.py
@@ -52,7 +52,7 @@
             for action in self.detector.tick(step / 10):
                 self.assertNotIsInstance(action, StatusChanged)
                 if isinstance(action, ProbeDirect):
-                    self.detector.acknowledged(action.sequence)
+                    self.detector.on_acknowledge(action.sequence)
 
     def test_few_of_a_large_fleet_probe_the_only_unreachable_member(self) -> None:
         for index in range(1000):
@@ -75,9 +75,9 @@
         self.assertNotIn(MemberStatus.DEAD, statuses)
 
     def test_a_relayed_probe_is_answered_to_the_requester(self) -> None:
-        probe = self.detector.relay("m1", 77, "m2")
+        probe = self.detector.start_relay("m1", 77, "m2")
         assert probe is not None
-        relayed = self.detector.acknowledged(probe.sequence)
+        relayed = self.detector.on_acknowledge(probe.sequence)
         assert relayed is not None
         self.assertEqual((relayed.requester, relayed.sequence, relayed.target), ("m1", 77, "m2"))
 
--- a/tests/core/membership/test_ring.py
+++ b/tests/core/membership/test_ring.py
@@ -6,13 +6,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pewtertack.core.membership.ring import Ring
+from pewtertack.core.membership.ring import HashRing
 
 NAMES = st.sets(st.text("abcdef", min_size=1, max_size=4), min_size=1, max_size=20)
 
 
-def ring_of(names: set[str]) -> Ring:
-    ring = Ring()
+def ring_of(names: set[str]) -> HashRing:
+    ring = HashRing()
     for name in names:
         ring.add(name)
         ring.add(name)
--- a/tests/core/membership/test_table.py
+++ b/tests/core/membership/test_table.py
@@ -31,11 +31,11 @@
 
     def test_an_unreachable_but_listed_member_counts_for_the_quorum(self) -> None:
         self.table.merge(update("one", 5, MemberStatus.ALIVE), 0.0)
-        self.table.use_list([listed("one")], 0.0)
+        self.table.use_machine_list([listed("one")], 0.0)
         self.table.merge(update("one", 5, MemberStatus.DEAD), 0.0)
         self.table.forget_dead(1000.0)
         self.assertIn("one", self.table.quorum_members(1000.0).zone_of)
-        self.table.use_list([], 1000.0)
+        self.table.use_machine_list([], 1000.0)
         self.table.forget_dead(1000.0)
         self.assertNotIn("one", self.table.quorum_members(1000.0).zone_of)
 
@@ -44,7 +44,7 @@
         self.assertEqual(self.table.quorum_members(0.0).majority, 1)
 
     def test_a_member_that_left_by_plan_does_not_count_once_it_is_found_dead(self) -> None:
-        self.table.use_list([listed("one")], 0.0)
+        self.table.use_machine_list([listed("one")], 0.0)
         self.table.merge(update("one", 5, MemberStatus.LEAVING), 0.0)
         self.table.merge(update("one", 5, MemberStatus.DEAD), 1.0)
         self.assertNotIn("one", self.table.quorum_members(1.0).zone_of)
@@ -53,14 +53,14 @@
         self.assertIn("one", self.table.quorum_members(3.0).zone_of)
 
     def test_a_message_of_a_newer_process_shows_that_it_lives(self) -> None:
-        self.table.use_list([listed("one")], 0.0)
+        self.table.use_machine_list([listed("one")], 0.0)
         self.table.merge(update("one", 0, MemberStatus.DEAD), 0.0)
-        self.table.heard_directly("one", "127.0.0.1:7", 42, 1.0)
-        self.assertEqual(self.table.reachable_processes(), {"one": 42})
+        self.table.record_contact("one", "127.0.0.1:7", 42, 1.0)
+        self.assertEqual(self.table.reachable_incarnations(), {"one": 42})
 
     def test_the_list_does_not_replace_what_members_say(self) -> None:
         self.table.merge(update("one", 5, MemberStatus.SUSPECT), 0.0)
-        self.table.use_list([listed("one")], 1.0)
+        self.table.use_machine_list([listed("one")], 1.0)
         member = self.table.get("one")
         assert member is not None
         self.assertEqual(member.status, MemberStatus.SUSPECT)
--- a/tests/core/replication/test_commit.py
+++ b/tests/core/replication/test_commit.py
@@ -3,7 +3,7 @@
 import unittest
 
 from pewtertack.core.membership.table import QuorumMembers
-from pewtertack.core.replication.commit import CANDIDATES_KEPT, CommitTally
+from pewtertack.core.replication.commit import MAX_CANDIDATES, CommitTally
 from pewtertack.core.revision import RevisionId
 
 QUORUM = QuorumMembers({"a1": "a", "a2": "a", "a3": "a", "b1": "b", "b2": "b"})
@@ -48,5 +48,5 @@
     def test_candidates_are_bounded(self) -> None:
         for number in range(100):
             self.report("a1", revision=RevisionId(number, b""))
-        newest = [self.tally.reports(RevisionId(number, b"")) for number in range(100)]
-        self.assertEqual(sum(newest), CANDIDATES_KEPT)
+        newest = [self.tally.report_count(RevisionId(number, b"")) for number in range(100)]
+        self.assertEqual(sum(newest), MAX_CANDIDATES)
--- a/tests/core/replication/test_join.py
+++ b/tests/core/replication/test_join.py
@@ -21,26 +21,26 @@
         identity = NodeIdentity("self", "127.0.0.1:1", "a", "", 1)
         table = MemberTable(identity, FAST.dead_retention, FAST.forget_after)
         nodes = [Machine(f"a{n}", MachineRole.NODE, "a", f"127.0.0.1:{n}") for n in (1, 2)]
-        table.use_list(nodes, 0.0)
+        table.use_machine_list(nodes, 0.0)
         self.joiner = Joiner("a", FAST, table, (), Random(1))
         self.joiner.start(0.0)
 
     def answer(self, name: str, held: RevisionId = COMMITTED, serving: bool = True) -> None:
         state = VersionState.of(held, COMMITTED, 1, serving)
-        self.joiner.answered(0.0, name, name[0], state)
+        self.joiner.on_answer(0.0, name, name[0], state)
 
     def test_a_held_revision_is_waited_for_until_it_is_committed(self) -> None:
         held = RevisionId(6, b"x")
         self.answer("a1", held)
         self.answer("b1")
-        self.assertFalse(self.joiner.held_wait_over(LONG, COMMITTED))
-        self.assertTrue(self.joiner.held_wait_over(0.0, held))
+        self.assertFalse(self.joiner.is_held_wait_over(LONG, COMMITTED))
+        self.assertTrue(self.joiner.is_held_wait_over(0.0, held))
 
     def test_two_digests_of_one_number_are_not_waited_for_without_limit(self) -> None:
         self.answer("a1", RevisionId(6, b"x"))
         self.answer("b1", RevisionId(6, b"y"))
-        self.assertFalse(self.joiner.held_wait_over(0.0, COMMITTED))
-        self.assertTrue(self.joiner.held_wait_over(FAST.join_hold_wait, COMMITTED))
+        self.assertFalse(self.joiner.is_held_wait_over(0.0, COMMITTED))
+        self.assertTrue(self.joiner.is_held_wait_over(FAST.join_hold_wait, COMMITTED))
 
     def test_a_majority_of_one_zone_is_not_enough(self) -> None:
         for name in ("a1", "a2", "a3"):
--- a/tests/core/replication/test_list_overrides.py
+++ b/tests/core/replication/test_list_overrides.py
@@ -12,7 +12,7 @@
 from pewtertack.core.machine_list_overrides import MachineListOverrides
 from pewtertack.core.machines import Machine, MachineList, MachineRole, MachineState
 from pewtertack.core.replication.list_overrides import (
-    MESSAGES_MAX,
+    MAX_MESSAGES,
     messages_of,
     overrides_against,
 )
@@ -186,7 +186,7 @@
             overrides = overrides_against(of_copy, MachineList(2**40, tuple(believed)))
             told = messages_of(of_copy.number, overrides, lambda name: 5.9)
             with self.subTest(case):
-                self.assertLessEqual(len(told), MESSAGES_MAX)
+                self.assertLessEqual(len(told), MAX_MESSAGES)
                 for message in told:
                     envelope = Envelope("n" * 40, "192.168.100.100:65535", start, 2**40, message)
                     frame = encode_frame(envelope, bytes(32))
--- a/tests/core/replication/test_answers.py
+++ b/tests/core/replication/test_pull_server.py
@@ -4,7 +4,7 @@
 from random import Random
 
 from pewtertack.core.profile import LEASED
-from pewtertack.core.replication.answers import PullServer
+from pewtertack.core.replication.pull_server import PullServer
 from pewtertack.core.replication.store import DocumentStore
 from pewtertack.core.revision import NO_REVISION, revision_id_of
 from pewtertack.wire.messages import Busy, DocumentKind, Pull
--- a/tests/core/replication/test_reader.py
+++ b/tests/core/replication/test_reader.py
@@ -7,7 +7,7 @@
 from pewtertack.core.inputs import DocumentRead, DocumentReadFailed, DocumentUnchanged
 from pewtertack.core.profile import LEASED
 from pewtertack.core.replication.freshness import SourceFreshness
-from pewtertack.core.replication.reader import OVERDUE, PlatformReader
+from pewtertack.core.replication.reader import OVERDUE_SECONDS, PlatformReader
 from pewtertack.wire.messages import DocumentKind
 
 KIND = DocumentKind.CONFIGURATION
@@ -16,13 +16,15 @@
 class AlwaysReads:
     """A readership that tells its node to read."""
 
-    looks_first = True
-    tells_peers = True
+    starts_with_stale_read = True
+    sends_heartbeats = True
 
-    def reads(self, now: float, allowed: bool, joining: bool) -> bool:
+    def should_read(self, now: float, allowed: bool, joining: bool) -> bool:
         return True
 
-    def heard(self, now: float, name: str, in_own_zone: bool, wide_link: bool = False) -> None:
+    def on_heartbeat(
+        self, now: float, name: str, in_own_zone: bool, wide_link: bool = False
+    ) -> None:
         pass
 
 
@@ -45,57 +47,57 @@
 
     def test_a_node_that_holds_nothing_begins_with_what_may_be_stale(self) -> None:
         self.assertEqual(self.wait_asked(0.0, held=0), (True, 0.0))
-        self.reader.answered_stale(0.1, DocumentRead(KIND, 4, {}, stale=True))
+        self.reader.on_stale_document(0.1, DocumentRead(KIND, 4, {}, stale=True))
         self.assertIsNone(self.freshness.ages(0.1).configuration)
 
     def test_the_first_read_after_that_confirms_and_does_not_wait(self) -> None:
         self.assertEqual(self.wait_asked(0.0), (False, 0.0))
-        self.reader.answered(0.1, DocumentUnchanged(KIND))
+        self.reader.on_answer(0.1, DocumentUnchanged(KIND))
         self.assertEqual(self.wait_asked(1.0), (False, LEASED.read_wait))
 
     def test_nor_does_the_first_one_after_a_failure(self) -> None:
         self.read(0.0, 5)
-        self.reader.answered(0.1, DocumentUnchanged(KIND))
+        self.reader.on_answer(0.1, DocumentUnchanged(KIND))
         self.read(1.0, 5)
-        self.reader.failed(1.1, DocumentReadFailed(KIND, "down"))
+        self.reader.on_failure(1.1, DocumentReadFailed(KIND, "down"))
         self.assertEqual(self.wait_asked(5.0), (False, 0.0))
 
     def test_a_read_that_stays_open_confirms_until_it_is_overdue(self) -> None:
         self.read(0.0, 5)
-        self.reader.answered(0.1, DocumentUnchanged(KIND))
+        self.reader.on_answer(0.1, DocumentUnchanged(KIND))
         self.read(1.0, 5)
         self.read(8.0, 5)
         self.assertEqual(self.freshness.ages(8.0).configuration, 0)
-        late = LEASED.read_wait + OVERDUE + 1.0
+        late = LEASED.read_wait + OVERDUE_SECONDS + 1.0
         self.read(late, 5)
         self.assertEqual(self.freshness.ages(late).configuration, round((late - 8.0) * 1000))
 
     def test_one_opened_before_a_pause_does_not(self) -> None:
         self.read(0.0, 5)
-        self.reader.answered(0.1, DocumentUnchanged(KIND))
+        self.reader.on_answer(0.1, DocumentUnchanged(KIND))
         self.read(1.0, 5)
-        self.freshness.forget(4.0, 0.0)
+        self.freshness.reset(4.0, 0.0)
         self.reader.after_pause()
         self.read(4.1, 5)
         self.assertIsNone(self.freshness.ages(4.1).configuration)
 
     def test_the_answer_to_one_opened_before_a_pause_does_not(self) -> None:
         self.read(0.0, 5)
-        self.reader.answered(0.1, DocumentUnchanged(KIND))
+        self.reader.on_answer(0.1, DocumentUnchanged(KIND))
         self.read(1.0, 5)
-        self.freshness.forget(4.0, 0.0)
+        self.freshness.reset(4.0, 0.0)
         self.reader.after_pause()
-        self.reader.answered(4.0, DocumentUnchanged(KIND))
+        self.reader.on_answer(4.0, DocumentUnchanged(KIND))
         self.assertIsNone(self.freshness.ages(4.0).configuration)
         self.assertEqual(self.reader.last_answer_at[KIND], 0.1)
         self.assertEqual(self.wait_asked(4.0), (False, 0.0))
         self.assertIsNone(self.freshness.ages(4.0).configuration)
-        self.reader.answered(4.1, DocumentUnchanged(KIND))
+        self.reader.on_answer(4.1, DocumentUnchanged(KIND))
         self.assertEqual(self.freshness.ages(4.1).configuration, 0)
 
     def test_an_answer_older_than_what_is_held_confirms_nothing(self) -> None:
         self.read(0.0, 5)
-        self.reader.answered_with(0.1, DocumentRead(KIND, 4, {}), 5)
+        self.reader.on_document(0.1, DocumentRead(KIND, 4, {}), 5)
         self.assertIsNone(self.freshness.ages(0.1).configuration)
         self.read(1.0, 5)
         self.read(2.0, 5)
