--- a/tests/core/replication/test_readership.py
+++ b/tests/core/replication/test_readership.py
@@ -8,16 +8,16 @@
 
 from pewtertack.core.identity import NodeIdentity
 from pewtertack.core.machines import Machine, MachineRole
-from pewtertack.core.membership.ring import score_of
+from pewtertack.core.membership.ring import hash_score
 from pewtertack.core.membership.table import MemberTable
 from pewtertack.core.profile import LEASED as ONE_READER
 from pewtertack.core.replication.freshness import SourceFreshness
-from pewtertack.core.replication.readership import LeasedReadership, ReadershipParts
+from pewtertack.core.replication.readership import LeasedReadership, ReadershipInputs
 from pewtertack.wire.messages import DocumentKind
 
 LEASED = msgspec.structs.replace(ONE_READER, readers_per_zone=2)
 STEP = LEASED.volunteer_step
-NAMES = sorted((f"node-{index}" for index in range(40)), key=score_of)
+NAMES = sorted((f"node-{index}" for index in range(40)), key=hash_score)
 """By rank: the first two read."""
 
 
@@ -31,8 +31,10 @@
         identity = NodeIdentity(NAMES[rank], "127.0.0.1:1", "a", "", 1)
         table = MemberTable(identity, 20.0, 600.0)
         machines = [Machine(name, MachineRole.NODE, "a", "127.0.0.1:2") for name in names or NAMES]
-        table.use_list([item for item in machines if item.name != identity.name], 0.0)
-        parts = ReadershipParts(identity, LEASED, table, self.freshness, False, wide_link=wide_link)
+        table.use_machine_list([item for item in machines if item.name != identity.name], 0.0)
+        parts = ReadershipInputs(
+            identity, LEASED, table, self.freshness, False, wide_link=wide_link
+        )
         return LeasedReadership(parts)
 
     def confirm(self, at: float) -> None:
@@ -42,7 +44,7 @@
     def first_read(self, node: LeasedReadership, until: float) -> float | None:
         """Return when the node begins to read, asked at every tick."""
         for tick in range(round(until / LEASED.tick) + 1):
-            if node.reads(tick * LEASED.tick, True, False):
+            if node.should_read(tick * LEASED.tick, True, False):
                 return tick * LEASED.tick
         return None
 
@@ -55,16 +57,16 @@
 
     def test_every_node_of_a_small_fleet_reads(self) -> None:
         few = NAMES[: LEASED.reads_alone_below - 1]
-        self.assertTrue(self.node(len(few) - 1, few).reads(0.0, True, False))
+        self.assertTrue(self.node(len(few) - 1, few).should_read(0.0, True, False))
 
     def test_a_node_that_may_not_read_does_not(self) -> None:
-        self.assertFalse(self.node(0).reads(0.0, False, False))
+        self.assertFalse(self.node(0).should_read(0.0, False, False))
 
     def test_while_the_sources_word_is_recent_nobody_takes_over(self) -> None:
         node = self.node(2)
         for tick in range(100):
             self.confirm(tick * 0.1)
-            self.assertFalse(node.reads(tick * 0.1, True, False))
+            self.assertFalse(node.should_read(tick * 0.1, True, False))
 
     def test_silent_readers_are_replaced_in_the_order_of_rank(self) -> None:
         begun = [self.first_read(self.node(rank), 30.0) for rank in (2, 3, 5, 20)]
@@ -81,24 +83,24 @@
         took_over = self.first_read(node, 5.0)
         assert took_over is not None
         self.confirm(took_over)
-        self.assertTrue(node.reads(took_over + 0.1, True, False))
-        node.heard(took_over + 0.2, NAMES[0], True)
-        node.heard(took_over + 0.2, NAMES[9], True)  # after it by score: it yields itself
-        node.heard(took_over + 0.2, NAMES[1], False)  # another zone's
-        self.assertTrue(node.reads(took_over + 0.3, True, False))
-        node.heard(took_over + 0.4, NAMES[3], True)
+        self.assertTrue(node.should_read(took_over + 0.1, True, False))
+        node.on_heartbeat(took_over + 0.2, NAMES[0], True)
+        node.on_heartbeat(took_over + 0.2, NAMES[9], True)  # after it by score: it yields itself
+        node.on_heartbeat(took_over + 0.2, NAMES[1], False)  # another zone's
+        self.assertTrue(node.should_read(took_over + 0.3, True, False))
+        node.on_heartbeat(took_over + 0.4, NAMES[3], True)
         self.confirm(took_over + 0.4)
-        self.assertFalse(node.reads(took_over + 0.5, True, False))
+        self.assertFalse(node.should_read(took_over + 0.5, True, False))
 
     def test_readers_that_fall_silent_again_do_not_count(self) -> None:
         node = self.node(4)
         took_over = self.first_read(node, 5.0)
         assert took_over is not None
-        node.heard(took_over, NAMES[0], True)
+        node.on_heartbeat(took_over, NAMES[0], True)
         later = took_over + LEASED.reader_lease + 0.1
-        node.heard(later, NAMES[1], True)
+        node.on_heartbeat(later, NAMES[1], True)
         self.confirm(later)
-        self.assertTrue(node.reads(later, True, False))
+        self.assertTrue(node.should_read(later, True, False))
 
 
 class ReaderChangesTest(ReadershipTestCase):
@@ -111,10 +113,10 @@
             now = tick * LEASED.tick
             if heard:
                 for rank in (0, 1):
-                    node.heard(now, NAMES[rank], True)
+                    node.on_heartbeat(now, NAMES[rank], True)
             if now % every < LEASED.tick:
                 self.confirm(now)
-            if node.reads(now, True, False) != reading:
+            if node.should_read(now, True, False) != reading:
                 count, reading = count + 1, not reading
         return count
 
@@ -138,11 +140,11 @@
         for tick, (heard, confirmed) in enumerate(ticks):
             now = tick * LEASED.tick
             if heard:
-                node.heard(now, NAMES[0], True)
-                node.heard(now, NAMES[1], True)
+                node.on_heartbeat(now, NAMES[0], True)
+                node.on_heartbeat(now, NAMES[1], True)
             if confirmed:
                 self.confirm(now)
-            if node.reads(now, True, False) != reading:
+            if node.should_read(now, True, False) != reading:
                 count, reading = count + 1, not reading
         seconds = len(ticks) * LEASED.tick
         self.assertLessEqual(count, 2 * (seconds / LEASED.reader_lease + 1))
@@ -158,20 +160,20 @@
 
     def test_the_oldest_document_counts(self) -> None:
         self.freshness.confirm(DocumentKind.CONFIGURATION, 4.0)
-        self.freshness.hear(5.0, DocumentKind.MACHINE_LIST, 3000)
-        self.assertEqual(self.freshness.oldest(5.0), 3.0)
+        self.freshness.record_peer_age(5.0, DocumentKind.MACHINE_LIST, 3000)
+        self.assertEqual(self.freshness.max_age(5.0), 3.0)
 
     def test_an_older_word_does_not_take_a_newer_one_back(self) -> None:
         for age in (100, 2000):
-            self.freshness.hear(5.0, DocumentKind.CONFIGURATION, age)
+            self.freshness.record_peer_age(5.0, DocumentKind.CONFIGURATION, age)
         self.assertAlmostEqual(self.freshness.age(5.0, DocumentKind.CONFIGURATION), 0.1)
 
     def test_words_that_came_during_a_pause_count_for_nothing(self) -> None:
         self.freshness.confirm(DocumentKind.CONFIGURATION, 1.0)
-        self.freshness.forget(9.0, 0.3)
-        self.freshness.hear(9.1, DocumentKind.CONFIGURATION, 0)
+        self.freshness.reset(9.0, 0.3)
+        self.freshness.record_peer_age(9.1, DocumentKind.CONFIGURATION, 0)
         self.assertIsNone(self.freshness.ages(9.1).configuration)
-        self.freshness.hear(9.4, DocumentKind.CONFIGURATION, 50)
+        self.freshness.record_peer_age(9.4, DocumentKind.CONFIGURATION, 50)
         self.assertEqual(self.freshness.ages(9.4).configuration, 50)
 
 
@@ -190,18 +192,18 @@
 
     def test_the_chosen_by_hash_stop_while_enough_with_wide_links_are_heard(self) -> None:
         chosen = self.node(0)
-        self.assertTrue(chosen.reads(0.0, True, False))
+        self.assertTrue(chosen.should_read(0.0, True, False))
         for reader in (10, 30):
-            chosen.heard(1.0, NAMES[reader], True, wide_link=True)
-        self.assertFalse(chosen.reads(1.1, True, False))
-        self.assertTrue(chosen.reads(1.1 + LEASED.reader_lease, True, False))
+            chosen.on_heartbeat(1.0, NAMES[reader], True, wide_link=True)
+        self.assertFalse(chosen.should_read(1.1, True, False))
+        self.assertTrue(chosen.should_read(1.1 + LEASED.reader_lease, True, False))
 
     def test_readers_of_other_zones_or_with_narrow_links_stop_nobody_before_them(self) -> None:
         chosen = self.node(0)
         for reader in (10, 30):
-            chosen.heard(1.0, NAMES[reader], False, wide_link=True)
-            chosen.heard(1.0, NAMES[reader], True, wide_link=False)
-        self.assertTrue(chosen.reads(1.1, True, False))
+            chosen.on_heartbeat(1.0, NAMES[reader], False, wide_link=True)
+            chosen.on_heartbeat(1.0, NAMES[reader], True, wide_link=False)
+        self.assertTrue(chosen.should_read(1.1, True, False))
 
     def test_of_many_with_wide_links_only_the_first_read(self) -> None:
         late = self.node(20, wide_link=True)
@@ -209,16 +211,16 @@
             now = tick * 0.1
             self.confirm(now)
             for rank in (0, 1):
-                late.heard(now, NAMES[rank], True, wide_link=True)
-            self.assertFalse(late.reads(now, True, False))
+                late.on_heartbeat(now, NAMES[rank], True, wide_link=True)
+            self.assertFalse(late.should_read(now, True, False))
 
     def test_one_that_joins_and_hears_of_no_reader_begins_at_once_and_goes_on(self) -> None:
         for rank in (3, 20):
             joiner = self.node(rank, wide_link=True)
-            begun = [tick for tick in range(200) if joiner.reads(tick * 0.01, False, True)][0]
+            begun = [tick for tick in range(200) if joiner.should_read(tick * 0.01, False, True)][0]
             self.assertLessEqual(begun * 0.01, rank * LEASED.joiner_step + 0.01)
             self.confirm(begun * 0.01)
-            self.assertTrue(joiner.reads(begun * 0.01 + 0.01, True, False))
+            self.assertTrue(joiner.should_read(begun * 0.01 + 0.01, True, False))
 
     def test_one_that_joins_where_readers_are_heard_does_not(self) -> None:
         joiner = self.node(20, wide_link=True)
@@ -226,14 +228,14 @@
             now = tick * 0.1
             self.confirm(now)
             for rank in (0, 1):
-                joiner.heard(now, NAMES[rank], True, wide_link=True)
-            self.assertFalse(joiner.reads(now, False, True))
+                joiner.on_heartbeat(now, NAMES[rank], True, wide_link=True)
+            self.assertFalse(joiner.should_read(now, False, True))
 
     def test_one_with_a_wide_link_does_not_wait_for_those_with_narrow_ones(self) -> None:
         wide = self.node(5, wide_link=True)
-        wide.reads(0.0, True, False)
+        wide.should_read(0.0, True, False)
         now = 6 * STEP
         self.confirm(now)
         for rank in (0, 1):
-            wide.heard(now, NAMES[rank], True, wide_link=False)
-        self.assertTrue(wide.reads(now, True, False))
+            wide.on_heartbeat(now, NAMES[rank], True, wide_link=False)
+        self.assertTrue(wide.should_read(now, True, False))
--- a/tests/core/replication/test_refusals.py
+++ b/tests/core/replication/test_rejections.py
@@ -5,7 +5,7 @@
 
 from pewtertack.core.effects import Effect, Log
 from pewtertack.core.profile import Mechanisms
-from pewtertack.core.replication.refusals import REPEAT_SECONDS, RefusalWatch
+from pewtertack.core.replication.rejections import REPEAT_LOG_SECONDS, RejectionMonitor
 from pewtertack.core.replication.replica import ConfigurationReplica
 from pewtertack.events import Event
 from tests.core.replication.test_replica import tree
@@ -20,7 +20,7 @@
 class RefusalWatchTest(unittest.TestCase):
     def setUp(self) -> None:
         self.replica = ConfigurationReplica("zone", Mechanisms())
-        self.watch = RefusalWatch(self.replica)
+        self.watch = RejectionMonitor(self.replica)
         self.replica.offer_document(5, tree("1s"))
 
     def ticks(self, begin: float, seconds: int) -> list[Effect]:
@@ -32,7 +32,7 @@
 
     def test_a_refusal_is_logged_again_each_minute_while_it_lasts(self) -> None:
         self.replica.offer_document(6, bad_tree())
-        logs = self.ticks(100.0, 3 * int(REPEAT_SECONDS) + 1)
+        logs = self.ticks(100.0, 3 * int(REPEAT_LOG_SECONDS) + 1)
         self.assertEqual(self.watch.since, 100.0)
         told = [log for log in logs if isinstance(log, Log)]
         self.assertEqual([log.event for log in told], [Event.REVISION_REJECTED] * 3)
--- a/tests/core/replication/test_inquiry.py
+++ b/tests/core/replication/test_restore_inquiry.py
@@ -8,7 +8,7 @@
 from pewtertack.core.membership.table import MemberTable
 from pewtertack.core.new_entries import COPY_AGE_MAX_SECONDS, NEW_ENTRY_WAIT_SECONDS
 from pewtertack.core.profile import LEASED
-from pewtertack.core.replication.inquiry import ENOUGH_PEERS, ReturnInquiry
+from pewtertack.core.replication.restore_inquiry import REQUIRED_ANSWERS, RestoreInquiry
 from pewtertack.core.revision import NO_REVISION
 from pewtertack.wire.messages import MemberStatus, MemberUpdate, VersionState
 
@@ -27,11 +27,11 @@
         for number, name in enumerate(PEERS, 2):
             address = f"127.0.0.1:{number}"
             table.merge(MemberUpdate(name, address, "a", "", 1, MemberStatus.ALIVE), 0.0)
-        self.inquiry = ReturnInquiry(LEASED, table, Random(1), HOLD, 0.0)
+        self.inquiry = RestoreInquiry(LEASED, table, Random(1), HOLD, 0.0)
 
     def asked(self, since: float, seconds: float) -> list[str]:
         times = [since + step * LEASED.tick for step in range(round(seconds / LEASED.tick))]
-        return [name for now in times for name in self.inquiry.names_to_ask(now)]
+        return [name for now in times for name in self.inquiry.peers_to_ask(now)]
 
     def test_nobody_is_asked_in_era_0(self) -> None:
         self.assertEqual(self.asked(0.0, 10.0), [])
@@ -40,14 +40,14 @@
     def test_serving_peers_of_the_era_are_asked_for_until_enough_have_answered(self) -> None:
         self.inquiry.begin_era(0.1, 2)
         self.assertTrue(self.inquiry.is_pending(0.2))
-        self.assertGreaterEqual(len(set(self.asked(0.1, 0.5))), ENOUGH_PEERS)
-        self.assertTrue(self.inquiry.answered(PEERS[0], state(1)))
-        self.assertFalse(self.inquiry.answered(PEERS[1], state(2, serving=False)))
+        self.assertGreaterEqual(len(set(self.asked(0.1, 0.5))), REQUIRED_ANSWERS)
+        self.assertTrue(self.inquiry.on_join_answer(PEERS[0], state(1)))
+        self.assertFalse(self.inquiry.on_join_answer(PEERS[1], state(2, serving=False)))
         self.assertTrue(self.inquiry.is_pending(0.6))
         with self.subTest("who did not know the era is asked again"):
             self.assertIn(PEERS[0], self.asked(0.6, 0.3))
-        for name in PEERS[:ENOUGH_PEERS]:
-            self.assertFalse(self.inquiry.answered(name, state(2)))
+        for name in PEERS[:REQUIRED_ANSWERS]:
+            self.assertFalse(self.inquiry.on_join_answer(name, state(2)))
             self.assertFalse(self.inquiry.is_pending(0.6))
         self.assertEqual(self.asked(1.0, 4.0), [])
         with self.subTest("a later era"):
@@ -74,6 +74,6 @@
         self.inquiry.begin_era(0.1, 2)
         self.assertTrue(self.inquiry.doubts_copy(0.2))
         self.assertFalse(self.inquiry.doubts_copy(0.1 + NEW_ENTRY_WAIT_SECONDS))
-        for name in PEERS[:ENOUGH_PEERS]:
-            self.inquiry.answered(name, state(2))
+        for name in PEERS[:REQUIRED_ANSWERS]:
+            self.inquiry.on_join_answer(name, state(2))
         self.assertFalse(self.inquiry.doubts_copy(0.2))
--- a/tests/core/replication/test_slow_source.py
+++ b/tests/core/replication/test_slow_source.py
@@ -12,7 +12,7 @@
 from pewtertack.core.inputs import DocumentRead, DocumentReadFailed, DocumentUnchanged
 from pewtertack.core.profile import LEASED
 from pewtertack.core.replication.freshness import SourceFreshness
-from pewtertack.core.replication.open_reads import OPEN_READS_MAX
+from pewtertack.core.replication.open_reads import MAX_OPEN_READS
 from pewtertack.core.replication.reader import PlatformReader
 from pewtertack.wire.messages import DocumentKind
 from tests.core.replication.test_reader import AlwaysReads
@@ -80,12 +80,12 @@
             _, number, answer = heapq.heappop(self._answers)
             self.open -= 1
             if answer is None:
-                self.reader.failed(self.now, DocumentReadFailed(KIND, "silent", read_id=number))
+                self.reader.on_failure(self.now, DocumentReadFailed(KIND, "silent", read_id=number))
             elif isinstance(answer, DocumentUnchanged):
-                self.reader.answered(self.now, answer)
+                self.reader.on_answer(self.now, answer)
             else:
                 held = max(self.told, default=1)
-                self.reader.answered_with(self.now, answer, held)
+                self.reader.on_document(self.now, answer, held)
                 self.told.setdefault(answer.number, self.now)
 
     def latency(self, number: int) -> float:
@@ -136,7 +136,7 @@
     def test_a_silent_source_is_asked_by_few_reads_at_once_and_at_a_bounded_rate(self) -> None:
         source = VirtualSource(lambda now: 0.004 if now < 1.0 else None)
         source.run(60.0)
-        self.assertLessEqual(source.open_most, OPEN_READS_MAX)
+        self.assertLessEqual(source.open_most, MAX_OPEN_READS)
         self.assertLessEqual(len(source.reads), 40)
 
     def test_it_is_not_claimed_to_be_current(self) -> None:
@@ -173,7 +173,7 @@
         for number in range(2, len(changes) + 2):
             bound = 2 * slowest + LEASED.read_overlap + 2.0
             self.assertLessEqual(source.latency(number), bound)
-        self.assertLessEqual(source.open_most, OPEN_READS_MAX)
+        self.assertLessEqual(source.open_most, MAX_OPEN_READS)
 
 
 if __name__ == "__main__":
--- a/tests/core/replication/test_source_eras.py
+++ b/tests/core/replication/test_source_eras.py
@@ -58,7 +58,7 @@
         return VersionState.of(TREE_ID, TREE_ID, list_number(era, revision), True)
 
     def age(self) -> float:
-        return self.core.replication.freshness.oldest(self.now)
+        return self.core.replication.freshness.max_age(self.now)
 
     def test_an_open_read_confirms_until_a_later_era_is_heard_of(self) -> None:
         self.tick(1.0)
@@ -77,7 +77,7 @@
     def test_a_reader_of_an_earlier_era_confirms_and_changes_nothing(self) -> None:
         self.core.handle(self.now, self.listed(2, 4))
         number = self.core.replication.machine_list.revision.number
-        self.core.replication.freshness.forget(self.now, 0.0)
+        self.core.replication.freshness.reset(self.now, 0.0)
         digest = revision_id_of(1, MACHINES).digest
         self.from_peer(ReaderHeartbeat(self.state(1, 30), digest, SourceAges(0, 0)))
         late = revision_id_of(list_number(1, 40), {})
--- a/tests/core/replication/test_stages.py
+++ b/tests/core/replication/test_stages.py
@@ -2,7 +2,12 @@
 
 import unittest
 
-from pewtertack.core.replication.stages import REVISIONS_KEPT, Stage, StageLog, Way
+from pewtertack.core.replication.stages import (
+    MAX_TRACKED_REVISIONS,
+    DeliveryChannel,
+    Stage,
+    StageLog,
+)
 
 
 class StageLogTest(unittest.TestCase):
@@ -10,52 +15,54 @@
         self.log = StageLog()
 
     def test_each_stage_counts_from_the_first_word(self) -> None:
-        self.assertTrue(self.log.hear(1.0, 7))
-        self.assertFalse(self.log.hear(1.5, 7))
-        held = self.log.hold(2.0, 7, Way.DELTA)
-        self.assertEqual((held.way, held.seconds_to(Stage.HELD)), (Way.DELTA, 1.0))
-        self.assertEqual(self.log.commit(2.5, 7).seconds_to(Stage.COMMITTED), 1.5)
-        self.assertEqual(self.log.bring_into_force(4.0, 7).seconds_to(Stage.IN_FORCE), 3.0)
+        self.assertTrue(self.log.record_reported(1.0, 7))
+        self.assertFalse(self.log.record_reported(1.5, 7))
+        held = self.log.record_held(2.0, 7, DeliveryChannel.DELTA)
+        self.assertEqual((held.channel, held.seconds_to(Stage.HELD)), (DeliveryChannel.DELTA, 1.0))
+        self.assertEqual(self.log.record_committed(2.5, 7).seconds_to(Stage.COMMITTED), 1.5)
+        self.assertEqual(self.log.record_in_force(4.0, 7).seconds_to(Stage.IN_FORCE), 3.0)
 
     def test_a_stage_is_reached_once(self) -> None:
-        self.log.hold(2.0, 7, Way.SNAPSHOT)
-        again = self.log.hold(3.0, 7, Way.SOURCE)
-        self.assertEqual((again.reached_at[Stage.HELD], again.way), (2.0, Way.SNAPSHOT))
+        self.log.record_held(2.0, 7, DeliveryChannel.SNAPSHOT)
+        again = self.log.record_held(3.0, 7, DeliveryChannel.SOURCE)
+        self.assertEqual(
+            (again.reached_at[Stage.HELD], again.channel), (2.0, DeliveryChannel.SNAPSHOT)
+        )
 
     def test_a_node_is_behind_from_the_first_word_until_that_is_in_force(self) -> None:
         self.assertIsNone(self.log.behind_since)
-        self.log.hear(1.0, 7)
-        self.log.hear(2.0, 8)
+        self.log.record_reported(1.0, 7)
+        self.log.record_reported(2.0, 8)
         self.assertEqual(self.log.behind_since, 1.0)
-        self.log.bring_into_force(3.0, 7)
-        self.assertEqual((self.log.behind_since, self.log.newest_heard), (2.0, 8))
-        self.log.bring_into_force(4.0, 8)
+        self.log.record_in_force(3.0, 7)
+        self.assertEqual((self.log.behind_since, self.log.newest_reported), (2.0, 8))
+        self.log.record_in_force(4.0, 8)
         self.assertIsNone(self.log.behind_since)
 
     def test_a_word_of_what_is_in_force_or_older_makes_nobody_behind(self) -> None:
-        self.log.bring_into_force(3.0, 8)
-        self.assertFalse(self.log.hear(4.0, 8))
-        self.assertFalse(self.log.hear(4.0, 5))
+        self.log.record_in_force(3.0, 8)
+        self.assertFalse(self.log.record_reported(4.0, 8))
+        self.assertFalse(self.log.record_reported(4.0, 5))
         self.assertIsNone(self.log.behind_since)
         self.assertEqual([item.number for item in self.log.recent()], [8])
 
     def test_a_revision_that_is_passed_over_ends_being_behind(self) -> None:
-        self.log.hear(1.0, 7)
-        self.log.bring_into_force(2.0, 9)
+        self.log.record_reported(1.0, 7)
+        self.log.record_in_force(2.0, 9)
         self.assertIsNone(self.log.behind_since)
 
     def test_the_newest_revisions_are_kept(self) -> None:
         for number in range(1, 1000):
-            self.log.hear(float(number), number)
+            self.log.record_reported(float(number), number)
         kept = [item.number for item in self.log.recent()]
-        self.assertEqual(kept, list(range(999, 999 - REVISIONS_KEPT, -1)))
+        self.assertEqual(kept, list(range(999, 999 - MAX_TRACKED_REVISIONS, -1)))
         self.assertEqual(self.log.behind_since, 1.0)
 
     def test_an_older_revision_than_all_kept_is_noted_without_growth(self) -> None:
-        for number in range(10, 10 + REVISIONS_KEPT):
-            self.log.hear(1.0, number)
-        self.assertEqual(self.log.bring_into_force(5.0, 3).number, 3)
-        self.assertEqual(len(self.log.recent()), REVISIONS_KEPT)
+        for number in range(10, 10 + MAX_TRACKED_REVISIONS):
+            self.log.record_reported(1.0, number)
+        self.assertEqual(self.log.record_in_force(5.0, 3).number, 3)
+        self.assertEqual(len(self.log.recent()), MAX_TRACKED_REVISIONS)
         self.assertEqual(self.log.behind_since, 1.0)
 
 
--- a/tests/core/replication/test_store.py
+++ b/tests/core/replication/test_store.py
@@ -3,7 +3,7 @@
 import unittest
 from typing import Any
 
-from pewtertack.core.replication.store import EDITS_KEPT, DocumentStore
+from pewtertack.core.replication.store import MAX_EDITS, DocumentStore
 from pewtertack.core.revision import RevisionId, revision_id_of
 
 
@@ -17,7 +17,7 @@
         self.store = DocumentStore()
 
     def put(self, number: int, document: dict[str, Any]) -> RevisionId:
-        shared = self.store.share(document)
+        shared = self.store.share_with_newest(document)
         self.store.put(revision_id_of(number, document), shared)
         return self.store.revision
 
@@ -31,13 +31,13 @@
 
     def test_one_addition_is_told_as_a_change_however_long(self) -> None:
         first = self.put(1, tree(10))
-        self.put(2, tree(EDITS_KEPT + 500))
+        self.put(2, tree(MAX_EDITS + 500))
         self.assertIsNotNone(self.store.deltas_since(first))
 
     def test_more_edits_than_entries_are_told_as_a_whole(self) -> None:
-        first = self.put(1, tree(EDITS_KEPT))
-        second = self.put(2, tree(EDITS_KEPT, "2s"))
-        self.put(3, tree(EDITS_KEPT, "3s"))
+        first = self.put(1, tree(MAX_EDITS))
+        second = self.put(2, tree(MAX_EDITS, "2s"))
+        self.put(3, tree(MAX_EDITS, "3s"))
         self.assertIsNone(self.store.deltas_since(first))
         self.assertIsNotNone(self.store.deltas_since(second))
 
--- a/tests/core/test_node.py
+++ b/tests/core/test_node.py
@@ -77,12 +77,12 @@
         self.serve()
         self.now += LONG_PAUSE
         self.feed(answer_about(own_name(START, MemberStatus.DEAD)))
-        self.assertEqual(self.core.membership.own.incarnation, START + 1)
+        self.assertEqual(self.core.membership.own_update.incarnation, START + 1)
         self.assertEqual(self.core.phase, NodePhase.JOINING)
 
     def test_a_replacement_whose_clock_is_behind_outranks_its_predecessor(self) -> None:
         self.feed(answer_about(own_name(START + 60_000, MemberStatus.DEAD)))
-        self.assertEqual(self.core.membership.own.incarnation, START + 60_001)
+        self.assertEqual(self.core.membership.own_update.incarnation, START + 60_001)
         self.assertEqual(self.core.phase, NodePhase.JOINING)
 
     def test_a_message_handled_before_the_ticker_already_notices_the_pause(self) -> None:
--- a/tests/core/test_reads_of_node.py
+++ b/tests/core/test_reads_of_node.py
@@ -46,9 +46,9 @@
         self.now = 1.5
         fields = self.fail(ReadFailure.SLOW)
         self.assertEqual(fields, {"reason": "reason", "failure": "slow", "seconds": 1.5})
-        self.assertEqual((self.read.oldest, self.read.failures), (None, 1))
+        self.assertEqual((self.read.oldest, self.read.failure_count), (None, 1))
         self.assertEqual(self.fail(None), {"reason": "reason"})
-        self.assertEqual(self.read.failures, 2)
+        self.assertEqual(self.read.failure_count, 2)
 
     def test_of_several_open_reads_each_has_its_own_time(self) -> None:
         kind = DocumentKind.CONFIGURATION
@@ -75,7 +75,7 @@
         for answer in (DocumentUnchanged(kind), DocumentRead(kind, 7, TREE)):
             self.fail(ReadFailure.SILENT)
             self.feed(answer)
-            self.assertEqual((self.read.failures, self.read.last_failure), (0, None))
+            self.assertEqual((self.read.failure_count, self.read.last_failure), (0, None))
 
 
 if __name__ == "__main__":
--- a/tests/core/test_stages_of_node.py
+++ b/tests/core/test_stages_of_node.py
@@ -15,7 +15,7 @@
 )
 from pewtertack.core.node import NodeCore
 from pewtertack.core.profile import DIRECT, SourceProperties
-from pewtertack.core.replication.stages import Stage, Way
+from pewtertack.core.replication.stages import DeliveryChannel, Stage
 from pewtertack.core.revision import RevisionId, revision_id_of
 from pewtertack.events import Event
 from pewtertack.wire.messages import (
@@ -83,7 +83,9 @@
             self.assertEqual((told["way"], told["since_heard"]), ("source", 0.0))
         reached = [item for item in effects if isinstance(item, StageReached)]
         stages = (Stage.HELD, Stage.COMMITTED, Stage.IN_FORCE)
-        self.assertEqual(reached, [StageReached(stage, Way.SOURCE, 0.0) for stage in stages])
+        self.assertEqual(
+            reached, [StageReached(stage, DeliveryChannel.SOURCE, 0.0) for stage in stages]
+        )
         self.assertIsNone(self.log.behind_since)
 
     def test_a_peers_word_is_told_once_and_makes_the_node_behind(self) -> None:
@@ -92,9 +94,9 @@
         self.assertEqual((told["revision"], told["peer"]), (9, PEER.name))
         self.advance_to(5.5)
         self.assertEqual(self.fields(self.hear(NEW), Event.REVISION_HEARD), [])
-        self.assertEqual((self.log.behind_since, self.log.newest_heard), (5.0, 9))
+        self.assertEqual((self.log.behind_since, self.log.newest_reported), (5.0, 9))
 
-    def check_arrival(self, message: Any, way: Way) -> None:
+    def check_arrival(self, message: Any, way: DeliveryChannel) -> None:
         self.advance_to(5.0)
         self.hear(NEW)
         self.advance_to(7.25)
@@ -107,24 +109,24 @@
         self.assertIsNone(self.log.behind_since)
 
     def test_the_way_of_a_delta(self) -> None:
-        self.check_arrival(self.delta(), Way.DELTA)
+        self.check_arrival(self.delta(), DeliveryChannel.DELTA)
 
     def test_the_way_of_a_snapshot(self) -> None:
         snapshot = SnapshotAnswer(DocumentKind.CONFIGURATION, NEW, tree("new"))
-        self.check_arrival(snapshot, Way.SNAPSHOT)
+        self.check_arrival(snapshot, DeliveryChannel.SNAPSHOT)
 
     def test_the_way_of_a_heartbeat(self) -> None:
         state = VersionState.of(NEW, NEW, 1, True)
         digest = self.core.replication.machine_list.revision.digest
         beat = ReaderHeartbeat(state, digest, SourceAges(0, 0), (self.delta(),))
-        self.check_arrival(beat, Way.HEARTBEAT)
+        self.check_arrival(beat, DeliveryChannel.HEARTBEAT)
 
     def test_a_rejected_revision_leaves_the_node_behind(self) -> None:
         self.advance_to(5.0)
         wrong = {**TREE, "services": {}}
         effects = self.feed(DocumentRead(DocumentKind.CONFIGURATION, 9, wrong))
         self.assertEqual(len(self.fields(effects, Event.REVISION_REJECTED)), 1)
-        self.assertEqual((self.log.behind_since, self.log.newest_heard), (5.0, 9))
+        self.assertEqual((self.log.behind_since, self.log.newest_reported), (5.0, 9))
 
     def test_a_holders_report_tells_of_its_revision(self) -> None:
         self.core = self.node(SourceProperties())
--- a/tests/node/proxy/test_unread_bodies.py
+++ b/tests/node/proxy/test_unread_bodies.py
@@ -4,7 +4,7 @@
 from typing import Any
 from unittest import mock
 
-from pewtertack.core.crashes.fingerprint import BEGINNING_BYTES
+from pewtertack.core.crashes.fingerprint import BODY_PREFIX_BYTES
 from pewtertack.node.proxy import body as bodies
 from pewtertack.node.proxy.body import BufferedBodies, RequestBody
 from pewtertack.routing.outcomes import BodiesFullError
@@ -44,7 +44,7 @@
         self.assertEqual(sum([len(chunk) async for chunk in second.stream()]), 6 * len(CHUNK))
         self.assertFalse(second.replayable)
         self.assertEqual(self.kept.byte_count, LIMIT)
-        self.assertGreaterEqual(len(second.beginning or b""), BEGINNING_BYTES)
+        self.assertGreaterEqual(len(second.beginning or b""), BODY_PREFIX_BYTES)
 
     async def test_a_request_that_has_ended_keeps_nothing(self) -> None:
         ended = [self.body(chunks) for chunks in (1, 3, 9)]
@@ -60,5 +60,5 @@
     async def test_the_beginning_is_kept_in_any_case(self) -> None:
         await self.body(6).read_ahead()
         late = self.body(2)
-        await late.read_ahead(BEGINNING_BYTES)
-        self.assertEqual(len(late.beginning or b""), BEGINNING_BYTES)
+        await late.read_ahead(BODY_PREFIX_BYTES)
+        self.assertEqual(len(late.beginning or b""), BODY_PREFIX_BYTES)
--- a/tests/node/test_runtime.py
+++ b/tests/node/test_runtime.py
@@ -33,7 +33,7 @@
     WorkContinued,
 )
 from pewtertack.core.machines import MachineList
-from pewtertack.core.replication.stages import Stage, Way
+from pewtertack.core.replication.stages import DeliveryChannel, Stage
 from pewtertack.events import Event
 from pewtertack.log import EventLog
 from pewtertack.node.admin import mask_secrets
@@ -124,7 +124,7 @@
 
     async def test_the_stages_of_revisions_are_observed(self) -> None:
         seen = Histogram("h", "", ("stage", "way"), (1.0, 2.0))
-        core = ScriptedCore({Ticked: [StageReached(Stage.HELD, Way.DELTA, 1.5)]})
+        core = ScriptedCore({Ticked: [StageReached(Stage.HELD, DeliveryChannel.DELTA, 1.5)]})
         log = EventLog("n", 5, self.output)
         parts = (self.gate, self.transport, self.reader, self.proxy, log)
         Runtime(core, 0.001, *parts, stages=seen).feed(Ticked())
--- a/tests/node/test_view.py
+++ b/tests/node/test_view.py
@@ -90,7 +90,7 @@
         self.assertEqual(self.status().reads, {})
         self.core.replication.reader.reading = True
         self.assertEqual(self.status().reads["configuration"].failures, 1)
-        self.core.replication.reader.answer_times.note(1.23456)
+        self.core.replication.reader.answer_times.record(1.23456)
         self.assertEqual(self.status().source_answer_seconds, 1.235)
         self.core.replication.reader.reading = False
         self.assertIsNone(self.status().source_answer_seconds)
--- a/tests/platform/test_returns_in_series.py
+++ b/tests/platform/test_returns_in_series.py
@@ -121,7 +121,7 @@
     def has_seen_end(self) -> bool:
         """Tell whether no node evacuates, and most have seen an evacuation end."""
         nodes = self.fleet.nodes
-        seen = [node for node in nodes if node.core.replication._ended.ended]
+        seen = [node for node in nodes if node.core.replication._ended_evacuations.ended]
         return not any(node.evacuated for node in nodes) and 2 * len(seen) > len(nodes)
 
     def known_to(self, node: FleetNode, left: dict[str, set[str]]) -> set[str]:
--- a/tools/measure_change.py
+++ b/tools/measure_change.py
@@ -27,7 +27,7 @@
 from pewtertack.core.node import NodeCore
 from pewtertack.core.profile import LEASED, SourceProperties
 from pewtertack.core.replication import replica, service, store
-from pewtertack.core.replication.answers import PullServer
+from pewtertack.core.replication.pull_server import PullServer
 from pewtertack.core.replication.store import DocumentStore
 from pewtertack.core.revision import NO_REVISION
 from pewtertack.node import garbage_collection
@@ -195,7 +195,7 @@
 
     def answer(self, have: Any) -> Message:
         """Return the answer to a peer that holds ``have``."""
-        server: PullServer = self.core.replication._server  # noqa: SLF001 - its time is asked for
+        server: PullServer = self.core.replication._pull_server  # noqa: SLF001 - its time is asked for
         found = server.answer(0.0, Pull(DocumentKind.CONFIGURATION, have))
         assert found is not None
         return found
@@ -275,7 +275,7 @@
         (FrameReader, "read"),
         (sys.modules[__name__], "encode_frame"),
         (sys.modules["pewtertack.core.node"], "unpack"),
-        (sys.modules["pewtertack.core.replication.answers"], "pack"),
+        (sys.modules["pewtertack.core.replication.pull_server"], "pack"),
         (replica, "revision_id_of"),
         (service, "revision_id_of"),
         (delta, "revision_id_of"),
