--- a/src/pewtertack/node/gateway/application.py
+++ b/src/pewtertack/node/gateway/application.py
@@ -104,7 +104,7 @@
 
     callers_relay = True
     """Nodes end the connections of their callers that do not read; a request's deadline bounds
-    what a node that does not is waited for (``node.http.slow_readers``)."""
+    what a node that does not is waited for (``node.http.unread``)."""
 
     def __init__(
         self,
--- a/src/pewtertack/node/http/acknowledgement.py
+++ b/src/pewtertack/node/http/acknowledgement.py
@@ -22,7 +22,7 @@
 import msgspec
 
 from pewtertack.node.http.cycle import LOGGER_NAME
-from pewtertack.node.http.send_queue import unacknowledged_bytes
+from pewtertack.node.http.outgoing import unacknowledged_bytes
 from pewtertack.node.http.tcp_info import tcp_info
 from pewtertack.node.http.transport import ACK_TIMEOUT_SECONDS, MILLISECONDS, set_user_timeout
 
--- a/src/pewtertack/node/http/pipeline.py
+++ b/src/pewtertack/node/http/pipeline.py
@@ -88,7 +88,7 @@
 
     @property
     def has_following(self) -> bool:
-        """Whether a response is due after the first; counts a request that is still being received."""
+        """Whether a response is due after the first, even to a request still being received."""
         return len(self.requests) > 1
 
     def drop_incomplete(self) -> None:
--- a/src/pewtertack/node/http/protocol.py
+++ b/src/pewtertack/node/http/protocol.py
@@ -131,14 +131,14 @@
 
     @property
     def undelivered_bytes(self) -> int:
-        """Bytes that the caller has not received (``slow_readers.Connection``)."""
+        """Bytes that the caller has not received (``unread.Connection``)."""
         transport = self.transport
         return (
             transport.undelivered_bytes if isinstance(transport, StreamTransport) else self.unsent
         )
 
     def disconnect(self) -> None:
-        """Disconnect a caller that does not read (``slow_readers.Connection``)."""
+        """Disconnect a caller that does not read (``unread.Connection``)."""
         logger.warning(
             "disconnecting a caller that does not read its response: %d bytes left",
             self.undelivered_bytes,
@@ -306,8 +306,8 @@
         return self._pipeline.closed or (self._last_request and cycle is self._newest)
 
     def _continue_after(self, cycle: RequestCycle) -> None:
-        """Start requests that waited for ``cycle``; limit the time for its remaining body or for
-        idling."""
+        """Start requests that waited for ``cycle``; else limit the wait for its body or a next
+        request."""
         waiting = self._pipeline.first
         if waiting is not None:
             waiting.first = True
--- a/src/pewtertack/node/http/server.py
+++ b/src/pewtertack/node/http/server.py
@@ -20,9 +20,9 @@
 from pewtertack.node.http.cycle import LOGGER_NAME
 from pewtertack.node.http.protocol import HttpServerProtocol
 from pewtertack.node.http.refusals import RefusalWriter, plain_refusal
-from pewtertack.node.http.send_buffer import NOTSENT_LOWAT_BYTES, enlarge_send_buffer
-from pewtertack.node.http.slow_readers import SlowReaders
+from pewtertack.node.http.system_buffer import NOTSENT_LOWAT_BYTES, enlarge_send_buffer
 from pewtertack.node.http.transport import StreamTransport
+from pewtertack.node.http.unread import SlowReaders
 
 DATE_SECONDS = 1.0
 """Resolution of the ``date`` header."""
@@ -49,7 +49,7 @@
     Args:
         application: an ASGI 3 application. Its method ``may_run_beside(scope)`` and its attributes
             ``leaving``, ``longest_head`` (``node.http.protocol``) and ``callers_relay``
-            (``slow_readers``) are used if it has them.
+            (``unread``) are used if it has them.
         keep_alive: seconds for which an idle connection stays open.
         refuse: creates the response to data that is not a valid request.
     """
--- a/src/pewtertack/node/http/transport.py
+++ b/src/pewtertack/node/http/transport.py
@@ -192,7 +192,7 @@
         The kernel accepts more of the unsent data only once a third of its own buffer, which may
         have grown to megabytes, is free.
         """
-        from pewtertack.node.http.send_queue import unacknowledged_bytes  # for slow readers only
+        from pewtertack.node.http.outgoing import unacknowledged_bytes  # for slow readers only
 
         with contextlib.suppress(OSError):  # the connection has ended
             return len(self._unsent) + unacknowledged_bytes(self._socket)
--- a/tests/node/gateway/test_slow_readers.py
+++ b/tests/node/gateway/test_slow_readers.py
@@ -6,7 +6,7 @@
 from unittest import mock
 
 from pewtertack.node.gateway.hop import hop_headers
-from pewtertack.node.http import slow_readers
+from pewtertack.node.http import unread
 from pewtertack.routing.patience import Lateness
 from tests.node.gateway.test_gateway import GatewayTestCase
 from tests.node.gateway.test_large_answers import head_of
@@ -62,7 +62,7 @@
                 await asyncio.sleep(0.02)
 
     async def test_one_that_takes_nothing_is_ended_and_its_slot_is_free(self) -> None:
-        with mock.patch.object(slow_readers, "SLOW_READER_SECONDS", 1.0):
+        with mock.patch.object(unread, "SLOW_READER_SECONDS", 1.0):
             await self.begin(1)
             await self.until_ended()
         self.assertEqual(self.whole, 0)
@@ -73,7 +73,7 @@
 
     async def test_one_that_reads_slowly_gets_all(self) -> None:
         loop = asyncio.get_running_loop()
-        with mock.patch.object(slow_readers, "SLOW_READER_SECONDS", 0.6):
+        with mock.patch.object(unread, "SLOW_READER_SECONDS", 0.6):
             (caller,) = await self.begin(1)
             received = 0
             while received < LENGTH:
@@ -91,7 +91,7 @@
         system holds.
         """
         loop = asyncio.get_running_loop()
-        with mock.patch.object(slow_readers, "SLOW_READER_SECONDS", 0.6):
+        with mock.patch.object(unread, "SLOW_READER_SECONDS", 0.6):
             (caller,) = await self.begin(1)
             received = 0
             until = loop.time() + 3.0
@@ -109,7 +109,7 @@
         self.assertEqual(self.whole, 1)
 
     async def test_what_many_hold_is_bounded(self) -> None:
-        with mock.patch.object(slow_readers, "MAX_SLOW_READERS", 10):
+        with mock.patch.object(unread, "MAX_SLOW_READERS", 10):
             await self.begin(40)
             async with asyncio.timeout(FAR_BELOW_DEADLINE):
                 while len(self.heads) < 40 or self.under_way > 10:
@@ -142,7 +142,7 @@
         await loop.sock_connect(node, (host, int(port)))
         began = loop.time()
         await loop.sock_sendall(node, request)
-        with mock.patch.object(slow_readers, "SLOW_READER_SECONDS", 0.2):
+        with mock.patch.object(unread, "SLOW_READER_SECONDS", 0.2):
             await self.until_ended()
         self.assertGreater(loop.time() - began, 0.9)
         self.assertEqual(self.whole, 0)
--- a/tests/node/http/test_slow_readers.py
+++ b/tests/node/http/test_unread.py
@@ -6,8 +6,8 @@
 from typing import Any
 from unittest import mock
 
-from pewtertack.node.http import slow_readers
-from pewtertack.node.http.slow_readers import (
+from pewtertack.node.http import unread
+from pewtertack.node.http.unread import (
     CROWDED_SLOW_READER_SECONDS,
     MAX_SLOW_READERS,
     SLOW_READER_SECONDS,
@@ -92,7 +92,7 @@
         await loop.sock_connect(caller, (host, int(port)))
         await loop.sock_sendall(caller, request_bytes("GET", "/"))
         received = 0
-        with mock.patch.object(slow_readers, "SLOW_READER_SECONDS", 0.6):
+        with mock.patch.object(unread, "SLOW_READER_SECONDS", 0.6):
             for _ in range(50):
                 received += len(await loop.sock_recv(caller, LITTLE))
                 await asyncio.sleep(0.05)
