--- a/src/pewtertack/lab/weakening.py
+++ b/src/pewtertack/lab/weakening.py
@@ -14,10 +14,10 @@
 from pewtertack.core import profile
 from pewtertack.core.configuration.resolved import ResolvedConfiguration
 from pewtertack.core.crashes.ledger import CrashLedger
+from pewtertack.core.machine_list_overrides import MachineListOverrides
 from pewtertack.core.machines import Machine, MachineList, MachineState
 from pewtertack.core.profile import Mechanisms
 from pewtertack.core.replication import reader
-from pewtertack.core.returned_lists import ReturnedLists
 from pewtertack.core.source_era import SourceEra
 from pewtertack.lab.errors import LabUsageError
 from pewtertack.node.daemon import DrainableProxy
@@ -29,14 +29,14 @@
 from pewtertack.node.proxy import exchange
 from pewtertack.node.proxy.application import ProxyApplication
 from pewtertack.node.proxy.edge import DEFAULT_EDGE, EdgeHeaders
-from pewtertack.node.proxy.headers import AnswerHead
+from pewtertack.node.proxy.headers import ResponseMeta
 from pewtertack.node.proxy.shutdown_notice import ShutdownDeadline
 from pewtertack.platform import store
 from pewtertack.routing import dispatcher
 from pewtertack.routing.outcomes import Outcome, RequestFailedError
 from pewtertack.routing.retries import AttemptRecord, RetryReason
 
-AnswerReader = Callable[[RawHeaders, EdgeHeaders], AnswerHead]
+AnswerReader = Callable[[RawHeaders, EdgeHeaders], ResponseMeta]
 BreakReader = Callable[[BackendConnection, ExchangeBrokenError], RequestFailedError]
 RetryRule = Callable[[AttemptRecord, RequestFailedError, float], RetryReason]
 MachinesUser = Callable[[ProxyApplication, MachineList], None]
@@ -62,15 +62,15 @@
 def _accept_crossed_answers() -> None:
     """Pass an answer on without a look at the request that it belongs to."""
 
-    def wrapper(read_answer: AnswerReader) -> AnswerReader:
-        def read_without_id(headers: RawHeaders, edge: EdgeHeaders = DEFAULT_EDGE) -> AnswerHead:
-            answer = read_answer(headers, edge)
+    def wrapper(read_response_meta: AnswerReader) -> AnswerReader:
+        def read_without_id(headers: RawHeaders, edge: EdgeHeaders = DEFAULT_EDGE) -> ResponseMeta:
+            answer = read_response_meta(headers, edge)
             answer.request_id = None
             return answer
 
         return read_without_id
 
-    _wrap(exchange, "read_answer", wrapper)
+    _wrap(exchange, "read_response_meta", wrapper)
 
 
 def _retry_whatever_may_have_run() -> None:
@@ -105,9 +105,9 @@
 def _ignore_leaving() -> None:
     """Give work to back ends that say, or are listed, as leaving."""
 
-    def wrap_reader(read_answer: AnswerReader) -> AnswerReader:
-        def read_as_staying(headers: RawHeaders, edge: EdgeHeaders = DEFAULT_EDGE) -> AnswerHead:
-            answer = read_answer(headers, edge)
+    def wrap_reader(read_response_meta: AnswerReader) -> AnswerReader:
+        def read_as_staying(headers: RawHeaders, edge: EdgeHeaders = DEFAULT_EDGE) -> ResponseMeta:
+            answer = read_response_meta(headers, edge)
             answer.leaving = False
             return answer
 
@@ -120,7 +120,7 @@
 
         return use_all_as_live
 
-    _wrap(exchange, "read_answer", wrap_reader)
+    _wrap(exchange, "read_response_meta", wrap_reader)
     _wrap(ProxyApplication, "use_machines", wrap_use)
 
 
@@ -211,7 +211,7 @@
     def take_nothing(_: object) -> Callable[..., None]:
         return lambda era, now, value, sent_in, fresh: None
 
-    _wrap(SourceEra, "take", take_nothing)
+    _wrap(SourceEra, "update", take_nothing)
 
 
 def _hold_nothing_after_returns() -> None:
@@ -220,7 +220,7 @@
     def wrapper(start: Callable[..., None]) -> Callable[..., None]:
         return lambda returned, seconds, *others: start(returned, 0.0, *others)
 
-    _wrap(ReturnedLists, "__init__", wrapper)
+    _wrap(MachineListOverrides, "__init__", wrapper)
 
 
 def _drop_what_was_read_behind() -> None:
