--- a/src/pewtertack/lab/weakening.py
+++ b/src/pewtertack/lab/weakening.py
@@ -163,7 +163,7 @@
 
     for owner in (ProxyApplication, GatewayApplication):
         _wrap(owner, "withdraw_waiting", withdraw_nothing)
-        _wrap(owner, "flush_answers", stop_nothing)
+        _wrap(owner, "flush_responses", stop_nothing)
         _wrap(owner, "stop_requests", stop_nothing)
 
 
--- a/src/pewtertack/node/daemon.py
+++ b/src/pewtertack/node/daemon.py
@@ -78,7 +78,7 @@
     def log_unfinished(self) -> None:
         """Log what is in flight when the time to stop is over."""
 
-    def flush_answers(self) -> None:
+    def flush_responses(self) -> None:
         """Give the system what waits to be sent."""
 
     def stop_requests(self) -> None:
@@ -310,7 +310,7 @@
 async def _end_requests(server: _RequestServer, end: float) -> None:
     """End what still runs as late as its answers allow."""
     server.application.log_unfinished()
-    server.application.flush_answers()
+    server.application.flush_responses()
     with anyio.CancelScope(deadline=end - server.last_answers) as finishing:
         await server.drain()
     if finishing.cancelled_caught:
--- a/src/pewtertack/node/gateway/__init__.py
+++ b/src/pewtertack/node/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The node beside a back end: admits what other nodes forward to it."""
+"""The gateway: admits requests that other nodes forward to this node's local back end."""
--- a/src/pewtertack/node/gateway/application.py
+++ b/src/pewtertack/node/gateway/application.py
@@ -1,4 +1,4 @@
-"""The gateway's ASGI application: requests of other nodes for the back end beside this one."""
+"""The gateway's ASGI application: serves other nodes' requests for the local back end."""
 
 from __future__ import annotations
 
@@ -64,47 +64,49 @@
 from pewtertack.settings import Settings
 
 STOP_TIME_FACTOR = 2.0
-"""A stopping gateway takes requests whose mean time fits so often before the stop."""
+"""A gateway that shuts down admits a request only if this many times its expected duration fits
+into the time left."""
 HOP_HEAD_BYTES = 8 * 1024
-"""Of the headers that nodes add between them."""
+"""Limit on the headers that nodes add on the hop between them."""
 DEFAULT_TIMEOUT_SECONDS = 3600.0
-"""Seconds that a request without a deadline may take; proxies always send one."""
+"""Timeout of a request without a deadline; proxies always send one."""
 
 
 class GatewaySettings(msgspec.Struct, frozen=True):
-    """Where the gateway stands, from the node's settings."""
+    """The node settings that concern its gateway."""
 
     address: str
-    """``ip:port`` of the back end beside this node."""
+    """``ip:port`` of the local back end."""
     service: str = ""
-    """The back end's service; empty where the settings do not name it."""
+    """The back end's service; empty if the settings do not name it."""
     zone: str = ""
     cold_overage: float = 1.0
     cold_slack: float = 0.0
     """See ``settings.LimitsSection``."""
     link_mbps: float = 0.0
-    """Rate of the machine's link, 0 while unknown."""
+    """Rate of the machine's link in Mbit/s, 0 if unknown."""
 
 
 class GatewayApplication(DrainableApplication):
-    """Admits requests for one address, whichever incarnation of a back end lives there.
+    """Admits requests for one address, whichever incarnation of a back end runs there.
 
     An ASGI 3 application. All methods are called in the event loop's thread.
 
     Args:
         clock: monotonic time in seconds.
-        place: the back end beside this node.
+        settings: the local back end, its service and zone, and the link.
         edge: header names of the back end.
-        log: receives events of the 6xx numbers.
+        log: receives the events numbered 6xx.
         registry: where the metrics are registered; ``None`` keeps none.
-        reporter: what the node knows of requests that end back ends.
-        policies: the way of each decision that has several.
-        runs: what the back end beside this node runs.
+        reporter: the node's knowledge of requests that crash back ends.
+        policies: the policy for each configurable decision.
+        runs: the requests that the local back end runs.
     """
 
     callers_relay = True
-    """Nodes end the connections of their callers that do not read; a request's deadline bounds
-    what a node that does not is waited for (``node.http.slow_readers``)."""
+    """The callers are nodes, which relay responses and disconnect slow readers themselves. The
+    request's deadline limits how long a node that does not read is waited for
+    (``node.http.slow_readers``)."""
 
     def __init__(
         self,
@@ -124,10 +126,10 @@
         super().__init__(ConnectionPool(clock))
         self._reporter = reporter or CrashReporter()
         self._backend_down = False
-        """Whether nobody listened at the back end's address when it was last needed."""
+        """Whether the back end's address refused connections when last used."""
         runs = runs or RunsBeside()
         self.origins = watch_for(policies)
-        """Who calls each route, as far as known."""
+        """Who calls each route, as far as known; ``None`` if the policies do not need it."""
         self._context = GatewayContext(
             clock,
             self.connections,
@@ -148,20 +150,20 @@
         self._evacuated = False
         self.service: ResolvedService | None = None
         self.longest_head = DEFAULT_HEAD_LIMIT + HOP_HEAD_BYTES
-        """Bytes, with what nodes say to each other."""
+        """Limit on request heads in bytes, including the headers that nodes add."""
         self._cold_watch = ColdWatch(self, edge.cold_milliseconds, clock)
 
     @property
     def address(self) -> str:
-        """``ip:port`` of the back end beside this node."""
+        """``ip:port`` of the local back end."""
         return self._settings.address
 
     async def run(self) -> None:
-        """Ask the back end whether it is cold, whenever that is due, until cancelled."""
+        """Query the back end for its cold state whenever that is due, until cancelled."""
         await self._cold_watch.run()
 
     def use_settings(self, settings: Settings) -> None:
-        """Serve another address from now on, if the settings name another."""
+        """Switch to the back-end address of the settings, if it has changed."""
         address = str(settings.backend.address)
         if settings.backend.address is None or address == self.address:
             return
@@ -169,7 +171,7 @@
         self._context = msgspec.structs.replace(self._context, address=address)
 
     def use_configuration(self, configuration: ResolvedConfiguration) -> None:
-        """Keep to the service's settings, and to the operator's word on this zone."""
+        """Apply the service's settings and the evacuation state of this zone."""
         self.service = configuration.services.get(self._settings.service)
         self.longest_head = max(DEFAULT_HEAD_LIMIT, configuration.head_bytes) + HOP_HEAD_BYTES
         self._use_bounds(self.service)
@@ -179,62 +181,67 @@
             self._note_evacuation()
 
     def _use_bounds(self, service: ResolvedService | None) -> None:
-        """Bound a cold back end as its service says; one of no known service says nothing."""
+        """Apply the service's limits for cold back ends; an unknown service has none."""
         settings = self._settings
-        rate, length = (service.cold_rate, service.cold_start) if service is not None else (0, 0)
-        bounds = ColdBounds(rate, length, settings.cold_overage, settings.cold_slack)
+        rate, duration = (service.cold_rate, service.cold_start) if service is not None else (0, 0)
+        bounds = ColdBounds(rate, duration, settings.cold_overage, settings.cold_slack)
         self._incarnations.use_bounds(bounds)
 
     def _note_evacuation(self) -> None:
-        """The zone is evacuated from now on, or is no longer: then its back ends may be cold."""
+        """Apply a change of the zone's evacuation; after its end the back ends may be cold."""
         if self._evacuated:
             self._incarnations.refuse_waiting(_evacuated)
         else:
             self._incarnations.assume_cold()
 
     def after_suspension(self) -> None:
-        """The back end may have turned cold, unseen by this node."""
+        """Treat the back end as cold: it may have become so while the machine was suspended."""
         self._incarnations.assume_cold()
 
     def cold_starts(self) -> list[ColdStart]:
-        """Return what is known of the back ends that take work (``WatchedBackend``)."""
+        """Return the cold-start state of the back ends that take work (``WatchedBackend``)."""
         return self._incarnations.cold_starts()
 
     def use_machines(self, machines: MachineList) -> None:
-        """Learn which back ends live, leave or have gone at the address."""
-        here = (machine for machine in machines.machines if machine.address == self.address)
-        backends = (machine for machine in here if machine.role is MachineRole.BACKEND)
+        """Update which back ends run at the address, are leaving or have gone."""
+        at_address = (machine for machine in machines.machines if machine.address == self.address)
+        backends = (machine for machine in at_address if machine.role is MachineRole.BACKEND)
         if self._incarnations.apply_machine_list({machine.name: machine for machine in backends}):
             self.connections.drop(self.address)
         if self.origins is not None:
-            beside = [item for item in machines.machines if item.gateway]
+            with_gateway = [item for item in machines.machines if item.gateway]
             zone = self._settings.zone
-            near = Counter(item.service for item in beside if item.zone == zone)
-            self.origins.use_machines(near, len({item.service for item in beside}))
+            services_in_zone = Counter(item.service for item in with_gateway if item.zone == zone)
+            self.origins.use_machines(
+                services_in_zone, len({item.service for item in with_gateway})
+            )
 
     def start_leaving(self, seconds: float) -> None:
-        """Take only requests that end well before the stop; others find another gateway."""
+        """Begin a graceful shutdown that ends in ``seconds``.
+
+        Requests that may not end in time are refused, so that senders try another gateway.
+        """
         self.requests.leaving = True
         self._stops_at = self._clock() + seconds
         if self._context.pacer is not None:
             self._context.pacer.end_at(self._stops_at)
 
-    def flush_answers(self) -> None:
-        """Let all answers go that wait for their turns on the link."""
+    def flush_responses(self) -> None:
+        """Send all responses that wait for their turn on the link at once."""
         if self._context.pacer is not None:
             self._context.pacer.share.open()
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve one request (ASGI entry point)."""
-        own = gateway_only_header(scope["headers"])
-        if own is not None:
-            await self._handle_gateway_request(send, *own)
+        own_header = gateway_only_header(scope["headers"])
+        if own_header is not None:
+            await self._handle_gateway_request(send, *own_header)
             return
         with self.requests.count_one():
             await self._serve(scope, receive, send)
 
     def _note_crash(self, backend: str, broken: tuple[BrokenExchange, ...]) -> None:
-        """The back end has ended; one that was leaving may have done so by plan."""
+        """Record a crash of the back end, unless it was leaving and may have stopped as planned."""
         self._backend_down = True
         if not self._incarnations.get(backend).takes_work:
             return
@@ -253,10 +260,10 @@
             self._note_origin(request)
             await self._forward(scope, receive, send, head, request)
         except RequestFailedError as error:
-            load = self._load_of(request)
+            load = self._load_headers_of(request)
             backend = request.backend if request is not None else ""
-            told = load[0][1].decode() if load else ""
-            self._log.refused(head.request_id, backend, error, told)
+            load_text = load[0][1].decode() if load else ""
+            self._log.refused(head.request_id, backend, error, load_text)
             self._metrics.note_refused(error.code, error.offered)
             headers = [*load, *self._note_refused(request)]
             if request is not None and self._context.pacer is not None:
@@ -269,21 +276,21 @@
             self._log.origin_known(route, origins.origin(route) or "")
 
     def _note_refused(self, request: HopRequest | None) -> RawHeaders:
-        """Count a refused call within; return what to tell its sender of the route's origin."""
+        """Count a refused nested call; return the header that reports the route's origin."""
         if request is None or self.origins is None:
             return []
-        if self.origins.is_within(request.route, request.within):
+        if self.origins.is_within(request.route, request.nested):
             self._metrics.note_nested(request.route, admitted=False)
         return origin_headers(self.origins, request)
 
     async def _handle_gateway_request(self, send: Send, name: bytes, value: bytes) -> None:
-        """Do what another node asks of the gateway itself."""
+        """Handle a request that another node addressed to the gateway itself."""
         if name == WITHDRAW:
             await self.requests.withdraw_one(value.decode("latin-1"))
         elif name == FINISH_BY:
             self._handle_finish_by(value)
         elif self.leaving or self.requests.draining:
-            error: NotRunError = DrainingError("the node beside the back end is stopping")
+            error: NotRunError = DrainingError("the node of the back end is shutting down")
             await _refuse(send, error, RequestHead(), [])
             return
         elif self._evacuated:
@@ -297,23 +304,23 @@
         await send({"type": "http.response.body", "body": b""})
 
     def _handle_finish_by(self, value: bytes) -> None:
-        """A node that has sent requests stops: answer those before it has."""
+        """Note that a node that has sent requests is shutting down: answer them before it stops."""
         seconds, ids = parse_finish_by(value)
         if not ids:
             self._metrics.note_invalid_stop_time()
             return
         moment = self._clock() + seconds
-        named = [item for item in self.requests.active if item.request_id in ids]
-        for request in named:
+        named_requests = [item for item in self.requests.active if item.request_id in ids]
+        for request in named_requests:
             request.finish_by(moment)
-        self._log.sender_stopping(seconds, len(ids), len(named))
+        self._log.sender_stopping(seconds, len(ids), len(named_requests))
 
     async def _is_backend_down(self) -> bool:
-        """Ask for a back end that had ended whether it is back, so that no request need to."""
+        """Tell whether the back end is still down, so that no request has to find out."""
         self._backend_down = self._backend_down and await refuses_connections(self.address)
         return self._backend_down
 
-    def _load_of(self, request: HopRequest | None) -> RawHeaders:
+    def _load_headers_of(self, request: HopRequest | None) -> RawHeaders:
         found = self._incarnations.find(request.backend) if request is not None else None
         return load_headers(found.admission, self._clock()) if found is not None else []
 
@@ -346,7 +353,7 @@
         except RequestFailedError:
             raise
         except (CallerGoneError, TruncatedAnswerError):
-            pass  # the server cuts a connection whose answer was left incomplete
+            pass  # the server cuts a connection whose response is incomplete
         except Exception:
             if forwarding.status == 0:
                 await _refuse(send, InternalError("unexpected error"), head, [])
@@ -355,19 +362,19 @@
     def _admit(self, request: HopRequest) -> Incarnation:
         incarnation = self._incarnations.get(request.backend)
         if self.requests.draining or not self._fits_before_stop(incarnation, request):
-            raise _mark_not_offered(DrainingError("the node beside the back end is stopping"))
+            raise _mark_not_offered(DrainingError("the node of the back end is shutting down"))
         self._check_accepting(incarnation, request)
         return incarnation
 
     def _check_accepting(self, incarnation: Incarnation, request: HopRequest) -> None:
-        """Raise why a back end is given no more requests, where that is so."""
+        """Raise the refusal if the back end may not be sent any more requests."""
         if not incarnation.takes_work:
-            raise incarnation.gone(request.started_at)
+            raise incarnation.refusal(request.started_at)
         if self._evacuated:
             raise _evacuated()
 
     def _fits_before_stop(self, incarnation: Incarnation, request: HopRequest) -> bool:
-        """Tell whether the request will most likely have ended when the node stops."""
+        """Tell whether the request will probably end before the node stops."""
         needed = incarnation.admission.expected_time(request.route) or request.objective
         if self._context.pacer is not None:
             needed += self._context.pacer.answer_time(request.route, request.rank)
@@ -377,7 +384,7 @@
 def _make_pacer(
     clock: Callable[[], float], settings: GatewaySettings, policies: Policies
 ) -> LinkPacer | None:
-    """Return what paces long answers; ``None`` where they leave at once."""
+    """Return the pacer of long responses; ``None`` if they are sent without pacing."""
     if policies.long_bodies is not LongBodyPolicy.IN_TURNS or not settings.link_mbps:
         return None
     return LinkPacer(clock, LinkShare(settings.link_mbps))
--- a/src/pewtertack/node/gateway/cold_watch.py
+++ b/src/pewtertack/node/gateway/cold_watch.py
@@ -1,7 +1,7 @@
-"""Asks the back end beside this node how long it stays cold.
+"""Queries the local back end for how long it will still be cold.
 
-It says so in its health answers. The question goes over a connection of its own; when it is
-due, and what follows from the answer, is decided by ``pewtertack.routing.cold``.
+The back end reports that in its health responses. Queries use a connection of their own;
+``pewtertack.routing.cold`` decides when one is due and what follows from the response.
 """
 
 from __future__ import annotations
@@ -24,37 +24,40 @@
 logger = logging.getLogger(__name__)
 
 CHECK_SECONDS = 0.1
-"""Between two looks whether a question is due."""
+"""Interval at which the watch checks whether a query is due."""
 UNBOUNDED_CHECK_SECONDS = 1.0
-"""The same while its service bounds nothing."""
+"""The same while the service sets no limit for cold back ends."""
 ANSWER_SECONDS = 0.4
 TIMEOUTS = ServiceTimeouts(ANSWER_SECONDS, ANSWER_SECONDS, ANSWER_SECONDS)
-"""For connection and answer; a back end whose slots are all taken answers in its turn."""
+"""For the connection and the response; a back end without a free slot queues the query."""
 BODY_BYTES = 64 * 1024
 MILLISECONDS = 1000.0
 
 
 class WatchedBackend(Protocol):
-    """The back end at the address beside this node, as far as it is asked."""
+    """The local back end, as the watch sees it."""
 
     @property
     def address(self) -> str:
-        """``ip:port`` to ask at."""
+        """``ip:port`` to send queries to."""
 
     @property
     def service(self) -> ResolvedService | None:
         """The settings of its service, ``None`` while they are unknown."""
 
     def cold_starts(self) -> list[ColdStart]:
-        """Return what is known of those that take work; more than one only at a change."""
+        """Return the cold-start state of each incarnation that accepts work.
+
+        There is more than one only while the back end at the address is being replaced.
+        """
 
 
 class ColdWatch:
-    """Asks when it is time to.
+    """Sends the queries that are due.
 
     Args:
-        backend: the back end to ask.
-        header: name of the header with the milliseconds, in lower case; empty asks nothing.
+        backend: the back end to query.
+        header: name of the header with the milliseconds, in lower case; no queries if empty.
         clock: monotonic time in seconds.
     """
 
@@ -65,7 +68,7 @@
         self._client: HttpClient | None = None
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Send queries until cancelled."""
         try:
             while self._header:
                 service = self._backend.service
@@ -85,20 +88,20 @@
                 await self._query(cold, path)
 
     async def _query(self, cold: ColdStart, path: str) -> None:
-        """Learn what the health answer says; one that says nothing changes nothing."""
+        """Record what the health response reports; one without the header changes nothing."""
         client = self._client_for(self._backend.address)
         sent_at = self._clock()
         try:
             answer = await client.get(path, TIMEOUTS)
         except (ServiceUnreachableError, AnswerTooLargeError) as error:
-            logger.debug("no health answer of %s: %s", self._backend.address, error)
-            return  # it is asked again; meanwhile what was known holds
+            logger.debug("no health response from %s: %s", self._backend.address, error)
+            return  # the query is repeated; until then the known state stays in force
         remaining = self._remaining_of(answer)
         if remaining is not None:
             cold.learn(sent_at, self._clock(), remaining)
 
     def _client_for(self, address: str) -> HttpClient:
-        """Return a client that keeps its connection from one question to the next."""
+        """Return a client that keeps its connection between queries."""
         if self._client is None or address != self._client.address:
             if self._client is not None:
                 self._client.close()
--- a/src/pewtertack/node/gateway/context.py
+++ b/src/pewtertack/node/gateway/context.py
@@ -1,4 +1,4 @@
-"""What all requests of a gateway share."""
+"""The objects that all requests of a gateway share."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class GatewayContext(msgspec.Struct, frozen=True):
-    """What all requests of a gateway share."""
+    """The objects that all requests of a gateway share."""
 
     clock: Callable[[], float]
     connections: ConnectionPool
@@ -33,13 +33,14 @@
     crashes: CrashDetector
     reporter: CrashReporter
     origins: OriginWatch | None = None
-    """Who calls each route; ``None`` where calls within are treated as all others."""
+    """Who calls each route; ``None`` if nested calls are treated like all others."""
     runs: RunsBeside = msgspec.field(default_factory=RunsBeside)
-    in_vain: Callable[[str, float], bool] = none_in_vain
-    """Tells by route and time whether runs often end badly, since their calls are turned away."""
+    should_defer: Callable[[str, float], bool] = none_in_vain
+    """Tells by route and time whether requests should be deferred: their executions often fail
+    because nested calls that they make are refused."""
     requests: RequestsInFlight = msgspec.field(default_factory=RequestsInFlight)
     reception: BodyReception = msgspec.field(default_factory=BodyReception)
     pacer: LinkPacer | None = None
-    """``None`` where long answers leave at once."""
-    held: BufferedBytes = msgspec.field(default_factory=BufferedBytes)
+    """``None`` if long responses are sent without pacing."""
+    response_buffer: BufferedBytes = msgspec.field(default_factory=BufferedBytes)
     bodies: BufferedBodies = msgspec.field(default_factory=BufferedBodies)
--- a/src/pewtertack/node/gateway/forwarding.py
+++ b/src/pewtertack/node/gateway/forwarding.py
@@ -1,4 +1,4 @@
-"""One request at a gateway: admission, one attempt at the back end, the answer back."""
+"""Handles one request at a gateway: admission, one attempt at the back end, the response."""
 
 from __future__ import annotations
 
@@ -48,20 +48,21 @@
 from pewtertack.routing.places import AdmissionTicket
 
 REFUSAL_LEAD_SECONDS = 0.5
-"""So long before the sender's node carries answers no longer, what has not begun is refused: as
-that node asks for by itself, whose word may come late or not at all."""
+"""Requests that have not started are refused this long before the sender's node stops relaying
+responses. That node withdraws them as well, but the withdrawal may arrive late or not at all."""
 CONNECT_SECONDS = 0.25
-"""For a connection to the back end, which is on the same machine."""
-MIN_READ_DELAY_SECONDS = 0.02
-"""Seconds. In an answer that took less, the system's coarse times tell no delay of this node."""
+"""Connect timeout for the back end, which is on the same machine."""
+MIN_DELAY_CHECK_SECONDS = 0.02
+"""Read delays of this node are measured only for responses that took at least this long: the
+operating system's timestamps are too coarse for faster ones."""
 
 
 def _accept_all() -> None:
-    """Let all go on to the back end."""
+    """Accept every request for the back end."""
 
 
 class GatewayForwarding:
-    """Carries one request of another node to the back end and its answer back."""
+    """Forwards one request of another node to the back end, and the response back."""
 
     def __init__(
         self,
@@ -77,7 +78,7 @@
     ) -> None:
         self._context = context
         self._check_accepting = check_accepting
-        """Raises why the back end is given nothing more, where it is not."""
+        """Raises the refusal if the back end accepts no more requests."""
         self._admission = admission
         self._request = request
         self.request_id = head.request_id
@@ -96,9 +97,9 @@
             request.rank,
             now + request.objective,
             deadline,
-            request.lateness,
+            request.wait_policy,
             context.origins is not None
-            and context.origins.is_within(request.route, request.within),
+            and context.origins.is_within(request.route, request.nested),
         )
         sender_stops_at = now + request.sender_stops_in
         self._link_check = LinkCheck(context.pacer, admission, self._ticket, sender_stops_at)
@@ -107,7 +108,7 @@
             self._sender = ResponseSender(
                 send,
                 context.pacer,
-                context.held,
+                context.response_buffer,
                 self._ticket,
                 request.buffers_start,
                 request.no_alternative,
@@ -125,27 +126,28 @@
         )
         self._connection: BackendConnection | None = None
         self._read_delay = 0.0
-        """For how long the answer lay unread, since this node was held up."""
+        """Seconds that the response lay unread because this node's event loop was busy."""
         self._may_have_run = False
+        """Whether the request was sent to the back end."""
         self._body_task: asyncio.Future[None] | None = None
-        """What receives the body, while the request may not go on without it."""
+        """Receives the body, while the request cannot proceed without it."""
         self._pending_refusal: NotRunError | None = None
-        """Why a request that had its slot is refused before its body has come."""
+        """The refusal of a request that has a slot but not yet its body."""
         self._sender_end_timer: asyncio.TimerHandle | None = None
-        """Until the sender's end is near, where it stops."""
+        """Fires shortly before the sender's node stops, if it is shutting down."""
 
     @property
     def status(self) -> int:
-        """Status of the answer that was passed on, 0 without one."""
+        """Status of the response that was passed on, 0 without one."""
         return self._exchange.status
 
     async def run(self) -> None:
-        """Carry the request to its end.
+        """Process the request until it ends.
 
         Raises:
-            RequestFailedError: it ended without an answer.
-            TruncatedAnswerError: its answer broke off; the connection must be cut.
-            CallerGoneError: the other node has given it up.
+            RequestFailedError: it ended without a response.
+            TruncatedAnswerError: its response broke off; the connection must be cut.
+            CallerGoneError: the other node has cancelled it.
         """
         if self._request.sender_stops_in < math.inf:
             self._schedule_sender_end()
@@ -166,7 +168,7 @@
             self._note_cancelled()
             raise CallerGoneError
         if self._exchange.started:
-            raise TruncatedAnswerError("the time was over during the answer")
+            raise TruncatedAnswerError("the deadline passed while the response was being sent")
         error = end_error(end)
         error.offered = self._may_have_run
         raise error.with_outcome(Outcome.UNKNOWN if self._may_have_run else Outcome.NOT_RUN)
@@ -181,61 +183,61 @@
 
     @property
     def sender_stopping(self) -> bool:
-        """Whether the node that sent the request has been told to stop."""
+        """Whether the node that sent the request is shutting down."""
         return self._link_check.sender_stopping
 
     @property
     def gateway(self) -> str:
-        """This node is the gateway (``RequestUnderWay``)."""
+        """Empty, as this node is the gateway (``ActiveRequest``)."""
         return ""
 
     def finish_by(self, moment: float) -> None:
-        """Answer before that moment, at which the node that sent the request has stopped."""
+        """Note that the node that sent the request stops at ``moment`` (``ActiveRequest``)."""
         self._link_check.finish_by(moment)
         if self._sender is not None:
             self._sender.finish_by(self._link_check.sender_stops_at)
         self._schedule_sender_end()
 
     def _schedule_sender_end(self) -> None:
-        """See to it that what has not begun is refused before the sender's node ends."""
+        """Schedule the refusal of the request, should it not have started by then."""
         if self._sender_end_timer is not None:
             self._sender_end_timer.cancel()
-        left = self._link_check.sender_stops_at - REFUSAL_LEAD_SECONDS - self._context.clock()
-        refusal = WithdrawnError("the node that sent the request is stopping")
+        seconds = self._link_check.sender_stops_at - REFUSAL_LEAD_SECONDS - self._context.clock()
+        refusal = WithdrawnError("the node that sent the request is shutting down")
         loop = asyncio.get_running_loop()
-        self._sender_end_timer = loop.call_later(max(0.0, left), self._refuse_unstarted, refusal)
+        self._sender_end_timer = loop.call_later(max(0.0, seconds), self._refuse_unstarted, refusal)
 
     @property
     def progress(self) -> Progress:
-        """How far the request has come."""
+        """How far the request has progressed."""
         if self._exchange.started:
             return Progress.ANSWERING
         return Progress.OFFERED if self._ticket.granted else Progress.WAITING
 
     async def withdraw(self) -> None:
-        """Refuse the request if it still waits (``RequestUnderWay``)."""
+        """Refuse the request if it is still waiting (``ActiveRequest``)."""
         if self._context.requests.draining:
-            refusal: NotRunError = DrainingError("the node beside the back end is stopping")
+            refusal: NotRunError = DrainingError("the node of the back end is shutting down")
         else:
-            refusal = WithdrawnError("the node that sent the request is stopping")
+            refusal = WithdrawnError("the node that sent the request is shutting down")
         self._refuse_unstarted(refusal)
 
     def _refuse_unstarted(self, refusal: NotRunError) -> None:
-        """Refuse the request unless it goes to its back end, or has gone."""
+        """Refuse the request unless it has been sent, or is being sent, to the back end."""
         self._admission.refuse(self._ticket, refusal)
-        # What has its slot has not run as long as its body comes, which may take seconds.
+        # A request with a slot has not run while its body is received, which may take seconds.
         if self._ticket.granted and self._body_task is not None and not self._body_task.done():
             self._pending_refusal = refusal
             self._body_task.cancel()
 
     def stop(self) -> None:
-        """End the request now (``RequestUnderWay``)."""
+        """End the request now (``ActiveRequest``)."""
         self._lifetime.stop()
 
     def log_unfinished(self) -> None:
-        """Log how far it has come (``RequestUnderWay``)."""
-        took = self._context.clock() - self._ticket.submitted_at
-        self._context.log.unfinished(self.request_id, self._request.backend, self.progress, took)
+        """Log how far the request has progressed (``ActiveRequest``)."""
+        seconds = self._context.clock() - self._ticket.submitted_at
+        self._context.log.unfinished(self.request_id, self._request.backend, self.progress, seconds)
 
     async def _admit_and_exchange(self) -> None:
         if self._body_on_demand:
@@ -251,14 +253,14 @@
             raise TruncatedAnswerError(str(error)) from error
 
     async def _wait_until_sent(self, sender: ResponseSender) -> None:
-        began = self._context.clock()
+        started_at = self._context.clock()
         await sender.finish()
-        seconds = self._context.clock() - began
+        seconds = self._context.clock() - started_at
         self._context.metrics.note_sent(self._request.route, seconds)
         self._context.log.sent(self.request_id, self._request.backend, seconds)
 
     async def _wait_for_slot_and_body(self) -> None:
-        """Receive the body in its turn, which may come before the slot or after."""
+        """Receive the body in its turn, which may be before or after the slot is granted."""
         reception = self._context.reception
         self._submit()
         body_task = asyncio.ensure_future(reception.receive(self._ticket, self._body.read_ahead))
@@ -270,26 +272,29 @@
             await self._wait_for_body(body_task)
         finally:
             body_task.cancel()
-            self._body_task = None  # may refer to what refers to this object
+            self._body_task = None  # avoids a reference cycle with this object
             reception.release(self._ticket)
 
     async def _wait_for_body(self, body_task: asyncio.Future[None]) -> None:
         try:
             await body_task
-            self._check_accepting()  # what was said while it came ended the waiting of others alone
+            self._check_accepting()  # a change during the reception refused only waiting requests
         except asyncio.CancelledError:
             self._release_slot()
-            taken_back, self._pending_refusal = self._pending_refusal, None
-            if taken_back is None:
+            refusal, self._pending_refusal = self._pending_refusal, None
+            if refusal is None:
                 raise
-            taken_back.offered = False
-            raise taken_back from None
+            refusal.offered = False
+            raise refusal from None
         except BaseException:
             self._release_slot()
             raise
 
     def _release_slot(self) -> None:
-        """Nothing has run: how long the body took tells nothing of the back end's time."""
+        """Release a slot that was not used.
+
+        The time that the body took is not counted, as it says nothing about the back end.
+        """
         self._ticket.started_at = self._context.clock()
         self._admission.finish(self._ticket, self._ticket.started_at, answered=False)
 
@@ -319,7 +324,7 @@
 
     def _submit(self) -> None:
         ticket, now = self._ticket, self._context.clock()
-        if not ticket.within and self._context.in_vain(ticket.route, now):
+        if not ticket.within and self._context.should_defer(ticket.route, now):
             ticket.lateness = ticket.lateness.yielding
             self._context.metrics.note_deferred(ticket.route)
         try:
@@ -341,7 +346,7 @@
     async def _attempt(self) -> None:
         if self._context.pacer is not None:
             self._link_check.check_before_run()
-        # Others may have come to know what it does while it waited here.
+        # The request may have become known to crash back ends while it waited here.
         await self._crash_guard.refuse_if_held(self._request.crash_limit, self._context.clock())
         connections = self._context.connections
         connection = await connections.acquire(self._context.address, CONNECT_SECONDS)
@@ -353,7 +358,7 @@
             )
         except (BackendFailedError, TruncatedAnswerError) as error:
             if connection.sent:
-                self._may_have_run = True  # the look for its end may be cut short
+                self._may_have_run = True  # set first: the crash check may be cancelled
                 backend, address = self._request.backend, self._context.address
                 await self._crash_guard.check_for_crash(self.request_id, backend, address, error)
             raise
@@ -364,17 +369,17 @@
             self._connection = None
             connections.release(connection)
 
-    def _on_response(self, answer: ResponseMeta) -> None:
-        took = self._context.clock() - self._ticket.started_at
-        if took >= MIN_READ_DELAY_SECONDS and self._connection is not None:
+    def _on_response(self, response: ResponseMeta) -> None:
+        seconds = self._context.clock() - self._ticket.started_at
+        if seconds >= MIN_DELAY_CHECK_SECONDS and self._connection is not None:
             self._read_delay = self._connection.seconds_since_received()
 
     async def _run_with_hang_checks(
         self, work: Awaitable[None], connection: BackendConnection
     ) -> None:
-        """Do the work; tell the sender when it hangs, if the request may be sent elsewhere."""
+        """Await the work; report a hang if the sender asked for such reports."""
         hangs = self._admission.hangs
-        if hangs is None or not self._request.elsewhere:
+        if hangs is None or not self._request.report_hangs:
             await work
             return
         clock = self._context.clock
@@ -382,7 +387,10 @@
         await checks.run(work)
 
     def _report_hang(self) -> None:
-        """Have the request given up, unless a stop of this node would then break off its run."""
+        """Report a hang to the sender, which may cancel the request.
+
+        Not while this node is shutting down: it answers what already runs at its back end.
+        """
         if not self._context.requests.leaving:
             self._caller.send_processing(load_headers(self._admission, self._context.clock()))
 
@@ -409,6 +417,6 @@
 
 
 def _consume_exception(body_task: asyncio.Future[None]) -> None:
-    """See the end of a body whose request was refused: what it raises concerns nobody."""
+    """Mark the exception as retrieved: nobody awaits the body of a refused request."""
     if not body_task.cancelled():
         body_task.exception()
--- a/src/pewtertack/node/gateway/hang_checks.py
+++ b/src/pewtertack/node/gateway/hang_checks.py
@@ -1,8 +1,8 @@
-"""Tells the sender of a request that the back end has most likely hung on it.
+"""Reports to the sender of a request that the back end has probably hung on it.
 
-The sender alone knows whether it can still be had elsewhere and whether its node stops, and only
-at this moment: what was so when it sent the request may not be so any longer. So the run goes on
-here until the sender gives it up.
+Only the sender knows whether the request can still be served elsewhere and whether its own node
+is shutting down, and that may have changed since it sent the request. So the execution goes on
+here until the sender cancels it.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 from pewtertack.routing.places import AdmissionTicket
 
 REPORT_INTERVAL_SECONDS = 0.25
-"""Seconds between two tellings: a sender that lacks a retry may have one by then."""
+"""Time between two reports: a sender whose retry budget was empty may have a retry by then."""
 
 
 class HangChecks:
-    """Looks at one request from time to time while the back end runs it.
+    """Checks periodically whether the back end hangs on one request.
 
     Args:
-        hangs: judges the requests of the back end.
-        ticket: the request's place.
+        hangs: detects hung requests of the back end.
+        ticket: the request's ticket.
         clock: monotonic time in seconds.
-        is_answering: tells whether some of its answer has come, after which it is let be.
-        tell: tells the sender, which may give the request up.
+        is_answering: tells whether part of the response has arrived, which ends the checks.
+        report: reports a hang to the sender, which may then cancel the request.
     """
 
     __slots__ = ("_clock", "_hangs", "_is_answering", "_report", "_ticket", "_timer")
@@ -46,7 +46,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     async def run(self, work: Awaitable[None]) -> None:
-        """Do the work, and look whether it hangs while it lasts."""
+        """Await the work, with hang checks until it is done."""
         self._arm(self._hangs.first_look(self._ticket))
         try:
             await work
--- a/src/pewtertack/node/gateway/hop.py
+++ b/src/pewtertack/node/gateway/hop.py
@@ -1,8 +1,8 @@
-"""Headers that two nodes of a fleet add to a request and its answer between them.
+"""Headers that nodes add to requests and responses on the hop between proxy and gateway.
 
-A proxy sends the request's head and body as its caller gave them, with
-``NODE_EDGE``'s names for id and deadline and the names below. A gateway answers with the
-back end's answer, or with its own failure: only the latter carries ``FAILURE``.
+A proxy forwards the head and body that its caller sent, with ``NODE_EDGE``'s names for request
+id and deadline and with the headers below. A gateway responds with the back end's response or
+with a failure of its own; only the latter carries ``FAILURE``.
 """
 
 from __future__ import annotations
@@ -38,62 +38,65 @@
 SERVICE = b"x-pewtertack-service"
 ROUTE = b"x-pewtertack-route"
 RANK = b"x-pewtertack-rank"
-"""``<class>.<priority>``: the place in the gateway's queue; smaller goes first."""
+"""``<class>.<priority>``: the precedence in the gateway's queue; smaller goes first."""
 OBJECTIVE = b"x-pewtertack-objective-ms"
-"""Milliseconds left of the time within which an answer is wanted."""
+"""Milliseconds left until the route's latency objective is missed."""
 WAIT_POLICY = b"x-pewtertack-lateness"
-"""``Lateness``: what to do with the request if it would have to wait."""
+"""Wait policy (``Lateness``): what to do with the request if it would have to wait."""
 CALLER_SERVICE = b"x-pewtertack-caller-service"
 CRASH_LIMIT = b"x-pewtertack-crash-limit"
-"""The route's ``crash_limit``, where it is not the usual one."""
+"""The route's ``crash_limit``, sent where it differs from ``DEFAULT_CRASH_LIMIT``."""
 REPORT_HANGS = b"x-pewtertack-elsewhere"
-"""There when the request may be sent to another back end should this one hang on it: the sender
-wants to be told (``102 Processing``), and then decides anew."""
+"""Present if the request may be sent to another back end when this one hangs on it. The gateway
+then reports a hang with ``102 Processing``, and the sender decides at that moment."""
 NESTED = b"x-pewtertack-within"
-"""There when the proxy takes the request for one that a back end makes while it runs another;
-its rank is then that of the run."""
+"""Present if the proxy takes the request for a nested call, made by a back end while it runs
+another request. The rank is then that of the outer request."""
 INCARNATION = b"x-pewtertack-life"
-"""``Machine.started_at`` of the back end as the proxy knows it, where the platform tells it. A
-gateway that knows only a life before must not say of this one that it has left."""
+"""``Machine.started_at`` of the back end as the proxy knows it, where the platform provides it. A
+gateway that knows only an earlier incarnation must not report this one as having left."""
 SENDER_STOPS_IN = b"x-pewtertack-gone-in-ms"
-"""There when the proxy's node stops: in how many milliseconds it will carry answers no longer."""
+"""Present if the proxy's node is shutting down: milliseconds until it stops relaying responses."""
 BUFFERS_START = b"x-pewtertack-holds-back"
-"""There when the proxy holds the beginning of a long answer back (``Exchange.holds_back``): should
-it break off there, it asks another gateway, or its caller is told so; it is not cut."""
+"""Present if the proxy buffers the start of a long response (``Exchange.buffers_start``). If the
+response breaks off within that start, the proxy tries another gateway or sends its caller a
+failure; the caller's connection is not cut."""
 NO_ALTERNATIVE = b"x-pewtertack-only-here"
-"""There beside it when the proxy would not ask another gateway for the answer: no other back end
-may take the request, its body can't be sent again, or it has no retry left. Then it is not given
-back for this node's own stop, at whose end the system is given what the link has not carried."""
+"""Present with ``BUFFERS_START`` if the proxy would not get the response from another gateway: no
+other back end may take the request, its body cannot be sent again, or no retry is left. The
+gateway then does not hand the request back when its own node shuts down; at the end of that
+shutdown the operating system is given whatever the link has not carried."""
 FAILURE = b"x-pewtertack-failure"
-"""In an answer: ``<code> <outcome> <offered>`` of the gateway's own failure."""
+"""In a response: ``<code> <outcome> <offered>`` of the gateway's own failure."""
 QUEUED = b"x-pewtertack-queued-ms"
-"""In an answer: how long the request waited at the gateway."""
+"""In a response: milliseconds that the request waited at the gateway."""
 
 ORIGIN = b"x-pewtertack-origin"
-"""In an answer: ``Origin`` of the route's requests, where that is to be told."""
+"""In a response: ``Origin`` of the route's requests, if the sender needs it."""
 
 LINK = b"x-pewtertack-link-ms"
-"""In an answer of a gateway that paces long ones: ``<ahead>/<own>``, how long its link's line is,
-and what an answer of the route takes alone (``pewtertack.routing.link_words``). Not there where
-both are 0."""
+"""In a response of a gateway that paces long ones: ``<ahead>/<own>``, the time in which its link
+drains the bytes queued now, and the time that a response of the route takes on an idle link
+(``pewtertack.routing.link_words``). Absent if both are 0."""
 
 PROBE = b"x-pewtertack-probe"
-"""In a request to a gateway that is for the gateway alone: does it take requests?"""
+"""In a request to the gateway itself: asks whether it accepts requests."""
 WITHDRAW = b"x-pewtertack-withdraw"
-"""In a request that is for the gateway alone: the id of one of the sender's requests, to be
-refused if it still waits. The refusal answers that request itself."""
+"""In a request to the gateway itself: the id of one of the sender's requests, to be refused if it
+is still waiting. The refusal is sent as the response to that other request."""
 
 FINISH_BY = b"x-pewtertack-leave-by"
-"""In a request that is for the gateway alone: milliseconds and ids. The sender's node
-stops, and carries answers to these of its requests for so much longer."""
+"""In a request to the gateway itself: milliseconds and request ids. The sender's node is shutting
+down and relays the responses to these requests for that much longer."""
 MAX_IDS = 100
-"""Requests named in one such word; more are told in several."""
+"""Request ids in one ``FINISH_BY`` header; further ids are sent in further requests."""
 
 ID_SEPARATOR = "\t"
-"""Between time and ids of such a word; an id may have spaces, and nothing that is not printable."""
+"""Separates the time and the ids in ``FINISH_BY``. An id may contain spaces, but only printable
+characters."""
 
 GATEWAY_NAMES = frozenset({PROBE, WITHDRAW, FINISH_BY})
-"""Headers that make a request one for the gateway; only nodes send them."""
+"""Headers that address a request to the gateway itself; only nodes send them."""
 NEEDED_NAMES = frozenset({BACKEND, SERVICE, ROUTE, RANK, OBJECTIVE, WAIT_POLICY, CALLER_SERVICE})
 REQUEST_NAMES = NEEDED_NAMES | {
     CRASH_LIMIT,
@@ -108,126 +111,127 @@
 OFFERED = "offered"
 NOT_OFFERED = "not-offered"
 PROBE_ANSWERED = 204
-"""Answers what is for the gateway alone."""
+"""Status of the response to a request that is addressed to the gateway itself."""
 WAIT_POLICIES = {item.value: item for item in Lateness}
 MAX_HEADER_LENGTH = 256
 _CLASS_RANKS = {work_class: rank for rank, work_class in enumerate(WorkClass)}
 
 
 class HopRequest(msgspec.Struct, frozen=True):
-    """What a proxy tells the gateway of a request. ``objective`` in seconds from now."""
+    """What a proxy sends the gateway about a request. ``objective`` is in seconds from now."""
 
     backend: str
     service: str
     route: str
     rank: tuple[int, int]
     objective: float
-    lateness: Lateness
+    wait_policy: Lateness
     caller_service: str
     crash_limit: int = DEFAULT_CRASH_LIMIT
     started_at: int = 0
-    """``Machine.started_at`` of the back end as the proxy knows it, 0 where it is not told."""
-    elsewhere: bool = False
-    """It may be sent to another back end should this one hang on it."""
-    within: bool = False
-    """The proxy takes it for one that a back end makes while it runs another request."""
+    """``Machine.started_at`` of the back end as the proxy knows it, 0 if it was not sent."""
+    report_hangs: bool = False
+    """Whether the sender wants to know if the back end hangs on the request."""
+    nested: bool = False
+    """Whether the proxy takes it for a call that a back end makes while it runs another request."""
     sender_stops_in: float = math.inf
-    """In how many seconds the proxy's node will carry its answer no longer."""
+    """Seconds until the proxy's node stops relaying responses; infinite if it is not stopping."""
     buffers_start: bool = False
-    """Its answer may break off until the proxy passes its beginning on."""
+    """Whether the proxy buffers the start of the response, which may break off until then."""
     no_alternative: bool = False
-    """Should its answer break off, it would not be had from another gateway."""
+    """Whether the proxy could not get the response from another gateway if this one broke off."""
     invalid_stop_time: bool = False
-    """``GONE_IN`` made no sense and is taken as not there."""
+    """Whether ``SENDER_STOPS_IN`` was invalid and therefore ignored."""
 
 
 def hop_headers(
     route: ResolvedRoute,
     backend: str,
     objective: float,
-    lateness: Lateness,
+    wait_policy: Lateness,
     caller: str,
-    within: bool = False,
+    nested: bool = False,
     run_rank: Rank | None = None,
 ) -> Headers:
-    """Return the headers of a request to the gateway beside ``backend``.
+    """Return the hop headers of a request to the gateway of ``backend``.
 
-    ``run_rank`` is the rank of the runs beside the proxy, which a call within carries.
+    ``run_rank`` is the rank of the requests that the proxy's local back end runs; a nested call
+    carries it instead of its route's own.
     """
     work_class, priority = _CLASS_RANKS[route.work_class], route.priority
-    if within and run_rank is not None:
+    if nested and run_rank is not None:
         work_class, priority = run_rank
     rank = f"{work_class}.{priority}"
-    unusual = route.crash_limit != DEFAULT_CRASH_LIMIT
+    custom_limit = route.crash_limit != DEFAULT_CRASH_LIMIT
     return [
-        *([(NESTED, b"1")] if within else ()),
-        *([(CRASH_LIMIT, b"%d" % route.crash_limit)] if unusual else ()),
+        *([(NESTED, b"1")] if nested else ()),
+        *([(CRASH_LIMIT, b"%d" % route.crash_limit)] if custom_limit else ()),
         (BACKEND, backend.encode()),
         (SERVICE, route.service.encode()),
         (ROUTE, route.name.encode()),
         (RANK, rank.encode()),
         (OBJECTIVE, b"%d" % max(0, int(objective * 1000))),
-        (WAIT_POLICY, lateness.encode()),
+        (WAIT_POLICY, wait_policy.encode()),
         (CALLER_SERVICE, caller.encode()),
     ]
 
 
 def read_hop(headers: Headers) -> HopRequest:
-    """Read what ``hop_headers`` wrote.
+    """Parse the headers that ``hop_headers`` returned.
 
     Raises:
-        InvalidRequestError: a header is missing or makes no sense.
+        InvalidRequestError: a header is missing or invalid.
     """
-    found = {name: value.decode("latin-1") for name, value in headers if name in REQUEST_NAMES}
-    # ``map`` of built-in functions makes no calls of Python's own; a request has 15 headers here.
-    if not found.keys() >= NEEDED_NAMES or max(map(len, found.values())) > MAX_HEADER_LENGTH:
+    values = {name: value.decode("latin-1") for name, value in headers if name in REQUEST_NAMES}
+    # ``map`` with built-in functions makes no Python-level calls; a request has 15 headers here.
+    if not values.keys() >= NEEDED_NAMES or max(map(len, values.values())) > MAX_HEADER_LENGTH:
         raise InvalidRequestError("the request does not come from a node of the fleet")
-    work_class, _, priority = found[RANK].partition(".")
-    objective = found[OBJECTIVE]
-    crash_limit = found.get(CRASH_LIMIT, str(DEFAULT_CRASH_LIMIT))
-    life = found.get(INCARNATION, "0")
+    work_class, _, priority = values[RANK].partition(".")
+    objective = values[OBJECTIVE]
+    crash_limit = values.get(CRASH_LIMIT, str(DEFAULT_CRASH_LIMIT))
+    incarnation = values.get(INCARNATION, "0")
     sender_stops_in = (
-        _parse_milliseconds_left(found[SENDER_STOPS_IN]) if SENDER_STOPS_IN in found else math.inf
+        _parse_milliseconds_left(values[SENDER_STOPS_IN]) if SENDER_STOPS_IN in values else math.inf
     )
-    numbers = (work_class, priority, objective, crash_limit, life)
+    numbers = (work_class, priority, objective, crash_limit, incarnation)
     if not all(map(str.isdecimal, numbers)):
-        raise InvalidRequestError("the request's rank, objective or limit is no number")
-    asked = WAIT_POLICIES.get(found[WAIT_POLICY])
-    if asked is None:
-        raise InvalidRequestError("the request's lateness is none that is known")
+        raise InvalidRequestError("the request's rank, objective or limit is not a number")
+    wait_policy = WAIT_POLICIES.get(values[WAIT_POLICY])
+    if wait_policy is None:
+        raise InvalidRequestError("the request's lateness header has an unknown value")
     return HopRequest(
-        backend=found[BACKEND],
-        service=found[SERVICE],
-        route=found[ROUTE],
+        backend=values[BACKEND],
+        service=values[SERVICE],
+        route=values[ROUTE],
         rank=(int(work_class), int(priority)),
         objective=int(objective) / 1000,
-        lateness=asked,
-        caller_service=found[CALLER_SERVICE],
+        wait_policy=wait_policy,
+        caller_service=values[CALLER_SERVICE],
         crash_limit=int(crash_limit),
-        started_at=int(life),
-        elsewhere=REPORT_HANGS in found,
-        within=NESTED in found,
+        started_at=int(incarnation),
+        report_hangs=REPORT_HANGS in values,
+        nested=NESTED in values,
         sender_stops_in=sender_stops_in,
-        buffers_start=BUFFERS_START in found,
-        no_alternative=NO_ALTERNATIVE in found,
-        invalid_stop_time=SENDER_STOPS_IN in found and sender_stops_in == math.inf,
+        buffers_start=BUFFERS_START in values,
+        no_alternative=NO_ALTERNATIVE in values,
+        invalid_stop_time=SENDER_STOPS_IN in values and sender_stops_in == math.inf,
     )
 
 
 def format_milliseconds_left(seconds: float) -> str:
-    """Return ``GONE_IN``'s value; at least 1, as 0 makes no sense and would count as no word."""
+    """Return the value of ``SENDER_STOPS_IN``: at least 1, as receivers ignore 0 as invalid."""
     return str(max(1, int(seconds * 1000)))
 
 
 def _parse_milliseconds_left(text: str) -> float:
-    """Return the seconds of ``GONE_IN``; infinite where it makes no sense."""
+    """Return a number of milliseconds in seconds, or infinity if the text is invalid."""
     if not text.isdecimal() or int(text) == 0:
         return math.inf
     return int(text) / 1000
 
 
 def gateway_only_header(headers: Headers) -> tuple[bytes, bytes] | None:
-    """Return the header that makes a request one for the gateway, not for its back end."""
+    """Return the header that addresses a request to the gateway itself, if there is one."""
     for item in headers:
         if item[0] in GATEWAY_NAMES:
             return item
@@ -235,38 +239,38 @@
 
 
 def withdrawal_request(gateway: str, request_id: str) -> OutgoingRequest:
-    """Return the request that takes another one back, if it still waits at the gateway."""
+    """Return the request that withdraws another one if that still waits at the gateway."""
     headers = [(b"host", gateway.encode()), (WITHDRAW, request_id.encode())]
     return OutgoingRequest(b"GET", b"/", headers)
 
 
 def group_request_ids(ids: Sequence[str]) -> list[Sequence[str]]:
-    """Return the ids in as many groups as there are words needed to name them."""
+    """Split the ids into groups that fit into one ``FINISH_BY`` header each."""
     return [ids[start : start + MAX_IDS] for start in range(0, len(ids), MAX_IDS)]
 
 
 def finish_by_request(gateway: str, seconds: float, ids: Sequence[str]) -> OutgoingRequest:
-    """Return the request that tells a gateway until when answers to ``ids`` are carried."""
+    """Return the request that tells a gateway how long responses to ``ids`` are still relayed."""
     text = ID_SEPARATOR.join([format_milliseconds_left(seconds), *ids])
     headers = [(b"host", gateway.encode()), (FINISH_BY, text.encode("latin-1"))]
     return OutgoingRequest(b"GET", b"/", headers)
 
 
 def parse_finish_by(value: bytes) -> tuple[float, frozenset[str]]:
-    """Return the seconds and the ids of such a word; infinite and none if it makes no sense."""
+    """Return the seconds and ids of a ``FINISH_BY`` header; infinity and none if invalid."""
     milliseconds, *ids = value.decode("latin-1").split(ID_SEPARATOR)
     seconds = _parse_milliseconds_left(milliseconds)
     return seconds, frozenset(ids) if seconds < math.inf else frozenset()
 
 
 def failure_header(error: RequestFailedError) -> tuple[bytes, bytes]:
-    """Return the header that marks a gateway's own failure."""
+    """Return the header that marks a response as the gateway's own failure."""
     offered = OFFERED if error.offered else NOT_OFFERED
     return FAILURE, f"{error.code} {error.outcome} {offered}".encode()
 
 
 def error_from_failure(text: str, status: int, retry_after: float | None) -> RequestFailedError:
-    """Return the proxy's error for a gateway's own failure."""
+    """Return the proxy's error for the ``FAILURE`` header of a gateway."""
     code, _, rest = text.partition(" ")
     outcome, _, offered = rest.partition(" ")
     message = f"the gateway failed: {code}"
--- a/src/pewtertack/node/gateway/incarnations.py
+++ b/src/pewtertack/node/gateway/incarnations.py
@@ -1,4 +1,4 @@
-"""The back ends that have lived at the address beside a node, one after the other."""
+"""The incarnations of back ends that have run at a node's local back-end address."""
 
 from __future__ import annotations
 
@@ -18,138 +18,146 @@
 from pewtertack.routing.policies import DEFAULT_POLICIES, Policies
 
 DEFAULT_SLOTS = 6
-"""Slots of a back end of which the machine list does not tell them yet."""
+"""Slots of a back end whose number the machine list does not report yet."""
 MAX_UNLISTED_NAMES = 256
-"""Back ends that the newest list does not name and of which something is known. Senders may ask
-for any name: without a bound each would take memory for good."""
+"""Limit on remembered back ends that the newest machine list does not contain. Senders may request
+any name, and without a limit each name would occupy memory forever."""
 
 
 class Incarnation(msgspec.Struct):
-    """One back end that has lived at the address beside this node."""
+    """One back end that runs, or has run, at the local address."""
 
     admission: Admission
     cold: ColdStart
     listed_cold: bool = False
-    """Whether the newest list says that it is cold."""
+    """Whether the newest machine list marks it as cold."""
     leaving: bool = False
-    """Said to leave, or replaced at its address; for good."""
+    """Whether it was reported as leaving or was replaced at its address; never reset."""
     listed: bool = True
-    told: bool = False
-    """Whether a list has named it."""
-    ended: bool = False
-    """Another life has begun under its name."""
+    """Whether the newest machine list contains it; true until a list says otherwise."""
+    ever_listed: bool = False
+    """Whether any machine list has contained it."""
+    superseded: bool = False
+    """Whether a later incarnation has started under its name."""
     started_at: int = 0
-    """Unix milliseconds of its start, 0 while unknown."""
+    """Start time in Unix milliseconds, 0 while unknown."""
 
     @property
     def takes_work(self) -> bool:
-        """Whether requests may still be sent to it."""
+        """Whether requests may be sent to it."""
         return self.listed and not self.leaving
 
     @property
     def evictable(self) -> bool:
-        """Whether the newest list lacks it and nobody's request is here for it."""
-        return not (self.told and self.listed) and self.admission.is_idle
+        """Whether it is not in the newest list and no request for it is at this gateway."""
+        return not (self.ever_listed and self.listed) and self.admission.is_idle
 
     def hand_back_waiting(self) -> None:
-        """Have what waits for a back end that takes no more work served elsewhere."""
+        """Refuse waiting requests if the back end takes no more work; senders try elsewhere."""
         if not self.takes_work:
-            self.admission.refuse_all(self.gone)
+            self.admission.refuse_all(self.refusal)
 
-    def gone(self, wanted: int = 0) -> NotRunError:
-        """Return the refusal of what no back end has seen, since this one takes no work.
+    def refusal(self, wanted_start: int = 0) -> NotRunError:
+        """Return the refusal of a request that did not run because this back end takes no work.
 
-        Of a life that began later, at ``wanted``, it says nothing for good. Nor does a list that
-        lacks it: its entry goes while its heartbeats do not reach the store, and comes back then.
+        The refusal is not a permanent one if the sender meant a later incarnation, started at
+        ``wanted_start``, or if the entry is only missing from the list: an entry lapses while the
+        back end's heartbeats do not reach the store, and returns with them.
         """
-        error = self._refusal_type(wanted)("the back end is leaving or gone")
+        error = self._refusal_type(wanted_start)("the back end is leaving or gone")
         error.offered = False
         return error
 
-    def _refusal_type(self, wanted: int) -> type[NotRunError]:
-        of_later_life = 0 < self.started_at < wanted
-        if self.leaving and not of_later_life:
+    def _refusal_type(self, wanted_start: int) -> type[NotRunError]:
+        wanted_is_later = 0 < self.started_at < wanted_start
+        if self.leaving and not wanted_is_later:
             return BackendLeftError
-        return BackendGoneError if self.leaving or self.ended else BackendUnlistedError
+        return BackendGoneError if self.leaving or self.superseded else BackendUnlistedError
 
 
 class Incarnations:
-    """All of them by name; one that nobody has told of yet is made when it is asked for.
+    """All known incarnations by name; unknown ones are created when they are requested.
 
     Args:
         clock: monotonic time in seconds.
-        policies: the way of each decision that has several.
+        policies: the policy for each configurable decision.
     """
 
     def __init__(self, clock: Callable[[], float], policies: Policies = DEFAULT_POLICIES) -> None:
         self._clock = clock
         self._policies = policies
         self._bounds: ColdBounds | None = None
-        self._known: dict[str, Incarnation] = {}
+        self._by_name: dict[str, Incarnation] = {}
 
     def __len__(self) -> int:
-        return len(self._known)
+        return len(self._by_name)
 
     def find(self, name: str) -> Incarnation | None:
-        """Return the back end if anything is known of it."""
-        return self._known.get(name)
+        """Return the incarnation, or ``None`` if the name is unknown."""
+        return self._by_name.get(name)
 
     def get(self, name: str) -> Incarnation:
-        """Return the back end, for which nothing has to be known yet."""
-        found = self._known.get(name)
-        if found is not None and not found.told:
-            self._known[name] = self._known.pop(name)  # the last asked for is forgotten last
+        """Return the incarnation; create it if the name is unknown."""
+        found = self._by_name.get(name)
+        if found is not None and not found.ever_listed:
+            self._by_name[name] = self._by_name.pop(
+                name
+            )  # most recently requested names are evicted last
         if found is None:
             self._evict_idle()
             cold = ColdStart(DEFAULT_SLOTS, self._clock(), self._bounds)
-            found = self._known[name] = Incarnation(
+            found = self._by_name[name] = Incarnation(
                 Admission(DEFAULT_SLOTS, cold, self._policies), cold
             )
         return found
 
     def _evict_idle(self) -> None:
-        """Forget whom no list names beyond those kept: first the one least lately asked for that
-        no list has ever named.
+        """Evict unlisted names above the limit.
+
+        Names that no list has ever contained go first, in order of their last request.
         """
-        if len(self._known) < MAX_UNLISTED_NAMES:
+        if len(self._by_name) < MAX_UNLISTED_NAMES:
             return
-        idle = [name for name, item in self._known.items() if item.evictable]
-        idle.sort(key=lambda name: self._known[name].told)
-        for name in idle[: max(0, len(idle) + 1 - MAX_UNLISTED_NAMES)]:
-            del self._known[name]
+        evictable_names = [name for name, item in self._by_name.items() if item.evictable]
+        evictable_names.sort(key=lambda name: self._by_name[name].ever_listed)
+        for name in evictable_names[: max(0, len(evictable_names) + 1 - MAX_UNLISTED_NAMES)]:
+            del self._by_name[name]
 
     def apply_machine_list(self, listed: Mapping[str, Machine]) -> bool:
-        """Learn from a newer list which live, leave or have gone.
+        """Update the incarnations from a newer machine list.
 
-        Return whether one of them has started again. What is said late of the life before
-        changes nothing.
+        Return whether one of them has restarted. Late entries of an earlier incarnation are
+        ignored.
         """
         restarted = [name for name, machine in listed.items() if self._retire_previous(machine)]
-        for name, incarnation in self._known.items():
+        for name, incarnation in self._by_name.items():
             if name not in listed:
                 incarnation.listed = False
         for name, machine in listed.items():
-            self._learn(name, machine)
-        for incarnation in self._known.values():
+            self._update(name, machine)
+        for incarnation in self._by_name.values():
             incarnation.hand_back_waiting()
         return bool(restarted)
 
     def _retire_previous(self, machine: Machine) -> bool:
-        """Forget a life that has ended: what waits is handed back, what runs there ends itself."""
-        known = self._known.get(machine.name)
-        if known is None or not machine.is_after_incarnation(known.started_at):
+        """Drop an incarnation that has been superseded by ``machine``.
+
+        Its waiting requests are handed back; running ones end by themselves.
+        """
+        previous = self._by_name.get(machine.name)
+        if previous is None or not machine.is_after_incarnation(previous.started_at):
             return False
-        known.listed = False
-        known.ended = True
-        known.hand_back_waiting()
-        del self._known[machine.name]
+        previous.listed = False
+        previous.superseded = True
+        previous.hand_back_waiting()
+        del self._by_name[machine.name]
         return True
 
-    def _learn(self, name: str, machine: Machine) -> None:
+    def _update(self, name: str, machine: Machine) -> None:
         incarnation = self.get(name)
         if machine.is_before_incarnation(incarnation.started_at):
             return
-        incarnation.listed = incarnation.told = True
+        incarnation.listed = incarnation.ever_listed = True
         incarnation.started_at = machine.started_at or incarnation.started_at
         slots = machine.slots or DEFAULT_SLOTS
         incarnation.cold.slots = slots
@@ -161,23 +169,23 @@
         incarnation.admission.use_slots(slots, self._clock())
 
     def use_bounds(self, bounds: ColdBounds) -> None:
-        """Bound those that are cold from now on."""
+        """Set the limits for cold back ends."""
         self._bounds = bounds
         now = self._clock()
-        for incarnation in self._known.values():
+        for incarnation in self._by_name.values():
             incarnation.cold.use_bounds(bounds, now)
 
     def assume_cold(self) -> None:
-        """Take all for cold until they say otherwise."""
+        """Treat all back ends as cold until they report otherwise."""
         now = self._clock()
-        for incarnation in self._known.values():
+        for incarnation in self._by_name.values():
             incarnation.cold.forget(now)
 
     def cold_starts(self) -> list[ColdStart]:
-        """Return what is known of the coldness of those that take work."""
-        return [item.cold for item in self._known.values() if item.takes_work]
+        """Return the cold-start state of the incarnations that take work."""
+        return [item.cold for item in self._by_name.values() if item.takes_work]
 
     def refuse_waiting(self, refusal_of: Callable[[], NotRunError]) -> None:
-        """End the waiting of all requests, each with a refusal of its own."""
-        for incarnation in self._known.values():
+        """Refuse all waiting requests, each with an error of its own."""
+        for incarnation in self._by_name.values():
             incarnation.admission.refuse_all(refusal_of)
--- a/src/pewtertack/node/gateway/link_check.py
+++ b/src/pewtertack/node/gateway/link_check.py
@@ -1,7 +1,7 @@
-"""Whether a long answer can leave this machine in time, judged before its request runs.
+"""Predicts, before a request runs, whether its long response can be sent in time.
 
-Three ends bound it: its caller's objective and deadline, the end of the node that sent the
-request, and the end of this node. What stands before it on the link's line is reckoned with.
+Three limits apply: the caller's objective and deadline, the shutdown of the node that sent the
+request, and the shutdown of this node. The bytes already in the link queue are counted in.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 from pewtertack.routing.places import AdmissionTicket
 
 QUEUE_TIME_MARGIN = 1.5
-"""What stands before an answer on a link may take so many times as long as reckoned: lengths
-differ, and what is short isn't foreseen."""
+"""The bytes queued before a response may take this many times as long to send as predicted:
+lengths vary, and short responses are not predicted."""
 
 
 class LinkCheck:
-    """Judges one request. Times are monotonic seconds.
+    """Checks one request. Times are in monotonic seconds.
 
     Args:
-        pacer: of the machine's link; ``None`` where long answers leave at once.
-        admission: of the back end.
-        ticket: the request's place, whose deadline is made earlier where another end asks for it.
-        gone_at: when the node that sent the request carries its answer no longer.
+        pacer: paces the machine's link; ``None`` if long responses are sent without pacing.
+        admission: the back end's admission control.
+        ticket: the request's ticket; its deadline is brought forward if another limit is earlier.
+        sender_stops_at: when the node that sent the request stops relaying the response.
     """
 
     __slots__ = ("_admission", "_pacer", "_ticket", "sender_stops_at")
@@ -45,78 +45,81 @@
 
     @property
     def sender_stopping(self) -> bool:
-        """Whether the node that sent the request has been told to stop."""
+        """Whether the node that sent the request is shutting down."""
         return self.sender_stops_at < math.inf
 
     @property
     def rank(self) -> Rank:
-        """The answer's rank on the link."""
+        """The response's rank in the link queue."""
         return RECEIVER_STOPS if self.sender_stopping else self._ticket.rank
 
     @property
     def _transfer_seconds(self) -> float:
-        """Seconds that the answer takes the link alone; 0 where it is short or not known."""
+        """Seconds that the response takes on an idle link; 0 if it is short or unknown."""
         return self._pacer.share.own_time(self._ticket.route) if self._pacer is not None else 0.0
 
     def check(self, now: float) -> None:
-        """Refuse at once what would be answered too late because others take the link.
+        """Refuse a request whose response would be late because others occupy the link.
 
-        What would be late with the link to itself is not refused for its objective, and but for
-        a probe a second for its deadline, or its route's times and lengths, which answers alone
-        teach, would stay as they are for good.
+        A response that would miss its objective even on an idle link is not refused for that
+        reason. One that would miss its deadline even then is refused, except for one probe a
+        second: only responses update the known times and lengths of a route, which would
+        otherwise never change again.
 
         Raises:
-            DeadlineUnmeetableError: its long answer would leave too late.
+            DeadlineUnmeetableError: the long response would be sent too late.
         """
         if self._pacer is None and self.sender_stops_at == math.inf:
             return
-        own, ahead = self._transfer_seconds, 0.0
-        if own and self._pacer is not None:
-            ahead = self._pacer.share.time_ahead(self.rank, now)
-            if not (self._fits(now, own, ahead) or self._may_probe(ahead, now)):
-                raise DeadlineUnmeetableError("the link is taken for too long", ahead + own)
-        self._limit_deadline(self.sender_stops_at - own - ahead)
-
-    def _fits(self, now: float, own: float, ahead: float) -> bool:
-        """Tell whether the answer would leave early enough.
-
-        To be late is a loss; to be broken off at the last moment is a run for nothing as well, so
-        that one is kept with a margin.
+        transfer, queued = self._transfer_seconds, 0.0
+        if transfer and self._pacer is not None:
+            queued = self._pacer.share.time_ahead(self.rank, now)
+            if not (self._fits(now, transfer, queued) or self._may_probe(queued, now)):
+                raise DeadlineUnmeetableError(
+                    "the link is occupied for too long", queued + transfer
+                )
+        self._limit_deadline(self.sender_stops_at - transfer - queued)
+
+    def _fits(self, now: float, transfer: float, queued: float) -> bool:
+        """Tell whether the response would be sent early enough.
+
+        A response that is cut at the hard limit also wastes its execution, so that limit is
+        checked with a safety factor (``QUEUE_TIME_MARGIN``).
         """
         ticket = self._ticket
-        alone = now + own + self._admission.expected_time(ticket.route)
-        last = min(ticket.deadline, self.sender_stops_at)
-        wanted = last if ticket.within else min(ticket.objective, last)
-        latest = wanted if alone <= wanted else last
-        return alone + ahead <= latest and alone + QUEUE_TIME_MARGIN * ahead <= last
-
-    def _may_probe(self, ahead: float, now: float) -> bool:
-        """Tell whether an answer may be let through to learn how long those of its route are."""
-        if self._pacer is None or ahead > 0 or self.sender_stopping:
+        idle_end = now + transfer + self._admission.expected_time(ticket.route)
+        hard_limit = min(ticket.deadline, self.sender_stops_at)
+        preferred_limit = hard_limit if ticket.within else min(ticket.objective, hard_limit)
+        limit = preferred_limit if idle_end <= preferred_limit else hard_limit
+        return idle_end + queued <= limit and idle_end + QUEUE_TIME_MARGIN * queued <= hard_limit
+
+    def _may_probe(self, queued: float, now: float) -> bool:
+        """Tell whether to let a response through to learn the length of its route's responses."""
+        if self._pacer is None or queued > 0 or self.sender_stopping:
             return False
         return self._pacer.share.may_probe(self._ticket.route, now)
 
     def _limit_deadline(self, moment: float) -> None:
-        """Judge by an earlier end, where it is known how long the back end takes."""
+        """Bring the deadline forward, if it is known how long the back end takes."""
         if self._admission.expected_time(self._ticket.route):
             self._ticket.deadline = min(self._ticket.deadline, moment)
 
     def finish_by(self, moment: float) -> None:
-        """The node that sent the request has been told to stop, and ends at that moment."""
+        """Note that the node that sent the request is shutting down and ends at ``moment``."""
         self.sender_stops_at = min(self.sender_stops_at, moment)
         self._limit_deadline(self.sender_stops_at - self._transfer_seconds)
 
     def check_before_run(self) -> None:
-        """Refuse what waited for its slot, and could not leave any more before this node stops.
+        """Refuse a request that got its slot too late for its response to be sent before shutdown.
 
         Raises:
-            DrainingError: it has not run, and another gateway may be asked.
+            DrainingError: the request has not run, and another gateway may be tried.
         """
         if self._pacer is None:
             return
         route = self._ticket.route
         run_seconds = self._admission.expected_time(route)
         if self._pacer.ends_before(route, self.rank, run_seconds):
-            error = DrainingError("the node beside the back end is stopping")
+            error = DrainingError("the node of the back end is shutting down")
             error.offered = False
             raise error
--- a/src/pewtertack/node/gateway/metrics.py
+++ b/src/pewtertack/node/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a gateway: waiting apart from working, and refusals by their reason."""
+"""Metrics of a gateway: queueing time, back-end time, and refusals by reason."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 
 class GatewayMetrics:
-    """Counts what the gateway admits and refuses. Times in seconds."""
+    """Records what the gateway admits and refuses. Times are in seconds."""
 
     def __init__(self, registry: MetricsRegistry) -> None:
-        self._queued = registry.histogram(
+        self._queue_seconds = registry.histogram(
             "pewtertack_gateway_queue_seconds",
             "Time that admitted requests waited at the gateway.",
             ("route",),
             BUCKETS,
         )
-        self._working = registry.histogram(
+        self._backend_seconds = registry.histogram(
             "pewtertack_gateway_backend_seconds",
             "Time that the back end took for answered requests.",
             ("route",),
@@ -27,18 +27,18 @@
             "Requests that ended at the gateway, by reason and by whether a back end saw them.",
             ("reason", "offered"),
         )
-        self._within = registry.counter(
+        self._nested = registry.counter(
             "pewtertack_gateway_calls_within",
             "Requests that a back end made while it ran another, by what became of them here.",
             ("route", "end"),
         )
-        self._sending = registry.histogram(
+        self._link_seconds = registry.histogram(
             "pewtertack_gateway_link_seconds",
             "Time that long answers took from the back end's end to the machine's link.",
             ("route",),
             BUCKETS,
         )
-        self._in_vain = registry.counter(
+        self._deferred = registry.counter(
             "pewtertack_gateway_runs_in_vain",
             "Requests that let others go first, since calls of such runs were turned away.",
             ("route",),
@@ -55,33 +55,33 @@
         )
 
     def note_nested(self, route: str, admitted: bool) -> None:
-        """A call within has gone to the back end, or has ended without an answer."""
-        self._within.inc((route, "admitted" if admitted else "refused"))
+        """A nested call was sent to the back end, or ended without a response."""
+        self._nested.inc((route, "admitted" if admitted else "refused"))
 
     def note_deferred(self, route: str) -> None:
-        """A request lets others go first: runs of its route often end badly now."""
-        self._in_vain.inc((route,))
+        """A request was deferred because executions of its route often fail at present."""
+        self._deferred.inc((route,))
 
     def note_invalid_stop_time(self) -> None:
-        """A node's word on when it stops made no sense."""
+        """Another node's report of its shutdown time was invalid."""
         self._invalid_stop_times.inc(())
 
     def note_crashed(self) -> None:
-        """The back end ended while it ran requests."""
+        """The back end crashed while it ran requests."""
         self._crashed.inc(())
 
     def note_admitted(self, route: str, queued: float) -> None:
-        """A request went to the back end."""
-        self._queued.observe((route,), queued)
+        """A request was sent to the back end after ``queued`` seconds."""
+        self._queue_seconds.observe((route,), queued)
 
     def note_answered(self, route: str, seconds: float) -> None:
-        """The back end answered whole."""
-        self._working.observe((route,), seconds)
+        """The back end sent a complete response."""
+        self._backend_seconds.observe((route,), seconds)
 
     def note_sent(self, route: str, seconds: float) -> None:
-        """A long answer has left, so long after it was whole."""
-        self._sending.observe((route,), seconds)
+        """A long response was sent, ``seconds`` after the back end had completed it."""
+        self._link_seconds.observe((route,), seconds)
 
     def note_refused(self, reason: str, offered: bool) -> None:
-        """A request ended without an answer."""
+        """A request ended without a response from the back end."""
         self._refused.inc((reason, str(offered).lower()))
--- a/src/pewtertack/node/gateway/reception.py
+++ b/src/pewtertack/node/gateway/reception.py
@@ -1,9 +1,10 @@
-"""Which long bodies a gateway receives now.
+"""Limits how many long request bodies a gateway receives at once.
 
-The link of a small machine carries a few dozen long bodies a second. Received all at once
-they share it, and every small request behind them is late; received one by one after a slot
-came free, the slot stands idle meanwhile. So few come at a time: of requests that have their
-slot first, then those that wait for one, in the order of the queue.
+The link of a small machine carries a few dozen long bodies a second. If all were received at
+once they would share it, and every small request behind them would be late. If each were received
+only once its request had a slot, that slot would be idle meanwhile. So only a few bodies are
+received at a time: first those of requests that have a slot, then those of waiting requests in
+queue order.
 """
 
 from __future__ import annotations
@@ -14,9 +15,9 @@
 from pewtertack.routing.places import AdmissionTicket
 
 MAX_CONCURRENT_BODIES = 2
-"""Long bodies on their way to one gateway: two fill a link of 10 Mbit/s in windows of 32 KB."""
+"""Long bodies received by one gateway at once: two fill a link of 10 Mbit/s with 32 KB windows."""
 MAX_EARLY_BODIES = 6
-"""Bodies held whole while their requests wait for a slot; each at most ``body.AHEAD_BYTES``."""
+"""Bodies buffered while their requests wait for a slot; each at most ``body.READ_AHEAD_BYTES``."""
 
 
 class _Waiter:
@@ -28,18 +29,18 @@
 
 
 class BodyReception:
-    """Hands out the turns to receive a long body, in the event loop's thread."""
+    """Schedules the reception of long bodies. All methods run in the event loop's thread."""
 
     __slots__ = ("_early", "_receiving", "_waiters")
 
     def __init__(self) -> None:
         self._receiving = 0
         self._early: list[AdmissionTicket] = []
-        """Requests whose bodies came, or come, before their slots."""
+        """Requests whose bodies were, or are being, received before they got a slot."""
         self._waiters: list[_Waiter] = []
 
     async def receive(self, ticket: AdmissionTicket, read: Callable[[], Awaitable[None]]) -> None:
-        """Wait for the ticket's turn, then read its body; when cancelled, leave the place."""
+        """Wait for the ticket's turn, then read its body; on cancellation leave the queue."""
         waiter = _Waiter(ticket)
         self._waiters.append(waiter)
         self.start_waiters()
@@ -50,13 +51,13 @@
             self._finish(waiter)
 
     def release(self, ticket: AdmissionTicket) -> None:
-        """The request has ended: its body is held no longer."""
+        """Note that the request has ended and its body is no longer buffered."""
         if ticket in self._early:
             self._early.remove(ticket)
             self.start_waiters()
 
     def start_waiters(self) -> None:
-        """Give the free turns out; to be called too when a ticket was granted."""
+        """Start as many waiters as the limits allow; also call this when a ticket was granted."""
         self._early = [ticket for ticket in self._early if not ticket.granted]
         while self._receiving < MAX_CONCURRENT_BODIES:
             waiter = self._next_waiter()
@@ -69,9 +70,9 @@
             waiter.started.set()
 
     def _next_waiter(self) -> _Waiter | None:
-        """Return whose turn is next: with a slot, or next in the queue while few are ahead."""
-        may_wait = len(self._early) < MAX_EARLY_BODIES
-        waiters = (item for item in self._waiters if item.ticket.granted or may_wait)
+        """Return the next waiter: one with a slot, else the first in the queue if allowed."""
+        may_start_early = len(self._early) < MAX_EARLY_BODIES
+        waiters = (item for item in self._waiters if item.ticket.granted or may_start_early)
         return min(
             waiters, key=lambda item: (not item.ticket.granted, item.ticket.order), default=None
         )
--- a/src/pewtertack/node/gateway/report_headers.py
+++ b/src/pewtertack/node/gateway/report_headers.py
@@ -1,4 +1,4 @@
-"""What a gateway tells the sender of a request with its answer or refusal, as headers."""
+"""Report headers that a gateway adds to its responses and refusals for the sending node."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 def load_headers(admission: Admission, now: float) -> RawHeaders:
-    """Return the header that tells the back end's load, waiting requests included."""
+    """Return the header with the back end's load, which includes waiting requests."""
     return [(BACKEND_LOAD, f"{admission.load}/{admission.told_slots(now)}".encode())]
 
 
 def link_headers(pacer: LinkPacer, route: str) -> RawHeaders:
-    """Return the header that tells how long the link's line is, where it is to be told."""
-    told = pacer.link_report(route)
-    return [(hop.LINK, told.encode())] if told is not None else []
+    """Return the header with the length of the link queue, if there is something to report."""
+    value = pacer.link_report(route)
+    return [(hop.LINK, value.encode())] if value is not None else []
 
 
 def origin_headers(origins: OriginWatch | None, request: HopRequest) -> RawHeaders:
-    """Return the header that tells who calls the request's route, where the sender needs it."""
-    told = origins.to_tell(request.route, request.within) if origins is not None else None
-    return [(hop.ORIGIN, told.encode())] if told is not None else []
+    """Return the header that names who calls the request's route, if the sender needs it."""
+    value = origins.to_tell(request.route, request.nested) if origins is not None else None
+    return [(hop.ORIGIN, value.encode())] if value is not None else []
--- a/src/pewtertack/node/gateway/sending.py
+++ b/src/pewtertack/node/gateway/sending.py
@@ -1,7 +1,7 @@
-"""Answers of a back end on their way to the other node, the long ones in turns.
+"""Sends the back end's responses to the other node; long ones take turns on the link.
 
-A long answer is received while it waits for its turn on the link, so that neither the back end
-nor its slot waits for the link.
+A long response is received from the back end while it waits for its turn on the link, so that
+neither the back end nor its slot has to wait for the link.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from pewtertack.routing.places import AdmissionTicket
 
 RESPONSE_BUFFER_BYTES = 256 * 1024
-"""So much of one answer is held; the back end waits with the rest of a longer one."""
+"""Limit on the buffered bytes of one response; reading more from the back end waits."""
 NODE_BUFFER_BYTES = 4 * 1024 * 1024
-"""The same for all answers of a node together."""
+"""The same limit for all responses of a node together."""
 
 
 class BufferedBytes:
-    """How much of all answers a node holds."""
+    """The number of response bytes that a node has buffered."""
 
     __slots__ = ("byte_count",)
 
@@ -32,40 +32,40 @@
 
 
 class ResponseSender:
-    """Sends one answer (ASGI ``send``); ``finish`` waits until all of it has left.
+    """Sends one response (ASGI ``send``); ``finish`` waits until all of it has been sent.
 
     Args:
-        send: of the connection to the other node.
-        pacer: the link's.
-        held: what the node holds.
-        ticket: the request's place, which tells its rank, its route and its objective.
-        holds_back: the other node passes nothing on should the answer break off early.
-        only_here: it would not have the answer from another gateway.
+        send: ASGI ``send`` of the connection to the other node.
+        pacer: paces the machine's link.
+        node_buffer: the response bytes that the node has buffered.
+        ticket: the request's ticket, with its rank, route, objective and deadline.
+        buffers_start: whether the other node buffers the start of a long response.
+        no_alternative: whether the other node could not get the response from another gateway.
     """
 
     __slots__ = (
-        "_started_at",
         "_body_bytes",
+        "_buffered_bytes",
+        "_buffers_start",
         "_changed",
+        "_chunks",
         "_complete",
-        "_handed_back",
-        "_node_buffer",
-        "_holds_back",
         "_deadline",
-        "_sent_bytes",
         "_expected_bytes",
-        "_only_here",
+        "_handed_back",
+        "_no_alternative",
+        "_node_buffer",
+        "_objective",
         "_pacer",
-        "_chunks",
-        "_reserved_bytes",
+        "_queued_body",
         "_rank",
+        "_reserved_bytes",
         "_send",
         "_sending_task",
-        "_buffered_bytes",
-        "_drained",
+        "_sent_bytes",
+        "_space_freed",
+        "_started_at",
         "_ticket",
-        "_turns",
-        "_objective",
     )
 
     def __init__(
@@ -84,32 +84,33 @@
         self._rank = ticket.rank
         self._objective = ticket.objective
         self._deadline = ticket.deadline
-        self._holds_back = buffers_start
-        self._only_here = no_alternative
+        self._buffers_start = buffers_start
+        self._no_alternative = no_alternative
         self._handed_back = False
-        """Whether the rest is not sent, since this node stops too early for it."""
-        self._turns: QueuedBody | None = None
-        """Its place in the line, while it has one."""
+        """Whether the rest will not be sent because a node shuts down too early for it."""
+        self._queued_body: QueuedBody | None = None
+        """The entry in the link queue, while there is one."""
         self._reserved_bytes = 0
+        """Link capacity reserved for a response that has not been queued yet."""
         self._started_at = 0.0
         self._body_bytes = 0
-        """Bytes of the body that came."""
+        """Body bytes received from the back end."""
         self._expected_bytes = 0
-        """Bytes of it to reckon with: as announced, else as usual for the route; 0 if unknown."""
+        """Expected length of the body: as announced, else usual for the route; 0 if unknown."""
         self._sent_bytes = 0
-        """Bytes of it that have left: what has begun goes on before what has not, or a late
-        answer would be broken off where the other end's time is over."""
+        """Body bytes sent. A response that has begun is sent before one that has not: otherwise a
+        late one would be cut when its receiver's deadline passes."""
         self._chunks: list[bytes] = []
         self._buffered_bytes = 0
-        """Bytes held."""
         self._complete = False
+        """Whether the back end has completed the response."""
         self._changed = asyncio.Event()
-        """There is more to send, or the answer has ended."""
-        self._drained = asyncio.Event()
+        """Set when there is more to send or the response is complete."""
+        self._space_freed = asyncio.Event()
         self._sending_task: asyncio.Future[None] | None = None
 
     def reserve(self) -> None:
-        """The request has its place: reckon with its answer."""
+        """Reserve link capacity for the response of a request that is about to be admitted."""
         self._reserved_bytes = self._pacer.share.promise(self._ticket.route, self._rank)
 
     def _release_reservation(self) -> None:
@@ -117,9 +118,9 @@
         self._reserved_bytes = 0
 
     def finish_by(self, moment: float) -> None:
-        """Send the answer before all others: its receiver's node stops at that moment.
+        """Give the response the highest precedence: its receiver shuts down at ``moment``.
 
-        Left in its place it would go on waiting until the end of that node, and be cut.
+        At its former position it could wait until the receiver's shutdown and be cut then.
         """
         had_reservation = self._reserved_bytes > 0
         self._release_reservation()
@@ -128,34 +129,34 @@
         self._deadline = min(self._deadline, moment)
         if had_reservation:
             self.reserve()
-        if self._turns is not None:
-            self._turns.hasten(self._rank, self._objective, self._deadline)
+        if self._queued_body is not None:
+            self._queued_body.hasten(self._rank, self._objective, self._deadline)
 
     async def __call__(self, message: Message) -> None:
-        """Send a part of the answer, or take it to be sent in its turn."""
+        """Send an ASGI message of the response, or buffer its data until its turn."""
         if message["type"] == "http.response.start":
             self._started_at = self._pacer.now()
             announced = _announced_length(message)
-            # One whose head tells no length is passed on by the other node as it comes.
-            self._holds_back = self._holds_back and announced > 0
+            # The other node does not buffer a response without an announced length.
+            self._buffers_start = self._buffers_start and announced > 0
             self._expected_bytes = announced or self._reserved_bytes
             await self._send_head(message)
             return
         await self._send_or_buffer(message)
 
     async def _send_head(self, head: Message) -> None:
-        """Send the head; a whole body that comes with it counts, and waits, as any other."""
-        whole: bytes | None = head.get(WHOLE_BODY)
-        if whole is None:
+        """Send the head; a complete body in the same message is paced like any other body."""
+        body: bytes | None = head.get(WHOLE_BODY)
+        if body is None:
             await self._send(head)
-        elif len(whole) <= LONG_BYTES:
-            self._pacer.note_sent(len(whole))
-            self._pacer.share.note_answer(self._ticket.route, len(whole))
+        elif len(body) <= LONG_BYTES:
+            self._pacer.note_sent(len(body))
+            self._pacer.share.note_answer(self._ticket.route, len(body))
             await self._send(head)
         else:
             del head[WHOLE_BODY]
             await self._send(head)
-            await self._send_or_buffer({"type": "http.response.body", "body": whole})
+            await self._send_or_buffer({"type": "http.response.body", "body": body})
 
     async def _send_or_buffer(self, message: Message) -> None:
         data: bytes = message.get("body", b"")
@@ -171,7 +172,7 @@
         await self._buffer(data)
 
     def _record_length(self) -> None:
-        """Learn the length, unless the back end itself was slower than the link."""
+        """Record the length for the route, unless the back end was slower than the link."""
         seconds = self._pacer.now() - self._started_at
         if seconds * self._pacer.share.bytes_per_second <= self._body_bytes:
             self._pacer.share.note_answer(self._ticket.route, self._body_bytes)
@@ -184,20 +185,23 @@
         if self._sending_task is None:
             self._sending_task = asyncio.ensure_future(self._send_buffered())
         while self._must_pause and not self._sending_task.done():
-            self._drained.clear()
-            await self._drained.wait()
+            self._space_freed.clear()
+            await self._space_freed.wait()
         if self._handed_back:
             await self._sending_task
 
     @property
     def _must_pause(self) -> bool:
-        """Whether the back end has to wait; one that has ended, only for the sum of all."""
+        """Whether reading from the back end must pause.
+
+        A complete response only waits for the node-wide limit.
+        """
         if self._buffered_bytes > RESPONSE_BUFFER_BYTES and not self._complete:
             return True
         return self._buffered_bytes > 0 and self._node_buffer.byte_count > NODE_BUFFER_BYTES
 
     async def _send_buffered(self) -> None:
-        """Send what is there, in turns; no place is held in the line for what is to come."""
+        """Send the buffered chunks in turns; leave the link queue while the buffer is empty."""
         try:
             while self._chunks or not self._complete:
                 self._changed.clear()
@@ -209,17 +213,21 @@
             self._handed_back = True
             raise
         finally:
-            self._drained.set()
+            self._space_freed.set()
 
     async def _send_in_turns(self, data: bytes) -> None:
         self._chunks.clear()
         begun = self._sent_bytes > 0
-        # With what has not come yet, or more would be taken than the link carries in time.
-        whole = self._body_bytes if self._complete else max(self._expected_bytes, self._body_bytes)
-        size = whole - self._sent_bytes
-        retryable_bytes = max(0, START_BUFFER_BYTES - self._sent_bytes) if self._holds_back else 0
-        # The back end has a longer one in part when the process ends: it would be cut after all.
-        no_alternative = self._only_here and whole <= RESPONSE_BUFFER_BYTES
+        # Counts the bytes still to be received: without them, more requests would be admitted
+        # than the link can serve in time.
+        total = self._body_bytes if self._complete else max(self._expected_bytes, self._body_bytes)
+        size = total - self._sent_bytes
+        retryable_bytes = (
+            max(0, START_BUFFER_BYTES - self._sent_bytes) if self._buffers_start else 0
+        )
+        # Part of a longer response is still at the back end when this process ends, so the
+        # response would be cut anyway.
+        no_alternative = self._no_alternative and total <= RESPONSE_BUFFER_BYTES
         with self._pacer.queue_body(
             self._rank,
             size,
@@ -228,46 +236,46 @@
             self._deadline,
             retryable_bytes,
             no_alternative,
-        ) as turns:
-            # Not sooner: a request that came meanwhile would be taken as if the link were free.
+        ) as queued_body:
+            # Not earlier: a request that arrived in between would see an idle link.
             self._release_reservation()
-            self._turns = turns
+            self._queued_body = queued_body
             try:
-                async for part in turns.parts(data):
+                async for part in queued_body.parts(data):
                     message = {"type": "http.response.body", "body": part, "more_body": True}
                     await self._send(message)
                     self._sent_bytes += len(part)
                     self._release(len(part))
             finally:
-                self._turns = None
+                self._queued_body = None
 
     def _release(self, size: int) -> None:
         self._buffered_bytes -= size
         self._node_buffer.byte_count -= size
-        self._drained.set()
+        self._space_freed.set()
 
     @property
     def is_sending(self) -> bool:
-        """Whether some of the answer has not left."""
+        """Whether the response has been buffered for paced sending."""
         return self._sending_task is not None
 
     async def finish(self) -> None:
-        """Wait until all of the answer has left."""
+        """Wait until all of the response has been sent."""
         if self._sending_task is not None:
             await self._sending_task
 
     def close(self) -> None:
-        """Send nothing, and reckon with nothing, any longer."""
+        """Stop sending, and release the reservation and the buffered bytes."""
         self._release_reservation()
         if self._sending_task is not None:
             self._sending_task.cancel()
             if self._handed_back:
-                self._sending_task.exception()  # seen, also where the request has ended otherwise
+                self._sending_task.exception()  # mark as retrieved if nobody awaited it
         self._release(self._buffered_bytes)
 
 
 def _announced_length(head: Message) -> int:
-    """Return the length in bytes that a head announces for its body, 0 if it does not."""
+    """Return the body length in bytes that a response head announces, 0 without one."""
     for name, value in head["headers"]:
         if name == b"content-length":
             return int(value)
--- a/src/pewtertack/node/gateway/slot_wait.py
+++ b/src/pewtertack/node/gateway/slot_wait.py
@@ -11,15 +11,15 @@
 from pewtertack.routing.places import AdmissionTicket
 
 MIN_RECHECK_SECONDS = 0.001
-"""Seconds between two looks at a waiting request, where a timer has fired too early."""
+"""Minimum delay before a waiting request is rechecked, which matters if a timer fires early."""
 
 
 class SlotWait:
     """Waits until a submitted ticket is granted or refused.
 
     Args:
-        admission: to which the ticket was submitted.
-        ticket: the request's place.
+        admission: the admission control to which the ticket was submitted.
+        ticket: the request's ticket.
         clock: monotonic time in seconds.
     """
 
@@ -34,10 +34,10 @@
         self._timer: asyncio.TimerHandle
 
     async def until_granted(self) -> None:
-        """Return once the slot is the ticket's; give its place up where the wait is cancelled.
+        """Return once the ticket has a slot; release the ticket if the wait is cancelled.
 
         Raises:
-            NotRunError: why it was refused.
+            NotRunError: the ticket was refused.
         """
         try:
             await self._until_decided()
@@ -58,11 +58,11 @@
             self._timer.cancel()
 
     def _recheck(self) -> None:
-        """Give the waiting ticket up when its time is over; see to it that this is noticed."""
+        """Refuse the ticket if its waiting time has expired; schedule the next check."""
         now = self._clock()
         self._admission.expire(self._ticket, now)
-        left = max(MIN_RECHECK_SECONDS, self._admission.expires_at(self._ticket) - now)
-        self._timer = asyncio.get_running_loop().call_later(left, self._recheck)
+        seconds = max(MIN_RECHECK_SECONDS, self._admission.expires_at(self._ticket) - now)
+        self._timer = asyncio.get_running_loop().call_later(seconds, self._recheck)
 
     def _release_ticket(self) -> None:
         if self._ticket.granted:
--- a/src/pewtertack/node/proxy/deadlines.py
+++ b/src/pewtertack/node/proxy/deadlines.py
@@ -27,7 +27,7 @@
 class Deadlines:
     """The deadlines of one event loop."""
 
-    __slots__ = ("_timer_at", "_cancelled", "_heap", "_numbers", "_timer", "loop")
+    __slots__ = ("_cancelled", "_heap", "_numbers", "_timer", "_timer_at", "loop")
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
--- a/src/pewtertack/node/proxy/forwarding.py
+++ b/src/pewtertack/node/proxy/forwarding.py
@@ -166,7 +166,7 @@
 
     @property
     def request_id(self) -> str:
-        """The request's id (``RequestUnderWay``)."""
+        """The request's id (``ActiveRequest``)."""
         return self._head.request_id
 
     @property
@@ -178,7 +178,7 @@
 
     @property
     def gateway(self) -> str:
-        """``ip:port`` of the gateway that has the request (``RequestUnderWay``)."""
+        """``ip:port`` of the gateway that has the request (``ActiveRequest``)."""
         backend = self._ticket.backend
         if self._connection is None or backend is None:
             return ""
@@ -186,10 +186,10 @@
         return backend.gateway
 
     def finish_by(self, moment: float) -> None:
-        """Its caller is no node that stops (``RequestUnderWay``)."""
+        """Its caller is no node that stops (``ActiveRequest``)."""
 
     async def withdraw(self) -> None:
-        """Begin no further attempt; take back one that waits (``RequestUnderWay``)."""
+        """Begin no further attempt; take back one that waits (``ActiveRequest``)."""
         self._withdrawn = True
         self._context.dispatcher.refuse(self._ticket, DrainingError("the node is stopping"))
         backend = self._ticket.backend
@@ -201,11 +201,11 @@
             await withdraw_from_gateway(self._context.connections, backend.gateway, self.request_id)
 
     def stop(self) -> None:
-        """End the request now (``RequestUnderWay``)."""
+        """End the request now (``ActiveRequest``)."""
         self._lifetime.stop()
 
     def log_unfinished(self) -> None:
-        """Log how far it has come (``RequestUnderWay``)."""
+        """Log how far it has come (``ActiveRequest``)."""
         if self._context.log is not None:
             took = self._context.clock() - self._started_at
             received = self._body.complete
--- a/src/pewtertack/node/proxy/in_flight.py
+++ b/src/pewtertack/node/proxy/in_flight.py
@@ -79,7 +79,7 @@
 class _ActiveContext:
     """Keeps one request among those under way."""
 
-    __slots__ = ("_request", "_active")
+    __slots__ = ("_active", "_request")
 
     def __init__(self, active: set[ActiveRequest], request: ActiveRequest) -> None:
         self._active = active
@@ -201,7 +201,7 @@
         """Log the requests that the time to stop has not sufficed for."""
         self.requests.log_unfinished()
 
-    def flush_answers(self) -> None:
+    def flush_responses(self) -> None:
         """Give the system what waits to be sent: this process ends soon."""
 
     def stop_requests(self) -> None:
--- a/src/pewtertack/node/proxy/lifetime.py
+++ b/src/pewtertack/node/proxy/lifetime.py
@@ -40,7 +40,7 @@
     the work waits once it has been cancelled.
     """
 
-    __slots__ = ("_caller", "_clock", "_cancelled", "_deadline", "_stopped", "_task")
+    __slots__ = ("_caller", "_cancelled", "_clock", "_deadline", "_stopped", "_task")
 
     def __init__(self, scope: Scope, deadline: float, clock: Callable[[], float]) -> None:
         self._caller: Caller = scope["extensions"][CALLER_EXTENSION]
--- a/tests/node/gateway/test_held_up_times.py
+++ b/tests/node/gateway/test_held_up_times.py
@@ -27,7 +27,7 @@
         address = await self.start_fleet(self.answer_and_hold_up)
         asyncio.get_running_loop().slow_callback_duration = 2 * HELD_UP_SECONDS
         self.assertEqual((await raw_call(address, GET)).status, 200)
-        (incarnation,) = self.gateways[0]._incarnations._known.values()
+        (incarnation,) = self.gateways[0]._incarnations._by_name.values()
         expected = incarnation.admission.expected_time("lookup")
         self.assertGreaterEqual(expected, RUN_SECONDS)
         self.assertLess(expected, BETWEEN)
--- a/tests/node/gateway/test_lives.py
+++ b/tests/node/gateway/test_lives.py
@@ -61,9 +61,9 @@
         self.subject.apply_machine_list(said(BEFORE))
         found = self.subject.get("b1")
         self.subject.apply_machine_list({})
-        self.assertNotIsInstance(found.gone(), BackendLeftError)
+        self.assertNotIsInstance(found.refusal(), BackendLeftError)
         self.subject.apply_machine_list(said(BEFORE, state=MachineState.LEAVING))
-        self.assertIsInstance(found.gone(), BackendLeftError)
+        self.assertIsInstance(found.refusal(), BackendLeftError)
 
     def test_a_new_life_is_cold_until_it_says_otherwise(self) -> None:
         self.subject.use_bounds(ColdBounds(5.0, 3.0))
--- a/tests/node/gateway/test_origins.py
+++ b/tests/node/gateway/test_origins.py
@@ -114,4 +114,4 @@
             )
             self.assertEqual(NESTED in dict(headers), within)
             request = read_hop(headers)
-            self.assertEqual((request.within, request.rank[1]), (within, 1 if within else 3))
+            self.assertEqual((request.nested, request.rank[1]), (within, 1 if within else 3))
--- a/tests/node/gateway/test_slow_readers.py
+++ b/tests/node/gateway/test_slow_readers.py
@@ -66,7 +66,7 @@
             await self.begin(1)
             await self.until_ended()
         self.assertEqual(self.whole, 0)
-        (incarnation,) = self.gateways[0]._incarnations._known.values()
+        (incarnation,) = self.gateways[0]._incarnations._by_name.values()
         async with asyncio.timeout(FAR_BELOW_DEADLINE):
             while incarnation.admission.in_flight:
                 await asyncio.sleep(0.02)
--- a/tests/node/test_daemon.py
+++ b/tests/node/test_daemon.py
@@ -48,7 +48,7 @@
     def log_unfinished(self) -> None:
         pass
 
-    def flush_answers(self) -> None:
+    def flush_responses(self) -> None:
         pass
 
     def stop_requests(self) -> None:
