--- a/src/pewtertack/core/crashes/gossip.py
+++ b/src/pewtertack/core/crashes/gossip.py
@@ -69,18 +69,18 @@
         if number is None:
             number = self._random.getrandbits(63)
         changed = [item for item in fingerprints if self.ledger.record_crash(item, number, now)]
-        return self._report_changes(now, changed)
+        return self._spread(now, changed)
 
     def on_answer(self, now: float, fingerprint: bytes) -> list[Effect]:
         """Record that the local back end answered a suspect."""
         if not self.ledger.record_answer(fingerprint, now):
             return []
-        return self._report_changes(now, [fingerprint])
+        return self._spread(now, [fingerprint])
 
     def on_reports(self, now: float, reports: CrashReports) -> list[Effect]:
         """Merge a peer's reports; forward those that were new."""
         changed = [item.fingerprint for item in reports.requests if self._merge(now, item)]
-        return self._report_changes(now, changed)
+        return self._spread(now, changed)
 
     def tick(self, now: float) -> list[Effect]:
         """Return the regular reports that are due."""
@@ -113,7 +113,7 @@
             changed |= self.ledger.record_answer(item.fingerprint, at)
         return changed
 
-    def _report_changes(self, now: float, fingerprints: list[bytes]) -> list[Effect]:
+    def _spread(self, now: float, fingerprints: list[bytes]) -> list[Effect]:
         if not fingerprints:
             return []
         suspects = [item for item in self.ledger if item.fingerprint in fingerprints]
--- a/src/pewtertack/core/replication/__init__.py
+++ b/src/pewtertack/core/replication/__init__.py
@@ -1,1 +1,1 @@
-"""Which revision each replica holds and brings into force."""
+"""Replication of the configuration and the machine list across the fleet."""
--- a/src/pewtertack/core/replication/announcing.py
+++ b/src/pewtertack/core/replication/announcing.py
@@ -1,4 +1,4 @@
-"""Eager notices of something new, to a bounded number of peers."""
+"""Announcements of new versions to a bounded number of peers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Announcer:
-    """Sends a message to a few peers, which send it on to theirs."""
+    """Sends a message to a few peers, which forward it to theirs."""
 
     def __init__(
         self,
@@ -32,32 +32,36 @@
         self._random = random
 
     def send(self, message: Message) -> list[Effect]:
-        """Return the sends of ``message`` to the peers of this time."""
+        """Return the effects that send ``message`` to a new selection of peers."""
         return [
             effect for name in self._targets() for effect in self._membership.send(name, message)
         ]
 
     def _targets(self) -> list[str]:
-        """Random members spread fast; the ring's successor leaves nobody out."""
+        """Return the peers to send to, some in this node's zone and some in other zones.
+
+        Random members spread a message quickly; the successor on the ring ensures that it reaches
+        every member.
+        """
         table = self._membership.table
         own_zone = table.reachable_in_zone(self._identity.zone)
         successor = own_zone.successors(self._identity.name, 0, 1)
-        others = own_zone.sample(self._random, self._profile.fan_out - 1)
-        near = list(dict.fromkeys(successor + others))
-        far_zones = [zone for zone in table.reachable_zones() if zone != self._identity.zone]
-        self._random.shuffle(far_zones)
-        far = [
+        random_peers = own_zone.sample(self._random, self._profile.fan_out - 1)
+        local_peers = list(dict.fromkeys(successor + random_peers))
+        other_zones = [zone for zone in table.reachable_zones() if zone != self._identity.zone]
+        self._random.shuffle(other_zones)
+        remote_peers = [
             name
-            for zone in far_zones[: self._profile.far_fan_out]
+            for zone in other_zones[: self._profile.far_fan_out]
             for name in table.reachable_in_zone(zone).sample(self._random, 1)
         ]
-        return near + far
+        return local_peers + remote_peers
 
     def inline_delta(self, store: DocumentStore) -> Delta | None:
-        """Return the newest delta of ``store`` if it is short enough to ride along."""
+        """Return the newest delta of ``store`` if it is small enough for an announcement."""
         delta = store.last_delta
-        limit = self._profile.inline_delta_bytes
-        if delta is None or limit == 0 or delta.target != store.revision:
+        max_bytes = self._profile.inline_delta_bytes
+        if delta is None or max_bytes == 0 or delta.target != store.revision:
             return None
         size = len(cbor2.dumps(msgspec.to_builtins(delta, builtin_types=(bytes,))))
-        return delta if size <= limit else None
+        return delta if size <= max_bytes else None
--- a/src/pewtertack/core/replication/commit.py
+++ b/src/pewtertack/core/replication/commit.py
@@ -1,10 +1,10 @@
-"""When a revision is safe to bring into force: a quorum of replicas holds it.
+"""Commit rule: a revision may come into force once a quorum of replicas holds it.
 
-Holders report to coordinators chosen by hashing the revision's number over the
-members. Any coordinator may commit: the mark is the same whoever makes it, so no
-agreement is needed. Only reports of exactly the same number and digest count. A
-majority can therefore hold at most one digest of a number, and two answers of the
-source under one number never both come into force.
+Holders report to coordinators that are chosen by hashing the revision's number over the members.
+Any coordinator may commit. The commit mark does not depend on which one does, so coordinators need
+no agreement among themselves. Only reports with exactly the same number and digest are counted. A
+majority can therefore hold at most one digest of a number, and two documents that the source
+returned under one number never both come into force.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 
 
 class CommitTally:
-    """Counts the holders of the newest revisions that are not yet committed."""
+    """Counts the holders of the newest uncommitted revisions."""
 
     def __init__(self) -> None:
         self._candidates: dict[RevisionId, dict[str, int]] = {}
 
     def record(self, name: str, incarnation: int, held: RevisionId) -> None:
-        """Note that process ``incarnation`` of ``name`` holds or has held ``held``."""
+        """Record that process ``incarnation`` of ``name`` holds or has held ``held``."""
         self._candidates.setdefault(held, {})[name] = incarnation
         if len(self._candidates) > MAX_CANDIDATES:
             del self._candidates[min(self._candidates, key=lambda candidate: candidate.number)]
 
     def drop_up_to(self, committed: RevisionId) -> None:
-        """Forget candidates that a commit has decided."""
+        """Remove candidates up to the number of a committed revision."""
         for candidate in list(self._candidates):
             if candidate.number <= committed.number:
                 del self._candidates[candidate]
@@ -38,8 +38,11 @@
     ) -> bool:
         """Tell whether a majority of the members, in enough zones, holds ``candidate``.
 
-        ``incarnations`` gives the current incarnation of each reachable member:
-        a report of an earlier process does not count.
+        Args:
+            candidate: the revision in question.
+            quorum: the members that count.
+            incarnations: the current incarnation of each reachable member. A report of an
+                earlier process is not counted.
         """
         reports = self._candidates.get(candidate, {})
         holders = [
@@ -51,5 +54,5 @@
         return len(holders) >= quorum.majority and len(zones) >= quorum.required_zones
 
     def report_count(self, candidate: RevisionId) -> int:
-        """Return how many processes reported ``candidate``, before any check."""
+        """Return the number of reports of ``candidate``, including ones that do not count."""
         return len(self._candidates.get(candidate, {}))
--- a/src/pewtertack/core/replication/freshness.py
+++ b/src/pewtertack/core/replication/freshness.py
@@ -1,4 +1,4 @@
-"""How recently the source is known to have confirmed the documents that a node holds."""
+"""Tracks when the source last confirmed the documents that a node holds."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 
 
 class SourceFreshness:
-    """The last moment, by document, at which what is held was the source's newest.
+    """The last time, by document, at which the held revision was known to be the source's newest.
 
-    Times are monotonic seconds of this node. A peer's word counts from its arrival less the
-    age that it tells, so the time on its way makes a document look that much fresher.
+    Times are monotonic seconds of this node. The age that a peer reports is subtracted from the
+    arrival time of the report, so that its transfer time makes the document appear that much
+    fresher.
     """
 
     __slots__ = ("_confirmed_at", "_reports_ignored_until", "_suspended")
@@ -22,10 +23,13 @@
         self._confirmed_at = dict.fromkeys(DocumentKind, -math.inf)
         self._reports_ignored_until = -math.inf
         self._suspended: dict[DocumentKind, dict[int, float]] = {}
-        """Confirmations of documents that are not held yet, by their numbers."""
+        """Times of confirmations of documents that are not held yet, by document number."""
 
     def confirm(self, kind: DocumentKind, at: float) -> None:
-        """The source confirmed its newest document at ``at``, as this node saw itself."""
+        """Record that the source confirmed its newest document at the time ``at``.
+
+        While documents are being processed, the confirmation applies to the newest of them.
+        """
         suspended = self._suspended.get(kind)
         if suspended:
             newest = max(suspended)
@@ -34,41 +38,42 @@
             self._confirmed_at[kind] = max(self._confirmed_at[kind], at)
 
     def suspend(self, kind: DocumentKind, number: int) -> None:
-        """What is confirmed from now on is a document under work, and not the held one."""
+        """Apply confirmations to the document ``number``, which is being processed, from now on."""
         self._suspended.setdefault(kind, {}).setdefault(number, -math.inf)
 
-    def resume(self, kind: DocumentKind, held: float = math.inf) -> None:
-        """The work on documents up to the number ``held`` is done: their confirmations count."""
+    def resume(self, kind: DocumentKind, up_to_number: float = math.inf) -> None:
+        """Apply the confirmations of documents up to a number, which have been processed."""
         suspended = self._suspended.get(kind, {})
-        for number in [number for number in suspended if number <= held]:
+        for number in [number for number in suspended if number <= up_to_number]:
             at = suspended.pop(number)
             self._confirmed_at[kind] = max(self._confirmed_at[kind], at)
 
     def record_peer_age(self, now: float, kind: DocumentKind, age_milliseconds: int) -> None:
-        """A peer's word of such an age covers the held document."""
+        """Record a peer's report, valid for the held document, of the age of its confirmation."""
         if now >= self._reports_ignored_until:
             self.confirm(kind, now - age_milliseconds / MILLISECONDS_PER_SECOND)
 
-    def reset(self, now: float, deaf_for: float) -> None:
-        """Trust nothing confirmed so far, nor what peers say for ``deaf_for`` seconds.
+    def reset(self, now: float, ignore_reports_seconds: float) -> None:
+        """Discard all confirmations, and ignore peers' reports for ``ignore_reports_seconds``.
 
-        For a process that was paused: words that came meanwhile are older than they say.
+        Called after a pause of the process: reports that arrived during the pause are older than
+        they state.
         """
         self._confirmed_at = dict.fromkeys(DocumentKind, -math.inf)
         for suspended in self._suspended.values():
             suspended.update(dict.fromkeys(suspended, -math.inf))
-        self._reports_ignored_until = now + deaf_for
+        self._reports_ignored_until = now + ignore_reports_seconds
 
     def age(self, now: float, kind: DocumentKind) -> float:
-        """Return the seconds since the last confirmation; infinite without one."""
+        """Return the seconds since the last confirmation, or infinity without one."""
         return now - self._confirmed_at[kind]
 
     def max_age(self, now: float) -> float:
-        """Return the age of the document confirmed longest ago."""
+        """Return the age of the document whose last confirmation is the oldest."""
         return max(self.age(now, kind) for kind in DocumentKind)
 
     def ages(self, now: float) -> SourceAges:
-        """Return both ages in the form that peers are told."""
+        """Return the ages of both documents in the form that is sent to peers."""
         return SourceAges(*(_milliseconds(self.age(now, kind)) for kind in DocumentKind))
 
 
--- a/src/pewtertack/core/replication/heartbeats.py
+++ b/src/pewtertack/core/replication/heartbeats.py
@@ -1,4 +1,4 @@
-"""What a reader of the source tells its zone, and which peers it tells."""
+"""Heartbeats that readers of the source send to their zone and to readers of other zones."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 )
 
 MAX_DELTAS_BYTES = 800
-"""Deltas that ride on a heartbeat: a frame of 1,200 bytes fits one datagram, of which the
-versions, digests and the envelope take up to 300."""
+"""Maximum size of the deltas in a heartbeat. A frame of 1,200 bytes fits one datagram; versions,
+digests and the envelope take up to 300 bytes of it."""
 MIN_EDIT_BYTES = 4
-"""No edit is shorter: many need not be encoded to see that they are too long."""
+"""Minimum size of an encoded edit; used to reject a large number of edits without encoding them."""
 
 
 class HeartbeatSender:
-    """Sends a reader's heartbeats: regularly, and at once with what is new.
+    """Sends a reader's heartbeats, regularly and immediately after a change.
 
-    They go to all members of the own zone, and to one reader of each other zone.
+    They go to all members of the reader's own zone and to one reader of each other zone.
     """
 
     def __init__(
@@ -55,9 +55,11 @@
         self._next_at = -math.inf
 
     def due_heartbeats(self, now: float, state: VersionState) -> list[Effect]:
-        """Return the heartbeats to send now, with every change since the last ones."""
-        news = any(self._advertised[kind] != store.revision for kind, store in self._stores.items())
-        if not news and now < self._next_at:
+        """Return the heartbeats to send now, with the changes since the previous ones."""
+        is_changed = any(
+            self._advertised[kind] != store.revision for kind, store in self._stores.items()
+        )
+        if not is_changed and now < self._next_at:
             return []
         self._next_at = now + self._profile.heartbeat_interval
         heartbeat = self._heartbeat(now, state, self._deltas())
@@ -67,7 +69,7 @@
         ]
 
     def for_joiner(self, now: float, name: str, address: str, state: VersionState) -> list[Effect]:
-        """Return the word for one joining peer, if the source's word is within its lease."""
+        """Return a heartbeat for one joining peer, if the last confirmation is within the lease."""
         if self._freshness.max_age(now) > self._profile.reader_lease:
             return []
         return [Send(name, address, self._heartbeat(now, state, ()))]
@@ -80,7 +82,7 @@
         return ReaderHeartbeat(state, digest, ages, deltas, self._wide_link)
 
     def _deltas(self) -> tuple[DeltaAnswer, ...]:
-        """Return what has changed since the last heartbeats, if that is short."""
+        """Return the changes since the previous heartbeats, or nothing if they are too large."""
         changed = tuple(
             answer
             for kind, store in self._stores.items()
@@ -93,16 +95,16 @@
         return changed if size <= MAX_DELTAS_BYTES else ()
 
     def _chain(
-        self, kind: DocumentKind, store: DocumentStore, told: RevisionId
+        self, kind: DocumentKind, store: DocumentStore, advertised: RevisionId
     ) -> tuple[DeltaAnswer, ...]:
-        deltas = store.deltas_since(told) if told != store.revision else None
+        deltas = store.deltas_since(advertised) if advertised != store.revision else None
         return (DeltaAnswer(kind, deltas),) if deltas else ()
 
     def _targets(self) -> list[str]:
         table = self._membership.table
-        own = table.reachable_in_zone(self._identity.zone)
-        rank = own.count_below(self._score)
-        targets = own.first(len(own))
+        own_zone = table.reachable_in_zone(self._identity.zone)
+        rank = own_zone.count_below(self._score)
+        targets = own_zone.first(len(own_zone))
         for zone in table.reachable_zones():
             if zone != self._identity.zone:
                 readers = table.reachable_in_zone(zone).first(self._profile.readers_per_zone)
--- a/src/pewtertack/core/replication/leaving.py
+++ b/src/pewtertack/core/replication/leaving.py
@@ -1,7 +1,8 @@
-"""Back ends that said they are leaving, ahead of the platform's lagging list.
+"""Back ends that announced that they are leaving before the machine list says so.
 
-A notice is about one back end at one address and is sticky: a replacement has
-another address, or another start, and the list drops what is gone.
+The platform's list lags behind such notices. A notice applies to one back end at one address and
+start time and is never withdrawn: a replacement has another address or start time, and back ends
+that are gone disappear from the list.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 class LeavingBackends:
-    """The notices about back ends of the current list."""
+    """The leaving notices about back ends of the current machine list."""
 
     def __init__(self) -> None:
         self._notices: set[LeavingBackend] = set()
@@ -23,16 +24,16 @@
     def observe(
         self, notices: Iterable[LeavingBackend], machines: MachineList
     ) -> tuple[LeavingBackend, ...]:
-        """Note back ends of the list as leaving and return those that were news."""
+        """Record notices about listed back ends and return those that were new."""
         listed = _backends(machines)
-        news = tuple(
+        new_notices = tuple(
             notice for notice in notices if notice in listed and notice not in self._notices
         )
-        self._notices.update(news)
-        return news
+        self._notices.update(new_notices)
+        return new_notices
 
     def apply(self, machines: MachineList) -> MachineList:
-        """Return the list with noted back ends leaving, and forget unlisted ones."""
+        """Return the list with noted back ends marked as leaving; drop notices about unlisted."""
         self._notices &= _backends(machines)
         if not self._notices:
             return machines
--- a/src/pewtertack/core/replication/list_overrides.py
+++ b/src/pewtertack/core/replication/list_overrides.py
@@ -1,4 +1,8 @@
-"""What a node holds against lists of a new era, in the form that starting peers are told."""
+"""Encoding of a node's machine list overrides as messages for starting peers.
+
+Overrides are held against lists of a new era, after the source was restored from an old copy
+(``core.machine_list_overrides``).
+"""
 
 from __future__ import annotations
 
@@ -16,36 +20,45 @@
 )
 
 MAX_MESSAGE_BYTES = 900
-"""Of the entries of one message: with the envelope it fits one datagram."""
+"""Maximum size of the entries of one message; with the envelope it then fits one datagram."""
 MAX_MESSAGES = 8
-"""For one peer; what does not fit is left out, kept back ends first."""
+"""Maximum number of messages for one peer. Messages beyond it are dropped, first those about kept
+back ends."""
 MILLISECONDS_PER_SECOND = 1000.0
 
 Override = LeavingBackend | DepartedBackend | KeptBackend
 
 
-def overrides_against(listed: MachineList, believed: MachineList) -> list[Override]:
-    """Return how ``believed`` differs from ``listed`` in back ends, with those kept at the end."""
-    names, current = _backends(listed), _backends(believed)
+def overrides_against(listed: MachineList, overridden: MachineList) -> list[Override]:
+    """Return the differences in back ends between a list as read and the list in use.
+
+    Args:
+        listed: the machine list as it was read.
+        overridden: the list with the overrides applied.
+
+    Returns:
+        The leaving back ends, then the departed ones, then the kept ones.
+    """
+    listed_backends, current = _backends(listed), _backends(overridden)
     leaving: list[Override] = []
-    gone: list[Override] = []
-    for name, machine in names.items():
+    departed: list[Override] = []
+    for name, machine in listed_backends.items():
         if name not in current:
-            gone.append(DepartedBackend.of(machine))
+            departed.append(DepartedBackend.of(machine))
         elif _is_newly_leaving(current[name], machine):
             leaving.append(LeavingBackend(name, machine.address, machine.started_at))
     kept = [
         KeptBackend.of(machine)
         for name, machine in current.items()
-        if name not in names or machine.incarnation != names[name].incarnation
+        if name not in listed_backends or machine.incarnation != listed_backends[name].incarnation
     ]
-    return [*leaving, *gone, *kept]
+    return [*leaving, *departed, *kept]
 
 
 def _is_newly_leaving(current: Machine, listed: Machine) -> bool:
     states = current.state, listed.state
-    is_one = current.incarnation == listed.incarnation
-    return is_one and states == (MachineState.LEAVING, MachineState.LIVE)
+    is_same_backend = current.incarnation == listed.incarnation
+    return is_same_backend and states == (MachineState.LEAVING, MachineState.LIVE)
 
 
 def _backends(machines: MachineList) -> dict[str, Machine]:
@@ -53,44 +66,48 @@
 
 
 def messages_of(
-    number: int, overrides: list[Override], left_of: Callable[[str], float]
+    number: int, overrides: list[Override], remaining_seconds: Callable[[str], float]
 ) -> tuple[ListOverrides, ...]:
-    """Return the messages that tell ``overrides`` of the list ``number``.
+    """Return the messages that contain ``overrides`` of the list ``number``.
 
     Args:
-        left_of: for how many more seconds what is held of a back end holds.
+        number: the number of the machine list.
+        overrides: the overrides to send.
+        remaining_seconds: returns for how long the override of a back end remains valid.
     """
-    by_end: dict[int, list[Override]] = {}
+    by_remaining_ms: dict[int, list[Override]] = {}
     for override in overrides:
-        left = round(left_of(override.name) * MILLISECONDS_PER_SECOND)
-        if left > 0:
-            by_end.setdefault(left, []).append(override)
+        remaining_ms = round(remaining_seconds(override.name) * MILLISECONDS_PER_SECOND)
+        if remaining_ms > 0:
+            by_remaining_ms.setdefault(remaining_ms, []).append(override)
     messages = [
-        _message(number, left, part) for left, held in by_end.items() for part in _chunks(held)
+        _message(number, remaining_ms, chunk)
+        for remaining_ms, group in by_remaining_ms.items()
+        for chunk in _chunks(group)
     ]
     return tuple(messages[:MAX_MESSAGES])
 
 
-def _message(number: int, left: int, part: list[Override]) -> ListOverrides:
+def _message(number: int, remaining_ms: int, chunk: list[Override]) -> ListOverrides:
     return ListOverrides(
         number,
-        left,
-        tuple(entry for entry in part if isinstance(entry, LeavingBackend)),
-        tuple(entry for entry in part if isinstance(entry, DepartedBackend)),
-        tuple(entry for entry in part if isinstance(entry, KeptBackend)),
+        remaining_ms,
+        tuple(entry for entry in chunk if isinstance(entry, LeavingBackend)),
+        tuple(entry for entry in chunk if isinstance(entry, DepartedBackend)),
+        tuple(entry for entry in chunk if isinstance(entry, KeptBackend)),
     )
 
 
 def _chunks(overrides: list[Override]) -> Iterator[list[Override]]:
-    """Yield parts that fit one message each."""
-    part: list[Override] = []
+    """Yield chunks that fit one message each."""
+    chunk: list[Override] = []
     size = 0
     for override in overrides:
         entry_size = len(cbor2.dumps(msgspec.to_builtins(override)))
-        if part and size + entry_size > MAX_MESSAGE_BYTES:
-            yield part
-            part, size = [], 0
-        part.append(override)
+        if chunk and size + entry_size > MAX_MESSAGE_BYTES:
+            yield chunk
+            chunk, size = [], 0
+        chunk.append(override)
         size += entry_size
-    if part:
-        yield part
+    if chunk:
+        yield chunk
--- a/src/pewtertack/core/replication/machine_lists.py
+++ b/src/pewtertack/core/replication/machine_lists.py
@@ -1,7 +1,7 @@
-"""The machine list of one replica: the newest that can be read, with leaving notices.
+"""The machine list of one replica: the newest valid list, with leaving notices applied.
 
-Unlike a configuration the list is used as soon as it is there: it lags anyway, and
-the request path tolerates machines that are gone.
+Unlike a configuration, a list is used as soon as it arrives, without a quorum. It lags behind in
+any case, and the request path tolerates machines that are gone.
 """
 
 from __future__ import annotations
@@ -28,39 +28,39 @@
 
 
 class MachineListReplica:
-    """Holds the newest list; numbers only grow.
+    """Holds the newest list; its number never decreases.
 
     Args:
-        hold_after_return: seconds for which what was known goes before what lists of a new era
-            of the source say (`core.machine_list_overrides`).
-        began_at: since when the node has seen who leaves, in monotonic seconds.
+        hold_after_return: seconds for which earlier knowledge overrides the lists of a new era of
+            the source (``core.machine_list_overrides``).
+        began_at: since when the node has observed leaving machines, in monotonic seconds.
     """
 
     def __init__(self, hold_after_return: float = 0.0, began_at: float = -math.inf) -> None:
         self.store = DocumentStore()
         self.overrides = MachineListOverrides(hold_after_return, began_at)
         self.era_change: EraChange | None = None
-        """What the last change of era brought, until it is told."""
+        """The effects of the last change of era, until they are logged."""
         self._listed = MachineList(0, ())
         self.machines = MachineList(0, ())
         self._leaving = LeavingBackends()
 
     @property
     def revision(self) -> RevisionId:
-        """The revision of the list in use."""
+        """The revision of the list that is in use."""
         return self.store.revision
 
     @property
     def era(self) -> int:
-        """The era of the list in use."""
+        """The era of the list that is in use."""
         return era_of(self.revision.number)
 
     def nodes(self) -> list[Machine]:
-        """Return the nodes of the list in use."""
+        """Return the nodes in the list that is in use."""
         return [entry for entry in self.machines.machines if entry.role is MachineRole.NODE]
 
     def offer_deltas(self, now: float, deltas: tuple[Delta, ...]) -> list[Effect]:
-        """Use the end of a chain if it is newer; a chain that does not fit changes nothing."""
+        """Use the target of a chain of deltas if it is newer; a mismatch changes nothing."""
         try:
             steps = self.store.resolve_chain(deltas)
         except DeltaMismatchError as error:
@@ -70,7 +70,7 @@
         return self.offer(now, steps[-1].delta.target, steps[-1].document)
 
     def offer(self, now: float, revision: RevisionId, document: Document) -> list[Effect]:
-        """Use a newer list; one that cannot be read leaves the older in use."""
+        """Use ``document`` if it is newer and valid; otherwise the current list stays in use."""
         if revision.number <= self.revision.number:
             return []
         try:
@@ -83,39 +83,41 @@
         return self._refresh(now)
 
     def tick(self, now: float) -> list[Effect]:
-        """Believe the list again where what was held against it holds no longer."""
+        """Rebuild the list in use when overrides have expired."""
         return self._refresh(now) if self.overrides.has_expired(now) else []
 
     def _refresh(self, now: float) -> list[Effect]:
         self.machines = self._leaving.apply(self.overrides.overridden(now, self._listed))
         return [UseMachineList(self.machines)]
 
-    def on_overrides(self, now: float, told: ListOverrides) -> list[Effect]:
-        """Take in a peer's overrides of its list."""
-        return self._refresh(now) if self.overrides.apply_report(now, told, self._listed) else []
+    def on_overrides(self, now: float, report: ListOverrides) -> list[Effect]:
+        """Apply the overrides that a peer reported."""
+        return self._refresh(now) if self.overrides.apply_report(now, report, self._listed) else []
 
     def trust_new_entries(self, now: float) -> list[Effect]:
-        """Use the back ends that are new in a new era: peers have told which of them have left."""
+        """Use the new entries of a new era, since peers have reported which of them have left."""
         if not self.overrides.new_entries:
             return []
         self.overrides.new_entries.clear()
         return self._refresh(now)
 
     def override_messages(self, now: float) -> tuple[ListOverrides, ...]:
-        """Return the overrides of the list, for a starting peer; mostly none."""
+        """Return the messages with the overrides for a starting peer; usually none."""
         if not self.overrides.is_active(now):
             return ()
         from pewtertack.core.replication.list_overrides import messages_of, overrides_against
 
-        held = overrides_against(self._listed, self.machines)
+        overrides = overrides_against(self._listed, self.machines)
         return messages_of(
-            self.revision.number, held, lambda name: self.overrides.remaining_seconds(now, name)
+            self.revision.number,
+            overrides,
+            lambda name: self.overrides.remaining_seconds(now, name),
         )
 
     def renumber(self, now: float, revision: RevisionId) -> list[Effect]:
-        """Take over the higher number of a list with the same content.
+        """Adopt the higher number of a list with the same content.
 
-        The platform numbers its answers, so two readers may know one list by two numbers.
+        The platform numbers its answers, so two readers may receive one list under two numbers.
         """
         held = self.revision
         if held.digest != revision.digest or not revision.number > held.number > 0:
@@ -128,8 +130,8 @@
         return []
 
     def mark_leaving(self, notices: tuple[LeavingBackend, ...]) -> tuple[LeavingBackend, ...]:
-        """Take back ends out of use ahead of the list; return those that were news."""
-        news = self._leaving.observe(notices, self.machines)
-        if news:
+        """Mark back ends as leaving before the list does; return the notices that were new."""
+        new_notices = self._leaving.observe(notices, self.machines)
+        if new_notices:
             self.machines = self._leaving.apply(self.machines)
-        return news
+        return new_notices
--- a/src/pewtertack/core/replication/offers.py
+++ b/src/pewtertack/core/replication/offers.py
@@ -1,4 +1,4 @@
-"""Configurations that were offered: one under work, and the newest of those that came meanwhile."""
+"""Queue of offered configurations: the one being processed and the newest one waiting."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 from pewtertack.core.slices import Budget, SlicedWork, Work
 
 WorkFactory = Callable[[], Work[list[Effect]]]
-"""Begins work that holds a configuration in its last step, if it is newer and valid."""
+"""Creates sliced work whose last step holds a configuration if it is newer and valid."""
 
 
 class Offer:
-    """A configuration that was offered, by its number, and how it came."""
+    """An offered configuration, its number and the channel by which it arrived."""
 
     __slots__ = ("effects", "make_work", "number", "channel")
 
-    def __init__(self, number: int, way: DeliveryChannel, make: WorkFactory) -> None:
+    def __init__(self, number: int, channel: DeliveryChannel, make_work: WorkFactory) -> None:
         self.number = number
-        self.channel = way
-        self.make_work = make
+        self.channel = channel
+        self.make_work = make_work
         self.effects: list[Effect] = []
-        """What came of it."""
+        """The effects of the completed work."""
 
 
 class OfferQueue:
-    """Takes in one configuration after another.
+    """Processes one offered configuration after another.
 
-    What is under work is finished before a newer one is begun: else versions that follow each
-    other quickly would keep each other from ever being held.
+    The current one is finished before a newer one is started. Otherwise versions in quick
+    succession would prevent each other from ever being held.
     """
 
     __slots__ = ("_current", "_waiting", "_work")
@@ -37,32 +37,32 @@
     def __init__(self) -> None:
         self._work: SlicedWork[list[Effect]] | None = None
         self._current: Offer | None = None
-        """What is under work."""
+        """The offer that is being processed."""
         self._waiting: Offer | None = None
 
     @property
     def is_working(self) -> bool:
-        """Whether a configuration is under work."""
+        """Whether a configuration is being processed."""
         return self._work is not None
 
     @property
     def newest_number(self) -> int:
-        """The highest number under work or waiting; 0 for none."""
+        """The highest number being processed or waiting, or 0 if there is none."""
         both = (self._current, self._waiting)
         return max((item.number for item in both if item is not None), default=0)
 
     def add(self, offered: Offer) -> None:
-        """Begin the work on a configuration, or let it wait in place of an older one."""
+        """Start processing a configuration, or queue it in place of an older one."""
         if self._work is None:
             self._work, self._current = SlicedWork(offered.make_work()), offered
         elif self._waiting is None or offered.number >= self._waiting.number:
             self._waiting = offered
 
     def advance(self, budget: Budget) -> Offer | None:
-        """Go on with the work; return what was offered once it is done, and begin the next.
+        """Continue within ``budget``; return the offer once it is completed and start the next.
 
         Raises:
-            DeltaMismatchError: a chain of deltas does not fit; the next is begun.
+            DeltaMismatchError: a chain of deltas does not fit; the next offer is started.
         """
         work, offered = self._work, self._current
         if work is None or offered is None:
--- a/src/pewtertack/core/replication/open_reads.py
+++ b/src/pewtertack/core/replication/open_reads.py
@@ -1,4 +1,4 @@
-"""The reads of one document that the source has not answered."""
+"""Reads of one document that the source has not answered yet."""
 
 from __future__ import annotations
 
@@ -10,45 +10,49 @@
 from pewtertack.errors import ReadFailure
 
 MAX_OPEN_READS = 8
-"""Reads of one document that are open at once."""
+"""Maximum number of reads of one document that are open at the same time."""
 ANSWER_START_SECONDS = 0.3
-"""Seconds within which a quick source answers a read whose wait has passed."""
+"""Time within which a fast source answers a read after its long-poll wait has ended."""
 MAX_READ_GAP_SECONDS = 2.0
-"""Seconds between two reads of a source that answers none, unless it is known to be slow."""
+"""Time between two reads of a source that answers none, unless it is known to be slow."""
 
 
 class OpenRead:
-    """A read that the platform has not answered."""
+    """A read that the platform has not answered yet.
+
+    Args:
+        effect: the effect that issued the read.
+        opened_at: monotonic seconds.
+        allowed_seconds: time within which the answer is due, including the long-poll wait.
+    """
 
     __slots__ = ("allowed_seconds", "before_pause", "confirms", "effect", "opened_at")
 
-    def __init__(self, effect: ReadDocument, opened_at: float, allowed: float) -> None:
+    def __init__(self, effect: ReadDocument, opened_at: float, allowed_seconds: float) -> None:
         self.effect = effect
         self.opened_at = opened_at
-        """Monotonic seconds."""
-        self.allowed_seconds = allowed
-        """Seconds within which the answer is due, the wait included."""
+        self.allowed_seconds = allowed_seconds
         self.confirms = not effect.may_be_stale
-        """Whether the platform has nothing newer as long as it is open."""
+        """Whether the platform has nothing newer as long as the read stays open."""
         self.before_pause = False
-        """Whether the process has been paused since it was opened: its answer may be old."""
+        """Whether the process was paused after opening the read, so its answer may be old."""
 
     def is_overdue(self, now: float) -> bool:
-        """Tell whether the answer should have come."""
+        """Tell whether the answer should have arrived by now."""
         return now > self.opened_at + self.allowed_seconds
 
     def is_past_wait(self, now: float) -> bool:
-        """Tell whether its answer should have begun: the source is slow, or was since a change."""
+        """Tell whether its wait ended so long ago that a fast source would have answered."""
         return (
             self.effect.wait > 0 and now > self.opened_at + self.effect.wait + ANSWER_START_SECONDS
         )
 
 
 class OpenReads:
-    """The open reads of one document, the oldest first.
+    """The open reads of one document, oldest first.
 
-    One that is overdue stays open, since its answer may be on its way; another is opened beside
-    it, and the first answer counts.
+    An overdue read stays open because its answer may still arrive. Another read is opened in
+    parallel, and the first answer is used.
     """
 
     __slots__ = ("_reads", "failure_count", "last_failure", "unanswered_count")
@@ -56,11 +60,11 @@
     def __init__(self) -> None:
         self._reads: list[OpenRead] = []
         self.unanswered_count = 0
-        """Reads that were opened beside overdue ones since the last answer."""
+        """Number of reads opened while another was overdue, since the last answer."""
         self.failure_count = 0
-        """Failed reads since the last answer."""
+        """Number of failed reads since the last answer."""
         self.last_failure: ReadFailure | None = None
-        """How the last of them ended."""
+        """The failure of the last of them."""
 
     def __iter__(self) -> Iterator[OpenRead]:
         return iter(self._reads)
@@ -70,54 +74,54 @@
 
     @property
     def oldest(self) -> OpenRead | None:
-        """The read that has been open for longest."""
+        """The read that has been open the longest."""
         return self._reads[0] if self._reads else None
 
     @property
     def newest(self) -> OpenRead | None:
-        """The read that was opened last and is still open."""
+        """The open read that was opened last."""
         return self._reads[-1] if self._reads else None
 
     @property
     def is_full(self) -> bool:
-        """Whether no more may be opened."""
+        """Whether no further read may be opened."""
         return len(self._reads) >= MAX_OPEN_READS
 
-    def open(self, effect: ReadDocument, now: float, patience: float) -> None:
-        """Note a read; ``patience`` is how long an answer may take beyond its wait, in seconds."""
+    def open(self, effect: ReadDocument, now: float, timeout_seconds: float) -> None:
+        """Add a read; ``timeout_seconds`` is the time its answer may take after its wait."""
         if self._reads and self.is_any_overdue(now):
             self.unanswered_count += 1
         if self.unanswered_count:
-            patience = max(patience, MAX_READ_GAP_SECONDS)
-        read = OpenRead(effect, now, effect.wait + patience)
+            timeout_seconds = max(timeout_seconds, MAX_READ_GAP_SECONDS)
+        read = OpenRead(effect, now, effect.wait + timeout_seconds)
         if self.unanswered_count:
             read.confirms = False
         self._reads.append(read)
 
     def is_any_overdue(self, now: float) -> bool:
-        """Tell whether an answer should have come that has not."""
+        """Tell whether the answer of any read is overdue."""
         return any(read.is_overdue(now) for read in self._reads)
 
     def is_any_due(self, now: float) -> bool:
-        """Tell whether an answer may still come in time."""
+        """Tell whether the answer of any read may still arrive in time."""
         return any(not read.is_overdue(now) for read in self._reads)
 
     def after_pause(self) -> None:
-        """What is open since before a pause of this process is overdue, and confirms nothing."""
+        """Treat reads opened before a pause of this process as overdue and as no confirmation."""
         for read in self._reads:
             read.allowed_seconds = 0.0
             read.confirms = False
             read.before_pause = True
 
     def close(self, number: int) -> OpenRead | None:
-        """Remove and return the read ``number``; the oldest if that is 0."""
+        """Remove and return the read ``number``, or the oldest read if ``number`` is 0."""
         for index, read in enumerate(self._reads):
             if number in (0, read.effect.read_id):
                 return self._reads.pop(index)
         return None
 
     def answered(self, number: int) -> bool:
-        """Remove an answered read; return whether its answer is no older than the last pause."""
+        """Remove an answered read; return false if it was opened before the last pause."""
         read = self.close(number)
         self.unanswered_count = 0
         self.failure_count = 0
@@ -125,7 +129,7 @@
         return read is None or not read.before_pause
 
     def failed(self, now: float, failed: DocumentReadFailed) -> dict[str, Any]:
-        """Remove a failed read; return the fields of its log event."""
+        """Remove a failed read; return the fields for its log event."""
         read = self.close(failed.read_id)
         self.failure_count += 1
         self.last_failure = failed.failure
--- a/src/pewtertack/core/replication/pull_server.py
+++ b/src/pewtertack/core/replication/pull_server.py
@@ -1,4 +1,4 @@
-"""Answering pulls: deltas where the log reaches back, else a bounded rate of snapshots."""
+"""Answers to pulls: deltas if the log reaches back far enough, otherwise rate-limited snapshots."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from pewtertack.wire.packing import PullAnswer, pack
 
 RETRY_AFTER_RANGE_MILLISECONDS = (200, 800)
-"""Range from which a refused puller's come-back time is drawn."""
+"""Range from which the retry delay of a refused peer is chosen at random."""
 
 
 class _PackedAnswerCache:
-    """The answer that was packed last: at an edit, a whole zone pulls the same one."""
+    """Caches the last packed answer: after an edit, a whole zone pulls the same one."""
 
     __slots__ = ("answer", "packed")
 
@@ -32,14 +32,14 @@
         self.packed: PackedAnswer | None = None
 
     def packed_form(self, answer: PullAnswer) -> PackedAnswer | None:
-        """Return ``answer`` packed; ``None`` if it goes as it is."""
+        """Return ``answer`` packed, or ``None`` if it is to be sent unpacked."""
         if answer != self.answer:
             self.answer, self.packed = answer, pack(answer)
         return self.packed
 
 
 class _TokenBucket:
-    """A token bucket of one second's worth."""
+    """A token bucket that holds the tokens of one second."""
 
     __slots__ = ("_refilled_at", "_rate", "_tokens")
 
@@ -59,8 +59,9 @@
 class PullServer:
     """Serves the documents of one node to its peers.
 
-    Snapshots are limited, each kind by itself: a joiner needs both, and where they shared one
-    bound, it had the one and was to come back for the other half a second later.
+    The rate of snapshots is limited for each kind of document separately. With a shared limit, a
+    joiner, which needs both documents, received one and had to retry for the other half a second
+    later.
     """
 
     def __init__(
@@ -78,7 +79,7 @@
         self._packed = {kind: _PackedAnswerCache() for kind in DocumentKind}
 
     def answer(self, now: float, pull: Pull) -> Message | None:
-        """Return the answer to ``pull``, or nothing when there is nothing newer."""
+        """Return the answer to ``pull``, or ``None`` if the peer already has the newest."""
         store = self._stores[pull.kind]
         if pull.exact is not None:
             return self._answer_exact(now, pull.kind, pull.exact)
--- a/src/pewtertack/core/replication/quorum.py
+++ b/src/pewtertack/core/replication/quorum.py
@@ -1,4 +1,4 @@
-"""Reporting what this node holds, and committing what a quorum reported."""
+"""Reports of held revisions and the commit of revisions that a quorum reported."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 class QuorumCommit:
-    """Both sides of the commit: this node as a holder and as a coordinator.
+    """Both roles of this node in commits, holder and coordinator.
 
-    ``may_commit`` is false while the node cannot know the fleet's size.
+    ``may_commit`` is false as long as the node cannot know the size of the fleet.
     """
 
     def __init__(
@@ -29,12 +29,12 @@
         self.may_commit = False
 
     def report(self, now: float, held: RevisionId) -> list[Effect]:
-        """Report a newly held revision to its first coordinators."""
+        """Report a newly held revision to the first coordinators of its number."""
         self._round = 0
         return self._report(now, held)
 
     def report_if_due(self, now: float, held: RevisionId) -> list[Effect]:
-        """Report to the next coordinators when the earlier ones did not commit in time."""
+        """Report to the next coordinators if the earlier ones did not commit in time."""
         return self._report(now, held) if now >= self._next_report_at else []
 
     def _report(self, now: float, held: RevisionId) -> list[Effect]:
@@ -48,20 +48,20 @@
         message = HeldReport(held)
         return [effect for name in names for effect in self._membership.send(name, message)]
 
-    def record_holder(self, name: str, process: int, held: RevisionId) -> None:
-        """Count a holder: the process ``process`` of ``name``."""
-        self._tally.record(name, process, held)
+    def record_holder(self, name: str, incarnation: int, held: RevisionId) -> None:
+        """Record that the process ``incarnation`` of ``name`` holds ``held``."""
+        self._tally.record(name, incarnation, held)
 
     def has_quorum(self, now: float, revision: RevisionId) -> bool:
         """Tell whether a quorum of the members is known to hold ``revision``."""
         table = self._membership.table
-        fewest = (len(table.reachable) + 1) // 2 + 1
-        if not self.may_commit or self._tally.report_count(revision) < fewest:
+        fewest_reports = (len(table.reachable) + 1) // 2 + 1
+        if not self.may_commit or self._tally.report_count(revision) < fewest_reports:
             return False
-        processes = table.reachable_incarnations()
-        processes[self._identity.name] = self._identity.incarnation
-        return self._tally.is_held_by_quorum(revision, table.quorum_members(now), processes)
+        incarnations = table.reachable_incarnations()
+        incarnations[self._identity.name] = self._identity.incarnation
+        return self._tally.is_held_by_quorum(revision, table.quorum_members(now), incarnations)
 
     def on_commit(self, committed: RevisionId) -> None:
-        """Forget reports that a commit has made useless."""
+        """Discard reports up to the number of a committed revision."""
         self._tally.drop_up_to(committed)
--- a/src/pewtertack/core/replication/restore_inquiry.py
+++ b/src/pewtertack/core/replication/restore_inquiry.py
@@ -1,4 +1,8 @@
-"""Asking peers what they hold against lists of a new era, for a node that began not long before."""
+"""Requests for peers' machine list overrides after the source was restored from an old copy.
+
+Lists of a new era may miss changes that the restore lost. Peers that saw them hold overrides
+against these lists; a node that started shortly before the era does not and asks for them.
+"""
 
 from __future__ import annotations
 
@@ -12,20 +16,20 @@
 from pewtertack.wire.messages import VersionState
 
 REQUIRED_ANSWERS = 3
-"""Serving peers whose answers suffice; a single one may have started lately itself."""
+"""Number of serving peers whose answers suffice. A single one may itself have started recently."""
 
 
 class RestoreInquiry:
-    """Decides whom to ask, and whether the answer is worth waiting for.
+    """Decides which peers to ask and whether to wait for their answers.
 
-    Peers tell what they hold before they answer a request to join.
+    Peers send their overrides before they answer a join request.
 
     Args:
-        profile: periods and bounds.
-        table: the members.
-        random: chooses among them.
-        seconds: for how long anything is held after a return.
-        now: monotonic seconds, the node's start.
+        profile: timing periods and bounds.
+        table: the known members.
+        random: used to choose among the members.
+        hold_seconds: how long overrides are held after a restore of the source.
+        now: start time of the node in monotonic seconds.
     """
 
     def __init__(
@@ -33,29 +37,29 @@
         profile: TimingProfile,
         table: MemberTable,
         random: Random,
-        seconds: float,
+        hold_seconds: float,
         now: float,
     ) -> None:
         self._profile = profile
         self._table = table
         self._random = random
-        self._hold_seconds = seconds
+        self._hold_seconds = hold_seconds
         self._era = 0
         self._era_since = now
         self._answered: set[str] = set()
         """Serving peers that have answered in this era."""
         self._outdated: set[str] = set()
-        """Serving peers that did not know of it when they answered."""
+        """Serving peers that did not know of this era when they answered."""
         self.restart(now)
 
     def restart(self, now: float) -> None:
-        """Begin anew, as a node that knows nothing of what has happened until now."""
+        """Start over, as a node that does not know what happened before ``now``."""
         self._started_at = now
         self._start_round(now)
         self._outdated.clear()
 
     def begin_era(self, now: float, era: int) -> None:
-        """A later era has begun."""
+        """Start asking about a new era."""
         self._era = era
         self._era_since = now
         self._start_round(now)
@@ -64,13 +68,13 @@
         self._outdated |= self._answered
         self._answered.clear()
         self._next_at = now + self._profile.join_retry
-        is_concerned = self._era and self._era_since - self._started_at < COPY_AGE_MAX_SECONDS
-        self._deadline = now + self._hold_seconds if is_concerned else -math.inf
+        is_needed = self._era and self._era_since - self._started_at < COPY_AGE_MAX_SECONDS
+        self._deadline = now + self._hold_seconds if is_needed else -math.inf
 
     def on_join_answer(self, name: str, state: VersionState) -> bool:
-        """A peer has answered a request to join, and told before what it holds.
+        """Record a peer's answer to a join request, which follows its overrides.
 
-        Return whether the answer matters and the peer does not know of the era yet.
+        Return whether answers are needed and the peer does not know of the era yet.
         """
         if not state.serving:
             return False
@@ -87,9 +91,10 @@
         return len(self._answered) >= REQUIRED_ANSWERS
 
     def doubts_copy(self, now: float) -> bool:
-        """Tell whether a copy may show what has ended before this node began to see it.
+        """Tell whether an old copy may contain evacuations that ended before this node started.
 
-        Also before an era: the read that finds it is asked in the one before.
+        This also holds in era 0, because the read that discovers a new era is issued in the
+        previous one.
         """
         if now - self._started_at >= COPY_AGE_MAX_SECONDS or self._hold_seconds == 0:
             return False
@@ -99,13 +104,13 @@
         return not self.is_answered and waited < NEW_ENTRY_WAIT_SECONDS
 
     def is_pending(self, now: float) -> bool:
-        """Tell whether a starting node is to wait for a serving peer that knows the era."""
+        """Tell whether a starting node must wait for a serving peer that knows the era."""
         waited = now - self._started_at
-        is_patient = waited < self._profile.join_patience
-        return is_patient and now < self._deadline and not self._answered
+        may_wait = waited < self._profile.join_patience
+        return may_wait and now < self._deadline and not self._answered
 
     def peers_to_ask(self, now: float) -> list[str]:
-        """Return the peers to ask now."""
+        """Return the names of the peers to ask now."""
         missing = REQUIRED_ANSWERS - len(self._answered)
         if missing <= 0 or not self._next_at <= now < self._deadline:
             return []
