--- a/src/pewtertack/node/addresses.py
+++ b/src/pewtertack/node/addresses.py
@@ -1,4 +1,4 @@
-"""Where a node listens."""
+"""Addresses that a node listens on."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class AddressStatus(msgspec.Struct, frozen=True):
-    """Where the node listens, as ``ip:port``; ``proxy`` is empty without a proxy part."""
+    """Addresses that the node listens on, as ``ip:port``; ``proxy`` is empty without a proxy."""
 
     peer: str
     advertised: str
--- a/src/pewtertack/node/admin.py
+++ b/src/pewtertack/node/admin.py
@@ -1,7 +1,7 @@
 """The admin interface: a read-only ASGI application for operators and their tools.
 
-``/status`` and ``/members`` and ``/config`` answer JSON, ``/ready`` 200 or 503,
-``/metrics`` the Prometheus text format.
+``/status``, ``/members`` and ``/config`` return JSON, ``/ready`` returns 200 or 503, and
+``/metrics`` returns the Prometheus text format.
 """
 
 from __future__ import annotations
@@ -26,8 +26,8 @@
 MASK = "***"
 
 
-class Answer(NamedTuple):
-    """One HTTP answer."""
+class Response(NamedTuple):
+    """One HTTP response."""
 
     status: int
     content_type: str
@@ -35,19 +35,19 @@
 
 
 class StatusSource(Protocol):
-    """What the admin interface asks the node."""
+    """State of the node that the admin interface reads."""
 
     def status(self) -> NodeStatus:
-        """Return the node's state now."""
+        """Return the node's current state."""
 
     def members(self) -> tuple[MemberView, ...]:
         """Return the peers that the node knows."""
 
     def in_force(self) -> ResolvedConfiguration | None:
-        """Return the configuration by which the proxy serves."""
+        """Return the configuration that the proxy uses."""
 
     def is_ready(self) -> bool:
-        """Tell whether callers should be sent here."""
+        """Return whether callers should be sent here."""
 
 
 class AdminApplication:
@@ -57,61 +57,65 @@
         self._source = source
         self._registry = registry
         self._exposition: Exposition | None = None
-        self._pages: dict[str, Callable[[], Answer]] = {
-            "/status": self._status,
-            "/members": self._members,
-            "/config": self._config,
-            "/ready": self._ready,
-            "/metrics": self._metrics,
+        self._handlers: dict[str, Callable[[], Response]] = {
+            "/status": self._status_page,
+            "/members": self._members_page,
+            "/config": self._config_page,
+            "/ready": self._ready_page,
+            "/metrics": self._metrics_page,
         }
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one request."""
-        answer = self._answer(scope["method"], scope["path"])
+        """Respond to one request."""
+        response = self._respond(scope["method"], scope["path"])
         headers = [
-            (b"content-type", answer.content_type.encode()),
-            (b"content-length", str(len(answer.body)).encode()),
+            (b"content-type", response.content_type.encode()),
+            (b"content-length", str(len(response.body)).encode()),
         ]
-        await send({"type": "http.response.start", "status": answer.status, "headers": headers})
-        body = b"" if scope["method"] == "HEAD" else answer.body
+        await send({"type": "http.response.start", "status": response.status, "headers": headers})
+        body = b"" if scope["method"] == "HEAD" else response.body
         await send({"type": "http.response.body", "body": body})
 
-    def _answer(self, method: str, path: str) -> Answer:
-        page = self._pages.get(path)
-        if page is None:
-            return _json({"type": "no-such-page", "pages": sorted(self._pages)}, status=404)
+    def _respond(self, method: str, path: str) -> Response:
+        handler = self._handlers.get(path)
+        if handler is None:
+            return _json_response(
+                {"type": "no-such-page", "pages": sorted(self._handlers)}, status=404
+            )
         if method not in ("GET", "HEAD"):
-            return _json({"type": "method-not-allowed", "methods": ["GET", "HEAD"]}, status=405)
-        return page()
+            return _json_response(
+                {"type": "method-not-allowed", "methods": ["GET", "HEAD"]}, status=405
+            )
+        return handler()
 
-    def _status(self) -> Answer:
-        return _json(self._source.status())
+    def _status_page(self) -> Response:
+        return _json_response(self._source.status())
 
-    def _members(self) -> Answer:
-        return _json(self._source.members())
+    def _members_page(self) -> Response:
+        return _json_response(self._source.members())
 
-    def _config(self) -> Answer:
+    def _config_page(self) -> Response:
         configuration = self._source.in_force()
         if configuration is None:
-            return _json({"type": "nothing-in-force"}, status=404)
-        return _json(mask_secrets(configuration))
+            return _json_response({"type": "nothing-in-force"}, status=404)
+        return _json_response(mask_secrets(configuration))
 
-    def _ready(self) -> Answer:
+    def _ready_page(self) -> Response:
         ready = self._source.is_ready()
-        return _json({"ready": ready}, status=200 if ready else 503)
+        return _json_response({"ready": ready}, status=200 if ready else 503)
 
-    def _metrics(self) -> Answer:
+    def _metrics_page(self) -> Response:
         from pewtertack.node.exposition import CONTENT_TYPE, Exposition
 
         if self._exposition is None:
             self._exposition = Exposition(self._registry)
-        return Answer(200, CONTENT_TYPE, self._exposition.render())
+        return Response(200, CONTENT_TYPE, self._exposition.render())
 
 
 def mask_secrets(configuration: ResolvedConfiguration) -> dict[str, Any]:
-    """Return the configuration as plain data, the secrets' values masked."""
+    """Return the configuration as plain data, with the values of secrets masked."""
     plain: dict[str, Any] = msgspec.to_builtins(
-        configuration, builtin_types=(bytes,), enc_hook=_plain_mapping
+        configuration, builtin_types=(bytes,), enc_hook=_to_plain_mapping
     )
     revision = configuration.revision
     plain["revision"] = {"number": revision.number, "digest": revision.digest.hex()}
@@ -119,12 +123,12 @@
     return plain
 
 
-def _plain_mapping(value: Any) -> Any:
-    """Turn the read-only mappings of a configuration into plain ones."""
+def _to_plain_mapping(value: Any) -> Any:
+    """Convert the read-only mappings of a configuration to plain dictionaries."""
     if isinstance(value, Mapping):
         return dict(value)
-    raise NotImplementedError(f"{type(value).__name__} is in no configuration")
+    raise NotImplementedError(f"{type(value).__name__} cannot be part of a configuration")
 
 
-def _json(value: Any, status: int = 200) -> Answer:
-    return Answer(status, JSON_TYPE, msgspec.json.encode(value))
+def _json_response(value: Any, status: int = 200) -> Response:
+    return Response(status, JSON_TYPE, msgspec.json.encode(value))
--- a/src/pewtertack/node/assembly.py
+++ b/src/pewtertack/node/assembly.py
@@ -1,4 +1,4 @@
-"""Puts the parts of one node together from its settings."""
+"""Creates the parts of a node from its settings and connects them."""
 
 from __future__ import annotations
 
@@ -35,36 +35,39 @@
     from pewtertack.node.platform import PlatformReader
     from pewtertack.node.proxy.application import ProxyApplication
     from pewtertack.node.proxy.edge import EdgeHeaders
-    from pewtertack.routing.runs import RunsBeside
+    from pewtertack.routing.local_runs import RunsBeside
 
 
-STAGE_BOUNDS = (0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0)
-"""In seconds."""
+STAGE_BUCKETS_SECONDS = (0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0)
+"""Upper bounds of the histogram's buckets, in seconds."""
 WIDE_LINK_MBPS = 50.0
-"""From this on a link carries a tree of 2,000 routes (some 600 KB) within 0.1 s."""
+"""A link of at least this speed carries a configuration of 2,000 routes (some 600 KB) within 0.1 s.
+"""
 
 
 class ClosableReader(DocumentReader, Protocol):
-    """A document reader with connections of its own."""
+    """A document reader that has connections of its own."""
 
     async def close(self) -> None:
         """Close the connections."""
 
 
 ReaderFactory = Callable[[Settings], ClosableReader]
-"""Makes the part that reads the source and the machine list."""
+"""Creates the reader of the configuration source and the machine list."""
 
 
 def assemble_node(
     settings: Settings,
-    place: str,
+    settings_path: str,
     sockets: NodeSockets,
     make_reader: ReaderFactory | None = None,
     flags: Flags | None = None,
 ) -> NodeParts:
-    """Build a node's parts around its bound ``sockets``; ``place`` is the settings file.
+    """Create a node's parts on its bound ``sockets``.
 
-    ``make_reader`` replaces the reader of pewtertack's own source interface.
+    Args:
+        settings_path: path of the settings file.
+        make_reader: replaces the reader of pewtertack's own source interface.
     """
     started = clock.now()
     identity = _identity(settings, sockets)
@@ -72,15 +75,15 @@
     warn_of_long_documents(settings, log)
     traffic = Traffic()
     registry = MetricsRegistry()
-    transport = _transport(settings, sockets, identity, traffic)
-    reader = (make_reader or _platform)(settings)
+    transport = _create_transport(settings, sockets, identity, traffic)
+    reader = (make_reader or _create_platform_reader)(settings)
     seeds = tuple(str(seed) for seed in settings.peers.seeds)
     profile = PROFILES[settings.profile.name.value]
     gate = ServingGate(profile.pause_threshold)
     reporter = CrashReporter()
-    runs = _runs_beside(settings)
-    proxy = _proxy(settings, gate, registry, log, reporter, runs)
-    gateway = _gateway(settings, log, registry, reporter, runs)
+    local_runs = _local_runs(settings)
+    proxy = _create_proxy(settings, gate, registry, log, reporter, local_runs)
+    gateway = _create_gateway(settings, log, registry, reporter, local_runs)
     source = SourceProperties(
         settings.source.durable,
         settings.node.first_start,
@@ -96,13 +99,13 @@
         proxy.set_leaving_observer(runtime.note_backend_leaving)
         proxy.configuration_wait.lag = lambda: core.replication.replica.lag
     addresses = _addresses(sockets, identity)
-    in_flight, reaches_all = _in_flight_of(proxy), _reach_of(proxy)
+    in_flight, reaches_all = _in_flight_counter(proxy), _reach_check(proxy)
     view = NodeView(
         core, runtime, transport, gate, traffic, addresses, in_flight, started, reaches_all
     )
-    registry.add_collector(lambda: _collector_of(view, traffic))
+    registry.add_collector(lambda: _create_collector(view, traffic))
     admin = AdminApplication(view, registry)
-    settings_file = SettingsFile(place, flags or {}, settings, log)
+    settings_file = SettingsFile(settings_path, flags or {}, settings, log)
     if gateway is not None:
         settings_file.tell(gateway.use_settings)
     return NodeParts(
@@ -111,7 +114,7 @@
 
 
 def warn_of_long_documents(settings: Settings, log: EventLog) -> None:
-    """Log that the source accepts configurations which nodes may refuse for their size."""
+    """Log that the source accepts configurations whose size nodes may refuse."""
     size = settings.source.document_size
     if size is not None and size.bytes > SURE_DOCUMENT_SIZE:
         log.record(Event.SOURCE_BOUND_WIDER, accepted=size.bytes, sure=SURE_DOCUMENT_SIZE)
@@ -120,37 +123,38 @@
 def _stage_histogram(registry: MetricsRegistry) -> Histogram:
     return registry.histogram(
         "pewtertack_revision_stage_seconds",
-        "From the first word of a revision at this node to each stage, by how it came.",
+        "From the first report of a revision at this node to each stage, by how it came.",
         ("stage", "way"),
-        STAGE_BOUNDS,
+        STAGE_BUCKETS_SECONDS,
     )
 
 
-def _collector_of(view: NodeView, traffic: Traffic) -> Collector:
-    """Return the coordination's collector; its library loads when metrics are asked for."""
+def _create_collector(view: NodeView, traffic: Traffic) -> Collector:
+    """Return the coordination's collector; prometheus_client is imported only when metrics are
+    read."""
     from pewtertack.node.metrics import CoordinationCollector
 
     return CoordinationCollector(view.status, traffic)
 
 
-def _runs_beside(settings: Settings) -> RunsBeside | None:
-    """Return what proxy and gateway know in common; only where there are both is it loaded."""
+def _local_runs(settings: Settings) -> RunsBeside | None:
+    """Return the state shared by proxy and gateway; it is imported only where a node has both."""
     if settings.listen.proxy is None or settings.listen.gateway is None:
         return None
-    from pewtertack.routing.runs import RunsBeside
+    from pewtertack.routing.local_runs import RunsBeside
 
     return RunsBeside()
 
 
-def _proxy(
+def _create_proxy(
     settings: Settings,
     gate: ServingGate,
     registry: MetricsRegistry,
     log: EventLog,
     reporter: CrashReporter,
-    runs: RunsBeside | None,
+    local_runs: RunsBeside | None,
 ) -> ProxyApplication | None:
-    """Return the proxy part; its modules are loaded only where there is one."""
+    """Return the proxy; its modules are imported only where a node has one."""
     if settings.listen.proxy is None:
         return None
     from pewtertack.node.proxy.application import ProxyApplication
@@ -162,7 +166,7 @@
         may_serve=gate.may_serve,
         registry=registry,
         log=log.record,
-        edge=_edge(settings),
+        edge=_edge_headers(settings),
         caller_service=settings.backend.service,
         reporter=reporter,
         policies=settings.policies,
@@ -171,24 +175,24 @@
             settings.limits.retry_window.seconds,
             settings.limits.retry_slack,
         ),
-        runs=runs,
+        local_runs=local_runs,
     )
 
 
-def _gateway(
+def _create_gateway(
     settings: Settings,
     log: EventLog,
     registry: MetricsRegistry,
     reporter: CrashReporter,
-    runs: RunsBeside | None,
+    local_runs: RunsBeside | None,
 ) -> GatewayApplication | None:
-    """Return the gateway part, where a back end is beside the node."""
+    """Return the gateway if the node has a local back end."""
     if settings.listen.gateway is None or settings.backend.address is None:
         return None
     from pewtertack.node.gateway.application import GatewayApplication, GatewaySettings
 
     address = str(settings.backend.address)
-    place = GatewaySettings(
+    settings_path = GatewaySettings(
         address,
         settings.backend.service,
         settings.node.zone.text,
@@ -197,11 +201,17 @@
         settings.node.link_mbps,
     )
     return GatewayApplication(
-        clock.now, place, _edge(settings), log.record, registry, reporter, settings.policies
+        clock.now,
+        settings_path,
+        _edge_headers(settings),
+        log.record,
+        registry,
+        reporter,
+        settings.policies,
     )
 
 
-def _edge(settings: Settings) -> EdgeHeaders:
+def _edge_headers(settings: Settings) -> EdgeHeaders:
     from pewtertack.node.proxy.edge import EdgeHeaders
 
     headers = settings.headers
@@ -218,11 +228,11 @@
     )
 
 
-def _in_flight_of(proxy: ProxyApplication | None) -> Callable[[], int]:
+def _in_flight_counter(proxy: ProxyApplication | None) -> Callable[[], int]:
     return lambda: proxy.in_flight if proxy is not None else 0
 
 
-def _reach_of(proxy: ProxyApplication | None) -> Callable[[], bool]:
+def _reach_check(proxy: ProxyApplication | None) -> Callable[[], bool]:
     return lambda: proxy is None or proxy.reaches_all()
 
 
@@ -238,7 +248,7 @@
     )
 
 
-def _transport(
+def _create_transport(
     settings: Settings, sockets: NodeSockets, identity: NodeIdentity, traffic: Traffic
 ) -> PeerTransport:
     sender = Sender(
@@ -252,7 +262,7 @@
     return PeerTransport(sockets.peer_datagrams, sockets.peer_streams, sender, limits, traffic)
 
 
-def _platform(settings: Settings) -> PlatformReader:
+def _create_platform_reader(settings: Settings) -> PlatformReader:
     from pewtertack.node.platform import PlatformLimits, PlatformReader
 
     limits = PlatformLimits(
@@ -261,13 +271,13 @@
     return PlatformReader(
         settings.source.url,
         settings.machines.url,
-        _platform_local_host(settings),
+        _platform_source_host(settings),
         limits,
     )
 
 
-def _platform_local_host(settings: Settings) -> str | None:
-    """Return the host to read the platform from: the peer listener's, if that can be."""
+def _platform_source_host(settings: Settings) -> str | None:
+    """Return the host to read the platform from: the peer listener's, if the IP versions match."""
     local = settings.listen.peer
     remotes = (settings.source.url.address, settings.machines.url.address)
     return local.host if all(local.is_ipv6 == remote.is_ipv6 for remote in remotes) else None
--- a/src/pewtertack/node/clock.py
+++ b/src/pewtertack/node/clock.py
@@ -1,4 +1,4 @@
-"""Clocks of the daemon. Only this module and the log ask the system for the time."""
+"""Clocks of the daemon. Only this module and the log read the system's time."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from functools import partial
 
 now = partial(time.clock_gettime, time.CLOCK_BOOTTIME)
-"""Returns seconds that also pass while the process or its machine is suspended. Asked some
-fifty times for a hop over two nodes: a function of Python's own took 0.3 us more each time."""
+"""Returns monotonic seconds that include suspensions of the machine. It is called some fifty times
+for a hop over two nodes, and a Python function around it took 0.3 us more each time."""
 
 
 def suspended_seconds() -> float:
-    """Return for how long the machine has been suspended since it started.
+    """Return for how many seconds the machine has been suspended since boot.
 
-    The steady clock stands still meanwhile and the one of ``now`` goes on.
+    The monotonic clock stands still during a suspension, while ``now`` goes on.
     """
     return now() - time.monotonic()
 
--- a/src/pewtertack/node/counting.py
+++ b/src/pewtertack/node/counting.py
@@ -1,8 +1,8 @@
-"""Counters and histograms that cost a start nothing.
+"""Counters and histograms without import cost at start-up.
 
-``prometheus_client``, whose web server, TLS and e-mail modules come along, took a fifth of a
-node's imports and 10 MB. It is loaded when the metrics are first asked for
-(``node.exposition``) and turns what was counted here into its text.
+``prometheus_client`` pulls in web server, TLS and e-mail modules: a fifth of a node's import time
+and 10 MB. It is imported when the metrics are first read (``node.exposition``) and then renders
+what was counted here.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
     from prometheus_client.registry import Collector
 
 Labels = tuple[str, ...]
-"""The values of a metric's labels, in the order of their names."""
+"""Values of a metric's labels, in the order of their names."""
 
 
 class Counter:
-    """A number that only grows, for each combination of labels."""
+    """A number that only increases, for each combination of labels."""
 
     __slots__ = ("documentation", "label_names", "name", "values")
 
@@ -30,23 +30,24 @@
         self.values: dict[Labels, int] = {}
 
     def inc(self, labels: Labels, amount: int = 1) -> None:
-        """Add ``amount``."""
+        """Increase the counter by ``amount``."""
         self.values[labels] = self.values.get(labels, 0) + amount
 
 
 class Observations:
-    """What a histogram has seen with one combination of labels."""
+    """Values observed by a histogram for one combination of labels."""
 
     __slots__ = ("counts", "sum")
 
     def __init__(self, buckets: int) -> None:
         self.counts = [0] * buckets
-        """Values by bucket, not added up; the last is for those above every bound."""
+        """Number of values in each bucket, not cumulative; the last bucket is for values above all
+        bounds."""
         self.sum = 0.0
 
 
 class Histogram:
-    """The distribution of values, by upper bounds, for each combination of labels."""
+    """Distribution of values over buckets with upper bounds, for each combination of labels."""
 
     __slots__ = ("bounds", "documentation", "label_names", "name", "values")
 
@@ -60,12 +61,12 @@
         self.values: dict[Labels, Observations] = {}
 
     def observe(self, labels: Labels, value: float) -> None:
-        """Count ``value`` in the first bucket whose bound it does not pass."""
-        seen = self.values.get(labels)
-        if seen is None:
-            seen = self.values[labels] = Observations(len(self.bounds) + 1)
-        seen.counts[bisect_left(self.bounds, value)] += 1
-        seen.sum += value
+        """Count ``value`` in the first bucket whose bound it does not exceed."""
+        observations = self.values.get(labels)
+        if observations is None:
+            observations = self.values[labels] = Observations(len(self.bounds) + 1)
+        observations.counts[bisect_left(self.bounds, value)] += 1
+        observations.sum += value
 
 
 class MetricsRegistry:
@@ -80,18 +81,18 @@
 
     def counter(self, name: str, documentation: str, label_names: Labels) -> Counter:
         """Return a new counter; its exposed name gets the suffix ``_total``."""
-        made = Counter(name, documentation, label_names)
-        self.counters.append(made)
-        return made
+        metric = Counter(name, documentation, label_names)
+        self.counters.append(metric)
+        return metric
 
     def histogram(
         self, name: str, documentation: str, label_names: Labels, bounds: tuple[float, ...]
     ) -> Histogram:
         """Return a new histogram with these upper bounds, in ascending order."""
-        made = Histogram(name, documentation, label_names, bounds)
-        self.histograms.append(made)
-        return made
+        metric = Histogram(name, documentation, label_names, bounds)
+        self.histograms.append(metric)
+        return metric
 
     def add_collector(self, make: Callable[[], Collector]) -> None:
-        """Expose also what the collector yields that ``make`` returns when first asked for."""
+        """Also expose the collector that ``make`` returns when the metrics are first read."""
         self.make_collectors.append(make)
--- a/src/pewtertack/node/crash_detection.py
+++ b/src/pewtertack/node/crash_detection.py
@@ -1,7 +1,7 @@
-"""Notices that a back end has ended while it ran requests.
+"""Detects that a back end crashed while it ran requests.
 
-A broken connection alone does not say so: back ends reset connections when they are full, and
-lose answers. One that has ended has nobody who listens.
+A broken connection alone does not prove it: back ends reset connections when they are full, and
+lose responses. A back end that has crashed no longer listens.
 """
 
 from __future__ import annotations
@@ -14,35 +14,35 @@
 
 from pewtertack.node.http import connection as connections
 
-GATHER_SECONDS = 0.01
-"""For so long after the first broken exchange others count as broken by the same end: the
-resets of one end come in one turn of the loop or two. Then it is asked once more whether anybody
-listens: one that refused a single connection for want of room has not ended, and the resets of
-one that has may come ahead of its listener's end."""
-CONNECT_SECONDS = 0.25
-"""For the question whether anybody listens, on the same machine."""
+GROUPING_SECONDS = 0.01
+"""Broken exchanges within this time after the first one are attributed to the same crash: the
+resets of a crash arrive in one or two iterations of the event loop. Then the back end is tried once
+more: one that refused a single connection for lack of resources has not crashed, and the resets of
+one that has may arrive before its listener is closed."""
+CONNECT_TIMEOUT_SECONDS = 0.25
+"""Timeout of the connection that tests whether a back end on the same machine listens."""
 
 
 class BrokenExchange(msgspec.Struct, frozen=True):
-    """A request whose back end said nothing more after it was sent."""
+    """A request whose back end sent nothing more after receiving it."""
 
     request_id: str
     fingerprint: bytes | None
-    """``None`` where its body had not come as far as that counts."""
+    """``None`` if too little of its body had arrived to compute it."""
 
 
 def fingerprints_of(broken: tuple[BrokenExchange, ...]) -> tuple[bytes, ...]:
-    """Return the fingerprints that are known, each once."""
+    """Return the known fingerprints without duplicates."""
     known = (item.fingerprint for item in broken if item.fingerprint is not None)
     return tuple(dict.fromkeys(known))
 
 
 CrashObserver = Callable[[str, tuple[BrokenExchange, ...]], None]
-"""Told the name of a back end that has ended, and what it ran."""
+"""Called with the name of a back end that crashed and the requests it ran."""
 
 
-def _tell_nobody(backend: str, broken: tuple[BrokenExchange, ...]) -> None:
-    """Tell nobody."""
+def _ignore_crash(backend: str, broken: tuple[BrokenExchange, ...]) -> None:
+    """Ignore the crash."""
 
 
 class _Break:
@@ -52,51 +52,51 @@
 
     def __init__(self) -> None:
         self.broken: list[BrokenExchange] = []
-        self.ended: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
+        self.crashed: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         self.task: asyncio.Task[None]
 
 
 class CrashDetector:
-    """Gathers broken exchanges and asks whether their back end still listens.
+    """Collects broken exchanges and tests whether their back end still listens.
 
     Args:
-        tell: told of each end.
+        on_crash: called for each crash.
     """
 
-    def __init__(self, tell: CrashObserver = _tell_nobody) -> None:
-        self._tell = tell
+    def __init__(self, on_crash: CrashObserver = _ignore_crash) -> None:
+        self._on_crash = on_crash
         self._breaks: dict[tuple[str, str], _Break] = {}
-        """Not told yet, by the back end's name and address."""
+        """Breaks that are still being examined, by the back end's name and address."""
 
     async def has_crashed(self, backend: str, address: str, broken: BrokenExchange) -> bool:
-        """Tell whether the exchange broke since the back end has ended."""
+        """Return whether the exchange broke because the back end crashed."""
         key = backend, address
-        found = self._breaks.get(key)
-        if found is None:
-            found = self._breaks[key] = _Break()
-            found.task = asyncio.ensure_future(self._settle(key, found))
-        found.broken.append(broken)
-        return await asyncio.shield(found.ended)
-
-    async def _settle(self, key: tuple[str, str], found: _Break) -> None:
+        current = self._breaks.get(key)
+        if current is None:
+            current = self._breaks[key] = _Break()
+            current.task = asyncio.ensure_future(self._settle(key, current))
+        current.broken.append(broken)
+        return await asyncio.shield(current.crashed)
+
+    async def _settle(self, key: tuple[str, str], current: _Break) -> None:
         backend, address = key
-        ended = False
+        crashed = False
         try:
-            found.ended.set_result(await refuses_connections(address))
-            await anyio.sleep(GATHER_SECONDS)
-            ended = await refuses_connections(address)
+            current.crashed.set_result(await refuses_connections(address))
+            await anyio.sleep(GROUPING_SECONDS)
+            crashed = await refuses_connections(address)
         finally:
-            if not found.ended.done():
-                found.ended.set_result(False)
+            if not current.crashed.done():
+                current.crashed.set_result(False)
             del self._breaks[key]
-        if ended:
-            self._tell(backend, tuple(found.broken))
+        if crashed:
+            self._on_crash(backend, tuple(current.broken))
 
 
 async def refuses_connections(address: str) -> bool:
-    """Tell whether a connection is refused; one that is merely not made in time tells nothing."""
+    """Return whether a connection is refused; a timeout is not evidence of a crash."""
     try:
-        connection = await connections.connect(address, CONNECT_SECONDS)
+        connection = await connections.connect(address, CONNECT_TIMEOUT_SECONDS)
     except ConnectionRefusedError:
         return True
     except OSError:
--- a/src/pewtertack/node/daemon.py
+++ b/src/pewtertack/node/daemon.py
@@ -1,4 +1,4 @@
-"""The life of one node process: bind, serve, drain, exit."""
+"""Life cycle of a node process: bind, serve, drain, exit."""
 
 from __future__ import annotations
 
@@ -29,71 +29,72 @@
 logger = logging.getLogger(LOGGER_NAME)
 
 WITHDRAW_SECONDS = 1.0
-"""So long before a stop's end what no back end works on is refused: what runs by then has the
-time of a usual answer, and a refusal the time to reach its caller."""
-LAST_ANSWERS_SECONDS = 0.5
-"""So long before a stop's end what still runs is answered as of unknown outcome; connections
-linger as long (``node.http.protocol``)."""
-GATEWAY_LAST_SECONDS = 0.2
-"""The same for what runs beside this node for others: those are nodes, which take an answer and
-end the connection at once. A run that goes on until then is not broken off sooner."""
-LAST_TURNS = 100
-"""Turns of the loop that what was told to end has in any case: where something held the loop up
-until the time was over, the answers are not late but undone. One takes a turn, each that waits
-behind it on its connection one more."""
-EXIT_SECONDS = 0.3
-"""What the process itself needs to end before ``limits.stop_within``, on a busy machine."""
-ANNOUNCEMENT_PAUSES = (0.0, 0.5, 1.0)
-"""Seconds before each telling of other nodes. A word may be lost, and come before the request that
-it names; said again it changes nothing for those that heard it."""
+"""Seconds before the end of a shutdown at which requests that no back end runs are refused.
+Requests that run by then have the time of a usual response, and a refusal has the time to reach its
+caller."""
+FINAL_RESPONSE_SECONDS = 0.5
+"""Seconds before the end of a shutdown at which requests still running are answered with an unknown
+outcome; connections linger as long (``node.http.protocol``)."""
+GATEWAY_FINAL_RESPONSE_SECONDS = 0.2
+"""The same for requests that the local back end runs for other nodes: a node reads its response and
+closes the connection at once. An execution that lasts until then is not cancelled earlier."""
+FINAL_LOOP_ITERATIONS = 100
+"""Iterations of the event loop that requests told to end get in any case: if the loop was held up
+until their time was over, their responses are not late but not yet written. A response takes one
+iteration, and each response behind it on its connection one more."""
+PROCESS_EXIT_SECONDS = 0.3
+"""Time that the process itself needs to exit before ``limits.stop_within``, on a busy machine."""
+ANNOUNCEMENT_DELAYS = (0.0, 0.5, 1.0)
+"""Seconds before each announcement to other nodes. An announcement may be lost, or arrive before
+the request that it concerns; repeating it has no effect on nodes that already received it."""
 EXIT_FINISHED = 0
 EXIT_FAILED = 1
-LEAVE_TIME = 0.5
-"""Seconds for which a draining node goes on ticking, so that peers hear of it."""
+LEAVE_SECONDS = 0.5
+"""Seconds for which a draining node goes on ticking, so that peers learn of it."""
 
 AsgiApplication = Callable[..., Awaitable[None]]
 
 
 class DrainableProxy(Protocol):
-    """The proxy application, as the daemon's life sees it."""
+    """Interface of the proxy and gateway applications for the daemon."""
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
         """Serve one request."""
 
     def start_leaving(self, seconds: float) -> None:
-        """Prepare for the stop, which ends all requests in so many seconds at the latest."""
+        """Prepare for the shutdown, which ends all requests within ``seconds``."""
 
     async def announce_stop(self) -> None:
-        """Tell other nodes that have requests of this one how much time is left."""
+        """Tell other nodes that run requests of this one how much time is left."""
 
     def start_draining(self) -> None:
         """Refuse new requests; finish those in flight."""
 
     async def wait_drained(self) -> None:
-        """Return when nothing is in flight."""
+        """Wait until no request is in flight."""
 
     async def withdraw_waiting(self) -> None:
-        """Refuse what no back end works on."""
+        """Refuse the requests that no back end runs."""
 
     def log_unfinished(self) -> None:
-        """Log what is in flight when the time to stop is over."""
+        """Log the requests in flight when the time for the shutdown is over."""
 
     def flush_responses(self) -> None:
-        """Give the system what waits to be sent."""
+        """Hand buffered response data to the kernel."""
 
     def stop_requests(self) -> None:
-        """End what is in flight, with an answer; may be called again."""
+        """End the requests in flight with a response; may be called again."""
 
 
 class RunningProxy(DrainableProxy, Protocol):
-    """A proxy with work of its own beside the requests."""
+    """An application with background work besides serving requests."""
 
     async def run(self) -> None:
-        """Do it until cancelled."""
+        """Run the background work until cancelled."""
 
 
 class NodeParts(msgspec.Struct, frozen=True):
-    """Everything that a node process runs, put together but not started."""
+    """All parts of a node process, created but not started."""
 
     settings: SettingsFile
     sockets: NodeSockets
@@ -116,7 +117,7 @@
             stack.push_async_callback(parts.close)
             await _run_until_drained(parts)
     except* Exception as group:
-        failures = _leaves(group)
+        failures = _flatten(group)
     for failure in failures:
         parts.log.record(Event.NODE_FAILED, type=type(failure).__name__, reason=str(failure))
     if not failures:
@@ -153,20 +154,22 @@
 
 
 class _RequestServer:
-    """The proxy's or gateway's server; ``stopped`` is set once every answer has gone out."""
+    """Server of the proxy or the gateway; ``stopped`` is set once every response has been sent."""
 
     def __init__(
         self,
         application: DrainableProxy,
         listener: socket.socket,
         keep_alive: float,
-        last_answers: float = LAST_ANSWERS_SECONDS,
+        final_response_seconds: float = FINAL_RESPONSE_SECONDS,
     ) -> None:
         self.application = application
-        self.last_answers = last_answers
-        """So many seconds before a stop's end what still runs is ended."""
+        self.final_response_seconds = final_response_seconds
+        """Seconds before the end of a shutdown at which requests still running are ended."""
         self._listener = listener
-        from pewtertack.node.proxy.refusals import typed_refusal  # a proxy's node alone
+        from pewtertack.node.proxy.refusals import (
+            typed_refusal,  # imported only on nodes with a proxy or gateway
+        )
 
         self.stopped = anyio.Event()
         self._server = HttpServer(application, keep_alive, typed_refusal)
@@ -177,16 +180,16 @@
         self.stopped.set()
 
     def start_draining(self) -> None:
-        """Refuse new requests; let answers under way outlast the process."""
+        """Refuse new requests; let responses in progress outlast the process."""
         self.application.start_draining()
         self._server.enlarge_send_buffers()
 
     def log_unsent(self) -> None:
-        """Log what of answers, said to be sent, has not left this process."""
+        """Log response data that was reported as sent but has not left this process."""
         self._server.log_unsent()
 
     async def drain(self) -> None:
-        """Finish what is in flight, then close the listener and the connections."""
+        """Finish the requests in flight, then close the listener and the connections."""
         await self.application.wait_drained()
         self._server.should_exit = True
         await self.stopped.wait()
@@ -195,15 +198,15 @@
 def _start_servers(
     parts: NodeParts, tasks: TaskGroup, keep_alive: float
 ) -> tuple[_RequestServer, ...]:
-    """Start the servers of the proxy and of the gateway, where there are such."""
+    """Start the servers of the proxy and the gateway, as far as the node has them."""
     sockets = parts.sockets
-    parties = (
-        (parts.proxy, sockets.proxy, LAST_ANSWERS_SECONDS),
-        (parts.gateway, sockets.gateway, GATEWAY_LAST_SECONDS),
+    components = (
+        (parts.proxy, sockets.proxy, FINAL_RESPONSE_SECONDS),
+        (parts.gateway, sockets.gateway, GATEWAY_FINAL_RESPONSE_SECONDS),
     )
     servers = tuple(
-        _RequestServer(application, listener, keep_alive, last_answers)
-        for application, listener, last_answers in parties
+        _RequestServer(application, listener, keep_alive, final_response_seconds)
+        for application, listener, final_response_seconds in components
         if application is not None and listener is not None
     )
     for server in servers:
@@ -224,36 +227,38 @@
 
 
 def drain_time(limits: LimitsSection) -> float:
-    """Return how many seconds requests in flight have, once new ones are refused."""
+    """Return how many seconds requests in flight have once new ones are refused."""
     return time_left(limits, notice_time(limits))
 
 
-def time_left(limits: LimitsSection, gone: float) -> float:
-    """Return how many seconds requests in flight still have, ``gone`` seconds into the stop."""
-    longest = limits.drain_timeout.seconds if limits.drain_timeout else math.inf
+def time_left(limits: LimitsSection, elapsed: float) -> float:
+    """Return how many seconds requests in flight have left, ``elapsed`` seconds into the shutdown."""
+    limit = limits.drain_timeout.seconds if limits.drain_timeout else math.inf
     if limits.stop_within is None:
-        return longest
-    left = limits.stop_within.seconds - gone - EXIT_SECONDS
-    return max(0.0, min(longest, left))
+        return limit
+    remaining = limits.stop_within.seconds - elapsed - PROCESS_EXIT_SECONDS
+    return max(0.0, min(limit, remaining))
 
 
 def notice_time(limits: LimitsSection) -> float:
-    """Return for how many seconds a stopping node still takes requests."""
+    """Return for how many seconds a node that shuts down still accepts requests."""
     notice = limits.drain_notice.seconds
     if limits.stop_within is None:
         return notice
-    return min(notice, max(0.0, limits.stop_within.seconds - EXIT_SECONDS - WITHDRAW_SECONDS))
+    return min(
+        notice, max(0.0, limits.stop_within.seconds - PROCESS_EXIT_SECONDS - WITHDRAW_SECONDS)
+    )
 
 
 async def _drain(parts: NodeParts, servers: tuple[_RequestServer, ...]) -> None:
-    """Tell peers, be not ready, refuse new requests, finish what is in flight, close."""
-    began = anyio.current_time()
+    """Tell peers, report not ready, refuse new requests, finish those in flight, close."""
+    started_at = anyio.current_time()
     parts.runtime.start_leaving()
     limits = parts.settings.current.limits
     drain_seconds = drain_time(limits)
     notice = notice_time(limits)
     for server in servers:
-        server.application.start_leaving(notice + drain_seconds - LAST_ANSWERS_SECONDS)
+        server.application.start_leaving(notice + drain_seconds - FINAL_RESPONSE_SECONDS)
     async with anyio.create_task_group() as tasks:
         for server in servers:
             tasks.start_soon(_announce_stop, server.application)
@@ -262,17 +267,18 @@
         parts.runtime.stop_serving()
         for server in servers:
             server.start_draining()
-        if notice < LEAVE_TIME:
-            await anyio.sleep(LEAVE_TIME)
-        # What came before may have taken longer; the platform counts from the signal all the same.
-        await _finish_requests(servers, time_left(limits, anyio.current_time() - began))
+        if notice < LEAVE_SECONDS:
+            await anyio.sleep(LEAVE_SECONDS)
+        # The steps before may have taken longer; the platform's limit counts from the signal all
+        # the same.
+        await _finish_requests(servers, time_left(limits, anyio.current_time() - started_at))
         tasks.cancel_scope.cancel()
 
 
 async def _announce_stop(application: DrainableProxy) -> None:
-    """Have other nodes told, and told again; the stop goes on whatever becomes of it."""
-    for pause in ANNOUNCEMENT_PAUSES:
-        await anyio.sleep(pause)
+    """Tell other nodes repeatedly; a failure does not stop the shutdown."""
+    for delay in ANNOUNCEMENT_DELAYS:
+        await anyio.sleep(delay)
         await _announce_once(application)
 
 
@@ -280,55 +286,55 @@
     try:
         await application.announce_stop()
     except* Exception as errors:
-        for error in _leaves(errors):
-            logger.error("other nodes could not be told of the stop", exc_info=error)
+        for error in _flatten(errors):
+            logger.error("cannot announce the shutdown to other nodes", exc_info=error)
 
 
 async def _finish_requests(servers: tuple[_RequestServer, ...], seconds: float) -> None:
-    """Wait until every request has its answer; see to it that it has one in time."""
-    end = anyio.current_time() + seconds
-    with anyio.move_on_after(max(0.0, seconds - LAST_ANSWERS_SECONDS)) as finishing:
+    """Wait until every request has its response; enforce one in time."""
+    ends_at = anyio.current_time() + seconds
+    with anyio.move_on_after(max(0.0, seconds - FINAL_RESPONSE_SECONDS)) as finish_scope:
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(_withdraw_late, servers, max(0.0, seconds - WITHDRAW_SECONDS))
+            tasks.start_soon(_withdraw_after, servers, max(0.0, seconds - WITHDRAW_SECONDS))
             await _drain_all(servers)
             tasks.cancel_scope.cancel()
-    if not finishing.cancelled_caught:
+    if not finish_scope.cancelled_caught:
         return
-    with anyio.CancelScope(deadline=end) as answering:
+    with anyio.CancelScope(deadline=ends_at) as final_scope:
         async with anyio.create_task_group() as tasks:
             for server in servers:
-                tasks.start_soon(_end_requests, server, end)
-    if answering.cancelled_caught:
+                tasks.start_soon(_stop_requests, server, ends_at)
+    if final_scope.cancelled_caught:
         for server in servers:
-            server.application.stop_requests()  # the loop may have been held up until now
-        for _ in range(LAST_TURNS):
+            server.application.stop_requests()  # the event loop may have been held up until now
+        for _ in range(FINAL_LOOP_ITERATIONS):
             await anyio.sleep(0)
     for server in servers:
         server.log_unsent()
 
 
-async def _end_requests(server: _RequestServer, end: float) -> None:
-    """End what still runs as late as its answers allow."""
+async def _stop_requests(server: _RequestServer, ends_at: float) -> None:
+    """End the requests still running as late as their responses allow."""
     server.application.log_unfinished()
     server.application.flush_responses()
-    with anyio.CancelScope(deadline=end - server.last_answers) as finishing:
+    with anyio.CancelScope(deadline=ends_at - server.final_response_seconds) as finish_scope:
         await server.drain()
-    if finishing.cancelled_caught:
+    if finish_scope.cancelled_caught:
         server.application.stop_requests()
         await server.drain()
 
 
-async def _withdraw_late(servers: tuple[_RequestServer, ...], seconds: float) -> None:
-    """Refuse what still waits after so many seconds."""
+async def _withdraw_after(servers: tuple[_RequestServer, ...], seconds: float) -> None:
+    """Refuse the requests still waiting after ``seconds``."""
     await anyio.sleep(seconds)
     try:
         async with anyio.create_task_group() as tasks:
             for server in servers:
                 tasks.start_soon(server.application.withdraw_waiting)
     except* Exception as errors:
-        # Whatever went wrong, the other requests have their answers to come.
-        for error in _leaves(errors):
-            logger.error("requests could not be withdrawn", exc_info=error)
+        # A failure must not prevent the responses to other requests.
+        for error in _flatten(errors):
+            logger.error("cannot withdraw waiting requests", exc_info=error)
 
 
 async def _drain_all(servers: tuple[_RequestServer, ...]) -> None:
@@ -337,9 +343,9 @@
             tasks.start_soon(server.drain)
 
 
-def _leaves(group: BaseExceptionGroup[BaseException]) -> list[BaseException]:
-    """Return the exceptions of a group that are no groups themselves."""
-    found: list[BaseException] = []
+def _flatten(group: BaseExceptionGroup[BaseException]) -> list[BaseException]:
+    """Return the exceptions of a group, those of nested groups included."""
+    exceptions: list[BaseException] = []
     for item in group.exceptions:
-        found += _leaves(item) if isinstance(item, BaseExceptionGroup) else [item]
-    return found
+        exceptions += _flatten(item) if isinstance(item, BaseExceptionGroup) else [item]
+    return exceptions
--- a/src/pewtertack/node/early_signals.py
+++ b/src/pewtertack/node/early_signals.py
@@ -1,22 +1,22 @@
-"""Signals that come while a node starts: kept by the system until the node can act on them.
+"""Blocks signals while a node starts, until it can handle them.
 
-A node's sockets listen before the rest of it is loaded. Told to stop or to read its settings
-again meanwhile, the process would end on the spot, and reset who waits at its sockets.
+A node's sockets listen before the rest of it is loaded. A signal to stop or to reload the settings
+would end the process at that point, and reset the connections waiting at its sockets.
 """
 
 from __future__ import annotations
 
 import signal
 
-HANDLED = frozenset({signal.SIGTERM, signal.SIGINT, signal.SIGHUP})
-"""What a running node acts on."""
+HANDLED_SIGNALS = frozenset({signal.SIGTERM, signal.SIGINT, signal.SIGHUP})
+"""Signals that a running node handles."""
 
 
 def block_signals() -> None:
-    """Have the system keep them from now on; threads that are started meanwhile never get them."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED)
+    """Block the signals from now on, in threads started later as well."""
+    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 
 def unblock_signals() -> None:
-    """Take them, and those that were kept: somebody acts on them now."""
-    signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED)
+    """Deliver the signals, pending ones included: they are handled now."""
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
--- a/src/pewtertack/node/event_loop.py
+++ b/src/pewtertack/node/event_loop.py
@@ -1,9 +1,9 @@
-"""The event loop of a node, whose time also passes while the machine is suspended.
+"""Event loop of a node, whose time includes suspensions of the machine.
 
-The usual loop's clock stands still then: every timer that was armed before would fire late by
-the whole suspension (a deadline of 2 s, 30 s late after 30 s), while the node's own clock has
-gone on. With one clock for both, what has run out ends at the first turn after the wake. That
-turn comes within a tick of the runtime, since the system's wait counts no suspension.
+The default loop's clock stands still during a suspension: every timer armed before would fire late
+by its whole length (a deadline of 2 s would fire 30 s late after 30 s), while the node's own clock
+goes on. With one clock for both, expired timers fire in the first iteration after the wake-up. That
+comes within a tick of the runtime, since the kernel's wait does not count suspensions.
 """
 
 from __future__ import annotations
@@ -16,38 +16,38 @@
 ReadyKeys = list[tuple[selectors.SelectorKey, int]]
 
 
-class _SparingSelector(selectors.DefaultSelector):
-    """Leaves out every second look at the sockets that would not wait.
+class _SkippingSelector(selectors.DefaultSelector):
+    """Skips every second poll of the sockets that would not block.
 
-    The loop looks at them before each round, also while callbacks are ready: what a request's
-    bytes wake runs a round later, with a look in between that finds nothing. Of eight looks of
-    a hop over two nodes four are left out; sockets wait for one round more at most.
+    The loop polls before each iteration, even while callbacks are ready: the callbacks that a
+    request's bytes wake run an iteration later, with a poll in between that finds nothing. Of eight
+    polls of a hop over two nodes four are skipped; sockets wait for one more iteration at most.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self._left_out = False
+        self._skipped = False
 
     def select(self, timeout: float | None = None) -> ReadyKeys:
-        """Return the ready sockets; none at once every second time nothing need be waited for."""
-        if timeout == 0 and not self._left_out:
-            self._left_out = True
+        """Return the ready sockets; every second non-blocking call returns none at once."""
+        if timeout == 0 and not self._skipped:
+            self._skipped = True
             return []
-        self._left_out = False
+        self._skipped = False
         return super().select(timeout)
 
 
 class BoottimeEventLoop(asyncio.SelectorEventLoop):
-    """An event loop on ``clock.now``: monotonic seconds, suspended ones included."""
+    """An event loop on ``clock.now``: monotonic seconds that include suspensions."""
 
     def __init__(self) -> None:
-        super().__init__(_SparingSelector())
+        super().__init__(_SkippingSelector())
         self.time = clock.now  # type: ignore[method-assign]
 
     def _ensure_fd_no_transport(self, fd: int) -> None:
-        """Let a reader or writer be added or removed without a look for asyncio's transports.
+        """Skip the check that a descriptor does not belong to one of asyncio's transports.
 
-        The look guards against a caller's mistake: a descriptor of such a transport. Those added
-        here are of ``node.http.transport`` and of sockets without any; it took 12 calls of
-        functions each time, 120 for the two connections of a hop that opens both.
+        The check guards against a mistake of the caller. The descriptors used here belong to
+        ``node.http.transport`` or to plain sockets. It took 12 function calls each time, 120 for
+        the two connections of a hop that opens both.
         """
--- a/src/pewtertack/node/exposition.py
+++ b/src/pewtertack/node/exposition.py
@@ -1,4 +1,4 @@
-"""Metrics as text, by ``prometheus_client``; loaded when they are first asked for."""
+"""Renders metrics as text with ``prometheus_client``; imported when they are first read."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class Exposition:
-    """Renders a node's metrics again and again."""
+    """Renders a node's metrics, any number of times."""
 
     def __init__(self, metrics: MetricsRegistry) -> None:
         self._registry = CollectorRegistry()
-        self._registry.register(_CountedCollector(metrics))
+        self._registry.register(_RegistryCollector(metrics))
         for make in metrics.make_collectors:
             self._registry.register(make())
 
@@ -30,22 +30,22 @@
         return generate_latest(self._registry)
 
     def value(self, name: str, labels: dict[str, str]) -> float | None:
-        """Return one sample, ``None`` where there is none."""
+        """Return one sample, ``None`` if there is none."""
         return self._registry.get_sample_value(name, labels)
 
 
-class _CountedCollector(Collector):
-    """Turns counters and histograms into metric families."""
+class _RegistryCollector(Collector):
+    """Converts counters and histograms to metric families."""
 
     def __init__(self, metrics: MetricsRegistry) -> None:
         self._metrics = metrics
 
     def describe(self) -> Iterator[Metric]:
-        """Name no family in advance."""
+        """Describe no family in advance."""
         return iter(())
 
     def collect(self) -> Iterator[Metric]:
-        """Yield every family."""
+        """Yield all metric families."""
         for counter in self._metrics.counters:
             yield _counter_family(counter)
         for histogram in self._metrics.histograms:
@@ -65,20 +65,24 @@
     family = HistogramMetricFamily(
         histogram.name, histogram.documentation, labels=list(histogram.label_names)
     )
-    for labels, seen in histogram.values.items():
-        family.add_metric(list(labels), _added_up(histogram.bounds, seen), seen.sum)
+    for labels, observations in histogram.values.items():
+        family.add_metric(
+            list(labels), _cumulative_buckets(histogram.bounds, observations), observations.sum
+        )
     return family
 
 
-def _added_up(bounds: tuple[float, ...], seen: Observations) -> list[tuple[str, float]]:
-    """Return the pairs of a bound and how many values do not pass it."""
+def _cumulative_buckets(
+    bounds: tuple[float, ...], observations: Observations
+) -> list[tuple[str, float]]:
+    """Return the cumulative buckets: pairs of a bound and the number of values not above it."""
     total = 0
     buckets: list[tuple[str, float]] = []
-    for bound, count in zip((*bounds, float("inf")), seen.counts, strict=True):
+    for bound, count in zip((*bounds, float("inf")), observations.counts, strict=True):
         total += count
-        buckets.append((_bound_text(bound), total))
+        buckets.append((_format_bound(bound), total))
     return buckets
 
 
-def _bound_text(bound: float) -> str:
+def _format_bound(bound: float) -> str:
     return "+Inf" if isinf(bound) else str(bound)
--- a/src/pewtertack/node/garbage_collection.py
+++ b/src/pewtertack/node/garbage_collection.py
@@ -1,28 +1,28 @@
 """Settings of Python's cyclic garbage collector for a node's process.
 
-A node makes many objects at its start and with each configuration, keeps nearly all of
-them, and makes few cycles. With Python's own settings the collector looks through the new
-ones again and again: it took a tenth of a start and a fifth of taking over a configuration
-of 2,100 routes.
+A node creates many objects at its start and with each configuration, keeps nearly all of them, and
+creates few cycles. With Python's default settings the collector scans the new objects again and
+again: that took a tenth of a start and a fifth of applying a configuration of 2,100 routes.
 """
 
 from __future__ import annotations
 
 import gc
 
-YOUNG_OBJECTS = 20_000
-"""Objects made, less those freed, between two looks at the young ones (Python: 700)."""
-MIDDLE_LOOKS = 10
-OLD_LOOKS = 10
+YOUNG_THRESHOLD = 20_000
+"""Objects created minus objects freed between two collections of the young generation (Python's
+default: 700)."""
+MIDDLE_THRESHOLD = 10
+OLD_THRESHOLD = 10
 
 
 def pause() -> None:
-    """Collect nothing while the modules load and the parts are put together."""
+    """Disable collection while the modules load and the parts are created."""
     gc.disable()
 
 
 def resume() -> None:
-    """Collect from now on, but never look through what the start has made."""
+    """Enable collection, but exclude all objects that exist now."""
     gc.freeze()
-    gc.set_threshold(YOUNG_OBJECTS, MIDDLE_LOOKS, OLD_LOOKS)
+    gc.set_threshold(YOUNG_THRESHOLD, MIDDLE_THRESHOLD, OLD_THRESHOLD)
     gc.enable()
--- a/tests/node/test_daemon.py
+++ b/tests/node/test_daemon.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from pewtertack.node import daemon
-from pewtertack.node.daemon import EXIT_SECONDS, WITHDRAW_SECONDS, drain_time, notice_time
+from pewtertack.node.daemon import PROCESS_EXIT_SECONDS, WITHDRAW_SECONDS, drain_time, notice_time
 from pewtertack.settings.schema import LimitsSection
 from pewtertack.settings.values import Duration
 
@@ -18,7 +18,7 @@
     def test_it_is_what_notice_and_exit_leave_of_the_time_to_stop(self) -> None:
         for grace in (6.0, 10.0):
             limits = LimitsSection(stop_within=Duration(grace), drain_notice=Duration(3.0))
-            self.assertEqual(drain_time(limits), grace - 3.0 - EXIT_SECONDS)
+            self.assertEqual(drain_time(limits), grace - 3.0 - PROCESS_EXIT_SECONDS)
 
     def test_the_shorter_of_both_limits_holds(self) -> None:
         limits = LimitsSection(stop_within=Duration(6.0), drain_timeout=Duration(1.0))
@@ -30,10 +30,10 @@
     def test_a_notice_that_does_not_fit_is_cut_short(self) -> None:
         for within in (1.0, 3.0):
             limits = LimitsSection(stop_within=Duration(within), drain_notice=Duration(3.0))
-            least = min(WITHDRAW_SECONDS, within - EXIT_SECONDS)
+            least = min(WITHDRAW_SECONDS, within - PROCESS_EXIT_SECONDS)
             self.assertGreater(drain_time(limits) + TINY, least)
             whole = notice_time(limits) + drain_time(limits)
-            self.assertLess(whole, within - EXIT_SECONDS + TINY)
+            self.assertLess(whole, within - PROCESS_EXIT_SECONDS + TINY)
 
 
 class Application:
@@ -56,9 +56,9 @@
 
 
 class Server:
-    def __init__(self, last_answers: float = daemon.LAST_ANSWERS_SECONDS) -> None:
+    def __init__(self, final_response_seconds: float = daemon.FINAL_RESPONSE_SECONDS) -> None:
         self.application = Application()
-        self.last_answers = last_answers
+        self.final_response_seconds = final_response_seconds
 
     def log_unsent(self) -> None:
         pass
@@ -80,7 +80,7 @@
 
     def stop_requests(self) -> None:
         self._answering = asyncio.create_task(self._answer())
-        asyncio.get_running_loop().call_soon(time.sleep, 1.2 * daemon.LAST_ANSWERS_SECONDS)
+        asyncio.get_running_loop().call_soon(time.sleep, 1.2 * daemon.FINAL_RESPONSE_SECONDS)
 
     async def _answer(self) -> None:
         for _ in range(self.TURNS):
@@ -120,19 +120,21 @@
                 ended.setdefault(self.name, end - time.monotonic())
                 super().stop_requests()
 
-        servers: Any = (Server(), Server(daemon.GATEWAY_LAST_SECONDS))
+        servers: Any = (Server(), Server(daemon.GATEWAY_FINAL_RESPONSE_SECONDS))
         for server, name in zip(servers, ("proxy", "gateway"), strict=True):
             server.application = Noting(name)
         end = time.monotonic() + daemon.WITHDRAW_SECONDS
         await daemon._finish_requests(servers, daemon.WITHDRAW_SECONDS)
-        self.assertLessEqual(ended["proxy"], daemon.LAST_ANSWERS_SECONDS)
-        self.assertLessEqual(ended["gateway"], daemon.GATEWAY_LAST_SECONDS)
+        self.assertLessEqual(ended["proxy"], daemon.FINAL_RESPONSE_SECONDS)
+        self.assertLessEqual(ended["gateway"], daemon.GATEWAY_FINAL_RESPONSE_SECONDS)
         self.assertLess(ended["gateway"], ended["proxy"])
 
     async def test_what_was_not_ended_in_time_is_ended_all_the_same(self) -> None:
-        server: Any = Server(daemon.GATEWAY_LAST_SECONDS)
-        held_up = daemon.WITHDRAW_SECONDS - daemon.LAST_ANSWERS_SECONDS + 0.1
-        asyncio.get_running_loop().call_later(held_up, time.sleep, 2 * daemon.LAST_ANSWERS_SECONDS)
+        server: Any = Server(daemon.GATEWAY_FINAL_RESPONSE_SECONDS)
+        held_up = daemon.WITHDRAW_SECONDS - daemon.FINAL_RESPONSE_SECONDS + 0.1
+        asyncio.get_running_loop().call_later(
+            held_up, time.sleep, 2 * daemon.FINAL_RESPONSE_SECONDS
+        )
         with self.assertLogs(daemon.LOGGER_NAME, "ERROR"):
             await daemon._finish_requests((server,), daemon.WITHDRAW_SECONDS)
         self.assertTrue(server.application.stopped)
@@ -142,4 +144,4 @@
         with self.assertLogs(daemon.LOGGER_NAME, "ERROR") as logs:
             await daemon._finish_requests((server,), daemon.WITHDRAW_SECONDS)
         self.assertTrue(server.application.stopped)
-        self.assertIn("could not be withdrawn", logs.output[0])
+        self.assertIn("cannot withdraw waiting requests", logs.output[0])
