--- a/src/pewtertack/cli/lab_cost.py
+++ b/src/pewtertack/cli/lab_cost.py
@@ -48,9 +48,9 @@
     """Measure what a served and a refused hop over two nodes cost in processor time."""
     from pewtertack.lab.cost.calls import CallKind
     from pewtertack.lab.cost.requests import CostSettings, format_costs, measure_requests
-    from pewtertack.node import garbage_collection
+    from pewtertack.node import collector
 
-    garbage_collection.resume()
+    collector.resume()
     try:
         kinds = tuple(CallKind(text) for text in kind) if kind else tuple(CallKind)
     except ValueError as error:
--- a/src/pewtertack/lab/crashes/simulation.py
+++ b/src/pewtertack/lab/crashes/simulation.py
@@ -17,7 +17,7 @@
 NOTICE_SECONDS = 0.001
 """From a back end's end to its gateway's verdict."""
 REPORT_SECONDS = 0.01
-"""From the first broken exchange to the report (``node.crash_detection``)."""
+"""From the first broken exchange to the report (``node.crash_watch``)."""
 REDIRECTS = 3
 """Back ends that may turn out to be away before a request is refused."""
 GRACE_SECONDS = 3.0
--- a/src/pewtertack/node/assembly.py
+++ b/src/pewtertack/node/assembly.py
@@ -35,7 +35,7 @@
     from pewtertack.node.platform import PlatformReader
     from pewtertack.node.proxy.application import ProxyApplication
     from pewtertack.node.proxy.edge import EdgeHeaders
-    from pewtertack.routing.local_runs import RunsBeside
+    from pewtertack.routing.runs import RunsBeside
 
 
 STAGE_BUCKETS_SECONDS = (0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0)
@@ -141,7 +141,7 @@
     """Return the state shared by proxy and gateway; it is imported only where a node has both."""
     if settings.listen.proxy is None or settings.listen.gateway is None:
         return None
-    from pewtertack.routing.local_runs import RunsBeside
+    from pewtertack.routing.runs import RunsBeside
 
     return RunsBeside()
 
@@ -175,7 +175,7 @@
             settings.limits.retry_window.seconds,
             settings.limits.retry_slack,
         ),
-        local_runs=local_runs,
+        runs=local_runs,
     )
 
 
--- a/src/pewtertack/node/crash_detection.py
+++ b/src/pewtertack/node/crash_watch.py
@@ -48,7 +48,7 @@
 class _Break:
     """Exchanges with one back end that broke together."""
 
-    __slots__ = ("broken", "ended", "task")
+    __slots__ = ("broken", "crashed", "task")
 
     def __init__(self) -> None:
         self.broken: list[BrokenExchange] = []
--- a/src/pewtertack/node/daemon.py
+++ b/src/pewtertack/node/daemon.py
@@ -232,7 +232,7 @@
 
 
 def time_left(limits: LimitsSection, elapsed: float) -> float:
-    """Return how many seconds requests in flight have left, ``elapsed`` seconds into the shutdown."""
+    """Return how many seconds requests in flight have left after ``elapsed`` seconds of shutdown."""
     limit = limits.drain_timeout.seconds if limits.drain_timeout else math.inf
     if limits.stop_within is None:
         return limit
--- a/src/pewtertack/node/gateway/application.py
+++ b/src/pewtertack/node/gateway/application.py
@@ -11,13 +11,13 @@
 from pewtertack.core.configuration.resolved import ResolvedConfiguration, ResolvedService
 from pewtertack.core.machines import MachineList, MachineRole
 from pewtertack.node.counting import MetricsRegistry
-from pewtertack.node.crash_detection import (
+from pewtertack.node.crash_reporter import CrashReporter
+from pewtertack.node.crash_watch import (
     BrokenExchange,
     CrashDetector,
     fingerprints_of,
     refuses_connections,
 )
-from pewtertack.node.crash_reporter import CrashReporter
 from pewtertack.node.gateway.cold_watch import ColdWatch
 from pewtertack.node.gateway.context import GatewayContext
 from pewtertack.node.gateway.forwarding import GatewayForwarding
--- a/src/pewtertack/node/gateway/context.py
+++ b/src/pewtertack/node/gateway/context.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from pewtertack.node.crash_detection import CrashDetector
 from pewtertack.node.crash_reporter import CrashReporter
+from pewtertack.node.crash_watch import CrashDetector
 from pewtertack.node.gateway.metrics import GatewayMetrics
 from pewtertack.node.gateway.reception import BodyReception
 from pewtertack.node.gateway.sending import BufferedBytes
--- a/src/pewtertack/node/proxy/application.py
+++ b/src/pewtertack/node/proxy/application.py
@@ -12,8 +12,8 @@
 from pewtertack.core.replication.replica import Lag
 from pewtertack.events import Event
 from pewtertack.node.counting import MetricsRegistry
-from pewtertack.node.crash_detection import BrokenExchange, CrashDetector, fingerprints_of
 from pewtertack.node.crash_reporter import CrashReporter
+from pewtertack.node.crash_watch import BrokenExchange, CrashDetector, fingerprints_of
 from pewtertack.node.http.cycle import Scope
 from pewtertack.node.proxy.body import CallerGoneError
 from pewtertack.node.proxy.configuration_wait import ConfigurationWait
--- a/src/pewtertack/node/proxy/crash_guard.py
+++ b/src/pewtertack/node/proxy/crash_guard.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from pewtertack.node.crash_detection import BrokenExchange, CrashDetector
 from pewtertack.node.crash_reporter import CrashReporter
+from pewtertack.node.crash_watch import BrokenExchange, CrashDetector
 from pewtertack.node.proxy.content import RequestContent
 from pewtertack.node.proxy.exchange import TruncatedAnswerError
 from pewtertack.routing.outcomes import (
--- a/src/pewtertack/node/proxy/forwarding.py
+++ b/src/pewtertack/node/proxy/forwarding.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from pewtertack.core.configuration.resolved import ResolvedConfiguration, ResolvedRoute
-from pewtertack.node.crash_detection import CrashDetector
 from pewtertack.node.crash_reporter import CrashReporter
+from pewtertack.node.crash_watch import CrashDetector
 from pewtertack.node.gateway.hop import (
     BUFFERS_START,
     INCARNATION,
--- a/src/pewtertack/node/proxy/request_log.py
+++ b/src/pewtertack/node/proxy/request_log.py
@@ -14,7 +14,7 @@
 
 from pewtertack.core.configuration.resolved import ResolvedRoute
 from pewtertack.events import Event
-from pewtertack.node.crash_detection import BrokenExchange
+from pewtertack.node.crash_watch import BrokenExchange
 from pewtertack.node.proxy.in_flight import Progress
 from pewtertack.routing.admission import Admission
 from pewtertack.routing.outcomes import RequestFailedError
--- a/src/pewtertack/node/start.py
+++ b/src/pewtertack/node/start.py
@@ -5,7 +5,7 @@
 import time
 from typing import TYPE_CHECKING
 
-from pewtertack.node import early_signals, garbage_collection, import_stubs
+from pewtertack.node import collector, early_signals, import_stubs
 from pewtertack.node.sockets import bind_sockets
 from pewtertack.settings import load_settings
 from pewtertack.settings.loading import Flags
@@ -34,7 +34,7 @@
 def _run(path: str, flags: Flags, make_reader: ReaderFactory | None) -> int:
     began = time.process_time()
     settings = load_settings(path, flags)
-    garbage_collection.pause()
+    collector.pause()
     import_stubs.install_stubs()
     # Callers that connect while the rest is imported wait for it, and are not turned away.
     sockets = bind_sockets(settings, path)
@@ -49,7 +49,7 @@
         return _run_timed(settings, path, sockets, make_reader, flags, began)
     parts = assemble_node(settings, path, sockets, make_reader, flags)
     import_stubs.remove_stubs()
-    garbage_collection.resume()
+    collector.resume()
     return anyio.run(run_node, parts, backend_options={"loop_factory": BoottimeEventLoop})
 
 
@@ -72,7 +72,7 @@
     time_functions(times)  # before anyone keeps one of them
     parts = assemble_node(settings, path, sockets, make_reader, flags)
     import_stubs.remove_stubs()
-    garbage_collection.resume()
+    collector.resume()
 
     every = settings.log.parts_every
     assert every is not None
--- a/src/pewtertack/platform/__main__.py
+++ b/src/pewtertack/platform/__main__.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from pewtertack.errors import PewtertackError
-from pewtertack.node import garbage_collection
+from pewtertack.node import collector
 from pewtertack.node.import_stubs import install_stubs
 
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
 def main() -> int:
     """Run the node and return its exit code."""
     path = os.environ.get(SETTINGS_VARIABLE, "")
-    garbage_collection.pause()
+    collector.pause()
     install_stubs()
     from pewtertack.cli.exit_codes import ExitCode
     from pewtertack.node.start import start_node
--- a/tests/node/gateway/test_ends_cut_short.py
+++ b/tests/node/gateway/test_ends_cut_short.py
@@ -11,7 +11,7 @@
 from tests.node.proxy.harness import raw_call, request_bytes
 
 CHECK_SECONDS = 0.5
-LOOKED_AT = "pewtertack.node.crash_detection.refuses_connections"
+LOOKED_AT = "pewtertack.node.crash_watch.refuses_connections"
 
 
 async def look_slowly(address: str) -> bool:
--- a/tests/node/test_garbage_collection.py
+++ b/tests/node/test_collector.py
@@ -3,7 +3,7 @@
 import gc
 import unittest
 
-from pewtertack.node import garbage_collection
+from pewtertack.node import collector
 
 
 class CollectorTest(unittest.TestCase):
@@ -14,18 +14,18 @@
         self.addCleanup(gc.enable if enabled else gc.disable)
 
     def test_nothing_is_collected_during_the_start(self) -> None:
-        garbage_collection.pause()
+        collector.pause()
         self.assertFalse(gc.isenabled())
 
     def test_what_the_start_made_is_looked_at_no_more(self) -> None:
-        garbage_collection.pause()
-        garbage_collection.resume()
+        collector.pause()
+        collector.resume()
         self.assertTrue(gc.isenabled())
         self.assertGreater(gc.get_freeze_count(), 0)
 
     def test_cycles_made_later_are_collected(self) -> None:
-        garbage_collection.pause()
-        garbage_collection.resume()
+        collector.pause()
+        collector.resume()
         cycle: list[object] = []
         cycle.append(cycle)
         del cycle
--- a/tests/node/test_crash_detection.py
+++ b/tests/node/test_crash_watch.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from pewtertack.node.crash_detection import BrokenExchange, CrashDetector, refuses_connections
+from pewtertack.node.crash_watch import BrokenExchange, CrashDetector, refuses_connections
 
 BROKEN = BrokenExchange("call-1", b"f" * 16)
 
--- a/tools/measure_change.py
+++ b/tools/measure_change.py
@@ -30,7 +30,7 @@
 from pewtertack.core.replication.answers import PullServer
 from pewtertack.core.replication.store import DocumentStore
 from pewtertack.core.revision import NO_REVISION
-from pewtertack.node import garbage_collection
+from pewtertack.node import collector
 from pewtertack.node.proxy.application import ProxyApplication
 from pewtertack.platform import items
 from pewtertack.platform.documents import KnownRoutes, tree_of
@@ -292,7 +292,7 @@
         (CheckedTables, "remember"),
     ):
         count_apart(owner, name)
-    garbage_collection.resume()
+    collector.resume()
     gc.callbacks.append(count_collector)
     sizes = [int(text) for text in sys.argv[1:]] or [3600, 1400]
     measure_change(*sizes)
