--- a/src/pewtertack/node/assembly.py
+++ b/src/pewtertack/node/assembly.py
@@ -123,15 +123,14 @@
 def _stage_histogram(registry: MetricsRegistry) -> Histogram:
     return registry.histogram(
         "pewtertack_revision_stage_seconds",
-        "From the first report of a revision at this node to each stage, by how it came.",
+        "From the first word of a revision at this node to each stage, by how it came.",
         ("stage", "way"),
         STAGE_BUCKETS_SECONDS,
     )
 
 
 def _create_collector(view: NodeView, traffic: Traffic) -> Collector:
-    """Return the coordination's collector; prometheus_client is imported only when metrics are
-    read."""
+    """Return the coordination's collector; it is imported only when metrics are read."""
     from pewtertack.node.metrics import CoordinationCollector
 
     return CoordinationCollector(view.status, traffic)
@@ -192,7 +191,7 @@
     from pewtertack.node.gateway.application import GatewayApplication, GatewaySettings
 
     address = str(settings.backend.address)
-    settings_path = GatewaySettings(
+    gateway_settings = GatewaySettings(
         address,
         settings.backend.service,
         settings.node.zone.text,
@@ -202,7 +201,7 @@
     )
     return GatewayApplication(
         clock.now,
-        settings_path,
+        gateway_settings,
         _edge_headers(settings),
         log.record,
         registry,
--- a/src/pewtertack/node/daemon.py
+++ b/src/pewtertack/node/daemon.py
@@ -167,9 +167,8 @@
         self.final_response_seconds = final_response_seconds
         """Seconds before the end of a shutdown at which requests still running are ended."""
         self._listener = listener
-        from pewtertack.node.proxy.refusals import (
-            typed_refusal,  # imported only on nodes with a proxy or gateway
-        )
+        # Imported only on nodes with a proxy or a gateway.
+        from pewtertack.node.proxy.refusals import typed_refusal
 
         self.stopped = anyio.Event()
         self._server = HttpServer(application, keep_alive, typed_refusal)
@@ -232,7 +231,7 @@
 
 
 def time_left(limits: LimitsSection, elapsed: float) -> float:
-    """Return how many seconds requests in flight have left after ``elapsed`` seconds of shutdown."""
+    """Return how many seconds requests in flight have left, ``elapsed`` seconds into a shutdown."""
     limit = limits.drain_timeout.seconds if limits.drain_timeout else math.inf
     if limits.stop_within is None:
         return limit
--- a/src/pewtertack/node/http/client.py
+++ b/src/pewtertack/node/http/client.py
@@ -134,7 +134,7 @@
                 body = await self._read_body(connection, head, timeouts.part)
         except (TimeoutError, ExchangeBrokenError) as error:
             seconds = timeouts.head if head is None else timeouts.part
-            reason = str(error) or f"no response within {seconds:g} s"
+            reason = str(error) or f"no answer within {seconds:g} s"
             failure = _failure_of(connection, head, isinstance(error, TimeoutError))
             raise ServiceUnreachableError(reason, failure) from error
         finally:
