--- a/src/pewtertack/lab/cost/parts.py
+++ b/src/pewtertack/lab/cost/parts.py
@@ -17,7 +17,7 @@
 from pewtertack.events import Event
 from pewtertack.lab.errors import LabUsageError
 from pewtertack.lab.report.table import format_table
-from pewtertack.node.part_times import EVENT_PREFIX, LOOP, START, WAIT
+from pewtertack.node.part_times import EVENT_PREFIX, LOOP, POLL, START
 
 MARK = f'"event":"{Event.NODE_PARTS.name}"'
 BEGINNING = '{"time":'
@@ -165,7 +165,7 @@
     counts: Counter[str] = Counter()
     for item in told:
         for name, value in item.seconds.items():
-            if name != WAIT:
+            if name != POLL:
                 seconds[_part_of(name)] += value
         counts.update(item.counts)
     times = {part: sum(counts[name] for name in names) for part, names in COUNTED_BY.items()}
--- a/src/pewtertack/lab/source/era_reader.py
+++ b/src/pewtertack/lab/source/era_reader.py
@@ -56,9 +56,9 @@
         found = self._era.pop_findings()
         return msgspec.structs.replace(answer, answer_findings=found) if found else answer
 
-    async def _ask(self, effect: ReadDocument) -> ServiceResponse:
+    async def _request(self, effect: ReadDocument) -> ServiceResponse:
         sent_in = self._era.known
-        answer = await super()._ask(msgspec.structs.replace(effect, after=self._known(effect)))
+        answer = await super()._request(msgspec.structs.replace(effect, after=self._known(effect)))
         if answer.status in STATUS_OF_DOCUMENT:
             self._take_era(answer, sent_in)
         if effect.era > self._era.number:
--- a/src/pewtertack/node/assembly.py
+++ b/src/pewtertack/node/assembly.py
@@ -107,7 +107,7 @@
     admin = AdminApplication(view, registry)
     settings_file = SettingsFile(settings_path, flags or {}, settings, log)
     if gateway is not None:
-        settings_file.tell(gateway.use_settings)
+        settings_file.subscribe(gateway.use_settings)
     return NodeParts(
         settings_file, sockets, runtime, transport, admin, proxy, log, reader.close, gateway
     )
--- a/src/pewtertack/node/import_stubs.py
+++ b/src/pewtertack/node/import_stubs.py
@@ -1,16 +1,15 @@
 """Keeps libraries that a node never uses out of its start.
 
-Libraries import ``trio`` where they find it, though only programs that run on trio need
-it. On a machine that has it this was a fifth of a node's start while httpcore was part of
-it (measured: 138 of 650 ms), and a node that starts refuses requests.
-
-Other modules are named by asyncio, anyio, logbook and msgspec while these load, and by nothing that
-a node calls: it speaks no TLS, starts no process, writes no compressed log files and describes no
-types. A stand-in with the
-few names takes their place until the start is over. Without them, OpenSSL's digests and the
-parser of flags, a node's imports take 1.8 MB less private memory (17.2 of 19.0 MB) and 5 MB less
-resident memory (26.5 of 31.8 MB; four alternating runs on a busy machine; processor time not told
-apart).
+Libraries import ``trio`` where it is installed, though only programs that run on trio need it. On a
+machine that has it this took a fifth of a node's start while httpcore was part of it (measured: 138
+of 650 ms), and a node refuses requests while it starts.
+
+Other modules are named by asyncio, anyio, logbook and msgspec while these load, but nothing that a
+node calls uses them: it speaks no TLS, starts no process, writes no compressed log files and
+inspects no types. A stub with the few names takes their place until the start is over. Without
+them, OpenSSL's digests and the parser of flags, a node's imports take 1.8 MB less private memory
+(17.2 of 19.0 MB) and 5 MB less resident memory (26.5 of 31.8 MB; four alternating runs on a busy
+machine; no measurable difference in processor time).
 """
 
 from __future__ import annotations
@@ -22,74 +21,76 @@
 from types import ModuleType
 from typing import Any, TypeVar
 
-Marked = TypeVar("Marked")
+DecoratedT = TypeVar("DecoratedT")
 
-UNUSED = ("trio", "_hashlib")
-"""Optional dependencies of libraries; each library does without one that is absent. Without
-``_hashlib``, OpenSSL's digests, Python takes its own; blake2b, which nodes use, is its own."""
-NAMED_WHILE_LOADING: dict[str, tuple[str, ...]] = {
+UNUSED_LIBRARIES = ("trio", "_hashlib")
+"""Optional dependencies of libraries; each library works without one that is absent. Without
+``_hashlib`` (OpenSSL's digests) Python uses its own implementations; blake2b, which nodes use, is
+always Python's own."""
+STUBBED_MODULES: dict[str, tuple[str, ...]] = {
     "ssl": ("SSLContext", "SSLSocket", "SSLSyscallError", "SSLWantReadError"),
     "subprocess": ("DEVNULL", "PIPE", "STDOUT"),
     "gzip": (),
     "msgspec.inspect": (),
 }
-"""Modules that are not loaded, with the names that others take from them as they load."""
+"""Modules that are not loaded, with the names that other modules need from them at import time."""
 TYPING_EXTENSIONS = "typing_extensions"
-"""What libraries take from it while they load is Python's own, or of use to type checkers alone."""
+"""What libraries need from it at import time is in Python's own ``typing``, or is only used by type
+checkers."""
 
 
-class _StandIn(ModuleType):
-    """In place of a module, for those that name it while they load.
+class _StubModule(ModuleType):
+    """Placeholder of a module for the modules that name it at import time.
 
-    Whatever else is taken from it loads the module itself, so that a release of Python or of a
-    library which takes more costs its start some time and changes nothing.
+    Access to any other name loads the module itself. A release of Python or of a library that needs
+    more names at import time thus only has a slower start.
     """
 
-    def __init__(self, name: str, named: Mapping[str, object]) -> None:
+    def __init__(self, name: str, values: Mapping[str, object]) -> None:
         super().__init__(name)
-        for item, value in named.items():
+        for item, value in values.items():
             setattr(self, item, value)
 
     def __getattr__(self, item: str) -> Any:
         if item.startswith("__"):
             raise AttributeError(item)
-        return getattr(load(self.__name__), item)
+        return getattr(load_module(self.__name__), item)
 
 
-def load(name: str) -> ModuleType:
-    """Return the module itself, whatever stands in for it."""
-    if isinstance(sys.modules.get(name), _StandIn):
+def load_module(name: str) -> ModuleType:
+    """Return the module itself, even if a stub has replaced it."""
+    if isinstance(sys.modules.get(name), _StubModule):
         del sys.modules[name]
     return importlib.import_module(name)
 
 
 def install_stubs() -> None:
-    """Let imports of unused libraries fail as if they were not installed, others find stand-ins."""
-    for name in UNUSED:
+    """Make imports of unused libraries fail as if not installed, and install stubs for others."""
+    for name in UNUSED_LIBRARIES:
         if name not in sys.modules:
             sys.modules[name] = None  # type: ignore[assignment]
-    for name, placeholders in NAMED_WHILE_LOADING.items():
+    for name, stub_names in STUBBED_MODULES.items():
         if name not in sys.modules:
-            named = {item: type(item, (Exception,), {}) for item in placeholders}
-            sys.modules[name] = _StandIn(name, named)
+            values = {item: type(item, (Exception,), {}) for item in stub_names}
+            sys.modules[name] = _StubModule(name, values)
     if TYPING_EXTENSIONS not in sys.modules:
-        sys.modules[TYPING_EXTENSIONS] = _StandIn(TYPING_EXTENSIONS, _typing_names())
+        sys.modules[TYPING_EXTENSIONS] = _StubModule(TYPING_EXTENSIONS, _typing_stub_values())
 
 
-def _typing_names() -> dict[str, object]:
+def _typing_stub_values() -> dict[str, object]:
     return {
         "NotRequired": typing.NotRequired,
         "Required": typing.Required,
-        "TypeVar": _type_variable,
-        "deprecated": _not_deprecated,
+        "TypeVar": _make_type_variable,
+        "deprecated": _ignore_deprecation,
         "get_type_hints": typing.get_type_hints,
-        "override": _unchanged,
+        "override": _identity,
         "sentinel": _Sentinel,
     }
 
 
 class _Sentinel:
-    """A value like no other."""
+    """A unique value."""
 
     __slots__ = ("_name",)
 
@@ -100,22 +101,22 @@
         return self._name
 
 
-def _type_variable(name: str, *constraints: Any, default: Any = None, **options: Any) -> Any:
-    """Make a type variable; its default is of use to who checks types alone."""
+def _make_type_variable(name: str, *constraints: Any, default: Any = None, **options: Any) -> Any:
+    """Create a type variable; the default matters to type checkers only."""
     return TypeVar(name, *constraints, **options)
 
 
-def _not_deprecated(message: str) -> Callable[[Marked], Marked]:
-    """Mark nothing: who calls what is deprecated is told where it is type-checked."""
-    return _unchanged
+def _ignore_deprecation(message: str) -> Callable[[DecoratedT], DecoratedT]:
+    """Return a decorator that does nothing; deprecation is reported by type checkers."""
+    return _identity
 
 
-def _unchanged(marked: Marked) -> Marked:
-    return marked
+def _identity(decorated: DecoratedT) -> DecoratedT:
+    return decorated
 
 
 def remove_stubs() -> None:
-    """End the start: whatever is imported from now on finds the modules themselves."""
-    for name in (*NAMED_WHILE_LOADING, TYPING_EXTENSIONS):
-        if isinstance(sys.modules.get(name), _StandIn):
+    """Remove the stubs after the start: later imports load the modules themselves."""
+    for name in (*STUBBED_MODULES, TYPING_EXTENSIONS):
+        if isinstance(sys.modules.get(name), _StubModule):
             del sys.modules[name]
--- a/src/pewtertack/node/library_log.py
+++ b/src/pewtertack/node/library_log.py
@@ -1,4 +1,4 @@
-"""Turns what the HTTP server logs into numbered events."""
+"""Records the HTTP server's log messages as numbered events."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from pewtertack.node.http.cycle import LOGGER_NAME
 
 REPEAT_INTERVAL = 1.0
-"""One message is recorded at most once in so many seconds."""
+"""Minimum seconds between two records of the same message."""
 
 
 class LibraryLogHandler(logging.Handler):
     """Records warnings and errors of a library as ``HTTP_SERVER_WARNING``.
 
-    Without a handler the library would write plain text to standard error.
+    Without a handler, logging would write plain text to standard error.
     """
 
     def __init__(self, log: EventLog) -> None:
@@ -25,7 +25,7 @@
         self._recorded_at: dict[str, float] = {}
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Record one message with the error that it is about, if any."""
+        """Record one message with the exception attached to it, if any."""
         message = record.getMessage()
         now = clock.now()
         if now - self._recorded_at.get(message, -REPEAT_INTERVAL) < REPEAT_INTERVAL:
--- a/src/pewtertack/node/metrics.py
+++ b/src/pewtertack/node/metrics.py
@@ -15,22 +15,22 @@
 
 
 class CoordinationCollector(Collector):
-    """Turns a node's status and traffic into metric families."""
+    """Converts a node's status and peer traffic to metric families."""
 
     def __init__(self, status: Callable[[], NodeStatus], traffic: Traffic) -> None:
         self._status = status
         self._traffic = traffic
 
     def describe(self) -> Iterator[Metric]:
-        """Name no family in advance, so that registering asks for no status."""
+        """Describe no family in advance, so that registration does not read the status."""
         return iter(())
 
     def collect(self) -> Iterator[Metric]:
-        """Yield every family."""
-        yield from self._state()
-        yield from self._peer_traffic()
+        """Yield all metric families."""
+        yield from self._state_metrics()
+        yield from self._traffic_metrics()
 
-    def _state(self) -> Iterator[Metric]:
+    def _state_metrics(self) -> Iterator[Metric]:
         status = self._status()
         yield _gauge("serving", "Whether callers are served.", float(status.serving))
         yield _gauge(
@@ -51,7 +51,7 @@
             "Since when a newer revision is known than is in force; 0 where none is.",
             status.behind_for or 0.0,
         )
-        yield from _reads(status.reads)
+        yield from _read_metrics(status.reads)
         if status.source_answer_seconds is not None:
             seconds = status.source_answer_seconds
             yield _gauge("source_answer_seconds", "What reads take beyond their waits.", seconds)
@@ -79,13 +79,13 @@
             yield _gauge(
                 "machine_list_age_seconds", "Since the machine list's source answered.", age
             )
-        yield from _refusal(status)
+        yield from _rejection_metrics(status)
         peers = GaugeMetricFamily("pewtertack_peers", "Known peers by status.", labels=["status"])
         for name, count in status.peers.items():
             peers.add_metric([name], count)
         yield peers
 
-    def _peer_traffic(self) -> Iterator[Metric]:
+    def _traffic_metrics(self) -> Iterator[Metric]:
         messages = CounterMetricFamily(
             "pewtertack_peer_messages", "Messages from and to peers.", labels=FLOW_LABELS
         )
@@ -108,7 +108,7 @@
         yield from (messages, sizes, refused, unsent)
 
 
-def _reads(reads: dict[str, ReadStatus]) -> Iterator[Metric]:
+def _read_metrics(reads: dict[str, ReadStatus]) -> Iterator[Metric]:
     failures = GaugeMetricFamily(
         "pewtertack_read_failures",
         "Failed reads of a document in a row, by how the last one ended.",
@@ -124,8 +124,9 @@
     return GaugeMetricFamily(f"pewtertack_{name}", documentation, value=value)
 
 
-def _refusal(status: NodeStatus) -> Iterator[Metric]:
-    """Yield what is above 0 while the source's newest revision is refused."""
+def _rejection_metrics(status: NodeStatus) -> Iterator[Metric]:
+    """Yield the gauges of a refused revision, above 0 while the source's newest revision is
+    refused."""
     rejection = status.last_rejection
     revision, since = 0, 0.0
     if rejection is not None and rejection.since is not None:
--- a/src/pewtertack/node/pacing.py
+++ b/src/pewtertack/node/pacing.py
@@ -1,4 +1,4 @@
-"""Paces long bodies over this machine's link (``pewtertack.routing.link``)."""
+"""Paces long bodies on this machine's link (``pewtertack.routing.link``)."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 class LinkEndsError(PewtertackError):
-    """The node, or the one it is for, stops before a long body could leave."""
+    """The node, or the node that receives the body, shuts down before a long body could be sent."""
 
 
 class LinkPacer:
-    """Lets tasks of the event loop wait until their bodies may be sent.
+    """Lets tasks of the event loop wait until parts of their bodies may be sent.
 
     Args:
         clock: monotonic time in seconds.
-        share: who may send when.
+        share: decides which body may be sent when.
     """
 
     __slots__ = ("_clock", "share")
@@ -36,7 +36,7 @@
         return self._clock()
 
     def note_sent(self, size: int) -> None:
-        """Something short was sent."""
+        """Note a short message that was sent without waiting."""
         self.share.note_sent(size, self._clock())
 
     def end_at(self, moment: float) -> None:
@@ -52,7 +52,7 @@
         return self.share.answer_time(route, rank, self._clock())
 
     def link_report(self, route: str) -> str | None:
-        """Return what to tell senders of the link, asked for an answer of the route."""
+        """Return the report on the link for senders of requests of this route, if there is one."""
         return link_text(self.share.line_time(self._clock()), self.share.own_time(route))
 
     def queue_body(
@@ -65,7 +65,7 @@
         returnable: int = 0,
         only_here: bool = False,
     ) -> QueuedBody:
-        """Queue one long body; used as a context manager, see ``LinkShare.enter``."""
+        """Queue one long body; the result is a context manager. See ``LinkShare.enter``."""
         enter = self.share.enter
         return QueuedBody(
             self._clock,
@@ -75,7 +75,7 @@
 
 
 class QueuedBody:
-    """The place of one long body in the line, from its entry to its end."""
+    """A long body in the link queue, from its entry to its end."""
 
     __slots__ = ("_body", "_changed", "_clock", "_share")
 
@@ -102,14 +102,14 @@
         self._share.leave(self._body, self._clock())
 
     def hasten(self, rank: Rank, wanted: float, latest: float) -> None:
-        """Give the body another place (``LinkShare.hasten``)."""
+        """Move the body in the queue (``LinkShare.hasten``)."""
         self._share.hasten(self._body, rank, wanted, latest, self._clock())
 
     async def parts(self, data: bytes) -> AsyncIterator[bytes]:
         """Yield the data in parts, each when it may be sent.
 
         Raises:
-            LinkEndsError: a node stops too early for it (``LinkShare.end_at``).
+            LinkEndsError: a node shuts down too early to send it (``LinkShare.end_at``).
         """
         for start in range(0, len(data), PART_BYTES):
             await self._wait()
@@ -121,7 +121,7 @@
         while True:
             wait = self._share.wait_of(self._body, self._clock())
             if self._body.given_back:
-                raise LinkEndsError("a node stops before the body could leave")
+                raise LinkEndsError("a node shuts down before the body could be sent")
             if wait is None:
                 self._changed.clear()
                 await self._changed.wait()
--- a/src/pewtertack/node/platform.py
+++ b/src/pewtertack/node/platform.py
@@ -1,4 +1,4 @@
-"""Reads the configuration source and the machine list over HTTP by long poll."""
+"""Reads the configuration source and the machine list over HTTP with long polling."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 STATUS_OK = 200
 STATUS_NOT_MODIFIED = 304
 STATUS_BUSY = 503
-RETRY_AFTER_MAX = 300.0
-"""Longest come-back time, in seconds, that a service may ask for."""
+MAX_RETRY_AFTER_SECONDS = 300.0
+"""Longest ``Retry-After`` time in seconds that a service may ask for."""
 
 
 class PlatformUnreachableError(PlatformError):
@@ -39,7 +39,7 @@
 
 
 class PlatformBusyError(PlatformError):
-    """The service has too many readers; ``retry_after`` in seconds when it said so."""
+    """The service has too many readers; ``after`` in seconds if it gave one."""
 
     code: ClassVar[str] = "platform-busy"
     failure = ReadFailure.REFUSED
@@ -50,20 +50,20 @@
 
 
 class PlatformStatusError(PlatformError):
-    """The service answered with a status that is not in its interface."""
+    """The service responded with a status that is not part of its interface."""
 
     code: ClassVar[str] = "platform-status"
     failure = ReadFailure.REFUSED
 
 
 class PlatformBodyError(PlatformError):
-    """The answer's body is no document."""
+    """The response's body is not a valid document."""
 
     code: ClassVar[str] = "platform-body"
 
 
 class PlatformBodyTooLargeError(PlatformError):
-    """The answer's body is longer than ``limits.document_size``."""
+    """The response's body exceeds ``limits.document_size``."""
 
     code: ClassVar[str] = "platform-body-too-large"
 
@@ -71,30 +71,30 @@
 _DocumentNumber = Annotated[int, msgspec.Meta(ge=1)]
 
 
-class _TreeAnswer(msgspec.Struct, frozen=True):
+class _TreeResponse(msgspec.Struct, frozen=True):
     number: _DocumentNumber
     tree: dict[str, Any]
 
 
-class _MachinesAnswer(msgspec.Struct, frozen=True):
+class _MachinesResponse(msgspec.Struct, frozen=True):
     number: _DocumentNumber
     machines: dict[str, dict[str, Any]]
 
 
 class PlatformLimits(msgspec.Struct, frozen=True):
-    """``timeout`` in seconds beyond the long poll, ``body_bytes`` of one answer."""
+    """``timeout`` in seconds beyond the long poll, ``body_bytes`` of one response."""
 
     timeout: float
     body_bytes: int
 
 
 class PlatformReader:
-    """Answers the core's ``ReadDocument`` effects.
+    """Carries out the core's ``ReadDocument`` effects.
 
     Args:
         source_url, machines_url: base URLs without a trailing slash.
-        local_host: IP number to connect from; ``None`` leaves it to the system.
-        limits: bounds of time and size.
+        local_host: IP address to connect from; ``None`` leaves the choice to the system.
+        limits: limits of time and size.
     """
 
     def __init__(
@@ -125,13 +125,13 @@
     async def read(
         self, effect: ReadDocument
     ) -> DocumentRead | DocumentUnchanged | DocumentReadFailed:
-        """Do one read; every failure becomes ``DocumentReadFailed``."""
+        """Perform one read; every failure becomes a ``DocumentReadFailed``."""
         try:
             with anyio.fail_after(effect.wait + 2 * self._limits.timeout):
                 return await self._read(effect)
         except PlatformBusyError as error:
-            code, after = error.code, error.retry_after
-            return DocumentReadFailed(effect.kind, code, after, failure=error.failure)
+            code, retry_after = error.code, error.retry_after
+            return DocumentReadFailed(effect.kind, code, retry_after, failure=error.failure)
         except PlatformError as error:
             reason = f"{error.code}: {error}"
             return DocumentReadFailed(effect.kind, reason, failure=error.failure)
@@ -140,52 +140,52 @@
             return DocumentReadFailed(effect.kind, code, failure=ReadFailure.UNFINISHED)
 
     async def _read(self, effect: ReadDocument) -> DocumentRead | DocumentUnchanged:
-        answer = await self._ask(effect)
-        _check_status(answer)
-        if answer.status == STATUS_NOT_MODIFIED:
+        response = await self._request(effect)
+        _check_status(response)
+        if response.status == STATUS_NOT_MODIFIED:
             return DocumentUnchanged(effect.kind)
-        return _document_from(effect.kind, answer.body)
+        return _decode_document(effect.kind, response.body)
 
-    async def _ask(self, effect: ReadDocument) -> ServiceResponse:
+    async def _request(self, effect: ReadDocument) -> ServiceResponse:
         target = f"{self._targets[effect.kind]}?after={effect.after}&wait={effect.wait:g}"
         timeout = self._limits.timeout
         timeouts = ServiceTimeouts(timeout, effect.wait + timeout, effect.wait + timeout)
-        known = (b"if-none-match", f'"{effect.after}"'.encode())
+        condition = (b"if-none-match", f'"{effect.after}"'.encode())
         try:
-            return await self._services[effect.kind].get(target, timeouts, [known])
+            return await self._services[effect.kind].get(target, timeouts, [condition])
         except ServiceUnreachableError as error:
             raise PlatformUnreachableError(str(error), error.failure) from error
         except AnswerTooLargeError as error:
             raise PlatformBodyTooLargeError(str(error)) from error
 
 
-def _check_status(answer: ServiceResponse) -> None:
-    if answer.status == STATUS_BUSY:
-        raise PlatformBusyError(_retry_after(answer))
-    if answer.status not in (STATUS_OK, STATUS_NOT_MODIFIED):
-        raise PlatformStatusError(f"status {answer.status}")
+def _check_status(response: ServiceResponse) -> None:
+    if response.status == STATUS_BUSY:
+        raise PlatformBusyError(_retry_after(response))
+    if response.status not in (STATUS_OK, STATUS_NOT_MODIFIED):
+        raise PlatformStatusError(f"status {response.status}")
 
 
-def _retry_after(answer: ServiceResponse) -> float | None:
-    value = answer.header(b"retry-after")
-    return _seconds(value) if value is not None else None
+def _retry_after(response: ServiceResponse) -> float | None:
+    value = response.header(b"retry-after")
+    return _parse_seconds(value) if value is not None else None
 
 
-def _seconds(text: bytes) -> float | None:
-    """Read the seconds form of ``Retry-After``; the date form is not used here."""
+def _parse_seconds(text: bytes) -> float | None:
+    """Parse the seconds form of ``Retry-After``; the date form is not supported."""
     try:
         seconds = float(text)
     except ValueError:
         return None
-    return min(max(seconds, 0.0), RETRY_AFTER_MAX) if math.isfinite(seconds) else None
+    return min(max(seconds, 0.0), MAX_RETRY_AFTER_SECONDS) if math.isfinite(seconds) else None
 
 
-def _document_from(kind: DocumentKind, body: bytes) -> DocumentRead:
+def _decode_document(kind: DocumentKind, body: bytes) -> DocumentRead:
     try:
         if kind == DocumentKind.CONFIGURATION:
-            tree = msgspec.json.decode(body, type=_TreeAnswer)
+            tree = msgspec.json.decode(body, type=_TreeResponse)
             return DocumentRead(kind, tree.number, tree.tree)
-        machines = msgspec.json.decode(body, type=_MachinesAnswer)
+        machines = msgspec.json.decode(body, type=_MachinesResponse)
         return DocumentRead(kind, machines.number, machines.machines)
     except (msgspec.MsgspecError, RecursionError) as error:
         raise PlatformBodyError(str(error)) from error
--- a/src/pewtertack/node/runtime.py
+++ b/src/pewtertack/node/runtime.py
@@ -1,4 +1,4 @@
-"""Drives the coordination core: feeds it inputs and carries out its effects."""
+"""Drives the coordination core: passes it inputs and carries out its effects."""
 
 from __future__ import annotations
 
@@ -44,62 +44,64 @@
 from pewtertack.wire.messages import Message
 
 SUSPENSION_SECONDS = 0.1
-"""Shorter suspensions are not told from the time between two readings of two clocks."""
-CLOCKS_APART = 3600.0
-"""A start so many seconds after this node's time is taken as untold. Clocks may jump: one that is
-further behind tells no lives apart, which is what nodes do where starts are not told."""
-TURNS_BETWEEN = 2
-"""Turns of the event loop between two slices of work, so that it polls the sockets in between."""
+"""Shorter suspensions cannot be told from the time between the readings of two clocks."""
+MAX_CLOCK_DIFFERENCE_SECONDS = 3600.0
+"""A start time this many seconds ahead of this node's clock is treated as unknown. Clocks may jump:
+a node whose clock is further behind cannot tell incarnations apart, as if no start times were
+reported."""
+YIELDS_BETWEEN_SLICES = 2
+"""Iterations of the event loop between two slices of work, so that it polls the sockets in between.
+"""
 REFUSAL_LOG_INTERVAL = 1.0
-"""Refused frames of one type are logged at most once in so many seconds."""
+"""Refused frames of one type are logged at most once in this many seconds."""
 
 
-def _latest_start() -> int:
-    """Return the latest start, in Unix milliseconds, that a back end may have."""
-    return int((clock.unix_time() + CLOCKS_APART) * 1000)
+def _latest_start_time() -> int:
+    """Return the latest plausible start time of a back end, in Unix milliseconds."""
+    return int((clock.unix_time() + MAX_CLOCK_DIFFERENCE_SECONDS) * 1000)
 
 
 class Core(Protocol):
-    """The coordination core, as the runtime sees it."""
+    """Interface of the coordination core for the runtime."""
 
     def handle(self, now: float, event: Input) -> list[Effect]:
-        """Advance by one input and return what must be done."""
+        """Process one input and return the effects to carry out."""
 
 
 class Transport(Protocol):
-    """Where messages to peers go."""
+    """Sends messages to peers."""
 
     def send(self, address: str, message: Message) -> None:
-        """Send best effort, without waiting."""
+        """Send best-effort, without waiting."""
 
 
 class DocumentReader(Protocol):
-    """Where documents of the platform come from."""
+    """Reads documents of the platform."""
 
     async def read(
         self, effect: ReadDocument
     ) -> DocumentRead | DocumentUnchanged | DocumentReadFailed:
-        """Do one read and return its outcome."""
+        """Perform one read and return its outcome."""
 
 
 class Gateway(Protocol):
-    """What the core tells the gateway."""
+    """Interface of the gateway for the core's effects."""
 
     def use_configuration(self, configuration: ResolvedConfiguration) -> None:
         """Admit requests by ``configuration`` from now on."""
 
     def after_suspension(self) -> None:
-        """Take nothing for granted that may have changed while the machine was suspended."""
+        """Discard knowledge that may have become outdated while the machine was suspended."""
 
     def use_machines(self, machines: MachineList) -> None:
         """Serve the back ends of ``machines``."""
 
 
 class Proxy(Protocol):
-    """What the core tells the proxy."""
+    """Interface of the proxy for the core's effects."""
 
     def use_configuration(self, configuration: ResolvedConfiguration) -> None:
-        """Serve requests that begin from now on by ``configuration``."""
+        """Use ``configuration`` for requests that start from now on."""
 
     def use_machines(self, machines: MachineList) -> None:
         """Choose back ends from ``machines``."""
@@ -109,16 +111,16 @@
 
 
 class Runtime:
-    """Feeds one core. All methods run in the event loop's thread.
+    """Runs one core. All methods run in the event loop's thread.
 
     Args:
         core: the state machine.
         tick: seconds between ``Ticked`` inputs.
-        gate: told of ticks and of the core's word on serving.
-        transport, reader, proxy: where effects go; ``proxy`` is absent on a node
-            that only replicates, ``gateway`` where no back end is beside the node.
+        gate: notified of ticks and of the core's decisions on serving.
+        transport, reader, proxy: carry out effects; ``proxy`` is absent on a node that only
+            replicates, ``gateway`` on a node without a local back end.
         log: receives the core's events.
-        stages: observes how long revisions take to their stages.
+        stages: observes how long revisions take to reach their stages.
     """
 
     def __init__(
@@ -147,10 +149,10 @@
         self.failed_messages: Counter[str] = Counter()
         """Messages whose handling failed, by the type of the error."""
         self.suspended_seconds = 0.0
-        """For how long the machine was suspended since the node began."""
+        """For how long the machine was suspended since the node started."""
         self._suspended_at_start = clock.suspended_seconds()
         self.in_force_since: float | None = None
-        """Unix time of the last swap."""
+        """Unix time of the last change of configuration."""
 
     async def run(self) -> None:
         """Tick until cancelled."""
@@ -159,7 +161,7 @@
             while True:
                 self._note_suspension()
                 self.feed(Ticked())
-                self._gate.ticked()
+                self._gate.note_tick()
                 await anyio.sleep(self._tick)
 
     def _note_suspension(self) -> None:
@@ -173,12 +175,12 @@
         self._log.record(Event.NODE_SUSPENDED, seconds=round(seconds, 3))
 
     def feed(self, event: Input) -> None:
-        """Give the core one input and carry out the effects."""
+        """Pass one input to the core and carry out the effects."""
         for effect in self._core.handle(clock.now(), event):
             self._carry_out(effect)
 
     def start_leaving(self) -> None:
-        """The process has been asked to stop: be not ready, and tell peers."""
+        """Report not ready and tell peers: the process has been asked to stop."""
         self._gate.start_leaving()
         self.feed(DrainRequested())
 
@@ -187,23 +189,23 @@
         self._gate.set_serving(False)
 
     def note_backend_leaving(self, name: str, address: str, started_at: int) -> None:
-        """Let the core pass on what a back end has said of itself to this node's proxy."""
+        """Let the core relay what a back end reported about itself to this node's proxy."""
         self.feed(BackendLeavingObserved(name, address, started_at))
 
     def receive(self, envelope: Envelope) -> None:
-        """Take in a peer's message. A message that cannot be handled is dropped."""
+        """Handle a peer's message. A message that cannot be handled is dropped."""
         event = MessageReceived(
             envelope.sender, envelope.address, envelope.incarnation, envelope.message
         )
         try:
             self.feed(event)
-        except Exception as error:  # one peer's message must not end a whole fleet
+        except Exception as error:  # one peer's message must not bring down a whole fleet
             name = type(error).__name__
             self.failed_messages[name] += 1
             self._log_refusal(name, f"{type(envelope.message).__name__}: {error}")
 
     def note_arriving(self, host: str) -> None:
-        """A frame is arriving from a peer at ``host``."""
+        """Note that a frame is arriving from a peer at ``host``."""
         self.feed(FrameArriving(host))
 
     def refuse(self, error: ProtocolError) -> None:
@@ -227,8 +229,8 @@
                 self._start_continuing()
             case BringIntoForce(configuration):
                 self._bring_into_force(configuration)
-            case UseMachineList(told):
-                self._use_machines(told)
+            case UseMachineList(machine_list):
+                self._use_machines(machine_list)
             case SetServing(serving, retry_after):
                 self._set_serving(serving, retry_after)
             case StageReached():
@@ -236,20 +238,22 @@
             case Log(event, fields):
                 self._log.record(event, **fields)
 
-    def _use_machines(self, told: MachineList) -> None:
-        machines = told.without_start_times_after(_latest_start())
-        for user in (self._proxy, self._gateway):
-            if user is not None:
-                user.use_machines(machines)
+    def _use_machines(self, machine_list: MachineList) -> None:
+        machines = machine_list.without_start_times_after(_latest_start_time())
+        for component in (self._proxy, self._gateway):
+            if component is not None:
+                component.use_machines(machines)
 
-    def _observe(self, reached: StageReached) -> None:
+    def _observe(self, stage_reached: StageReached) -> None:
         if self._stages is not None:
-            self._stages.observe((reached.stage.value, reached.way.value), reached.seconds)
+            self._stages.observe(
+                (stage_reached.stage.value, stage_reached.way.value), stage_reached.seconds
+            )
 
     def _bring_into_force(self, configuration: ResolvedConfiguration) -> None:
-        for user in (self._proxy, self._gateway):
-            if user is not None:
-                user.use_configuration(configuration)
+        for component in (self._proxy, self._gateway):
+            if component is not None:
+                component.use_configuration(configuration)
         self.in_force_since = clock.unix_time()
 
     def _set_serving(self, serving: bool, retry_after: float) -> None:
@@ -258,11 +262,11 @@
             self._proxy.set_serving(serving, retry_after)
 
     def _start_continuing(self) -> None:
-        assert self._tasks is not None, "the core has long work in answer to inputs only"
+        assert self._tasks is not None, "the core requests long work only in response to inputs"
         self._tasks.start_soon(self._continue_work)
 
     async def _continue_work(self) -> None:
-        for _ in range(TURNS_BETWEEN):
+        for _ in range(YIELDS_BETWEEN_SLICES):
             await anyio.sleep(0)
         try:
             self.feed(WorkContinued())
@@ -272,7 +276,7 @@
             self._log_refusal(name, f"{type(WorkContinued).__name__}: {error}")
 
     def _start_read(self, effect: ReadDocument) -> None:
-        assert self._tasks is not None, "the core asks for reads in ticks only"
+        assert self._tasks is not None, "the core requests reads only in ticks"
         self._tasks.start_soon(self._read, effect)
 
     async def _read(self, effect: ReadDocument) -> None:
--- a/src/pewtertack/node/sockets.py
+++ b/src/pewtertack/node/sockets.py
@@ -1,4 +1,4 @@
-"""Binding of all listeners before anything else starts."""
+"""Binds all listeners before anything else starts."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 BACKLOG = 2048
 DATAGRAM_BUFFER_BYTES = 1024 * 1024
-"""Asked of the kernel, so that a storm of datagrams waits instead of being lost."""
+"""Requested receive buffer, so that a burst of datagrams is queued rather than lost."""
 _PEER_BIND_ATTEMPTS = 16
-"""With port 0, UDP may find the port taken that TCP was given."""
+"""With port 0, the port assigned to TCP may be taken for UDP."""
 
 
 class NodeSockets(msgspec.Struct, frozen=True):
@@ -42,37 +42,40 @@
     return Address(host, port)
 
 
-def bind_sockets(settings: Settings, place: str) -> NodeSockets:
-    """Bind every address of ``settings``, which came from the file ``place``.
+def bind_sockets(settings: Settings, settings_path: str) -> NodeSockets:
+    """Bind every address of ``settings``, which came from the file ``settings_path``.
 
     Raises:
-        AddressInUseError, AddressUnavailableError: none stays bound then.
+        AddressInUseError, AddressUnavailableError: an address cannot be bound; no socket stays
+        open.
     """
     listen = settings.listen
-    with ExitStack() as opened:
-        datagrams, streams = _bind_peer(listen.peer, place)
-        opened.enter_context(datagrams)
-        opened.enter_context(streams)
-        admin = opened.enter_context(_listen(listen.admin, place, "listen.admin"))
+    with ExitStack() as stack:
+        datagrams, streams = _bind_peer(listen.peer, settings_path)
+        stack.enter_context(datagrams)
+        stack.enter_context(streams)
+        admin = stack.enter_context(_listen(listen.admin, settings_path, "listen.admin"))
         optional = [
-            opened.enter_context(_listen(address, place, f"listen.{key}")) if address else None
+            stack.enter_context(_listen(address, settings_path, f"listen.{key}"))
+            if address
+            else None
             for key, address in (
                 ("proxy", listen.proxy),
                 ("gateway", listen.gateway),
                 ("metrics", listen.metrics),
             )
         ]
-        opened.pop_all()
+        stack.pop_all()
     return NodeSockets(datagrams, streams, admin, *optional)
 
 
-def _bind_peer(address: Address, place: str) -> tuple[socket.socket, socket.socket]:
-    """Bind UDP and TCP on one port."""
+def _bind_peer(address: Address, settings_path: str) -> tuple[socket.socket, socket.socket]:
+    """Bind UDP and TCP on the same port."""
     attempts = 1 if address.port else _PEER_BIND_ATTEMPTS
     for attempt in range(attempts):
-        streams = _listen(address, place, "listen.peer")
+        streams = _listen(address, settings_path, "listen.peer")
         try:
-            return _bind_datagrams(address_of(streams), place), streams
+            return _bind_datagrams(address_of(streams), settings_path), streams
         except AddressInUseError:
             streams.close()
             if attempt == attempts - 1:
@@ -83,33 +86,35 @@
     raise AssertionError("unreachable")
 
 
-def _listen(address: Address, place: str, key: str) -> socket.socket:
+def _listen(address: Address, settings_path: str, key: str) -> socket.socket:
     bound = _new_socket(address, socket.SOCK_STREAM)
     bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    # Accepted connections inherit this. asyncio sets it only where the socket was made
-    # with its protocol named, and an answer in two writes otherwise waits 40 ms for the
-    # delayed acknowledgement of the first.
+    # Accepted connections inherit this. asyncio sets it only if the socket was created with an
+    # explicit protocol; without it a response in two writes waits 40 ms for the delayed
+    # acknowledgement of the first.
     bound.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    _bind(bound, address, place, key)
+    _bind(bound, address, settings_path, key)
     return bound
 
 
-def _bind_datagrams(address: Address, place: str) -> socket.socket:
+def _bind_datagrams(address: Address, settings_path: str) -> socket.socket:
     bound = _new_socket(address, socket.SOCK_DGRAM)
     bound.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, DATAGRAM_BUFFER_BYTES)
-    _bind(bound, address, place, "listen.peer")
+    _bind(bound, address, settings_path, "listen.peer")
     return bound
 
 
 def _new_socket(address: Address, kind: socket.SocketKind) -> socket.socket:
     family = socket.AF_INET6 if address.is_ipv6 else socket.AF_INET
     protocol = socket.IPPROTO_TCP if kind == socket.SOCK_STREAM else socket.IPPROTO_UDP
-    created = socket.socket(family, kind, protocol)  # asyncio sets TCP_NODELAY by the protocol
-    created.setblocking(False)
-    return created
+    sock = socket.socket(
+        family, kind, protocol
+    )  # asyncio sets TCP_NODELAY depending on the protocol
+    sock.setblocking(False)
+    return sock
 
 
-def _bind(bound: socket.socket, address: Address, place: str, key: str) -> None:
+def _bind(bound: socket.socket, address: Address, settings_path: str, key: str) -> None:
     try:
         bound.bind((address.host, address.port))
         if bound.type == socket.SOCK_STREAM:
@@ -118,6 +123,6 @@
         bound.close()
         problem = f"{address}: {error.strerror}"
         if error.errno == errno.EADDRINUSE:
-            raise AddressInUseError(place, key, problem, "a free address") from error
-        accepted = "an IP number of this machine and a port that may be bound"
-        raise AddressUnavailableError(place, key, problem, accepted) from error
+            raise AddressInUseError(settings_path, key, problem, "a free address") from error
+        accepted = "an IP address of this machine and a port that may be bound"
+        raise AddressUnavailableError(settings_path, key, problem, accepted) from error
--- a/src/pewtertack/node/start.py
+++ b/src/pewtertack/node/start.py
@@ -1,4 +1,4 @@
-"""Starts a node's process: binds its sockets first, then loads what serves."""
+"""Starts a node's process: binds its sockets first, then imports the rest."""
 
 from __future__ import annotations
 
@@ -22,31 +22,31 @@
     ``make_reader`` replaces the reader of pewtertack's own source interface.
 
     Raises:
-        SettingError: a flag or the settings file is wrong.
+        SettingError: a flag or the settings file is invalid.
     """
     early_signals.block_signals()
     try:
         return _run(path, flags, make_reader)
     finally:
-        early_signals.unblock_signals()  # where nothing has begun to act on them
+        early_signals.unblock_signals()  # in case the node failed before it handled them
 
 
 def _run(path: str, flags: Flags, make_reader: ReaderFactory | None) -> int:
-    began = time.process_time()
+    started_at = time.process_time()
     settings = load_settings(path, flags)
     collector.pause()
     import_stubs.install_stubs()
-    # Callers that connect while the rest is imported wait for it, and are not turned away.
+    # Callers that connect during the remaining imports wait instead of being refused.
     sockets = bind_sockets(settings, path)
     import anyio
-    import anyio._backends._asyncio  # what ``anyio.run`` would load
+    import anyio._backends._asyncio  # what ``anyio.run`` would import
 
     from pewtertack.node.assembly import assemble_node
     from pewtertack.node.daemon import run_node
     from pewtertack.node.event_loop import BoottimeEventLoop
 
     if settings.log.parts_every is not None:
-        return _run_timed(settings, path, sockets, make_reader, flags, began)
+        return _run_timed(settings, path, sockets, make_reader, flags, started_at)
     parts = assemble_node(settings, path, sockets, make_reader, flags)
     import_stubs.remove_stubs()
     collector.resume()
@@ -59,27 +59,27 @@
     sockets: NodeSockets,
     make_reader: ReaderFactory | None,
     flags: Flags,
-    began: float,
+    started_at: float,
 ) -> int:
-    """Run a node that logs from time to time what its parts took."""
+    """Run a node that periodically logs the processor time of its parts."""
     import anyio
 
     from pewtertack.node.assembly import assemble_node
     from pewtertack.node.daemon import run_node
     from pewtertack.node.part_times import PartTimes, TimedLoop, record_every, time_functions
 
-    times = PartTimes(began)
-    time_functions(times)  # before anyone keeps one of them
+    times = PartTimes(started_at)
+    time_functions(times)  # before anything keeps a reference to one of them
     parts = assemble_node(settings, path, sockets, make_reader, flags)
     import_stubs.remove_stubs()
     collector.resume()
 
-    every = settings.log.parts_every
-    assert every is not None
+    interval = settings.log.parts_every
+    assert interval is not None
 
     async def run() -> int:
         times.end_start()
-        record_every(every.seconds, times, parts.log)
+        record_every(interval.seconds, times, parts.log)
         try:
             return await run_node(parts)
         finally:
--- a/src/pewtertack/node/status.py
+++ b/src/pewtertack/node/status.py
@@ -1,4 +1,4 @@
-"""What a node tells operators about itself: the body of ``GET /status``."""
+"""A node's status for operators: the body of ``GET /status``."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class RevisionStatus(msgspec.Struct, frozen=True):
-    """One revision; number 0 stands for none."""
+    """One revision; number 0 means none."""
 
     number: int = 0
     digest: str = ""
 
 
 class FindingStatus(msgspec.Struct, frozen=True):
-    """One reason for a rejection: its type, place in the tree and explanation."""
+    """One reason for a rejection: its type, its path in the tree and an explanation."""
 
     code: str
     path: str
@@ -23,12 +23,12 @@
 
 
 class RejectionStatus(msgspec.Struct, frozen=True):
-    """The last refused revision and why."""
+    """The last refused revision and the reasons."""
 
     revision: RevisionStatus
     findings: tuple[FindingStatus, ...]
     since: float | None = None
-    """Unix seconds since when newer revisions than the held one are refused; none if none is."""
+    """Unix time since when revisions newer than the held one are refused; none if none is."""
 
 
 class ByteStatus(msgspec.Struct, frozen=True):
@@ -52,23 +52,23 @@
 
 
 class RefusedRequestStatus(msgspec.Struct, frozen=True):
-    """A request under which back ends have ended, by its fingerprint."""
+    """A request that has crashed back ends, by its fingerprint."""
 
     fingerprint: str
     ends: int
-    """Back ends that ended under it since it was last answered."""
+    """Crashes of back ends under it since it was last answered."""
     since: float
-    """Seconds since the first of them."""
+    """Seconds since the first of these crashes."""
     last: float
-    """Seconds since the last."""
+    """Seconds since the last one."""
 
 
 class StagesStatus(msgspec.Struct, frozen=True):
-    """When a revision reached its stages here, in Unix seconds; none where it has not."""
+    """When a revision reached its stages on this node, in Unix seconds; none where it has not."""
 
     number: int
     way: str
-    """How it came: ``source``, ``heartbeat``, ``delta``, ``snapshot`` or ``unknown``."""
+    """How it arrived: ``source``, ``heartbeat``, ``delta``, ``snapshot`` or ``unknown``."""
     heard: float
     held: float | None = None
     committed: float | None = None
@@ -76,21 +76,21 @@
 
 
 class ReadStatus(msgspec.Struct, frozen=True):
-    """How reads of one document fare."""
+    """State of the reads of one document."""
 
     open_for: float | None = None
-    """Since the oldest open read began; none without one."""
+    """Seconds since the oldest open read began; none without one."""
     may_wait: float = 0.0
-    """For how long the source may keep that read open while nothing changes."""
+    """Seconds for which the source may keep that read open while nothing changes."""
     failures: int = 0
-    """Failed reads since the last usable answer."""
+    """Failed reads since the last usable response."""
     failure: str = ""
-    """How the last of them ended (`pewtertack.errors.ReadFailure`); empty without one."""
+    """How the last of them failed (`pewtertack.errors.ReadFailure`); empty without one."""
     open_reads: int = 0
 
 
 class NodeStatus(msgspec.Struct, frozen=True):
-    """Everything of one node. Times are Unix seconds, ages and spans seconds."""
+    """Complete status of one node. Times are Unix seconds, ages and durations seconds."""
 
     name: str
     zone: str
@@ -100,7 +100,7 @@
     phase: str
     """``joining``, ``serving``, ``leaving`` or ``superseded``."""
     serving: bool
-    """Whether callers are served at this moment."""
+    """Whether callers are served now."""
     uptime: float
     addresses: AddressStatus
     held: RevisionStatus
@@ -108,50 +108,51 @@
     in_force: RevisionStatus
     in_force_since: float | None
     evacuated: tuple[str, ...]
-    """Zones whose back ends are sent nothing, by the revision in force."""
+    """Zones whose back ends get no requests, by the revision in force."""
     reading: bool
     """Whether this node reads the platform for its zone."""
     source_age: float | None
-    """Since this node's last usable answer of the source; none without one."""
+    """Seconds since this node's last usable response from the source; none without one."""
     machine_list_age: float | None
     machine_list_number: int
-    """Within the era of the source."""
+    """Number within the era of the source."""
     peers: dict[str, int]
-    """Known peers by status."""
+    """Number of known peers by status."""
     last_rejection: RejectionStatus | None
     stale_answers: int
-    """Answers of the source that were older than what is held."""
+    """Responses of the source that were older than the held revision."""
     conflicts: int
-    """Documents that came under a number already held with another digest."""
+    """Documents received under a number already held with another digest."""
     in_flight: int
-    """Callers' requests under way."""
+    """Callers' requests in flight."""
     traffic: TrafficStatus
     suspended: float = 0.0
-    """Seconds for which the machine was suspended since the node began."""
+    """Seconds for which the machine was suspended since the node started."""
     refused_requests: tuple[RefusedRequestStatus, ...] = ()
-    """Requests under which so many back ends have ended that they are refused."""
+    """Requests that have crashed so many back ends that they are refused."""
     items_passed_over: int = 0
-    """Items of the platform that made no sense when they were last read here."""
+    """Items of the platform that were not understood when they were last read here."""
     items_found_wrong: int = 0
     """Findings about such items since the start."""
     source_era: int = 0
-    """The latest era of the source that is known here; 0 without eras."""
+    """The latest era of the source known here; 0 without eras."""
     machines_kept: int = 0
-    """Machines still believed in although the list of a new era lacks them."""
+    """Machines kept although the machine list of a new era lacks them."""
     newest_heard: int = 0
-    """The newest revision of which the source or a peer has told."""
+    """The newest revision that the source or a peer has reported."""
     behind_for: float | None = None
-    """Since the node first heard of a newer revision than is in force; none without one."""
+    """Seconds since the node first received a report of a revision newer than the one in force;
+    none if there is none."""
     stages: tuple[StagesStatus, ...] = ()
-    """Of the latest revisions, the newest first."""
+    """Stages of the latest revisions, the newest first."""
     reads: dict[str, ReadStatus] = {}
     """By document, ``configuration`` and ``machine_list``; empty while the node reads neither."""
     source_answer_seconds: float | None = None
-    """What reads take beyond their waits, smoothed; none while the node reads nothing."""
+    """Smoothed seconds that reads take beyond their waits; none while the node reads nothing."""
 
 
 class MemberView(msgspec.Struct, frozen=True):
-    """What this node believes of one peer; one item of ``GET /members``."""
+    """What this node knows of one peer; one item of ``GET /members``."""
 
     name: str
     address: str
@@ -160,4 +161,4 @@
     incarnation: int
     status: str
     changed: float
-    """Seconds since the belief changed."""
+    """Seconds since the peer's status changed."""
--- a/src/pewtertack/node/status_page.py
+++ b/src/pewtertack/node/status_page.py
@@ -1,4 +1,4 @@
-"""What the running parts of a node tell of themselves; loaded when an operator first asks."""
+"""Collects the status of a node's running parts; imported when an operator first asks for it."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def status_of(view: NodeView) -> NodeStatus:
-    """Return the node's state now."""
+    """Return the node's current status."""
     now = clock.now()
     identity = view.core.identity
     replication = view.core.replication
@@ -52,33 +52,33 @@
         profile=view.core.profile.name,
         phase=view.core.phase.value,
         serving=view.gate.may_serve(),
-        uptime=round(now - view.started, 3),
+        uptime=round(now - view.started_at, 3),
         addresses=view.addresses,
-        held=_revision(replica.held),
-        committed=_revision(replica.committed),
-        in_force=_revision(in_force.revision if in_force is not None else NO_REVISION),
+        held=_revision_status(replica.held),
+        committed=_revision_status(replica.committed),
+        in_force=_revision_status(in_force.revision if in_force is not None else NO_REVISION),
         in_force_since=view.runtime.in_force_since,
         evacuated=tuple(sorted(in_force.evacuated)) if in_force is not None else (),
         reading=replication.reader.reading,
-        source_age=_age(now, answers.get(DocumentKind.CONFIGURATION)),
-        machine_list_age=_age(now, answers.get(DocumentKind.MACHINE_LIST)),
+        source_age=_seconds_since(now, answers.get(DocumentKind.CONFIGURATION)),
+        machine_list_age=_seconds_since(now, answers.get(DocumentKind.MACHINE_LIST)),
         machine_list_number=revision_of(replication.machine_list.machines.number),
-        peers=_peers_by_status(view),
+        peers=_count_peers_by_status(view),
         last_rejection=_last_rejection(view, now),
         stale_answers=replica.stale_answers,
         conflicts=replica.conflicts,
         in_flight=view.in_flight(),
         traffic=_traffic_status(view),
         suspended=round(view.runtime.suspended_seconds, 3),
-        refused_requests=_refused_requests(view, now),
+        refused_requests=_refused_request_statuses(view, now),
         items_passed_over=replication.skipped_items.current_count,
         items_found_wrong=replication.skipped_items.total_count,
         source_era=replication.era,
         machines_kept=replication.machine_list.overrides.kept_count,
         newest_heard=stages.newest_reported,
-        behind_for=_age(now, stages.behind_since),
-        stages=_stages(now, stages.recent()),
-        reads=_reads(view, now),
+        behind_for=_seconds_since(now, stages.behind_since),
+        stages=_stage_statuses(now, stages.recent()),
+        reads=_read_statuses(view, now),
         source_answer_seconds=_source_answer_seconds(view),
     )
 
@@ -102,38 +102,41 @@
     return tuple(sorted(views, key=lambda view: view.name))
 
 
-def _peers_by_status(view: NodeView) -> dict[str, int]:
+def _count_peers_by_status(view: NodeView) -> dict[str, int]:
     members = view.core.membership.table.all_members()
     return dict(Counter(member.status.name.lower() for member in members))
 
 
-def _may_read(view: NodeView) -> bool:
+def _is_reading(view: NodeView) -> bool:
     return view.core.replication.reader.reading or view.core.phase is NodePhase.JOINING
 
 
 def _source_answer_seconds(view: NodeView) -> float | None:
     mean = view.core.replication.reader.answer_times.mean_seconds
-    return None if mean is None or not _may_read(view) else round(mean, 3)
+    return None if mean is None or not _is_reading(view) else round(mean, 3)
 
 
-def _reads(view: NodeView, now: float) -> dict[str, ReadStatus]:
-    """Return how reads fare; failures of a node that reads no more are past."""
-    logs = view.core.replication.reader.open_reads if _may_read(view) else {}
-    return {kind.name.lower(): _read(now, log) for kind, log in logs.items()}
+def _read_statuses(view: NodeView, now: float) -> dict[str, ReadStatus]:
+    """Return the state of reads; failures of a node that no longer reads are omitted."""
+    logs = view.core.replication.reader.open_reads if _is_reading(view) else {}
+    return {kind.name.lower(): _read_status(now, log) for kind, log in logs.items()}
 
 
 def _last_rejection(view: NodeView, now: float) -> RejectionStatus | None:
     replication = view.core.replication
-    status, since = _rejection(replication.replica.last_rejection), replication.rejections.since
+    status, since = (
+        _rejection_status(replication.replica.last_rejection),
+        replication.rejections.since,
+    )
     if status is None or since is None:
         return status
     unix_since = round(clock.unix_time() - (now - since), 3)
     return msgspec.structs.replace(status, since=unix_since)
 
 
-def _refused_requests(view: NodeView, now: float) -> tuple[RefusedRequestStatus, ...]:
+def _refused_request_statuses(view: NodeView, now: float) -> tuple[RefusedRequestStatus, ...]:
     ledger = view.core.crashes.ledger
-    held = [item for item in ledger if item.crash_count >= DEFAULT_CRASH_LIMIT]
+    refused = [item for item in ledger if item.crash_count >= DEFAULT_CRASH_LIMIT]
     return tuple(
         RefusedRequestStatus(
             item.fingerprint.hex(),
@@ -141,15 +144,15 @@
             round(now - min(item.crashes.values()), 3),
             round(now - item.last_crash_at, 3),
         )
-        for item in sorted(held, key=lambda item: item.last_crash_at, reverse=True)
+        for item in sorted(refused, key=lambda item: item.last_crash_at, reverse=True)
     )
 
 
 def _traffic_status(view: NodeView) -> TrafficStatus:
     return TrafficStatus(
-        control=_bytes(view, Purpose.CONTROL),
-        configuration=_bytes(view, Purpose.CONFIGURATION),
-        machine_list=_bytes(view, Purpose.MACHINE_LIST),
+        control=_byte_status(view, Purpose.CONTROL),
+        configuration=_byte_status(view, Purpose.CONFIGURATION),
+        machine_list=_byte_status(view, Purpose.MACHINE_LIST),
         refused=dict(view.traffic.refused),
         unsent=dict(view.traffic.unsent),
         failed=dict(view.runtime.failed_messages),
@@ -157,55 +160,55 @@
     )
 
 
-def _bytes(view: NodeView, purpose: Purpose) -> ByteStatus:
+def _byte_status(view: NodeView, purpose: Purpose) -> ByteStatus:
     return ByteStatus(
         view.traffic.bytes_for(Direction.SENT, purpose),
         view.traffic.bytes_for(Direction.RECEIVED, purpose),
     )
 
 
-def _revision(revision: RevisionId) -> RevisionStatus:
+def _revision_status(revision: RevisionId) -> RevisionStatus:
     return RevisionStatus(revision.number, revision.digest.hex())
 
 
-def _age(now: float, answered_at: float | None) -> float | None:
+def _seconds_since(now: float, answered_at: float | None) -> float | None:
     return None if answered_at is None else round(now - answered_at, 3)
 
 
-def _stages(now: float, recent: tuple[RevisionStages, ...]) -> tuple[StagesStatus, ...]:
+def _stage_statuses(now: float, recent: tuple[RevisionStages, ...]) -> tuple[StagesStatus, ...]:
     offset = clock.unix_time() - now
     return tuple(
         StagesStatus(
             item.number,
             item.channel.value,
             round(item.reached_at[Stage.REPORTED] + offset, 3),
-            _unix(offset, item.reached_at.get(Stage.HELD)),
-            _unix(offset, item.reached_at.get(Stage.COMMITTED)),
-            _unix(offset, item.reached_at.get(Stage.IN_FORCE)),
+            _to_unix_time(offset, item.reached_at.get(Stage.HELD)),
+            _to_unix_time(offset, item.reached_at.get(Stage.COMMITTED)),
+            _to_unix_time(offset, item.reached_at.get(Stage.IN_FORCE)),
         )
         for item in recent
     )
 
 
-def _unix(offset: float, at: float | None) -> float | None:
-    return None if at is None else round(at + offset, 3)
+def _to_unix_time(offset: float, moment: float | None) -> float | None:
+    return None if moment is None else round(moment + offset, 3)
 
 
-def _read(now: float, reads: OpenReads) -> ReadStatus:
+def _read_status(now: float, reads: OpenReads) -> ReadStatus:
     failure = reads.last_failure.value if reads.last_failure is not None else ""
     oldest = reads.oldest
     if oldest is None:
         return ReadStatus(failures=reads.failure_count, failure=failure)
-    open_for = _age(now, oldest.opened_at)
+    open_for = _seconds_since(now, oldest.opened_at)
     return ReadStatus(open_for, oldest.effect.wait, reads.failure_count, failure, len(reads))
 
 
-def _rejection(rejection: Rejection | None) -> RejectionStatus | None:
+def _rejection_status(rejection: Rejection | None) -> RejectionStatus | None:
     if rejection is None:
         return None
-    findings = tuple(_finding(finding) for finding in rejection.findings)
-    return RejectionStatus(_revision(rejection.revision), findings)
+    findings = tuple(_finding_status(finding) for finding in rejection.findings)
+    return RejectionStatus(_revision_status(rejection.revision), findings)
 
 
-def _finding(finding: Finding) -> FindingStatus:
+def _finding_status(finding: Finding) -> FindingStatus:
     return FindingStatus(finding.code.label, finding.place, finding.message)
--- a/src/pewtertack/node/streams.py
+++ b/src/pewtertack/node/streams.py
@@ -1,4 +1,4 @@
-"""Frames too long for a datagram: one frame a TCP connection, length first."""
+"""Frames too large for a datagram: one frame per TCP connection, preceded by its length."""
 
 from __future__ import annotations
 
@@ -22,33 +22,33 @@
 
 
 class StreamBudget:
-    """Bounds the streams under way and the bytes that they may bring together."""
+    """Limits the number of open streams and the total bytes that they may bring."""
 
     def __init__(self, streams: int, bytes_limit: int) -> None:
-        self._streams = streams
-        self._bytes = bytes_limit
+        self._free_streams = streams
+        self._free_bytes = bytes_limit
 
-    def take_stream(self) -> bool:
-        """Claim one stream; false when all are in use."""
-        if self._streams < 1:
+    def claim_stream(self) -> bool:
+        """Claim one stream; return false if all are in use."""
+        if self._free_streams < 1:
             return False
-        self._streams -= 1
+        self._free_streams -= 1
         return True
 
-    def return_stream(self) -> None:
-        """Give a claimed stream back."""
-        self._streams += 1
+    def release_stream(self) -> None:
+        """Release a claimed stream."""
+        self._free_streams += 1
 
-    def take_bytes(self, size: int) -> bool:
-        """Claim memory for a frame; false when too much is claimed already."""
-        if self._bytes < size:
+    def claim_bytes(self, size: int) -> bool:
+        """Claim memory for a frame; return false if too much is claimed already."""
+        if self._free_bytes < size:
             return False
-        self._bytes -= size
+        self._free_bytes -= size
         return True
 
-    def return_bytes(self, size: int) -> None:
-        """Give claimed memory back."""
-        self._bytes += size
+    def release_bytes(self, size: int) -> None:
+        """Release claimed memory."""
+        self._free_bytes += size
 
 
 async def connect(local_host: str, remote: Address) -> SocketStream:
@@ -57,26 +57,26 @@
     anyio's own ``connect_tcp`` resolves a local address in a worker thread.
 
     Raises:
-        OSError: the peer cannot be reached.
+        OSError: the peer is unreachable.
     """
     family = socket.AF_INET6 if remote.is_ipv6 else socket.AF_INET
-    raw = socket.socket(family, socket.SOCK_STREAM)
+    sock = socket.socket(family, socket.SOCK_STREAM)
     try:
-        raw.setblocking(False)
-        raw.bind((local_host, 0))
-        await _finish_connect(raw, remote)
-        return await SocketStream.from_socket(raw)
+        sock.setblocking(False)
+        sock.bind((local_host, 0))
+        await _finish_connect(sock, remote)
+        return await SocketStream.from_socket(sock)
     except BaseException:
-        raw.close()
+        sock.close()
         raise
 
 
-async def _finish_connect(raw: socket.socket, remote: Address) -> None:
+async def _finish_connect(sock: socket.socket, remote: Address) -> None:
     try:
-        raw.connect((remote.host, remote.port))
+        sock.connect((remote.host, remote.port))
     except BlockingIOError:
-        await anyio.wait_writable(raw)
-        code = raw.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        await anyio.wait_writable(sock)
+        code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if code:
             raise OSError(code, os.strerror(code)) from None
 
@@ -85,7 +85,7 @@
     """Send one frame over a connection of its own and return the bytes written.
 
     Raises:
-        OSError, anyio.BrokenResourceError: the peer cannot be reached or hung up.
+        OSError, anyio.BrokenResourceError: the peer is unreachable or hung up.
     """
     async with await connect(local_host, remote) as stream:
         data = len(frame).to_bytes(LENGTH_BYTES, "big") + frame
@@ -95,26 +95,26 @@
 
 
 async def receive_frame(
-    stream: ByteReceiveStream, budget: StreamBudget, arriving: Callable[[], None] = _ignore
+    stream: ByteReceiveStream, budget: StreamBudget, on_part: Callable[[], None] = _ignore
 ) -> bytes:
-    """Return the one frame of a connection; ``arriving`` is called for each part of it.
+    """Return the one frame of a connection; ``on_part`` is called for each part of it.
 
     Raises:
-        OversizedFrameError: its announced length is not allowed, or not now.
+        OversizedFrameError: its announced length is too large, in general or at the moment.
         TruncatedFrameError: the peer hung up before the end.
     """
     buffered = BufferedByteReceiveStream(stream)
     try:
         length = int.from_bytes(await buffered.receive_exactly(LENGTH_BYTES), "big")
-        if length > STREAM_BYTES_MAX or not budget.take_bytes(length):
+        if length > STREAM_BYTES_MAX or not budget.claim_bytes(length):
             raise OversizedFrameError(f"{length} bytes announced")
         try:
             frame = bytearray()
             while len(frame) < length:
                 frame += await buffered.receive(length - len(frame))
-                arriving()
+                on_part()
             return bytes(frame)
         finally:
-            budget.return_bytes(length)
+            budget.release_bytes(length)
     except (anyio.EndOfStream, anyio.IncompleteRead, anyio.BrokenResourceError) as error:
         raise TruncatedFrameError("the peer hung up early") from error
--- a/src/pewtertack/node/traffic.py
+++ b/src/pewtertack/node/traffic.py
@@ -1,7 +1,6 @@
-"""Counts of what a node sends to its peers and gets from them.
+"""Counts the traffic between a node and its peers.
 
-Bytes are those of frames and stream length prefixes; IP, UDP and TCP headers
-are not counted.
+Bytes are those of frames and of the length prefixes of streams, without IP, UDP and TCP headers.
 """
 
 from __future__ import annotations
@@ -22,7 +21,7 @@
 
 
 class Direction(StrEnum):
-    """Whether a frame went out or came in."""
+    """Whether a frame was sent or received."""
 
     SENT = "sent"
     RECEIVED = "received"
@@ -37,7 +36,7 @@
 
 
 class Flow(NamedTuple):
-    """One counter's key; ``kind`` is the message's type name."""
+    """Key of one counter; ``kind`` is the message's type name."""
 
     direction: Direction
     kind: str
@@ -45,7 +44,7 @@
 
 
 def purpose_of(message: Message) -> Purpose:
-    """Tell document bodies from control traffic."""
+    """Distinguish document bodies from control traffic."""
     if isinstance(message, Announce) and message.delta is not None:
         return Purpose.CONFIGURATION
     if isinstance(message, ReaderHeartbeat) and message.deltas:
@@ -64,9 +63,9 @@
         self.messages: Counter[Flow] = Counter()
         self.bytes: Counter[Flow] = Counter()
         self.refused: Counter[str] = Counter()
-        """Frames by the ``code`` of the refusal."""
+        """Refused frames by the ``code`` of the refusal."""
         self.unsent: Counter[str] = Counter()
-        """Messages which were dropped before or while sending, by reason."""
+        """Messages dropped before or during sending, by reason."""
 
     def count(self, direction: Direction, message: Message, size: int) -> None:
         """Count one frame of ``size`` bytes."""
--- a/src/pewtertack/node/transport.py
+++ b/src/pewtertack/node/transport.py
@@ -1,4 +1,4 @@
-"""Frames between this node and its peers over UDP and TCP on one port."""
+"""Exchanges frames between this node and its peers over UDP and TCP on one port."""
 
 from __future__ import annotations
 
@@ -27,23 +27,23 @@
 from pewtertack.wire.messages import Message
 
 DATAGRAM_BATCH = 64
-"""Datagrams taken at one wake-up before other tasks get their turn."""
-INBOUND_BYTES_MAX = 2 * STREAM_BYTES_MAX
-"""Memory for frames that are arriving over TCP, from strangers too."""
-ARRIVAL_INTERVAL = 0.1
-"""Seconds between two notifications of one frame that is arriving."""
-_ADDRESSES_CACHED = 4096
+"""Datagrams processed at one wake-up before other tasks run."""
+MAX_INBOUND_BYTES = 2 * STREAM_BYTES_MAX
+"""Memory for frames being received over TCP, including those of strangers."""
+ARRIVAL_INTERVAL_SECONDS = 0.1
+"""Minimum seconds between two notifications of one arriving frame."""
+_MAX_CACHED_ADDRESSES = 4096
 
 EnvelopeHandler = Callable[[Envelope], None]
 RefusalHandler = Callable[[ProtocolError], None]
 ArrivalHandler = Callable[[str], None]
-"""Is told the IP number from which a frame is arriving."""
+"""Called with the IP address from which a frame is arriving."""
 
 
 class Sender(msgspec.Struct, frozen=True):
-    """How this node signs its frames. ``address`` is the one it advertises.
+    """Identity and keys with which this node signs its frames. ``address`` is the advertised one.
 
-    Frames that ``accepted_keys`` signed are accepted; nothing is signed with them.
+    Frames signed with ``accepted_keys`` are accepted; nothing is signed with them.
     """
 
     name: str
@@ -54,14 +54,14 @@
 
 
 class StreamLimits(msgspec.Struct, frozen=True):
-    """Bounds of frames over TCP; ``timeout`` in seconds for one frame."""
+    """Limits of frames over TCP; ``timeout`` in seconds for one frame."""
 
     streams: int
     timeout: float
 
 
 class PeerTransport:
-    """Sends messages best effort and hands authenticated ones to a handler."""
+    """Sends messages best-effort and passes authenticated ones to a handler."""
 
     def __init__(
         self,
@@ -74,33 +74,33 @@
         self._datagrams = datagrams
         self._streams = streams
         self._local_host = address_of(datagrams).host
-        self._sender = sender
+        self._identity = sender
         self._limits = limits
         self._traffic = traffic
         self._reader = FrameReader(sender.key, sender.accepted_keys)
         self._counter = 0
-        self._inbound = StreamBudget(limits.streams, INBOUND_BYTES_MAX)
-        self._outbound = StreamBudget(limits.streams, INBOUND_BYTES_MAX)
+        self._inbound = StreamBudget(limits.streams, MAX_INBOUND_BYTES)
+        self._outbound = StreamBudget(limits.streams, MAX_INBOUND_BYTES)
         self._tasks: TaskGroup | None = None
-        self._receive: EnvelopeHandler = lambda _: None
-        self._refuse: RefusalHandler = lambda _: None
-        self._arriving: ArrivalHandler = lambda _: None
+        self._on_message: EnvelopeHandler = lambda _: None
+        self._on_refusal: RefusalHandler = lambda _: None
+        self._on_arriving: ArrivalHandler = lambda _: None
 
     @property
     def frames_by_accepted_keys(self) -> int:
-        """Frames received that another accepted key signed."""
+        """Frames received that were signed with another accepted key."""
         return self._reader.frames_by_accepted_keys
 
     async def run(
         self,
-        receive: EnvelopeHandler,
-        refuse: RefusalHandler,
-        arriving: ArrivalHandler | None = None,
+        on_message: EnvelopeHandler,
+        on_refusal: RefusalHandler,
+        on_arriving: ArrivalHandler | None = None,
     ) -> None:
         """Serve until cancelled; the handlers must not block."""
-        self._receive = receive
-        self._refuse = refuse
-        self._arriving = arriving or self._arriving
+        self._on_message = on_message
+        self._on_refusal = on_refusal
+        self._on_arriving = on_arriving or self._on_arriving
         listener = await SocketListener.from_socket(self._streams)
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
@@ -114,7 +114,7 @@
             self._traffic.unsent["bad-address"] += 1
             return
         try:
-            frame = self._frame_of(message)
+            frame = self._encode(message)
         except OversizedFrameError:
             self._traffic.unsent["oversized"] += 1
             return
@@ -123,9 +123,9 @@
         else:
             self._start_stream(remote, frame, message)
 
-    def _frame_of(self, message: Message) -> bytes:
+    def _encode(self, message: Message) -> bytes:
         self._counter += 1
-        sender = self._sender
+        sender = self._identity
         envelope = Envelope(sender.name, sender.address, sender.incarnation, self._counter, message)
         return encode_frame(envelope, sender.key)
 
@@ -138,7 +138,7 @@
         self._traffic.count(Direction.SENT, message, len(frame))
 
     def _start_stream(self, remote: Address, frame: bytes, message: Message) -> None:
-        if self._tasks is None or not self._outbound.take_stream():
+        if self._tasks is None or not self._outbound.claim_stream():
             self._traffic.unsent["streams-busy"] += 1
             return
         self._tasks.start_soon(self._send_stream, remote, frame, message)
@@ -151,7 +151,7 @@
         except (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError):
             self._traffic.unsent["stream"] += 1
         finally:
-            self._outbound.return_stream()
+            self._outbound.release_stream()
 
     async def _receive_datagrams(self) -> None:
         while True:
@@ -161,42 +161,42 @@
                     frame = self._datagrams.recv(DATAGRAM_BYTES_MAX + 1)
                 except OSError:
                     break
-                self._take(frame, DATAGRAM_BYTES_MAX, 0)
+                self._handle_frame(frame, DATAGRAM_BYTES_MAX, 0)
 
     async def _receive_stream(self, stream: SocketStream) -> None:
         async with stream:
-            if not self._inbound.take_stream():
+            if not self._inbound.claim_stream():
                 self._traffic.refused["streams-busy"] += 1
                 return
             try:
                 with anyio.fail_after(self._limits.timeout):
-                    notifier = _ArrivalNotifier(stream, self._arriving)
+                    notifier = _ArrivalNotifier(stream, self._on_arriving)
                     frame = await receive_frame(stream, self._inbound, notifier.notify)
             except TimeoutError:
-                self._refused(TruncatedFrameError("the frame did not end in time"))
+                self._count_refusal(TruncatedFrameError("the frame was not complete in time"))
             except ProtocolError as error:
-                self._refused(error)
+                self._count_refusal(error)
             else:
-                self._take(frame, STREAM_BYTES_MAX, LENGTH_BYTES)
+                self._handle_frame(frame, STREAM_BYTES_MAX, LENGTH_BYTES)
             finally:
-                self._inbound.return_stream()
+                self._inbound.release_stream()
 
-    def _take(self, frame: bytes, size_limit: int, prefix_bytes: int) -> None:
+    def _handle_frame(self, frame: bytes, size_limit: int, prefix_bytes: int) -> None:
         try:
             envelope = self._reader.read(frame, size_limit)
         except ProtocolError as error:
-            self._refused(error)
+            self._count_refusal(error)
             return
         self._traffic.count(Direction.RECEIVED, envelope.message, len(frame) + prefix_bytes)
-        self._receive(envelope)
+        self._on_message(envelope)
 
-    def _refused(self, error: ProtocolError) -> None:
+    def _count_refusal(self, error: ProtocolError) -> None:
         self._traffic.refused[error.code] += 1
-        self._refuse(error)
+        self._on_refusal(error)
 
 
 class _ArrivalNotifier:
-    """Notifies of one frame's arrival, not more often than every ``ARRIVAL_INTERVAL``."""
+    """Notifies of one frame's arrival, at most once per ``ARRIVAL_INTERVAL_SECONDS``."""
 
     __slots__ = ("_handler", "_host", "_next_at")
 
@@ -208,11 +208,11 @@
     def notify(self) -> None:
         now = anyio.current_time()
         if now >= self._next_at:
-            self._next_at = now + ARRIVAL_INTERVAL
+            self._next_at = now + ARRIVAL_INTERVAL_SECONDS
             self._handler(self._host)
 
 
-@lru_cache(maxsize=_ADDRESSES_CACHED)
+@lru_cache(maxsize=_MAX_CACHED_ADDRESSES)
 def _parse_address(text: str) -> Address | None:
     try:
         return Address.parse(text)
--- a/src/pewtertack/node/view.py
+++ b/src/pewtertack/node/view.py
@@ -1,4 +1,4 @@
-"""Reads the running parts of a node for its operators."""
+"""Gives operators read access to the running parts of a node."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class NodeView(msgspec.Struct, frozen=True):
-    """The admin interface's source. ``in_flight`` counts callers' requests."""
+    """State of the node for the admin interface. ``in_flight`` counts callers' requests."""
 
     core: NodeCore
     runtime: Runtime
@@ -29,13 +29,13 @@
     traffic: Traffic
     addresses: AddressStatus
     in_flight: Callable[[], int]
-    started: float
+    started_at: float
     reaches_all: Callable[[], bool]
     """Whether the proxy can reach every service; true without a proxy."""
 
     def status(self) -> NodeStatus:
-        """Return the node's state now."""
-        from pewtertack.node.status_page import status_of  # few nodes are ever asked
+        """Return the node's current state."""
+        from pewtertack.node.status_page import status_of  # most nodes are never asked
 
         return status_of(self)
 
@@ -46,9 +46,9 @@
         return members_of(self)
 
     def in_force(self) -> ResolvedConfiguration | None:
-        """Return the configuration by which the proxy serves."""
+        """Return the configuration that the proxy uses."""
         return self.core.replication.replica.in_force
 
     def is_ready(self) -> bool:
-        """Tell whether callers should be sent here."""
+        """Return whether callers should be sent here."""
         return self.gate.is_ready() and self.reaches_all()
--- a/tests/node/test_part_times.py
+++ b/tests/node/test_part_times.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from pewtertack.node.part_times import LOOP, START, WAIT, PartTimes, TimedLoop
+from pewtertack.node.part_times import LOOP, POLL, START, PartTimes, TimedLoop
 from tests.node.processes import UNREACHABLE_ADDRESS, NodeProcess, settings_text
 
 
@@ -52,7 +52,7 @@
         self.assertGreaterEqual(times.counts["somewhere.Named.run"], 1)
         name = "TimedLoopTest." + self._testMethodName + ".<locals>.work"
         self.assertGreaterEqual(times.counts[name], 2)
-        self.assertGreater(times.counts[WAIT], 0)
+        self.assertGreater(times.counts[POLL], 0)
 
 
 class NodePartsTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/node/test_runtime.py
+++ b/tests/node/test_runtime.py
@@ -40,7 +40,7 @@
 from pewtertack.node.counting import Histogram
 from pewtertack.node.gate import ServingGate
 from pewtertack.node.gateway.incarnations import Incarnations
-from pewtertack.node.runtime import TURNS_BETWEEN, Runtime
+from pewtertack.node.runtime import YIELDS_BETWEEN_SLICES, Runtime
 from pewtertack.routing.registry import BackendRegistry
 from pewtertack.wire.errors import StrangerFrameError
 from pewtertack.wire.frames import Envelope
@@ -109,7 +109,7 @@
                 while not any(isinstance(item, WorkContinued) for item in self.core.inputs):
                     await anyio.lowlevel.checkpoint()
             tasks.cancel_scope.cancel()
-        self.assertGreaterEqual(turns.count(1), TURNS_BETWEEN)
+        self.assertGreaterEqual(turns.count(1), YIELDS_BETWEEN_SLICES)
 
     async def test_work_that_fails_is_counted_and_ends_nobody(self) -> None:
         runtime = self.runtime(ticked=[ContinueWork()])
@@ -218,7 +218,7 @@
             self.assertTrue(gate.may_serve())
             now.return_value = 102.5
             self.assertFalse(gate.may_serve())
-            gate.ticked()
+            gate.note_tick()
             self.assertTrue(gate.may_serve())
 
 
--- a/tests/node/test_settings_file.py
+++ b/tests/node/test_settings_file.py
@@ -29,7 +29,7 @@
         log = EventLog("a", 1, self.output)
         self.subject = SettingsFile(self.path, {}, load_settings(self.path), log)
         self.told: list[Settings] = []
-        self.subject.tell(self.told.append)
+        self.subject.subscribe(self.told.append)
 
     def lines(self) -> list[dict[str, Any]]:
         return [json.loads(line) for line in self.output.getvalue().splitlines()]
--- a/tests/node/test_transport.py
+++ b/tests/node/test_transport.py
@@ -12,7 +12,7 @@
 from pewtertack.node.sockets import address_of
 from pewtertack.node.streams import LENGTH_BYTES, connect
 from pewtertack.node.traffic import Direction, Purpose, Traffic
-from pewtertack.node.transport import ARRIVAL_INTERVAL, PeerTransport, Sender, StreamLimits
+from pewtertack.node.transport import ARRIVAL_INTERVAL_SECONDS, PeerTransport, Sender, StreamLimits
 from pewtertack.settings import Address
 from pewtertack.wire.frames import STREAM_BYTES_MAX, Envelope, encode_frame
 from pewtertack.wire.messages import Busy, DocumentKind, SnapshotAnswer
@@ -140,7 +140,7 @@
             for count, part in enumerate((data[:50_000], data[50_000:100_000]), 1):
                 await stream.send(part)
                 await until(lambda count=count: len(b.arriving) >= count)
-                await anyio.sleep(2 * ARRIVAL_INTERVAL)
+                await anyio.sleep(2 * ARRIVAL_INTERVAL_SECONDS)
             self.assertEqual(b.received, [])
             await stream.send(data[100_000:])
             await until(lambda: b.received)
