--- a/src/pewtertack/node/proxy/__init__.py
+++ b/src/pewtertack/node/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy: an ASGI application towards callers, httptools towards back ends."""
+"""The proxy: an ASGI application for callers that forwards their requests to back ends."""
--- a/src/pewtertack/node/proxy/application.py
+++ b/src/pewtertack/node/proxy/application.py
@@ -71,31 +71,32 @@
 }
 
 LeavingObserver = Callable[[str, str, int], None]
-"""Told the name, the address and the start of a back end whose own answer says that it leaves."""
+"""Called with the name, the address and the start time of a back end that reports in a response
+that it is leaving."""
 
 
 def _ignore_leaving(name: str, address: str, started_at: int) -> None:
-    """Tell nobody."""
+    """Ignore the report."""
 
 
 class ProxyApplication(DrainableApplication):
-    """Forwards callers' requests to back ends by the configuration in force.
+    """Forwards callers' requests to back ends according to the configuration in force.
 
-    An ASGI 3 application (``node.http.server``). All methods are
-    called in the event loop's thread.
+    An ASGI 3 application (``node.http.server``). All methods are called in the event loop's thread.
 
     Args:
         clock: monotonic time in seconds.
         random: seeded generator for choices, request ids and jitter.
-        may_serve: asked before every request; false refuses it as not run.
+        may_serve: called before every request, which is refused as not run if it returns false.
         registry: where the metrics are registered; ``None`` keeps none.
-        log: receives events of the 6xx numbers.
-        edge: header names towards callers, and back ends without a gateway.
-        caller_service: the service of the back end beside this node.
-        reporter: what the node knows of requests that end back ends.
-        policies: the way of each decision that has several.
-        retry_limits: what operators allow a service over all nodes, where the policies ask.
-        runs: what the back end beside this node runs.
+        log: receives the events numbered 6xx.
+        edge: header names toward callers and back ends without a gateway.
+        caller_service: the service of the local back end.
+        reporter: the node's knowledge of requests that crash back ends.
+        policies: the policy for each configurable decision.
+        retry_limits: the operators' limits on a service's retries over all nodes, used if the
+            policies call for them.
+        runs: the requests that the local back end runs.
     """
 
     def __init__(
@@ -120,7 +121,7 @@
         self._log = log
         self._table: RouteTable | None = None
         self.longest_head = 0
-        """Bytes; the server takes more where it always does."""
+        """Configured limit on request heads in bytes; the server's own minimum still applies."""
         dispatcher = Dispatcher(random, self._note_backend_event, policies, retry_limits)
         self._versions = KnownVersions()
         self._request_log = ProxyLog(log, clock, self._versions)
@@ -141,20 +142,20 @@
             runs or RunsBeside(),
             CrashDetector(self._note_crash),
         )
-        registry.add_collector(lambda: _collector_of(dispatcher, lambda: self.in_flight, clock))
+        registry.add_collector(lambda: _make_collector(dispatcher, lambda: self.in_flight, clock))
         self._prober = GatewayProber(dispatcher, clock)
         self._serving = False
         self._retry_after = 1.0
         self._leaving_observer: LeavingObserver = _ignore_leaving
         self.configuration_wait = ConfigurationWait(clock)
-        """Requests whose route a newer configuration may have."""
+        """Holds requests whose route a newer configuration may have."""
 
     def set_leaving_observer(self, observer: LeavingObserver) -> None:
-        """Tell ``observer`` once of each back end that says in an answer that it leaves."""
+        """Have ``observer`` called once for each back end that reports itself as leaving."""
         self._leaving_observer = observer
 
     def use_configuration(self, configuration: ResolvedConfiguration) -> None:
-        """Serve requests that begin from now on by ``configuration``."""
+        """Serve requests that start from now on according to ``configuration``."""
         self._table = RouteTable(configuration)
         self.configuration_wait.notify_changed()
         self.longest_head = configuration.head_bytes
@@ -171,16 +172,16 @@
             )
 
     def use_machines(self, machines: MachineList) -> None:
-        """Take over a newer machine list; an older one is ignored."""
+        """Apply a newer machine list; an older one is ignored."""
         self._versions.machine_list = machines.number
         self._versions.machine_list_at = self._clock()
         self._context.dispatcher.use_machines(machines, self._clock())
         self._context.connections.keep_only(self._context.dispatcher.addresses())
 
     def reaches_all(self) -> bool:
-        """Tell whether a back end of every service in force may be reached.
+        """Tell whether every service in force has a back end that may be reachable.
 
-        A node that is cut off from all of a service's back ends is better left out.
+        Callers should avoid a node that cannot reach any back end of some service.
         """
         if self._table is None:
             return False
@@ -188,10 +189,10 @@
         return self._context.dispatcher.reaches_all(used, self._clock())
 
     def may_run_beside(self, scope: Scope) -> bool:
-        """Tell whether a request may run while another of its connection does.
+        """Tell whether a request may run while another one of its connection runs.
 
-        Only what may be repeated: its caller cannot tell what has run when the connection
-        ends. What will be refused may be refused at once.
+        Only a repeatable request may: if the connection ends, its caller cannot tell which of
+        them have run. A request that will be refused may be refused at once.
         """
         if self._table is None:
             return True
@@ -202,21 +203,25 @@
             return True
 
     async def run(self) -> None:
-        """Probe gateways out of reach until cancelled."""
+        """Probe unreachable gateways until cancelled."""
         await self._prober.run()
 
     def set_serving(self, serving: bool, retry_after: float = 1.0) -> None:
-        """Accept requests, or refuse them as not run, to come back after ``retry_after`` s."""
+        """Accept requests, or refuse them as not run with ``retry_after`` in seconds."""
         self._serving = serving
         self._retry_after = retry_after
 
     def start_leaving(self, seconds: float) -> None:
-        """Go on serving, but ask callers to close their connections after each answer."""
+        """Begin a graceful shutdown that ends in ``seconds``.
+
+        Requests are still served, but callers are asked to close their connections after each
+        response.
+        """
         self.requests.leaving = True
         self._context.shutdown.begin(self._clock() + seconds)
 
     async def announce_stop(self) -> None:
-        """Tell the gateways that have requests of this node until when it carries answers."""
+        """Notify the gateways that have requests of this node how long it relays responses."""
         await notify_gateways(self._context.shutdown, self._clock, self.connections, self.requests)
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
@@ -245,15 +250,15 @@
         head: RequestHead,
         route: ResolvedRoute | None,
     ) -> None:
-        """Answer with a failure; count and log it."""
+        """Send a failure; count and log it."""
         if route is not None:
             self._context.dispatcher.note_failed(route.name, self._clock())
         self._metrics.note_failed(route, error.code)
         self._request_log.refused(head.request_id, route, error)
         await send_failure(send, error, head.request_id, self._edge)
 
-    def _note_backend_event(self, happened: BackendEvent) -> None:
-        match happened:
+    def _note_backend_event(self, backend_event: BackendEvent) -> None:
+        match backend_event:
             case BackendLeaving(backend):
                 self._log(Event.BACKEND_LEAVING, backend=backend.name, source="answer")
                 self._leaving_observer(backend.name, backend.address, backend.started_at)
@@ -276,13 +281,13 @@
                 self._log(event, backend=backend.name, service=backend.service)
 
     def _note_crash(self, backend: str, broken: tuple[BrokenExchange, ...]) -> None:
-        """A back end without a gateway has ended."""
+        """Record and report a crash of a back end without a gateway."""
         self._request_log.crashed(backend, broken)
         self._reporter.report_remote_crash(backend, fingerprints_of(broken))
 
     def _check_serving(self) -> None:
         if self.requests.draining:
-            raise DrainingError("the node is stopping")
+            raise DrainingError("the node is shutting down")
         if not self._serving or self._table is None or not self._may_serve():
             raise NotServingError("the node is not serving yet", self._retry_after)
 
@@ -307,24 +312,26 @@
             failed = forwarding.status >= InternalError.status
             if failed:
                 self._context.dispatcher.note_failed(route.name, self._clock())
-            took = self._clock() - started_at
-            self._metrics.note_answered(route, took)
+            duration = self._clock() - started_at
+            self._metrics.note_answered(route, duration)
             backend = forwarding.ticket.backend
             if backend is not None:
                 self._metrics.note_zone(backend.service, backend.zone)
-            self._request_log.answered(head.request_id, forwarding.ticket, forwarding.status, took)
+            self._request_log.answered(
+                head.request_id, forwarding.ticket, forwarding.status, duration
+            )
         except RequestFailedError as error:
             await self._refuse(send, error.with_retries_spent(), head, route)
         except CallerGoneError:
-            failed = False  # nothing is known of its end
+            failed = False  # the result is unknown
             self._metrics.note_failed(route, CALLER_GONE)
-            took = self._clock() - started_at
-            self._request_log.ended(Event.REQUEST_CANCELLED, head.request_id, route, took)
+            duration = self._clock() - started_at
+            self._request_log.ended(Event.REQUEST_CANCELLED, head.request_id, route, duration)
         except TruncatedAnswerError:
-            # the server cuts a connection whose answer was left incomplete
+            # the server cuts a connection whose response is incomplete
             self._metrics.note_failed(route, TRUNCATED)
-            took = self._clock() - started_at
-            self._request_log.ended(Event.REQUEST_CUT, head.request_id, route, took)
+            duration = self._clock() - started_at
+            self._request_log.ended(Event.REQUEST_CUT, head.request_id, route, duration)
         except Exception:
             if forwarding.status == 0:
                 await self._refuse(send, InternalError("unexpected error"), head, route)
@@ -335,11 +342,11 @@
                 self._context.runs.note_call(route.name, self._clock(), failed)
 
     async def _wait_for_newer_table(self, head: RequestHead) -> RouteTable:
-        """Return the table of a newer configuration, which may have the request's route.
+        """Wait for a newer configuration, which may have the request's route; return its table.
 
         Raises:
-            RouteNotFoundError: the node knows of no newer one.
-            ConfigurationBehindError: it is not in force in time.
+            RouteNotFoundError: the node knows of no newer configuration.
+            ConfigurationBehindError: the newer one is not in force in time.
         """
         if self.configuration_wait.lag() is Lag.NONE:
             raise RouteNotFoundError("no route for this host and path")
@@ -349,10 +356,10 @@
         return self._table
 
 
-def _collector_of(
+def _make_collector(
     dispatcher: Dispatcher, in_flight: Callable[[], int], clock: Callable[[], float]
 ) -> Collector:
-    """Return the dispatcher's collector; its library loads when metrics are asked for."""
+    """Return the dispatcher's collector; its library is loaded only when metrics are scraped."""
     from pewtertack.node.proxy.dispatcher_metrics import DispatcherCollector
 
     return DispatcherCollector(dispatcher, in_flight, clock)
--- a/src/pewtertack/node/proxy/attempt_ends.py
+++ b/src/pewtertack/node/proxy/attempt_ends.py
@@ -1,4 +1,4 @@
-"""What the failure of an attempt tells of its back end."""
+"""Maps the failure of an attempt to what it implies for the back end."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 UNREACHABLE_REASONS = frozenset(
     {BackendGoneError.code, DrainingError.code, ZoneEvacuatedError.code}
 )
-"""Refusals of a gateway that hold for other requests too: the back end cannot be reached."""
+"""Gateway refusals that apply to other requests as well: the back end is unreachable."""
 
 
 def attempt_end_for(error: RequestFailedError) -> AttemptEnd:
-    """Return how the attempt that failed with ``error`` counts."""
+    """Return the attempt end by which a failure with ``error`` counts."""
     if isinstance(error, GatewayRefusedError) and error.reason == BackendLeftError.code:
         return AttemptEnd.GONE
     if isinstance(error, GatewayRefusedError):
--- a/src/pewtertack/node/proxy/body.py
+++ b/src/pewtertack/node/proxy/body.py
@@ -1,4 +1,4 @@
-"""The caller's request body: streamed, and replayable while it is small."""
+"""The caller's request body: streamed, and kept for a replay while it is small."""
 
 from __future__ import annotations
 
@@ -13,37 +13,38 @@
 from pewtertack.routing.outcomes import BodiesFullError, Outcome, SlowRequestError
 
 MAX_REPLAY_BYTES = 512 * 1024
-"""A longer body cannot be sent a second time: to another gateway, or as a retry."""
+"""A longer body cannot be sent a second time, neither to another gateway nor as a retry."""
 READ_AHEAD_BYTES = MAX_REPLAY_BYTES - 64 * 1024
-"""So much of a long body is received before another node is asked for room: as long as its
-caller sends, nobody need wait for it, and that a caller has gone is seen only while reading."""
+"""This much of a long body is received before the request is sent to a gateway. Until then no
+gateway has to wait for the caller, and only while reading is it noticed that a caller has gone."""
 TOTAL_BODY_BUFFER_BYTES = 16 * 1024 * 1024
-"""What is kept of all requests' bodies together. Back ends that read nothing would have copies of
-hundreds kept; a node has 20 MB at rest, and 200 where it has least."""
+"""Limit on the buffered bytes of all requests' bodies together. Without it, back ends that do not
+read could cause hundreds of bodies to be buffered. An idle node takes 20 MB of memory, and the
+smallest nodes have 200 MB."""
 IDLE_SECONDS = 10.0
-"""A caller that sends nothing of its body for this long is refused."""
+"""A request is refused when its caller sends nothing of the body for this long."""
 
 
 class Caller(Protocol):
-    """The sender of a request, who may leave before its answer (``node.http.cycle``)."""
+    """The sender of a request, which may disconnect before its response (``node.http.cycle``)."""
 
     gone: bool
     on_caller_gone: Callable[[], None] | None
-    """Called once when the caller leaves before its answer is complete."""
+    """Called once if the caller disconnects before its response is complete."""
 
     def drop_body(self) -> None:
-        """Nobody will read the rest of the request's body."""
+        """Discard the rest of the request's body, which nobody will read."""
 
     def send_processing(self, headers: RawHeaders) -> None:
-        """Tell it, ahead of any answer, that its request may never be answered."""
+        """Send ``102 Processing``, which reports that the request may never be answered."""
 
 
 class CallerGoneError(Exception):
-    """The caller closed its connection before its request was read."""
+    """The caller closed its connection before the request was complete."""
 
 
 class BufferedBodies:
-    """How many bytes of all requests' bodies one application keeps."""
+    """The number of request body bytes that one application has buffered."""
 
     __slots__ = ("byte_count",)
 
@@ -52,26 +53,26 @@
 
     @property
     def full(self) -> bool:
-        """Whether no more should be kept."""
+        """Whether the limit is reached."""
         return self.byte_count >= TOTAL_BODY_BUFFER_BYTES
 
     def check(self) -> None:
-        """Refuse a long body at once while there is no room to keep it.
+        """Refuse a long body if there is no buffer space for it.
 
         Raises:
-            BodiesFullError: nothing of the request has run.
+            BodiesFullError: the limit is reached; the request has not run.
         """
         if self.full:
             raise BodiesFullError("too many request bodies wait to be read")
 
 
 class RequestBody:
-    """Reads the body on demand, so that the caller is slowed to the back end's pace.
+    """Reads the body on demand, so that the caller sends at the pace of the back end.
 
     Args:
-        receive: gives the next part (ASGI).
+        receive: returns the next part (ASGI).
         expected: whether there is a body.
-        bodies: what is kept of all of them; the request's own share until ``forget``.
+        bodies: counts the buffered bytes of all bodies; this body's are counted until ``release``.
     """
 
     def __init__(self, receive: Receive, expected: bool, bodies: BufferedBodies) -> None:
@@ -83,11 +84,11 @@
         self._received_bytes = 0
         self._buffered_bytes = 0
         self._beginning: bytes | None = None
-        """What counts of a body that is kept no longer."""
+        """The beginning of a body whose chunks have been discarded."""
 
     @property
     def beginning(self) -> bytes | None:
-        """The first ``BEGINNING_BYTES``, or all of a shorter body; ``None`` until it has come."""
+        """The first ``BEGINNING_BYTES``, or all of a shorter body; ``None`` until received."""
         if self._chunks is None:
             return self._beginning
         beginning = b"".join(self._chunks)[:BEGINNING_BYTES]
@@ -99,9 +100,10 @@
         return self._chunks is not None
 
     async def read_ahead(self, size: int = READ_AHEAD_BYTES) -> None:
-        """Receive the body, or the first ``size`` bytes of it, before it is streamed.
+        """Receive the body, or its first ``size`` bytes, before it is streamed.
 
-        Less where no more may be kept of all bodies: the rest comes at the back end's pace.
+        Less is received when the buffer limit of all bodies is reached; the rest is then received
+        at the pace of the back end.
 
         Raises:
             CallerGoneError: the caller has gone.
@@ -133,19 +135,19 @@
 
     @property
     def _may_buffer(self) -> bool:
-        """Whether to keep more; the beginning, which tells requests apart, is kept in any case."""
+        """Whether to buffer more; the beginning, which the fingerprint needs, always is."""
         return self._received_bytes < BEGINNING_BYTES or not self._bodies.full
 
     def release(self) -> None:
-        """The request has ended: nothing of its body is kept any longer."""
+        """Free the buffered chunks: the request has ended, or its body cannot be replayed."""
         self._bodies.byte_count -= self._buffered_bytes
         self._buffered_bytes = 0
         self._chunks = None
 
     async def _next_chunk(self) -> bytes:
-        with anyio.move_on_after(IDLE_SECONDS) as scope:
+        with anyio.move_on_after(IDLE_SECONDS) as timeout:
             message = await self._receive()
-        if scope.cancelled_caught:
+        if timeout.cancelled_caught:
             raise SlowRequestError("the request body came too slowly")
         if message["type"] == "http.disconnect":
             raise CallerGoneError
@@ -163,7 +165,7 @@
             self._discard_chunks()
 
     def _discard_chunks(self) -> None:
-        """Keep nothing but what counts of it: it can't be sent a second time any more."""
+        """Discard the chunks except the beginning; the body can no longer be replayed."""
         if self._chunks is not None:
             self._beginning = b"".join(self._chunks)[:BEGINNING_BYTES]
         self.release()
--- a/src/pewtertack/node/proxy/configuration_wait.py
+++ b/src/pewtertack/node/proxy/configuration_wait.py
@@ -1,7 +1,7 @@
-"""Requests without a route, at a node that knows of a newer configuration than it serves by.
+"""Holds requests without a matching route while a newer configuration is on its way.
 
-The newer one may have the route. Such a request waits for it, within bounds of number and time, or
-is refused as not run, so that the caller may retry: "no such route" would be final.
+The newer configuration may have the route. Such a request waits for it, limited in number and
+time, or is refused as not run so that the caller may retry: "no such route" would be final.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 from pewtertack.core.replication.replica import Lag
 
 MAX_WAITING = 64
-"""Requests that wait at once; each holds its connection and its head, none its body."""
+"""Limit on waiting requests; each occupies its connection and its head, but no body."""
 DEADLINE_SHARE = 0.25
+"""Share of the time left until its deadline that a request may wait."""
 MAX_WAIT_SECONDS = 1.0
-"""Seconds."""
 
 
 def _no_lag() -> Lag:
@@ -24,7 +24,7 @@
 
 
 class ConfigurationWait:
-    """Tells requests when another configuration is in force.
+    """Wakes waiting requests when another configuration is in force.
 
     Args:
         clock: monotonic time in seconds.
@@ -32,29 +32,29 @@
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.lag: Callable[[], Lag] = _no_lag
-        """What is known of a newer configuration than the one in force."""
+        """Returns what is known of a configuration newer than the one in force."""
         self.waiting = 0
-        """Requests that wait for it."""
+        """Number of requests that wait for it."""
         self._clock = clock
         self._changed = anyio.Event()
 
     def notify_changed(self) -> None:
-        """Another configuration is in force."""
+        """Wake the waiting requests: another configuration is in force."""
         self._changed.set()
         self._changed = anyio.Event()
 
     async def wait(self, deadline: float) -> bool:
-        """Wait for another configuration; tell whether there is one.
+        """Wait for another configuration; return whether there is one.
 
         Args:
-            deadline: of the request, in monotonic seconds; of its time a share is spent.
+            deadline: the request's deadline in monotonic seconds, which limits the wait.
         """
         if self.waiting >= MAX_WAITING or self.lag() is not Lag.COMING:
             return False
-        swapped, left = self._changed, deadline - self._clock()
+        swapped, seconds_left = self._changed, deadline - self._clock()
         self.waiting += 1
         try:
-            with anyio.move_on_after(min(left * DEADLINE_SHARE, MAX_WAIT_SECONDS)):
+            with anyio.move_on_after(min(seconds_left * DEADLINE_SHARE, MAX_WAIT_SECONDS)):
                 await swapped.wait()
         finally:
             self.waiting -= 1
--- a/src/pewtertack/node/proxy/content.py
+++ b/src/pewtertack/node/proxy/content.py
@@ -1,4 +1,4 @@
-"""The fingerprint of one request under way, worked out only when something asks for it."""
+"""The fingerprint of an active request, computed only on demand."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class RequestContent:
-    """What a request is, whichever attempt it comes by.
+    """The content of a request, which is the same for each attempt.
 
     Args:
-        scope: of the request (ASGI).
-        headers: those that are passed on; nodes on its way pass on the same.
-        body: of the request.
+        scope: ASGI scope of the request.
+        headers: the forwarded headers; every node on the path forwards the same ones.
+        body: the request's body.
     """
 
     __slots__ = ("_body", "_head", "_headers", "_scope")
@@ -28,16 +28,16 @@
 
     @property
     def fingerprint(self) -> bytes | None:
-        """The fingerprint, ``None`` while too little of the body has come."""
+        """The fingerprint, ``None`` until enough of the body has been received."""
         beginning = self._body.beginning
         return fingerprint_of(self._digest_head(), beginning) if beginning is not None else None
 
     async def fingerprint_in(self, ledger: CrashLedger) -> bytes | None:
-        """Return the fingerprint if the request may be a suspect, ``None`` if it is none.
+        """Return the fingerprint if the request may be a suspect, otherwise ``None``.
 
         Raises:
             CallerGoneError: the caller has gone.
-            SlowRequestError: the body, which tells suspects apart, did not come.
+            SlowRequestError: the body, which the fingerprint needs, was not received in time.
         """
         if not self.may_be_in(ledger):
             return None
@@ -45,7 +45,7 @@
         return self.fingerprint
 
     def may_be_in(self, ledger: CrashLedger) -> bool:
-        """Tell whether a suspect has this request's head; costs nothing while there is none."""
+        """Tell whether a suspect has this request's head; computes nothing without suspects."""
         return len(ledger) > 0 and ledger.knows_head(self._digest_head())
 
     def _digest_head(self) -> bytes:
--- a/src/pewtertack/node/proxy/crash_guard.py
+++ b/src/pewtertack/node/proxy/crash_guard.py
@@ -1,4 +1,4 @@
-"""What proxy and gateway do about one request under which back ends may end."""
+"""Protects back ends from one request that may crash them, for proxy and gateway."""
 
 from __future__ import annotations
 
@@ -14,35 +14,35 @@
 )
 
 FAILING_STATUS = 500
-"""From this status on an answer tells nothing in favour of its request: a back end that is
-about to end may have given it."""
+"""A response with this status or above does not clear its request of suspicion: a back end that
+is about to crash may have sent it."""
 
 
 class CrashGuard:
-    """The node's knowledge of ends, asked and added to for one request.
+    """Consults and updates the node's crash ledger for one request.
 
     Args:
-        content: of the request.
-        reporter: what the node knows.
-        watch: tells whether a back end has ended.
+        content: the request's content.
+        reporter: the node's knowledge of crashes.
+        detector: detects whether a back end has crashed.
     """
 
-    __slots__ = ("_content", "_reporter", "_watch", "crash_count")
+    __slots__ = ("_content", "_reporter", "_detector", "crash_count")
 
     def __init__(
-        self, content: RequestContent, reporter: CrashReporter, watch: CrashDetector
+        self, content: RequestContent, reporter: CrashReporter, detector: CrashDetector
     ) -> None:
         self._content = content
         self._reporter = reporter
-        self._watch = watch
+        self._detector = detector
         self.crash_count = 0
-        """Back ends known to have ended under the request, at its own attempts too."""
+        """Number of back ends known to have crashed while they ran the request."""
 
     async def refuse_if_held(self, limit: int, now: float) -> None:
-        """Refuse what no node may send to a back end.
+        """Refuse a request that no node may send to a back end.
 
         Raises:
-            RequestEndsBackendsError: it is held.
+            RequestEndsBackendsError: the request is held.
         """
         if not len(self._reporter.ledger):
             return
@@ -51,10 +51,10 @@
             raise self._refusal(fingerprint)
 
     async def refuse_unless_admitted(self, limit: int, now: float) -> None:
-        """Refuse what this node may not send on, which is the trial of a held request too.
+        """Refuse a request that this node may not forward; a held one may pass as a trial.
 
         Raises:
-            RequestEndsBackendsError: it may not.
+            RequestEndsBackendsError: the request may not be forwarded.
         """
         if not len(self._reporter.ledger):
             return
@@ -63,7 +63,7 @@
             raise self._refusal(fingerprint)
 
     def note_answered(self, status: int) -> None:
-        """A back end has answered the request; tell so if others ended under it."""
+        """Note that a back end answered the request; report it if others have crashed on it."""
         ledger = self._reporter.ledger
         if status >= FAILING_STATUS or not self._content.may_be_in(ledger):
             return
@@ -78,17 +78,17 @@
         address: str,
         error: BackendFailedError | TruncatedAnswerError,
     ) -> None:
-        """Find out whether an exchange broke since its back end, at ``address``, has ended.
+        """Find out whether an exchange broke because its back end, at ``address``, has crashed.
 
         Raises:
-            BackendCrashedError: it has, and nothing of an answer was passed on.
+            BackendCrashedError: it has, and no part of a response was passed on.
         """
         if isinstance(error, BackendSilentError):
             return
         broken = BrokenExchange(request_id, self._content.fingerprint)
-        ended = await self._watch.has_crashed(backend, address, broken)
+        ended = await self._detector.has_crashed(backend, address, broken)
         if ended and isinstance(error, BackendFailedError):
-            raise BackendCrashedError("the back end has ended") from error
+            raise BackendCrashedError("the back end crashed") from error
 
     async def _fingerprint_if_suspect(self) -> bytes | None:
         ledger = self._reporter.ledger
@@ -98,5 +98,5 @@
         return fingerprint
 
     def _refusal(self, fingerprint: bytes) -> RequestEndsBackendsError:
-        ran = f"they ran request {fingerprint.hex()}"
-        return RequestEndsBackendsError(f"{self.crash_count} back ends ended while {ran}")
+        execution = f"they ran request {fingerprint.hex()}"
+        return RequestEndsBackendsError(f"{self.crash_count} back ends crashed while {execution}")
--- a/src/pewtertack/node/proxy/deadlines.py
+++ b/src/pewtertack/node/proxy/deadlines.py
@@ -1,7 +1,7 @@
-"""The deadlines of all requests under way, with one timer of the event loop for all of them.
+"""The deadlines of all active requests, with one event-loop timer for all of them.
 
-A timer for each request was made and cancelled by nine functions of asyncio at either node, and
-nearly none ever fires: most requests end long before their deadlines.
+A timer per request costs calls of nine asyncio functions to create and cancel at each of the two
+nodes, and almost none of them fires: most requests end long before their deadlines.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from itertools import count
 
 MIN_CANCELLED_TO_COMPACT = 128
-"""From so many on, entries whose requests have ended are cleared away once they are the most."""
+"""Cancelled entries are removed once there are this many and they outnumber the others."""
 
 
 class Deadline:
-    """One deadline: ``pass_`` is called once it is over, unless it is taken back before."""
+    """One deadline. ``callback`` is called when it passes; ``None`` once passed or cancelled."""
 
     __slots__ = ("callback",)
 
@@ -34,12 +34,12 @@
         self._heap: list[tuple[float, int, Deadline]] = []
         self._numbers = count()
         self._cancelled = 0
-        """Entries whose deadlines were taken back."""
+        """Number of entries whose deadlines were cancelled."""
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at = 0.0
 
     def add(self, seconds: float, callback: Callable[[], None]) -> Deadline:
-        """Have ``pass_`` called in so many seconds."""
+        """Have ``callback`` called in ``seconds``."""
         deadline = Deadline(callback)
         moment = self.loop.time() + seconds
         heappush(self._heap, (moment, next(self._numbers), deadline))
@@ -48,7 +48,7 @@
         return deadline
 
     def cancel(self, deadline: Deadline) -> None:
-        """Do not call it; one that has passed is left alone."""
+        """Cancel the deadline; does nothing if it has passed."""
         if deadline.callback is None:
             return
         deadline.callback = None
@@ -65,7 +65,7 @@
         self._timer = self.loop.call_at(moment, self._expire_due)
 
     def _expire_due(self) -> None:
-        """Call what is due; wait for the next that has not been taken back."""
+        """Call the callbacks that are due; set the timer for the next one."""
         self._timer = None
         due = max(self.loop.time(), self._timer_at)
         while self._heap and (self._heap[0][0] <= due or self._heap[0][2].callback is None):
@@ -82,8 +82,8 @@
 _current: Deadlines | None = None
 
 
-def deadlines() -> Deadlines:
-    """Return those of the running loop; a process has one loop at a time."""
+def loop_deadlines() -> Deadlines:
+    """Return the deadlines of the running loop; a process has one loop at a time."""
     global _current
     loop = asyncio.get_running_loop()
     if _current is None or _current.loop is not loop:
--- a/src/pewtertack/node/proxy/dispatcher_metrics.py
+++ b/src/pewtertack/node/proxy/dispatcher_metrics.py
@@ -1,4 +1,4 @@
-"""Queues, limits and budgets of the dispatcher as metrics, read when they are asked for."""
+"""Queues, limits and retry budgets of the dispatcher as metrics, read on each scrape."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         self._clock = clock
 
     def describe(self) -> Iterator[Metric]:
-        """Name no family in advance."""
+        """Describe no family in advance."""
         return iter(())
 
     def collect(self) -> Iterator[Metric]:
--- a/src/pewtertack/node/proxy/edge.py
+++ b/src/pewtertack/node/proxy/edge.py
@@ -1,4 +1,4 @@
-"""Header names at one edge of a node: towards callers and back ends, or between nodes."""
+"""Header names at one edge of a node: toward callers and back ends, or between nodes."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 REQUEST_ID = b"x-request-id"
 DEADLINE = b"x-deadline-ms"
 READ_NAMES = frozenset({b"host", b"content-length", b"transfer-encoding", b"expect", b"connection"})
-"""Names that are read at every edge."""
+"""Headers that are read at every edge."""
 
 
 class EdgeHeaders(msgspec.Struct, frozen=True):
-    """Names in lower case; an empty name is not used. See ``settings.HeadersSection``."""
+    """Header names in lower case; an empty one is unused. See ``settings.HeadersSection``."""
 
     request_id: bytes = REQUEST_ID
     deadline: bytes = DEADLINE
@@ -23,12 +23,12 @@
     unframed_answers: bool = False
     fractional_retry_after: bool = False
     own: frozenset[bytes] = frozenset()
-    """Names that nodes set themselves: what a caller sends under them is dropped. Worked out."""
+    """Headers that nodes set themselves; a caller's are dropped. Derived from the fields above."""
     read: frozenset[bytes] = frozenset()
-    """Names of a request's headers that a node reads. Worked out."""
+    """Request headers that a node reads. Derived from the fields above."""
 
     def __post_init__(self) -> None:
-        """Work out once what every request needs."""
+        """Derive once the sets that every request needs."""
         names = (self.request_id, self.deadline, self.expected_backend, self.caller_service)
         own = frozenset(name for name in names if name)
         msgspec.structs.force_setattr(self, "own", own)
@@ -36,7 +36,7 @@
 
 
 DEFAULT_EDGE = EdgeHeaders()
-"""Pewtertack's own names."""
+"""Pewtertack's default names."""
 
 NODE_EDGE = EdgeHeaders(identified_answers=True, fractional_retry_after=True)
-"""Between the node beside a caller and the node beside a back end."""
+"""Between the proxy at the caller's node and the gateway at the back end's node."""
--- a/src/pewtertack/node/proxy/exchange.py
+++ b/src/pewtertack/node/proxy/exchange.py
@@ -1,4 +1,4 @@
-"""One attempt: a caller's request over one connection to a back end."""
+"""One attempt at a caller's request, over one connection to a back end or gateway."""
 
 from __future__ import annotations
 
@@ -41,25 +41,25 @@
 
 MAX_SHED_BODY_BYTES = 64 * 1024
 SHED_BODY_SECONDS = 0.02
-"""A shed answer's body is read for this long at most, to keep the connection."""
+"""The body of a refusal is read for at most this long in order to reuse the connection."""
 MAX_RETRY_AFTER_SECONDS = 3600.0
 MISDIRECTED_STATUS = 421
 START_BUFFER_BYTES = 64 * 1024
-"""An answer of at most this length is passed on only when it is there to its end; of a longer
-one so much is held back while it could still be had elsewhere. It bounds what a node holds of
-one answer for that, and costs 0.1 s on a link of 5 Mbit/s, the slowest that sheets name."""
+"""A response of at most this length is passed on only once it is complete. Of a longer one this
+much is buffered first, if the request could still be sent elsewhere. That limits what a node
+buffers of one response and costs 0.1 s on a link of 5 Mbit/s, the slowest in the data sheets."""
 
 
 class TruncatedAnswerError(Exception):
-    """The back end's answer broke off after its head was passed on."""
+    """The back end's response broke off after its head was passed on."""
 
 
-def ignore_metadata(answer: ResponseMeta) -> None:
-    """Learn nothing from the head of an answer."""
+def ignore_metadata(meta: ResponseMeta) -> None:
+    """Ignore the metadata of a response."""
 
 
 class Exchange:
-    """Sends the request and passes the answer on, at the pace of the slower side."""
+    """Sends the request and relays the response, at the pace of the slower side."""
 
     def __init__(
         self,
@@ -72,14 +72,16 @@
         more_headers: Callable[[], RawHeaders] = list,
     ) -> None:
         self.started = False
-        """Whether the head of an answer has been passed to the caller."""
+        """Whether the head of a response has been passed to the caller."""
         self.status = 0
+        """Status of that response, 0 without one."""
         self.end = AttemptEnd.CANCELLED
-        """What the last answer's head told of its attempt."""
+        """The attempt's end according to the head of the latest response."""
         self.buffers_start = False
-        """Whether the request may be sent once more if its answer breaks off in time."""
+        """Whether to buffer the start of the response, so that the request can be sent again if
+        the response breaks off within it."""
         self.may_abandon: MayAbandon = never_abandon
-        """Asked when a gateway takes its back end to hang on the request."""
+        """Called when a gateway reports that the back end hangs on the request."""
         self._scope = scope
         self._send = send
         self._head = head
@@ -90,7 +92,7 @@
         self._edge = DEFAULT_EDGE
 
     def drop_callbacks(self) -> None:
-        """Drop the callbacks: no attempt follows, and the owner need not wait for the collector."""
+        """Drop the callbacks after the last attempt, to free the owner without a collector run."""
         self._on_metadata = ignore_metadata
         self._more_headers = list
         self.may_abandon = never_abandon
@@ -102,13 +104,13 @@
         edge: EdgeHeaders = DEFAULT_EDGE,
         body_on_demand: bool = False,
     ) -> None:
-        """Run one attempt at a back end, or a gateway, which speaks by ``edge``.
+        """Run one attempt at a back end or gateway that uses the header names of ``edge``.
 
-        With ``body_on_demand`` the body leaves this node only when the other end has room.
+        With ``body_on_demand`` the body is sent only when the other end asks for it.
 
         Raises:
-            RequestFailedError: the attempt ended before its answer was passed on.
-            TruncatedAnswerError: it broke off after the answer's head was passed on.
+            RequestFailedError: the attempt ended before a response was passed on.
+            TruncatedAnswerError: it broke off after the response's head was passed on.
             CallerGoneError: the caller has gone.
         """
         self._edge = edge
@@ -119,33 +121,33 @@
             raise BackendHungError("the back end hangs on the request") from error
         except ExchangeBrokenError as error:
             raise _broken_exchange_error(connection, error) from error
-        answer = read_response_meta(start.headers, edge)
-        if self._is_crossed(start.status, answer):
+        meta = read_response_meta(start.headers, edge)
+        if self._is_crossed(start.status, meta):
             connection.abort()
             raise CrossedAnswerError("the back end answered another request")
-        self._on_metadata(answer)
-        if answer.failure is not None:
+        self._on_metadata(meta)
+        if meta.failure is not None:
             await _drain_short_body(connection)
-            retry_after = _parse_fractional_retry_after(answer.retry_after)
-            raise error_from_failure(answer.failure, start.status, retry_after)
-        self.end = end_of_answer(start.status, answer.outcome, answer.retries)
-        if self._is_not_run(start.status, answer):
+            retry_after = _parse_fractional_retry_after(meta.retry_after)
+            raise error_from_failure(meta.failure, start.status, retry_after)
+        self.end = end_of_answer(start.status, meta.outcome, meta.retries)
+        if self._is_not_run(start.status, meta):
             self.end = AttemptEnd.SHED
         if self.end is AttemptEnd.SHED:
             await _drain_short_body(connection)
-            raise _shed_error(start, answer)
-        self._check_framing(connection, start, answer)
-        await self._relay(connection, start, answer)
+            raise _shed_error(start, meta)
+        self._check_framing(connection, start, meta)
+        await self._relay(connection, start, meta)
 
-    def _is_crossed(self, status: int, answer: ResponseMeta) -> bool:
-        if answer.request_id is not None:
-            return answer.request_id != self._head.request_id
-        needs_id = self._edge.identified_answers and not self._is_not_run(status, answer)
-        return needs_id and answer.failure is None
+    def _is_crossed(self, status: int, meta: ResponseMeta) -> bool:
+        if meta.request_id is not None:
+            return meta.request_id != self._head.request_id
+        needs_id = self._edge.identified_answers and not self._is_not_run(status, meta)
+        return needs_id and meta.failure is None
 
-    def _is_not_run(self, status: int, answer: ResponseMeta) -> bool:
-        wrong_backend = bool(self._edge.expected_backend) and status == MISDIRECTED_STATUS
-        return answer.not_run or wrong_backend
+    def _is_not_run(self, status: int, meta: ResponseMeta) -> bool:
+        is_misdirected = bool(self._edge.expected_backend) and status == MISDIRECTED_STATUS
+        return meta.not_run or is_misdirected
 
     def _request(self, headers: RawHeaders, body_on_demand: bool) -> OutgoingRequest:
         target = self._scope["raw_path"]
@@ -164,37 +166,41 @@
         )
 
     def _check_framing(
-        self, connection: BackendConnection, start: ResponseHead, answer: ResponseMeta
+        self, connection: BackendConnection, start: ResponseHead, meta: ResponseMeta
     ) -> None:
         bodiless = self._scope["method"] == "HEAD" or start.status in NO_BODY_STATUSES
-        if not (answer.framed or bodiless or self._edge.unframed_answers):
+        if not (meta.framed or bodiless or self._edge.unframed_answers):
             connection.abort()
-            raise BackendFailedError("the end of the back end's answer cannot be told")
+            raise BackendFailedError(
+                "the back end's response has neither a length nor chunked encoding"
+            )
 
     async def _relay(
-        self, connection: BackendConnection, start: ResponseHead, answer: ResponseMeta
+        self, connection: BackendConnection, start: ResponseHead, meta: ResponseMeta
     ) -> None:
         caller = self._scope["extensions"][CALLER_EXTENSION]
         if not self.buffers_start:
             caller.drop_body()  # no other attempt follows that would need it
-        if answer.length is not None and answer.length <= START_BUFFER_BYTES:
-            whole = connection.pop_complete_body()
-            if whole is None:
-                whole = await _read_whole_body(connection)
+        if meta.length is not None and meta.length <= START_BUFFER_BYTES:
+            body = connection.pop_complete_body()
+            if body is None:
+                body = await _read_whole_body(connection)
             if self.buffers_start:
                 caller.drop_body()
-            head = self._begin_response(start.status, answer)
-            head[WHOLE_BODY] = whole
+            head = self._begin_response(start.status, meta)
+            head[WHOLE_BODY] = body
             await self._send(head)
             return
-        hold = self.buffers_start and answer.length is not None  # one without may be a stream
-        first = await _read_start(connection) if hold else b""
+        buffer_start = (
+            self.buffers_start and meta.length is not None
+        )  # without a length it may be a stream
+        beginning = await _read_start(connection) if buffer_start else b""
         if self.buffers_start:
             caller.drop_body()
-        await self._send(self._begin_response(start.status, answer))
-        if first:
-            await self._send({"type": "http.response.body", "body": first, "more_body": True})
-            first = b""  # not held while the rest passes
+        await self._send(self._begin_response(start.status, meta))
+        if beginning:
+            await self._send({"type": "http.response.body", "body": beginning, "more_body": True})
+            beginning = b""  # free it while the rest is relayed
         try:
             while chunk := await connection.read_chunk():
                 event = {"type": "http.response.body", "body": chunk, "more_body": True}
@@ -203,10 +209,10 @@
             raise TruncatedAnswerError(str(error)) from error
         await self._send({"type": "http.response.body", "body": b""})
 
-    def _begin_response(self, status: int, answer: ResponseMeta) -> Message:
-        """Return the head to pass on, as begun."""
-        own = (self._caller_edge.request_id, self._head.request_id.encode())
-        headers = [*answer.headers, own, *self._more_headers()]
+    def _begin_response(self, status: int, meta: ResponseMeta) -> Message:
+        """Mark the response as started and return its head for the caller."""
+        request_id_header = (self._caller_edge.request_id, self._head.request_id.encode())
+        headers = [*meta.headers, request_id_header, *self._more_headers()]
         if status in NO_BODY_STATUSES:
             headers = [item for item in headers if item[0] != b"content-length"]
         self.started = True
@@ -215,39 +221,39 @@
 
 
 async def _read_whole_body(connection: BackendConnection) -> bytes:
-    """Return the body of an answer of which nothing was passed on yet.
+    """Return the whole body of a response that has not been passed on yet.
 
     Raises:
-        BackendFailedError: it broke off; the request may have run.
+        BackendFailedError: the response broke off; the request may have run.
     """
     try:
         return await connection.read_body()
     except ExchangeBrokenError as error:
-        raise BackendFailedError(f"the answer broke off: {error}") from error
+        raise BackendFailedError(f"the response broke off: {error}") from error
 
 
 async def _read_start(connection: BackendConnection) -> bytes:
-    """Return the beginning of an answer's body, as much as is held back.
+    """Return the start of a response's body, at least ``START_BUFFER_BYTES`` if it is that long.
 
     Raises:
-        BackendFailedError: it broke off; the request may have run.
+        BackendFailedError: the response broke off; the request may have run.
     """
-    parts: list[bytes] = []
-    held = 0
+    chunks: list[bytes] = []
+    size = 0
     try:
-        while held < START_BUFFER_BYTES and (chunk := await connection.read_chunk()):
-            parts.append(chunk)
-            held += len(chunk)
+        while size < START_BUFFER_BYTES and (chunk := await connection.read_chunk()):
+            chunks.append(chunk)
+            size += len(chunk)
     except ExchangeBrokenError as error:
-        raise BackendFailedError(f"the answer broke off: {error}") from error
-    return b"".join(parts)
+        raise BackendFailedError(f"the response broke off: {error}") from error
+    return b"".join(chunks)
 
 
 async def _drain_short_body(connection: BackendConnection) -> None:
-    """Read the small body of a shed answer, or else close the connection."""
-    whole = connection.pop_complete_body()
-    if whole is not None:
-        if len(whole) > MAX_SHED_BODY_BYTES:
+    """Read a refusal's body so that the connection can be reused; close it if that takes long."""
+    body = connection.pop_complete_body()
+    if body is not None:
+        if len(body) > MAX_SHED_BODY_BYTES:
             connection.abort()
         return
     received = 0
@@ -260,31 +266,31 @@
             else:
                 return
         except ExchangeBrokenError:
-            pass  # the head said all that matters; the connection is closed below
+            pass  # the body is not needed; the connection is closed below
     connection.abort()
 
 
-def _shed_error(start: ResponseHead, answer: ResponseMeta) -> RequestFailedError:
+def _shed_error(start: ResponseHead, meta: ResponseMeta) -> RequestFailedError:
     """Return the failure of a request that the back end did not run."""
     if start.status == MISDIRECTED_STATUS:
         return BackendGoneError("another back end has the address")
     return BackendShedError(
-        "the back end did not run the request", _parse_retry_after(answer.retry_after)
+        "the back end did not run the request", _parse_retry_after(meta.retry_after)
     )
 
 
 def _broken_exchange_error(
-    connection: BackendConnection, broken: ExchangeBrokenError
+    connection: BackendConnection, cause: ExchangeBrokenError
 ) -> RequestFailedError:
-    """Return the failure of an exchange that broke before its answer."""
-    kind = BackendSilentError if connection.peer_silent else BackendFailedError
-    error = kind(f"the exchange broke: {broken}")
+    """Return the failure of an exchange that broke before its response."""
+    error_type = BackendSilentError if connection.peer_silent else BackendFailedError
+    error = error_type(f"the exchange broke: {cause}")
     error.offered = connection.sent
     return error.with_outcome(Outcome.UNKNOWN if connection.sent else Outcome.NOT_RUN)
 
 
 def _parse_retry_after(retry_after: str | None) -> float | None:
-    """Read a back end's ``Retry-After`` in seconds, ``None`` without one; not dates."""
+    """Return a back end's ``Retry-After`` in seconds, ``None`` without one; dates are ignored."""
     if retry_after is None:
         return None
     if not retry_after.strip().isdecimal():
@@ -293,7 +299,7 @@
 
 
 def _parse_fractional_retry_after(retry_after: str | None) -> float | None:
-    """Read a gateway's ``Retry-After``, which may have a fraction."""
+    """Return a gateway's ``Retry-After`` in seconds, which may have a fraction."""
     if retry_after is None:
         return None
     try:
--- a/src/pewtertack/node/proxy/failure_responses.py
+++ b/src/pewtertack/node/proxy/failure_responses.py
@@ -1,4 +1,4 @@
-"""Answers that the node gives itself: typed refusals and failures."""
+"""Responses that the node generates itself: typed refusals and failures."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     if request_id:
         headers.append((edge.request_id, request_id.encode()))
     if error.retry_after is not None:
-        headers.append((b"retry-after", _seconds(error.retry_after, edge).encode()))
+        headers.append((b"retry-after", _format_retry_after(error.retry_after, edge).encode()))
     if error.retries_spent:
         headers.append((RETRIES, RETRIES_SPENT.encode()))
     if error.close_connection:
@@ -46,7 +46,7 @@
     return headers
 
 
-def _seconds(retry_after: float, edge: EdgeHeaders) -> str:
+def _format_retry_after(retry_after: float, edge: EdgeHeaders) -> str:
     if edge.fractional_retry_after:
         return f"{retry_after:.3f}"
     return str(max(1, math.ceil(retry_after)))
@@ -63,11 +63,11 @@
     error: RequestFailedError,
     request_id: str,
     edge: EdgeHeaders = DEFAULT_EDGE,
-    more_headers: RawHeaders | None = None,
+    extra_headers: RawHeaders | None = None,
 ) -> None:
-    """Answer the caller with a typed failure, at once."""
+    """Send the caller a typed failure as a complete response."""
     body = failure_body(error)
-    headers = failure_head(error, request_id, len(body), edge) + (more_headers or [])
+    headers = failure_head(error, request_id, len(body), edge) + (extra_headers or [])
     status = error.answer_status
     await send(
         {"type": "http.response.start", "status": status, "headers": headers, WHOLE_BODY: body}
--- a/src/pewtertack/node/proxy/forwarding.py
+++ b/src/pewtertack/node/proxy/forwarding.py
@@ -1,4 +1,4 @@
-"""One caller's request: admission, attempts, retries and the deadline over all of them."""
+"""Handles one caller's request: admission, attempts, retries and the deadline over all of them."""
 
 from __future__ import annotations
 
@@ -67,29 +67,29 @@
 
 
 class ForwardingContext(msgspec.Struct, frozen=True):
-    """What all requests of a proxy share."""
+    """The objects that all requests of a proxy share."""
 
     clock: Callable[[], float]
     dispatcher: Dispatcher
     connections: ConnectionPool
     edge: EdgeHeaders = DEFAULT_EDGE
-    """Header names towards callers, and back ends without a gateway."""
+    """Header names toward callers and back ends without a gateway."""
     caller_service: str = ""
-    """The service whose back end is beside this node."""
+    """The service of the local back end."""
     log: ProxyLog | None = None
     metrics: RequestMetrics | None = None
     requests: RequestsInFlight = msgspec.field(default_factory=RequestsInFlight)
     reporter: CrashReporter = msgspec.field(default_factory=CrashReporter)
     runs: RunsBeside = msgspec.field(default_factory=RunsBeside)
-    """What the back end beside this node runs."""
+    """The requests that the local back end runs."""
     crashes: CrashDetector = msgspec.field(default_factory=CrashDetector)
-    """For back ends without a gateway; a gateway sees to its own."""
+    """For back ends without a gateway; gateways detect the crashes of their own back ends."""
     shutdown: ShutdownDeadline = msgspec.field(default_factory=ShutdownDeadline)
     bodies: BufferedBodies = msgspec.field(default_factory=BufferedBodies)
 
 
 class Forwarding:
-    """Carries one request to its end by the snapshot that it began with."""
+    """Processes one request with the configuration snapshot that it started with."""
 
     def __init__(
         self,
@@ -103,6 +103,7 @@
         deadline: float,
     ) -> None:
         self.retries = 0
+        """Number of retries made so far."""
         self._context = context
         self._route = route
         self._deadline = deadline
@@ -124,30 +125,30 @@
         self._lifetime = RequestLifetime(scope, deadline, context.clock)
         self._started_at = context.clock()
         self._attempt_active = False
-        """Whether an attempt is under way."""
+        """Whether an attempt is in progress."""
         self._may_have_run = False
-        """Whether an attempt may have run."""
+        """Whether a back end may have run the request in some attempt."""
         self._connection: BackendConnection | None = None
-        """What carries the attempt under way."""
+        """The connection of the attempt in progress."""
         self._withdrawn = False
-        """Whether no further attempt may begin: the node stops."""
+        """Whether no further attempt may start because the node is shutting down."""
 
     @property
     def ticket(self) -> Ticket:
-        """The newest attempt's place."""
+        """The ticket of the latest attempt."""
         return self._ticket
 
     @property
     def status(self) -> int:
-        """Status of the answer that was passed on, 0 without one."""
+        """Status of the response that was passed on, 0 without one."""
         return self._exchange.status
 
     async def run(self) -> None:
-        """Carry the request to its end.
+        """Process the request until it ends.
 
         Raises:
-            RequestFailedError: it ended without an answer; outcome as known of all attempts.
-            TruncatedAnswerError: its answer broke off; the caller's connection must be cut.
+            RequestFailedError: it ended without a response; its outcome covers all attempts.
+            TruncatedAnswerError: its response broke off; the caller's connection must be cut.
             CallerGoneError: the caller has gone.
         """
         try:
@@ -171,7 +172,7 @@
 
     @property
     def progress(self) -> Progress:
-        """How far the request has come."""
+        """How far the request has progressed (``ActiveRequest``)."""
         if self._exchange.started:
             return Progress.ANSWERING
         return Progress.OFFERED if self._attempt_active else Progress.WAITING
@@ -182,16 +183,16 @@
         backend = self._ticket.backend
         if self._connection is None or backend is None:
             return ""
-        # Also where it may not have begun: it waits there for its body to be asked for.
+        # Also if the request may not have started: it waits there before its body is requested.
         return backend.gateway
 
     def finish_by(self, moment: float) -> None:
-        """Its caller is no node that stops (``ActiveRequest``)."""
+        """Do nothing: the caller is not a node (``ActiveRequest``)."""
 
     async def withdraw(self) -> None:
-        """Begin no further attempt; take back one that waits (``ActiveRequest``)."""
+        """Start no further attempt; withdraw one that is waiting (``ActiveRequest``)."""
         self._withdrawn = True
-        self._context.dispatcher.refuse(self._ticket, DrainingError("the node is stopping"))
+        self._context.dispatcher.refuse(self._ticket, DrainingError("the node is shutting down"))
         backend = self._ticket.backend
         if self.progress is not Progress.OFFERED or backend is None:
             return
@@ -205,19 +206,19 @@
         self._lifetime.stop()
 
     def log_unfinished(self) -> None:
-        """Log how far it has come (``ActiveRequest``)."""
+        """Log how far the request has progressed (``ActiveRequest``)."""
         if self._context.log is not None:
-            took = self._context.clock() - self._started_at
+            duration = self._context.clock() - self._started_at
             received = self._body.complete
             self._context.log.unfinished(
-                self.request_id, self._ticket, self.progress, received, took
+                self.request_id, self._ticket, self.progress, received, duration
             )
 
     def _raise_cut_short(self, end: LifetimeEnd) -> None:
         if end is LifetimeEnd.CALLER_GONE:
             raise CallerGoneError
         if self._exchange.started:
-            raise TruncatedAnswerError("the time was over during the answer")
+            raise TruncatedAnswerError("the deadline passed while the response was being sent")
         raise end_error(end).with_outcome(
             Outcome.UNKNOWN if self._may_have_run else Outcome.NOT_RUN
         )
@@ -261,7 +262,7 @@
 
     def _check_withdrawn(self) -> None:
         if self._withdrawn:
-            raise DrainingError("the node is stopping")
+            raise DrainingError("the node is shutting down")
 
     def _log_decision(self, error: RequestFailedError, decision: RetryDecision) -> None:
         if self._context.metrics is not None:
@@ -286,8 +287,8 @@
         try:
             while not granted.is_set():
                 now = self._context.clock()
-                look_at = dispatcher.look(ticket, now)
-                with anyio.move_on_after(look_at - now):
+                recheck_at = dispatcher.look(ticket, now)
+                with anyio.move_on_after(recheck_at - now):
                     await granted.wait()
         except BaseException:
             self._release_ticket()
@@ -338,7 +339,7 @@
             await self._exchange.run(connection, headers, edge, on_demand)
         except (BackendFailedError, TruncatedAnswerError) as error:
             if connection.sent and not backend.gateway:
-                self._may_have_run = True  # the look for its end may be cut short
+                self._may_have_run = True  # set first: the crash check may be cancelled
                 name = backend.name
                 await self._crash_guard.check_for_crash(
                     self.request_id, name, backend.address, error
@@ -353,53 +354,56 @@
 
     def _attempt_headers(self, backend: Backend, edge: EdgeHeaders) -> RawHeaders:
         now = self._context.clock()
-        own = attempt_headers(edge, self._head.request_id, now, self._deadline)
+        own_headers = attempt_headers(edge, self._head.request_id, now, self._deadline)
         caller = self._context.caller_service
         if not backend.gateway:
-            return [*self._headers, *own, *backend_headers(edge, backend.name, caller)]
+            return [*self._headers, *own_headers, *backend_headers(edge, backend.name, caller)]
         objective = self._ticket.arrived_at + self._route.objective - now
-        lateness = self._ticket.lateness
-        within = self._ticket.within
-        run_rank = self._context.runs.usual_rank() if within else None
-        hop = hop_headers(self._route, backend.name, objective, lateness, caller, within, run_rank)
+        wait_policy = self._ticket.lateness
+        nested = self._ticket.within
+        run_rank = self._context.runs.usual_rank() if nested else None
+        hop = hop_headers(
+            self._route, backend.name, objective, wait_policy, caller, nested, run_rank
+        )
         if self._may_abandon():
             hop.append((REPORT_HANGS, b"1"))
         if self._exchange.buffers_start:
             hop.append((BUFFERS_START, b"1"))
-            # Short answers wait for no link, and are not worth the look.
-            long = self._route.name not in self._context.dispatcher.short_answers
-            if long and not self._can_repeat(now):
+            # Short responses do not wait for the link, so they skip the more costly check.
+            is_long = self._route.name not in self._context.dispatcher.short_answers
+            if is_long and not self._can_repeat(now):
                 hop.append((NO_ALTERNATIVE, b"1"))
         if backend.started_at:
             hop.append((INCARNATION, b"%d" % backend.started_at))
         if self._context.shutdown.begun:
-            left = self._context.shutdown.seconds_left(now)
-            hop.append((SENDER_STOPS_IN, format_milliseconds_left(left).encode()))
-        return [*self._headers, *own, *hop]
+            seconds_left = self._context.shutdown.seconds_left(now)
+            hop.append((SENDER_STOPS_IN, format_milliseconds_left(seconds_left).encode()))
+        return [*self._headers, *own_headers, *hop]
 
     def _can_repeat(self, now: float) -> bool:
-        """Tell whether an answer that breaks off could be had elsewhere; else it would be lost."""
+        """Tell whether the request could be sent to another gateway if its response broke off."""
         fits = not self._head.chunked and self._head.body_bytes <= MAX_REPLAY_BYTES
         return fits and self._context.dispatcher.may_repeat(self._ticket, now)
 
-    def _on_hang_report(self, doubt: RawHeaders) -> bool:
-        """Learn that the back end has most likely hung on the attempt; tell whether to leave it.
+    def _on_hang_report(self, headers: RawHeaders) -> bool:
+        """Note that the back end has probably hung; return whether to abandon the attempt.
 
-        A back end itself says by the same status that it is at work.
+        Only a gateway's ``102 Processing`` reports a hang. A back end that is called directly
+        uses the same status to say that it is working.
         """
         backend = self._ticket.backend
         if backend is None or not backend.gateway:
             return False
-        load = dict(doubt).get(BACKEND_LOAD, b"").decode("latin-1")
+        load = dict(headers).get(BACKEND_LOAD, b"").decode("latin-1")
         now = self._context.clock()
         self._context.dispatcher.note_hung(self._ticket, now, parse_load(load))
         return self._may_abandon()
 
     def _may_abandon(self) -> bool:
-        """Tell whether the attempt under way is better made elsewhere if its back end hangs.
+        """Tell whether the attempt should be abandoned for another back end if this one hangs.
 
-        A node that stops leaves none: the back end may be at work after all, and its answer is
-        the only one that is sure to come while this node lasts.
+        A node that is shutting down abandons none: the back end may be working after all, and
+        only its response is certain to arrive before the node stops.
         """
         backend = self._ticket.backend
         if backend is None or not backend.gateway:
@@ -408,24 +412,24 @@
             return False
         return self._context.dispatcher.may_leave(self._ticket, self._context.clock())
 
-    def _on_response(self, answer: ResponseMeta) -> None:
-        self._ticket.queued = answer.queued
-        if answer.failure is None:
-            self._context.dispatcher.note_length(self._route.name, answer.length)
-        if answer.origin is not None:
-            told, now = answer.origin, self._context.clock()
-            self._context.dispatcher.note_origin(self._route.name, told, now)
+    def _on_response(self, response: ResponseMeta) -> None:
+        self._ticket.queued = response.queued
+        if response.failure is None:
+            self._context.dispatcher.note_length(self._route.name, response.length)
+        if response.origin is not None:
+            text, now = response.origin, self._context.clock()
+            self._context.dispatcher.note_origin(self._route.name, text, now)
         self._context.dispatcher.note_answer(
-            self._ticket, self._context.clock(), parse_load(answer.load), answer.leaving
+            self._ticket, self._context.clock(), parse_load(response.load), response.leaving
         )
-        if answer.link is not None:
-            self._note_link(answer.link, begun=answer.failure is None)
-
-    def _note_link(self, told: str, begun: bool) -> None:
-        """A gateway has told how long the line of its link is; nonsense counts as no word."""
-        word = parse_link(told)
-        if word is not None:
-            self._context.dispatcher.note_link(self._ticket, word, self._context.clock(), begun)
+        if response.link is not None:
+            self._note_link(response.link, begun=response.failure is None)
+
+    def _note_link(self, text: str, begun: bool) -> None:
+        """Record a gateway's report of its link queue; an invalid one is counted and ignored."""
+        report = parse_link(text)
+        if report is not None:
+            self._context.dispatcher.note_link(self._ticket, report, self._context.clock(), begun)
         elif self._context.metrics is not None:
             self._context.metrics.note_invalid_link_report()
 
--- a/src/pewtertack/node/proxy/headers.py
+++ b/src/pewtertack/node/proxy/headers.py
@@ -1,4 +1,4 @@
-"""Headers of both directions: what is stripped, replaced and added."""
+"""Headers in both directions: which ones are stripped, replaced and added."""
 
 from __future__ import annotations
 
@@ -40,49 +40,49 @@
 )
 FRAMING_NAMES = frozenset({b"content-length", b"transfer-encoding"})
 NODE_HEADER_PREFIXES = (b"x-", b"retry-")
-"""Of the names in an answer that say something to the node."""
+"""Prefixes of the response headers that are meant for the node."""
 NOT_RETURNED = HOP_BY_HOP | hop.RESPONSE_NAMES | {REQUEST_ID, BACKEND_LOAD, BACKEND_STATE}
 
 
 class RequestHead(msgspec.Struct):
-    """What the proxy reads from a caller's headers before it forwards anything."""
+    """What a node reads from a request's headers before it forwards anything."""
 
     host: str = ""
     request_id: str = ""
     deadline: str | None = None
     has_body: bool = False
     body_bytes: int = 0
-    """Announced length of the body, 0 without one."""
+    """Announced length of the body in bytes, 0 without one."""
     chunked: bool = False
     expects_continue: bool = False
-    """The sender waits with the body until it is asked for."""
+    """Whether the sender waits for ``100 Continue`` before it sends the body."""
     connection_options: frozenset[bytes] = frozenset()
 
     @property
     def body_is_large(self) -> bool:
-        """Whether the body is long, or its length unknown."""
+        """Whether the body is long or its length is unknown."""
         return self.chunked or self.body_bytes > LARGE_BODY
 
 
 def read_head(headers: RawHeaders, edge: EdgeHeaders = DEFAULT_EDGE) -> RequestHead:
-    """Return what routing needs of the caller's headers (names in lower case).
+    """Return what routing needs from the request's headers, whose names are in lower case.
 
     Raises:
         InvalidRequestError: not exactly one host, or ambiguous body framing.
         UpgradeRefusedError: the caller asks for another protocol.
     """
     head = RequestHead()
-    hosts = lengths = codings = 0
+    host_count = length_count = coding_count = 0
     for name, value in _select_names(headers, edge.read):
         if name == b"host":
-            hosts += 1
-            head.host = _host_name(value)
+            host_count += 1
+            head.host = _parse_host(value)
         elif name == b"content-length":
-            lengths += 1
+            length_count += 1
             head.has_body = head.has_body or value.strip() != b"0"
             head.body_bytes = int(value) if value.strip().isdigit() else 0
         elif name == b"transfer-encoding":
-            codings += 1
+            coding_count += 1
             head.chunked = head.has_body = is_plain_chunked(value)
         elif name == edge.request_id:
             head.request_id = _usable_request_id(value)
@@ -91,10 +91,10 @@
         elif name == b"expect":
             head.expects_continue = value.lower() == b"100-continue"
         elif name == b"connection":
-            head.connection_options |= _options(value)
-    if lengths + codings > 1 or head.chunked != bool(codings):
+            head.connection_options |= _parse_options(value)
+    if length_count + coding_count > 1 or head.chunked != bool(coding_count):
         raise InvalidRequestError("ambiguous body length")
-    _check_shape(head, hosts)
+    _check_shape(head, host_count)
     return head
 
 
@@ -107,14 +107,14 @@
     return transfer_encoding.strip().lower() == b"chunked"
 
 
-def _check_shape(head: RequestHead, hosts: int) -> None:
-    if hosts != 1:
+def _check_shape(head: RequestHead, host_count: int) -> None:
+    if host_count != 1:
         raise InvalidRequestError("a request needs exactly one host header")
     if b"upgrade" in head.connection_options:
-        raise UpgradeRefusedError("no other protocol is spoken here")
+        raise UpgradeRefusedError("protocol upgrades are not supported")
 
 
-def _host_name(value: bytes) -> str:
+def _parse_host(value: bytes) -> str:
     text = value.decode("latin-1").strip().lower()
     if text.startswith("["):
         return text.partition("]")[0] + "]"
@@ -122,13 +122,13 @@
 
 
 def _usable_request_id(value: bytes) -> str:
-    """Return the caller's id, or "" for one that is not safe to repeat in logs."""
+    """Return the caller's request id, or "" if it is not safe to repeat in logs."""
     text = value.decode("latin-1").strip()
     usable = 0 < len(text) <= MAX_REQUEST_ID_LENGTH and text.isascii() and text.isprintable()
     return text if usable else ""
 
 
-def _options(value: bytes) -> frozenset[bytes]:
+def _parse_options(value: bytes) -> frozenset[bytes]:
     return frozenset(option.strip().lower() for option in value.split(b","))
 
 
@@ -139,10 +139,10 @@
     route: ResolvedRoute,
     edge: EdgeHeaders = DEFAULT_EDGE,
 ) -> RawHeaders:
-    """Return what is forwarded of a caller's headers; every attempt adds its own.
+    """Return the caller's headers that are forwarded; every attempt adds headers of its own.
 
-    A header that carries one of the route's secrets is taken from the secret
-    alone: the caller's is dropped.
+    A header that carries one of the route's secrets is always set from that secret; the caller's
+    header of that name is dropped.
     """
     if not route.header_secrets:
         return without_names(headers, head, edge.own)
@@ -156,7 +156,7 @@
 
 
 def without_names(headers: RawHeaders, head: RequestHead, names: Set[bytes]) -> RawHeaders:
-    """Return ``headers`` without ``names`` and without those of one connection only."""
+    """Return ``headers`` without ``names`` and without hop-by-hop headers."""
     options = head.connection_options
     result = [
         item
@@ -169,7 +169,7 @@
 
 
 def attempt_headers(edge: EdgeHeaders, request_id: str, now: float, deadline: float) -> RawHeaders:
-    """Return the headers that tell the request's id and the time left."""
+    """Return the headers with the request's id and the time left until its deadline."""
     return [
         (edge.request_id, request_id.encode()),
         (edge.deadline, header_for(now, deadline).encode()),
@@ -177,16 +177,16 @@
 
 
 def backend_headers(edge: EdgeHeaders, backend: str, caller_service: str) -> RawHeaders:
-    """Return the headers that tell a back end whom the request is for and who asks."""
-    named = ((edge.expected_backend, backend), (edge.caller_service, caller_service))
-    return [(name, value.encode()) for name, value in named if name and value]
+    """Return the headers with the name of the intended back end and the calling service."""
+    pairs = ((edge.expected_backend, backend), (edge.caller_service, caller_service))
+    return [(name, value.encode()) for name, value in pairs if name and value]
 
 
 class ResponseMeta(msgspec.Struct):
-    """What the proxy reads from a back end's headers."""
+    """What a node reads from the headers of a back end's or gateway's response."""
 
     headers: RawHeaders
-    """To be sent to the caller, without ``x-request-id``."""
+    """The headers to pass on, without the request id."""
     request_id: str | None = None
     load: str | None = None
     leaving: bool = False
@@ -194,69 +194,69 @@
     retries: str | None = None
     retry_after: str | None = None
     not_run: bool = False
-    """The back end says that it did not run the request, in the edge's own header."""
+    """Whether the back end states, in the edge's own header, that it did not run the request."""
     failure: str | None = None
-    """What a gateway says of a failure of its own."""
+    """A gateway's report of a failure of its own (``hop.FAILURE``)."""
     queued: float = 0.0
     """Seconds that the request waited at a gateway."""
     origin: str | None = None
-    """Who makes the route's requests, as a gateway knows it."""
+    """A gateway's report of who makes the route's requests (``hop.ORIGIN``)."""
     link: str | None = None
-    """What a gateway tells of its link."""
+    """A gateway's report of its link queue (``hop.LINK``)."""
     length: int | None = None
-    """Announced length of the body."""
+    """Announced length of the body in bytes."""
     framed: bool = False
-    """Whether the end of the body can be told from a broken connection."""
+    """Whether the end of the body can be distinguished from a broken connection."""
 
 
 def read_response_meta(headers: RawHeaders, edge: EdgeHeaders = DEFAULT_EDGE) -> ResponseMeta:
-    """Sort a back end's headers into what is passed on and what is for the node."""
-    answer = ResponseMeta([])
+    """Split a response's headers into those to pass on and those meant for the node."""
+    meta = ResponseMeta([])
     options: frozenset[bytes] = frozenset()
     request_id = edge.request_id
     for raw_name, value in headers:
         name = raw_name.lower()
         if name in FRAMING_NAMES:
-            answer.framed = True
+            meta.framed = True
             if name == b"content-length" and value.strip().isdigit():
-                answer.length = int(value)
+                meta.length = int(value)
         elif name.startswith(NODE_HEADER_PREFIXES):
-            _read_node_header(answer, name, value, edge)
+            _read_node_header(meta, name, value, edge)
         elif name == b"connection":
-            options |= _options(value)
+            options |= _parse_options(value)
         if name not in NOT_RETURNED and name != request_id:
-            answer.headers.append((name, value))
+            meta.headers.append((name, value))
     if options - {b"close", b"keep-alive"}:
-        answer.headers = [item for item in answer.headers if item[0] not in options]
-    return answer
+        meta.headers = [item for item in meta.headers if item[0] not in options]
+    return meta
 
 
-def _read_gateway_header(answer: ResponseMeta, name: bytes, text: str) -> None:
+def _read_gateway_header(meta: ResponseMeta, name: bytes, text: str) -> None:
     if name == hop.FAILURE:
-        answer.failure = text
+        meta.failure = text
     elif name == hop.ORIGIN:
-        answer.origin = text
+        meta.origin = text
     elif name == hop.LINK:
-        answer.link = text
+        meta.link = text
     else:
-        answer.queued = int(text) / 1000 if text.isdecimal() else 0.0
+        meta.queued = int(text) / 1000 if text.isdecimal() else 0.0
 
 
-def _read_node_header(answer: ResponseMeta, name: bytes, value: bytes, edge: EdgeHeaders) -> None:
+def _read_node_header(meta: ResponseMeta, name: bytes, value: bytes, edge: EdgeHeaders) -> None:
     text = value.decode("latin-1")
     if name == edge.request_id:
-        answer.request_id = text
+        meta.request_id = text
     elif name == edge.not_run:
-        answer.not_run = True
+        meta.not_run = True
     elif name in hop.RESPONSE_NAMES:
-        _read_gateway_header(answer, name, text)
+        _read_gateway_header(meta, name, text)
     elif name == BACKEND_LOAD:
-        answer.load = text
+        meta.load = text
     elif name == BACKEND_STATE:
-        answer.leaving = text.strip().lower() == "leaving"
+        meta.leaving = text.strip().lower() == "leaving"
     elif name == b"x-outcome":
-        answer.outcome = text
+        meta.outcome = text
     elif name == RETRIES:
-        answer.retries = text
+        meta.retries = text
     elif name == b"retry-after":
-        answer.retry_after = text
+        meta.retry_after = text
--- a/src/pewtertack/node/proxy/in_flight.py
+++ b/src/pewtertack/node/proxy/in_flight.py
@@ -1,4 +1,4 @@
-"""How many requests an application has under way, and when a stop may go on."""
+"""Tracks the active requests of an application, and when a graceful shutdown may proceed."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class Progress(StrEnum):
-    """How far a request has come at this node."""
+    """How far a request has progressed at this node."""
 
     WAITING = "waiting"
-    """Nobody else has been offered it: it waits in a queue of this node, or for its body."""
+    """It has not been forwarded: it waits in a queue of this node, or for its body."""
     OFFERED = "offered"
-    """It was sent on, to a back end or another node, and no answer has begun."""
+    """It was forwarded to a back end or another node, and no response has started."""
     ANSWERING = "answering"
-    """The head of its answer has gone back."""
+    """The head of its response has been sent to the caller."""
 
 
 class ActiveRequest(Protocol):
@@ -28,33 +28,34 @@
 
     @property
     def request_id(self) -> str:
-        """The caller's id, or the one that this node gave it."""
+        """The id that the caller or this node gave it."""
 
     @property
     def progress(self) -> Progress:
-        """How far it has come."""
+        """How far it has progressed."""
 
     @property
     def gateway(self) -> str:
-        """``ip:port`` of the other node that has it now; empty if none has."""
+        """``ip:port`` of the gateway that has the request now; empty if none has."""
 
     def finish_by(self, moment: float) -> None:
-        """Have its answer leave by then: the node that sent the request stops."""
+        """Note that the node that sent the request stops at ``moment``, and respond before."""
 
     def log_unfinished(self) -> None:
-        """Log how far it has come: the time to stop is over."""
+        """Log how far it has progressed: the time for the shutdown is over."""
 
     async def withdraw(self) -> None:
-        """Refuse it as not run if no back end has it, here or at the node it was sent to."""
+        """Refuse it as not run if no back end has it, here or behind the gateway it was sent to."""
 
     def stop(self) -> None:
-        """End it now, with a failure that tells what is known of it."""
+        """End it now, with a failure that states whether it may have run."""
 
 
 class _CountContext:
     """Counts one request while it is served.
 
-    A class: a generator's context took 3 us more, four times a hop over two nodes.
+    This is a class because a generator-based context manager takes 3 us more, four times in a hop
+    over two nodes.
     """
 
     __slots__ = ("_requests",)
@@ -67,8 +68,8 @@
 
     def __exit__(
         self,
-        kind: type[BaseException] | None,
-        error: BaseException | None,
+        exception_type: type[BaseException] | None,
+        exception: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
         self._requests.count -= 1
@@ -77,7 +78,7 @@
 
 
 class _ActiveContext:
-    """Keeps one request among those under way."""
+    """Keeps one request in the set of active requests while it is served."""
 
     __slots__ = ("_active", "_request")
 
@@ -90,23 +91,23 @@
 
     def __exit__(
         self,
-        kind: type[BaseException] | None,
-        error: BaseException | None,
+        exception_type: type[BaseException] | None,
+        exception: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
         self._active.discard(self._request)
 
 
 class RequestsInFlight:
-    """Counts requests; after ``start_draining`` it tells when none is left."""
+    """Counts requests; after ``start_draining`` it signals when none is left."""
 
     def __init__(self) -> None:
         self.count = 0
         self.draining = False
         self.leaving = False
-        """Whether the node has been told to stop."""
+        """Whether a graceful shutdown has begun."""
         self.active: set[ActiveRequest] = set()
-        """Those of the counted that are being served."""
+        """The counted requests that are being forwarded."""
         self._idle = anyio.Event()
 
     def count_one(self) -> _CountContext:
@@ -114,25 +115,25 @@
         return _CountContext(self)
 
     def track(self, request: ActiveRequest) -> _ActiveContext:
-        """Return a context that keeps ``request`` among those under way."""
+        """Return a context that keeps ``request`` in the set of active requests."""
         return _ActiveContext(self.active, request)
 
     def start_draining(self) -> None:
-        """Note that the node stops once nothing is in flight."""
+        """Note that the node stops once no request is in flight."""
         self.draining = True
         self.check_idle()
 
     def log_unfinished(self) -> None:
-        """Log what is still under way."""
+        """Log the requests that are still active."""
         for request in self.active:
             request.log_unfinished()
 
     async def withdraw(self) -> None:
-        """Have those that no back end works on refused; the others go on."""
+        """Refuse the requests that no back end works on; the others continue."""
         await self._withdraw(tuple(self.active))
 
     async def withdraw_one(self, request_id: str) -> None:
-        """Have the request of that id refused, if no back end works on it."""
+        """Refuse the request with that id if no back end works on it."""
         await self._withdraw(
             [request for request in self.active if request.request_id == request_id]
         )
@@ -147,29 +148,29 @@
             await request.withdraw()
 
     def stop(self) -> None:
-        """End what is still under way, but for answers that have begun.
+        """End the active requests except those whose responses have started.
 
-        Those could only be cut: they go on until the process itself ends.
+        Such a response could only be cut; it continues until the process itself ends.
         """
         for request in tuple(self.active):
             if request.progress is not Progress.ANSWERING:
                 request.stop()
 
     async def wait_drained(self) -> None:
-        """Return when draining has begun and nothing is in flight."""
+        """Return once draining has started and no request is in flight."""
         await self._idle.wait()
 
     def check_idle(self) -> None:
-        """See whether what ``wait_drained`` waits for has come."""
+        """Wake ``wait_drained`` if the node is drained."""
         if self.draining and self.count == 0:
             self._idle.set()
 
 
 class DrainableApplication:
-    """An application that serves requests and sees to their ends at a planned stop.
+    """An application that serves requests and can be drained for a graceful shutdown.
 
     Args:
-        connections: to those that it sends requests on to.
+        connections: the connections over which it forwards requests.
     """
 
     def __init__(self, connections: ConnectionPool) -> None:
@@ -178,37 +179,37 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether callers are asked to close their connections after each answer."""
+        """Whether callers are asked to close their connections after each response."""
         return self.requests.leaving
 
     @property
     def in_flight(self) -> int:
-        """Requests that have been accepted and are not finished."""
+        """Number of requests that were accepted and have not finished."""
         return self.requests.count
 
     async def announce_stop(self) -> None:
-        """Tell the nodes that have requests of this one until when it carries answers."""
+        """Notify the nodes that have requests of this one how long it relays responses."""
 
     def start_draining(self) -> None:
-        """Refuse new requests from now on; those in flight are finished."""
+        """Refuse new requests from now on; those in flight continue."""
         self.requests.start_draining()
 
     async def withdraw_waiting(self) -> None:
-        """Refuse what no back end works on: there is no time left for it at this node."""
+        """Refuse the requests that no back end works on: this node has no time left for them."""
         await self.requests.withdraw()
 
     def log_unfinished(self) -> None:
-        """Log the requests that the time to stop has not sufficed for."""
+        """Log the requests that have not finished within the time for the shutdown."""
         self.requests.log_unfinished()
 
     def flush_responses(self) -> None:
-        """Give the system what waits to be sent: this process ends soon."""
+        """Hand responses that wait to be sent to the operating system; this process ends soon."""
 
     def stop_requests(self) -> None:
-        """End what is still under way, with an answer that tells what is known of it."""
+        """End the active requests, with failures that state whether they may have run."""
         self.requests.stop()
 
     async def wait_drained(self) -> None:
-        """Return when draining has begun and nothing is in flight."""
+        """Return once draining has started and no request is in flight."""
         await self.requests.wait_drained()
         self.connections.keep_only(())
--- a/src/pewtertack/node/proxy/lifetime.py
+++ b/src/pewtertack/node/proxy/lifetime.py
@@ -1,4 +1,4 @@
-"""The bounds of one request's life: its deadline, its caller's patience, its node's stop."""
+"""What can end a request early: its deadline, its caller's disconnect, its node's shutdown."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from pewtertack.node.http.cycle import CALLER_EXTENSION, Scope
 from pewtertack.node.proxy.body import Caller
-from pewtertack.node.proxy.deadlines import deadlines
+from pewtertack.node.proxy.deadlines import loop_deadlines
 from pewtertack.routing.outcomes import (
     DeadlineExceededError,
     DrainingError,
@@ -17,7 +17,7 @@
 
 
 class LifetimeEnd(Enum):
-    """How a request's work ended, where it raised nothing."""
+    """How a request's work ended if it raised no exception."""
 
     FINISHED = "finished"
     DEADLINE = "deadline"
@@ -26,18 +26,18 @@
 
 
 def end_error(end: LifetimeEnd) -> RequestFailedError:
-    """Return the failure of a request whose work was cut short; its outcome is yet to be set."""
+    """Return the failure of a request whose work was cancelled; the caller sets its outcome."""
     if end is LifetimeEnd.STOPPED:
-        return DrainingError("the node stops and has no more time for the request")
+        return DrainingError("the node is shutting down and has no more time for the request")
     return DeadlineExceededError("the deadline passed")
 
 
 class RequestLifetime:
-    """Runs a request's work until it ends, is stopped, its deadline passes or its caller goes.
+    """Runs a request's work until it ends, is stopped, its deadline passes or its caller leaves.
 
-    The work is cut short by one cancellation of its task. A cancel scope of anyio, which repeats
-    it until the work has ended, took 40 us of a hop's 450 at the two nodes together; nothing of
-    the work waits once it has been cancelled.
+    The work is ended by a single cancellation of its task. A cancel scope of anyio repeats the
+    cancellation until the work has ended; that cost 40 of the 450 us that a hop takes at both
+    nodes together, and is not needed, as the work awaits nothing once it has been cancelled.
     """
 
     __slots__ = ("_caller", "_cancelled", "_clock", "_deadline", "_stopped", "_task")
@@ -49,31 +49,31 @@
         self._stopped = False
         self._cancelled = False
         self._task: asyncio.Task[object] | None = None
-        """What does the work, while it does."""
+        """The task that does the work, while it runs."""
 
     @property
     def caller_gone(self) -> bool:
-        """Whether the caller has left."""
+        """Whether the caller has disconnected."""
         return self._caller.gone
 
     def stop(self) -> None:
-        """End the work: the node has no more time for it."""
+        """Cancel the work: the node has no more time for it."""
         self._stopped = True
         self._cancel_work()
 
     def _cancel_work(self) -> None:
-        """Cancel the work, once; never called by what does it."""
+        """Cancel the work, at most once; never called from within the work."""
         if self._task is not None and not self._cancelled:
             self._cancelled = True
             self._task.cancel()
 
     async def run(self, work: Callable[[], Awaitable[None]]) -> LifetimeEnd:
-        """Do the work; what it raises passes through."""
+        """Run the work and return how it ended; its exceptions are propagated."""
         task = asyncio.current_task()
         assert task is not None
         self._task = task
         cancelled_before = task.cancelling()
-        timers = deadlines()
+        timers = loop_deadlines()
         deadline = timers.add(self._deadline - self._clock(), self._cancel_work)
         self._caller.on_caller_gone = self._cancel_work
         if self._caller.gone or self._stopped:
@@ -83,7 +83,7 @@
             return LifetimeEnd.FINISHED
         except asyncio.CancelledError:
             if not self._cancelled or task.cancelling() > cancelled_before + 1:
-                raise  # the server ends the task itself
+                raise  # the server cancelled the task itself
         finally:
             self._caller.on_caller_gone = self._task = None
             timers.cancel(deadline)
--- a/src/pewtertack/node/proxy/metrics.py
+++ b/src/pewtertack/node/proxy/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of the request path. Per-request cost is a few microseconds."""
+"""Metrics of the request path. They cost a few microseconds per request."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from pewtertack.node.counting import MetricsRegistry
 
 BUCKETS = (0.005, 0.01, 0.025, 0.06, 0.1, 0.2, 0.4, 0.6, 0.8, 1.2, 2.5, 4.0, 6.0, 10.0)
-"""Upper bounds of the latency histograms, in seconds: for objectives of 60 ms to 6 s."""
+"""Upper bounds of the latency histograms in seconds, for objectives of 60 ms to 6 s."""
 ANSWERED = "answered"
 CALLER_GONE = "caller-gone"
 TRUNCATED = "truncated"
@@ -48,31 +48,31 @@
         )
 
     def note_invalid_link_report(self) -> None:
-        """A gateway's word on its link made no sense."""
+        """A gateway's report of its link queue was invalid."""
         self._invalid_link_reports.inc(())
 
     def note_answered(self, route: ResolvedRoute, seconds: float) -> None:
-        """A request was answered whole."""
+        """A request was answered completely."""
         labels = (route.name, route.work_class.value)
         self._requests.inc((*labels, ANSWERED))
         self._seconds.observe(labels, seconds)
 
     def note_zone(self, service: str, zone: str) -> None:
-        """A back end of ``zone`` answered."""
+        """A back end in ``zone`` answered a request."""
         self._zones.inc((service, zone))
 
     def note_decision(self, reason: str) -> None:
-        """An attempt failed, and the request was or was not sent once more."""
+        """An attempt failed, and it was decided for ``reason`` whether to retry the request."""
         self._decisions.inc((reason,))
 
     def note_failed(self, route: ResolvedRoute | None, result: str) -> None:
-        """A request ended otherwise; ``route`` is ``None`` before it was matched."""
+        """A request ended with another result; ``route`` is ``None`` if none was matched."""
         if route is None:
             self._requests.inc((NO_ROUTE, NO_ROUTE, result))
         else:
             self._requests.inc((route.name, route.work_class.value, result))
 
     def note_retries(self, route: ResolvedRoute, count: int) -> None:
-        """A request that has ended was retried ``count`` times."""
+        """A request ended after ``count`` retries."""
         if count:
             self._retries.inc((route.name, route.work_class.value), count)
--- a/src/pewtertack/node/proxy/probing.py
+++ b/src/pewtertack/node/proxy/probing.py
@@ -1,8 +1,8 @@
-"""Probes of gateways that were out of reach, so that no request has to try them.
+"""Probes unreachable gateways, so that no request has to try them.
 
-A gateway whose machine lost power, is cut off or whose process ended is asked over a
-connection of its own until it answers. A request that tried it instead would lose most
-of its time, and one that may not be repeated its only attempt.
+A gateway whose machine lost power or its network, or whose process ended, is probed over a new
+connection until it responds. A request that tried it instead would lose most of its time, and a
+request that may not be repeated would lose its only attempt.
 """
 
 from __future__ import annotations
@@ -21,12 +21,13 @@
 from pewtertack.routing.outcomes import BackendUnreachableError
 
 CHECK_SECONDS = 0.1
+"""Interval at which due probes are started while a gateway is unreachable."""
 PROBE_SECONDS = 0.3
-"""For connection and answer together."""
+"""Timeout for the connection and the response together."""
 
 
 class GatewayProber:
-    """Asks the gateways that the dispatcher says are due, each by a task of its own."""
+    """Probes the gateways that the dispatcher reports as due, each in a task of its own."""
 
     def __init__(self, dispatcher: Dispatcher, clock: Callable[[], float]) -> None:
         self._dispatcher = dispatcher
@@ -34,14 +35,14 @@
         self._needed = anyio.Event()
 
     def wake(self) -> None:
-        """A gateway is out of reach from now on."""
+        """Resume probing: a gateway has become unreachable."""
         self._needed.set()
 
     async def run(self) -> None:
         """Probe until cancelled.
 
-        While every gateway is in reach nothing wakes the process: ten looks a second on each
-        node of a fleet cost more than the probes.
+        While every gateway is reachable, nothing wakes the process: ten checks a second on each
+        node of a fleet would cost more than the probes.
         """
         async with anyio.create_task_group() as tasks:
             while True:
@@ -65,7 +66,7 @@
 
 
 async def takes_requests(gateway: str) -> bool:
-    """Ask the gateway at ``ip:port`` over a new connection; false when it cannot be asked."""
+    """Return whether the gateway at ``ip:port`` accepts requests, asked over a new connection."""
     try:
         connection = await connect(gateway, PROBE_SECONDS)
     except BackendUnreachableError:
--- a/src/pewtertack/node/proxy/refusals.py
+++ b/src/pewtertack/node/proxy/refusals.py
@@ -1,4 +1,4 @@
-"""Typed refusals of what is no request: the same bodies and headers as any other refusal."""
+"""Typed refusals of input that is not a valid request, with the headers and body of any other."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def typed_refusal(reason: RefusalReason, begun: bool) -> bytes:
-    """Return the answer that ends a caller's connection (``RefusalWriter``)."""
+    """Return the response that ends a caller's connection (``RefusalWriter``)."""
     error = ERRORS[reason](reason.value)
     error.with_outcome(Outcome.UNKNOWN if begun else Outcome.NOT_RUN)
     body = failure_body(error)
--- a/src/pewtertack/node/proxy/request_log.py
+++ b/src/pewtertack/node/proxy/request_log.py
@@ -1,7 +1,7 @@
-"""Log lines of the decisions that a proxy or a gateway makes for one request.
+"""Log events for the decisions that a proxy or a gateway makes about one request.
 
-Each line carries what decided it, how old that was, and what came of it. ``docs/EVENTS.md``
-lists the events, ``pewtertack trace`` puts the lines of one request together.
+Each event has the inputs of the decision, their age, and the result. ``docs/EVENTS.md`` lists the
+events; ``pewtertack trace`` collects the events of one request.
 """
 
 from __future__ import annotations
@@ -35,26 +35,29 @@
 
 
 def milliseconds(seconds: float) -> float:
-    """Return ``seconds`` in milliseconds, short enough for a log line."""
+    """Return ``seconds`` in milliseconds, rounded to one decimal for the log."""
     try:
         return floor(seconds * 10_000 + 0.5) / 10
     except (OverflowError, ValueError):
-        return seconds  # endless, or no number
+        return seconds  # infinite or NaN
 
 
 def round_to_parts(value: float, parts: int) -> float:
-    """Return ``value`` to whole parts of 1, halves upwards.
+    """Return ``value`` rounded to a multiple of ``1 / parts``; ties are rounded up.
 
-    ``round`` with digits works in decimals and takes 1 us, this 0.3; a hop has a dozen.
+    ``round`` with a number of digits takes 1 us, this function 0.3 us; a hop has a dozen calls.
     """
     try:
         return floor(value * parts + 0.5) / parts
     except (OverflowError, ValueError):
-        return value  # endless, or no number
+        return value  # infinite or NaN
 
 
 class KnownVersions(msgspec.Struct):
-    """Versions by which a proxy decides, and since when it has them (monotonic seconds)."""
+    """The versions that a proxy's decisions are based on, and when it got them.
+
+    Times are in monotonic seconds.
+    """
 
     revision: int = 0
     revision_at: float = 0.0
@@ -63,7 +66,7 @@
 
 
 class ProxyLog:
-    """Lines of a proxy. Times in fields are milliseconds, ages seconds."""
+    """Log events of a proxy. Durations in fields are in milliseconds, ages in seconds."""
 
     def __init__(
         self, record: RecordEvent, clock: Callable[[], float], beliefs: KnownVersions
@@ -73,11 +76,11 @@
         self._versions = beliefs
 
     def routed(self, request: str, ticket: Ticket, revision: int) -> None:
-        """An attempt has its back end."""
+        """A back end was chosen for an attempt."""
         backend = ticket.backend
         assert backend is not None
         now = self._clock()
-        known = self._versions
+        versions = self._versions
         self._record(
             Event.REQUEST_ROUTED,
             request=request,
@@ -91,22 +94,22 @@
             load_age=_age(now, backend.reported_at),
             slowness=round_to_parts(backend.slowness, 100),
             revision=revision,
-            revision_age=_age(now, known.revision_at),
-            machine_list=known.machine_list,
-            machine_list_age=_age(now, known.machine_list_at),
+            revision_age=_age(now, versions.revision_at),
+            machine_list=versions.machine_list,
+            machine_list_age=_age(now, versions.machine_list_at),
             left=milliseconds(ticket.deadline - now),
         )
 
     def retried(
         self, request: str, ticket: Ticket, error: RequestFailedError, reason: RetryReason
     ) -> None:
-        """An attempt failed and the request is sent once more."""
+        """An attempt failed and the request is retried."""
         self._after_failure(Event.REQUEST_RETRIED, request, ticket, error, reason)
 
     def not_retried(
         self, request: str, ticket: Ticket, error: RequestFailedError, reason: RetryReason
     ) -> None:
-        """An attempt failed and the request ends with that."""
+        """An attempt failed and the request is not retried."""
         self._after_failure(Event.REQUEST_NOT_RETRIED, request, ticket, error, reason)
 
     def _after_failure(
@@ -132,7 +135,7 @@
         )
 
     def answered(self, request: str, ticket: Ticket, status: int, seconds: float) -> None:
-        """The whole answer went to the caller."""
+        """The complete response was sent to the caller."""
         backend = ticket.backend
         self._record(
             Event.REQUEST_ANSWERED,
@@ -145,7 +148,7 @@
         )
 
     def refused(self, request: str, route: ResolvedRoute | None, error: RequestFailedError) -> None:
-        """The request ends without a back end's answer."""
+        """The request ended without a response from a back end."""
         self._record(
             Event.REQUEST_REFUSED,
             request=request,
@@ -162,7 +165,7 @@
     def unfinished(
         self, request: str, ticket: Ticket, progress: Progress, received: bool, seconds: float
     ) -> None:
-        """The time to stop is over; ``received`` tells whether its whole body has come."""
+        """The time for the shutdown is over; ``received`` tells whether the body is complete."""
         backend = ticket.backend
         self._record(
             Event.REQUEST_UNFINISHED,
@@ -177,16 +180,16 @@
         )
 
     def crashed(self, backend: str, broken: Iterable[BrokenExchange]) -> None:
-        """A back end without a gateway has ended."""
+        """A back end without a gateway has crashed."""
         _record_crash(self._record, backend, broken)
 
     def ended(self, event: Event, request: str, route: ResolvedRoute, seconds: float) -> None:
-        """The request was cut, or its caller left."""
+        """The response was cut, or the caller disconnected."""
         self._record(event, request=request, route=route.name, took=milliseconds(seconds))
 
 
 class GatewayLog:
-    """Lines of a gateway."""
+    """Log events of a gateway."""
 
     def __init__(self, record: RecordEvent, clock: Callable[[], float]) -> None:
         self._record = record
@@ -201,11 +204,11 @@
     def admitted(
         self, request: str, backend: str, ticket: AdmissionTicket, admission: Admission
     ) -> None:
-        """The request goes to the back end."""
+        """The request is sent to the back end."""
         self._on_ticket(Event.GATEWAY_ADMITTED, request, backend, ticket, admission)
 
     def origin_known(self, route: str, origin: str) -> None:
-        """The gateway judges anew who makes the route's requests; empty where it cannot tell."""
+        """The gateway has redetermined who makes the route's requests; empty if unknown."""
         self._record(Event.ROUTE_ORIGIN, route=route, origin=origin)
 
     def _on_ticket(
@@ -233,7 +236,7 @@
         )
 
     def refused(self, request: str, backend: str, error: RequestFailedError, load: str) -> None:
-        """The request ends here; ``load`` is the back end's, as far as known."""
+        """The request ended here; ``load`` is the back end's load, if known."""
         event = Event.GATEWAY_FAILED if error.offered else Event.GATEWAY_REFUSED
         self._record(
             event,
@@ -247,11 +250,11 @@
         )
 
     def crashed(self, backend: str, broken: Iterable[BrokenExchange]) -> None:
-        """The back end has ended."""
+        """The back end has crashed."""
         _record_crash(self._record, backend, broken)
 
     def answered(self, request: str, backend: str, status: int, ticket: AdmissionTicket) -> None:
-        """The whole answer went back to the proxy."""
+        """The back end's complete response was received."""
         seconds = self._clock() - ticket.started_at
         self._record(
             Event.GATEWAY_ANSWERED,
@@ -262,21 +265,21 @@
         )
 
     def sent(self, request: str, backend: str, seconds: float) -> None:
-        """All of a long answer has left, ``seconds`` after the back end's end with it."""
+        """A long response was sent completely, ``seconds`` after the back end completed it."""
         took = milliseconds(seconds)
         self._record(Event.GATEWAY_SENT, request=request, backend=backend, took=took)
 
     def handed_back(self, request: str, backend: str) -> None:
-        """A long answer will not leave before this node or its receiver stops, and is not cut."""
+        """A request was handed back: its long response cannot be sent before a node stops."""
         self._record(Event.GATEWAY_GAVE_BACK, request=request, backend=backend)
 
     def sender_stopping(self, seconds: float, named: int, found: int) -> None:
-        """Another node stops in so many seconds; of the requests it named some are here."""
+        """Another node stops in ``seconds``; of the ``named`` requests ``found`` are here."""
         left = milliseconds(seconds)
         self._record(Event.SENDER_STOPS, left=left, named=named, found=found)
 
     def unfinished(self, request: str, backend: str, progress: Progress, seconds: float) -> None:
-        """The time to stop is over; ``seconds`` since the request came."""
+        """The time for the shutdown is over, ``seconds`` after the request arrived."""
         self._record(
             Event.GATEWAY_UNFINISHED,
             request=request,
@@ -286,9 +289,9 @@
         )
 
     def cancelled(self, request: str, backend: str, sent: bool, hung: bool) -> None:
-        """The proxy has given the request up; ``sent`` tells whether it may have run.
+        """The proxy has cancelled the request; ``sent`` tells whether it may have run.
 
-        ``hung`` tells whether the proxy was told that the back end hangs on it.
+        ``hung`` tells whether a hang of the back end had been reported to the proxy.
         """
         self._record(
             Event.GATEWAY_CANCELLED, request=request, backend=backend, sent=sent, hung=hung
@@ -296,7 +299,7 @@
 
 
 def _record_crash(record: RecordEvent, backend: str, broken: Iterable[BrokenExchange]) -> None:
-    """Record an end; ``requests`` holds the id and fingerprint of what ran."""
+    """Record a crash; ``requests`` holds id and fingerprint of each request that was running."""
     requests = [(item.request_id, (item.fingerprint or b"").hex()) for item in broken]
     record(Event.BACKEND_CRASHED, backend=backend, requests=requests)
 
@@ -307,5 +310,5 @@
 
 
 def _age(now: float, since: float) -> float | None:
-    """Return the seconds since a moment, ``None`` for one that never was."""
+    """Return the seconds since a moment, ``None`` if ``since`` is 0, which means never."""
     return round_to_parts(now - since, 1000) if since > 0 else None
--- a/src/pewtertack/node/proxy/shutdown_notice.py
+++ b/src/pewtertack/node/proxy/shutdown_notice.py
@@ -1,9 +1,9 @@
-"""Until when a node that stops carries answers, and its word on that to other nodes.
+"""How long a node that shuts down still relays responses, and its notice of that to gateways.
 
-A stopping node closes its callers' connections at a moment that is known from the start.
-An answer that waits elsewhere, on a link or for a slot, would not know of it and be cut there:
-so each request that is sent on says how much time is left, and those that were sent before are
-named to the gateways that have them.
+A node that shuts down closes its callers' connections at a time that is known from the start. A
+response that is delayed at a gateway, on the link or for a slot, could miss that time and be cut.
+So each request forwarded during the shutdown carries the time left, and gateways are notified of
+the time left for requests that were forwarded before.
 """
 
 from __future__ import annotations
@@ -26,28 +26,29 @@
 from pewtertack.routing.outcomes import BackendUnreachableError
 
 NOTIFY_SECONDS = 1.0
-"""For connection and answer together: a gateway out of reach for longer answers nothing in time."""
+"""Timeout for the connection and the response together. A gateway that is unreachable for longer
+does not respond to anything in time."""
 
 logger = logging.getLogger(LOGGER_NAME)
 
 
 class ShutdownDeadline:
-    """When the node will carry answers no longer, in monotonic seconds; never, at first."""
+    """When the node stops relaying responses, in monotonic seconds; initially never."""
 
     __slots__ = ("begun", "ends_at")
 
     def __init__(self) -> None:
         self.ends_at = math.inf
         self.begun = False
-        """Whether the node stops, and at a moment that is known."""
+        """Whether the node is shutting down at a known time."""
 
     def begin(self, ends_at: float) -> None:
-        """The node has been told to stop."""
+        """Note that the node shuts down and stops relaying responses at ``ends_at``."""
         self.ends_at = ends_at
         self.begun = ends_at < math.inf
 
     def seconds_left(self, now: float) -> float:
-        """Return for how much longer answers are carried."""
+        """Return how many seconds longer responses are relayed."""
         return max(0.0, self.ends_at - now)
 
 
@@ -57,35 +58,35 @@
     connections: ConnectionPool,
     requests: RequestsInFlight,
 ) -> None:
-    """Tell each gateway that has requests of this node until when their answers are carried."""
+    """Notify each gateway that has requests of this node how long their responses are relayed."""
     if not stop.begun:
-        return  # it waits for all answers, without end
-    ids: dict[str, list[str]] = defaultdict(list)
+        return  # the node waits for all responses without a time limit
+    ids_by_gateway: dict[str, list[str]] = defaultdict(list)
     for request in requests.active:
-        ids[request.gateway].append(request.request_id)
-    ids.pop("", None)
+        ids_by_gateway[request.gateway].append(request.request_id)
+    ids_by_gateway.pop("", None)
     async with anyio.create_task_group() as tasks:
-        for gateway, named in ids.items():
-            for request_ids in group_request_ids(named):
-                build = partial(_build_notice, stop, clock, gateway, request_ids)
-                tasks.start_soon(_notify, connections, gateway, build)
+        for gateway, ids in ids_by_gateway.items():
+            for request_ids in group_request_ids(ids):
+                build_request = partial(_build_notice, stop, clock, gateway, request_ids)
+                tasks.start_soon(_notify, connections, gateway, build_request)
 
 
 def _build_notice(
-    stop: ShutdownDeadline, clock: Callable[[], float], gateway: str, ids: Sequence[str]
+    stop: ShutdownDeadline, clock: Callable[[], float], gateway: str, request_ids: Sequence[str]
 ) -> OutgoingRequest:
-    """Return the word on some requests; the time left is that of the moment."""
-    return finish_by_request(gateway, stop.seconds_left(clock()), ids)
+    """Return the notice about some requests, with the time left at this moment."""
+    return finish_by_request(gateway, stop.seconds_left(clock()), request_ids)
 
 
 async def _notify(
-    connections: ConnectionPool, gateway: str, build: Callable[[], OutgoingRequest]
+    connections: ConnectionPool, gateway: str, build_request: Callable[[], OutgoingRequest]
 ) -> None:
     try:
-        with anyio.move_on_after(NOTIFY_SECONDS) as telling:
-            await send_to_gateway(connections, gateway, build)
+        with anyio.move_on_after(NOTIFY_SECONDS) as timeout:
+            await send_to_gateway(connections, gateway, build_request)
     except (BackendUnreachableError, ExchangeBrokenError) as error:
-        logger.warning("a gateway could not be told of the stop: %s", error)
+        logger.warning("a gateway could not be notified of the shutdown: %s", error)
         return
-    if telling.cancelled_caught:
-        logger.warning("a gateway could not be told of the stop in time: %s", gateway)
+    if timeout.cancelled_caught:
+        logger.warning("a gateway could not be notified of the shutdown in time: %s", gateway)
--- a/src/pewtertack/node/proxy/upstream.py
+++ b/src/pewtertack/node/proxy/upstream.py
@@ -1,4 +1,4 @@
-"""Connections to back ends, owned one by one and reused only when whole."""
+"""A pool of connections to back ends and gateways, each used by one exchange at a time."""
 
 from __future__ import annotations
 
@@ -14,25 +14,26 @@
 IDLE_SECONDS = 3.0
 """Idle connections are closed after this long; uvicorn's back ends close after 5 s."""
 GATEWAY_IDLE_SECONDS = 10.0
-"""The same for connections to other nodes, which keep them for ``limits.keep_alive``. In a zone
-of 28 nodes with 16 gateways a pair meets every 3 s on average."""
+"""The same for connections to other nodes, which keep them open for ``limits.keep_alive``. In a
+zone of 28 nodes with 16 gateways, a pair of nodes exchanges a request every 3 s on average."""
 SWEEP_SECONDS = 1.0
-"""What has expired is closed at most so much later, several at a time. A sweep every second
-woke each node twice a second, for proxy and gateway, whether anything had expired or not."""
+"""Expired connections are closed at most this much later, several at a time. A periodic sweep
+every second would wake each node twice a second, for proxy and gateway, even if nothing had
+expired."""
 
 
 class ConnectionPool:
-    """Idle connections by address, the last used first."""
+    """Idle connections by address; the most recently used one is reused first."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
         self._idle: dict[str, deque[tuple[float, BackendConnection]]] = {}
-        """When each expires, in ascending order; the last used is reused first."""
+        """Expiry time and connection, in ascending order of expiry."""
         self._sweep: asyncio.TimerHandle | None = None
         self._sweep_at = math.inf
 
     async def acquire(self, address: str, connect_timeout: float) -> BackendConnection:
-        """Return an idle connection that is alive, or a new one.
+        """Return a usable idle connection, or a new one.
 
         Raises:
             BackendUnreachableError: no connection was made.
@@ -40,17 +41,17 @@
         idle = self._idle.get(address)
         while idle:
             expires_at, connection = idle.pop()
-            # Asked last, so that no more than the way to the other end lies in between.
-            lives = connection.reusable and self._clock() < expires_at
-            if lives and not connection.has_unread():
+            # The socket is checked last, to leave as little time as possible before its use.
+            is_usable = connection.reusable and self._clock() < expires_at
+            if is_usable and not connection.has_unread():
                 return connection
             connection.abort()
         return await connect(address, connect_timeout)
 
     def release(self, connection: BackendConnection, long_lived: bool = False) -> None:
-        """Keep the connection for reuse when its exchange ended cleanly, else close it.
+        """Keep the connection for reuse if its exchange ended cleanly, otherwise close it.
 
-        ``long_lived`` says that the other end keeps idle connections for longer.
+        ``long_lived`` states that the other end keeps idle connections open for longer.
         """
         if not connection.ended_cleanly:
             connection.abort()
@@ -62,7 +63,7 @@
         self._schedule_sweep(now + seconds, now)
 
     def _schedule_sweep(self, moment: float, now: float) -> None:
-        """See to it that what expires at ``moment`` is closed soon after."""
+        """Schedule a sweep soon after ``moment``, unless an earlier one is scheduled."""
         if self._sweep is not None:
             if self._sweep_at <= moment + SWEEP_SECONDS:
                 return
@@ -72,7 +73,7 @@
         self._sweep = asyncio.get_running_loop().call_later(seconds, self._close_expired)
 
     def _close_expired(self) -> None:
-        """Close what has been idle too long; go on as long as anything is left."""
+        """Close expired connections; schedule the next sweep if any connection is left."""
         self._sweep = None
         now = self._clock()
         self._close_idle(now, self._idle.keys())
@@ -80,12 +81,12 @@
             self._schedule_sweep(min(idle[0][0] for idle in self._idle.values()), now)
 
     def drop(self, address: str) -> None:
-        """Close idle connections to an address whose machine may be gone."""
+        """Close the idle connections to an address whose machine may be gone."""
         for _, connection in self._idle.pop(address, ()):
             connection.abort()
 
     def keep_only(self, addresses: Container[str]) -> None:
-        """Close idle connections to all other addresses."""
+        """Close the idle connections to all other addresses."""
         self._close_idle(float("-inf"), addresses)
 
     def _close_idle(self, now: float, kept: Container[str]) -> None:
@@ -97,7 +98,7 @@
 
 
 async def connect(address: str, timeout: float) -> BackendConnection:
-    """Return a new connection to ``ip:port``, made within ``timeout`` seconds.
+    """Return a new connection to ``ip:port``, established within ``timeout`` seconds.
 
     Raises:
         BackendUnreachableError: no connection was made.
--- a/src/pewtertack/node/proxy/withdrawal.py
+++ b/src/pewtertack/node/proxy/withdrawal.py
@@ -1,7 +1,8 @@
-"""Taking a request back from another node's queue, before a back end begins with it.
+"""Withdraws a request from a gateway's queue before a back end starts to run it.
 
-A node that stops cannot tell whether what it has sent on waits or runs. The gateway can: it
-refuses what waits, over the request's own connection, and lets go on what runs.
+A node that shuts down cannot tell whether a request that it has forwarded is waiting or running.
+The gateway can: it refuses waiting requests over their own connections and lets running ones
+continue.
 """
 
 from __future__ import annotations
@@ -19,15 +20,16 @@
 from pewtertack.routing.outcomes import BackendUnreachableError
 
 WITHDRAW_SECONDS = 0.3
-"""For connection and answer together; a gateway out of reach refuses nothing in time."""
+"""Timeout for the connection and the response together; an unreachable gateway would not refuse
+anything in time."""
 
 logger = logging.getLogger(LOGGER_NAME)
 
 
 async def withdraw_from_gateway(connections: ConnectionPool, gateway: str, request_id: str) -> None:
-    """Ask the gateway at ``ip:port`` to refuse the request if it still waits there.
+    """Ask the gateway at ``ip:port`` to refuse the request if it is still waiting there.
 
-    Whether it did is told by the answer to the request itself.
+    Whether the gateway did so shows in the response to the request itself.
     """
     try:
         with anyio.move_on_after(WITHDRAW_SECONDS):
@@ -35,23 +37,23 @@
                 connections, gateway, lambda: withdrawal_request(gateway, request_id)
             )
     except (BackendUnreachableError, ExchangeBrokenError) as error:
-        logger.warning("a request could not be taken back: %s", error)
+        logger.warning("a request could not be withdrawn: %s", error)
 
 
 async def send_to_gateway(
-    connections: ConnectionPool, gateway: str, make: Callable[[], OutgoingRequest]
+    connections: ConnectionPool, gateway: str, build_request: Callable[[], OutgoingRequest]
 ) -> None:
-    """Send a request that is for the gateway at ``ip:port`` alone, and read its answer.
+    """Send a request addressed to the gateway at ``ip:port`` itself, and read the response.
 
-    It is made once there is a connection for it: what it says of time holds then.
+    The request is built once the connection is there, so that a time in it is up to date.
 
     Raises:
         BackendUnreachableError: no connection was made.
-        ExchangeBrokenError: no answer came.
+        ExchangeBrokenError: no response was received.
     """
     connection = await connections.acquire(gateway, WITHDRAW_SECONDS)
     try:
-        await connection.exchange(make())
+        await connection.exchange(build_request())
         await connection.read_body()
     finally:
         connections.release(connection, long_lived=True)
--- a/tests/node/proxy/test_deadlines.py
+++ b/tests/node/proxy/test_deadlines.py
@@ -4,7 +4,7 @@
 import unittest
 from random import Random
 
-from pewtertack.node.proxy.deadlines import MIN_CANCELLED_TO_COMPACT, Deadlines, deadlines
+from pewtertack.node.proxy.deadlines import MIN_CANCELLED_TO_COMPACT, Deadlines, loop_deadlines
 
 
 class DeadlinesTest(unittest.IsolatedAsyncioTestCase):
@@ -65,6 +65,6 @@
         self.assertEqual([number for number, _ in self.passed], [0, 1, 2])
 
     async def test_a_loop_has_its_own(self) -> None:
-        found = deadlines()
-        self.assertIs(found, deadlines())
+        found = loop_deadlines()
+        self.assertIs(found, loop_deadlines())
         self.assertIs(found.loop, self.loop)
