--- a/src/pewtertack/node/gateway/application.py
+++ b/src/pewtertack/node/gateway/application.py
@@ -106,7 +106,7 @@
     callers_relay = True
     """The callers are nodes, which relay responses and disconnect slow readers themselves. The
     request's deadline limits how long a node that does not read is waited for
-    (``node.http.slow_readers``)."""
+    (``node.http.unread``)."""
 
     def __init__(
         self,
--- a/src/pewtertack/node/gateway/forwarding.py
+++ b/src/pewtertack/node/gateway/forwarding.py
@@ -383,7 +383,7 @@
             await work
             return
         clock = self._context.clock
-        checks = HangChecks(hangs, self._ticket, clock, connection.look, self._report_hang)
+        checks = HangChecks(hangs, self._ticket, clock, connection.read_pending, self._report_hang)
         await checks.run(work)
 
     def _report_hang(self) -> None:
--- a/src/pewtertack/node/proxy/body.py
+++ b/src/pewtertack/node/proxy/body.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from pewtertack.core.crashes.fingerprint import BEGINNING_BYTES
+from pewtertack.core.crashes.fingerprint import BODY_PREFIX_BYTES
 from pewtertack.node.http.framing import RawHeaders
 from pewtertack.node.proxy.failure_responses import Receive
 from pewtertack.routing.outcomes import BodiesFullError, Outcome, SlowRequestError
@@ -88,11 +88,11 @@
 
     @property
     def beginning(self) -> bytes | None:
-        """The first ``BEGINNING_BYTES``, or all of a shorter body; ``None`` until received."""
+        """The first ``BODY_PREFIX_BYTES``, or all of a shorter body; ``None`` until received."""
         if self._chunks is None:
             return self._beginning
-        beginning = b"".join(self._chunks)[:BEGINNING_BYTES]
-        return beginning if self.complete or len(beginning) == BEGINNING_BYTES else None
+        beginning = b"".join(self._chunks)[:BODY_PREFIX_BYTES]
+        return beginning if self.complete or len(beginning) == BODY_PREFIX_BYTES else None
 
     @property
     def replayable(self) -> bool:
@@ -136,7 +136,7 @@
     @property
     def _may_buffer(self) -> bool:
         """Whether to buffer more; the beginning, which the fingerprint needs, always is."""
-        return self._received_bytes < BEGINNING_BYTES or not self._bodies.full
+        return self._received_bytes < BODY_PREFIX_BYTES or not self._bodies.full
 
     def release(self) -> None:
         """Free the buffered chunks: the request has ended, or its body cannot be replayed."""
@@ -167,5 +167,5 @@
     def _discard_chunks(self) -> None:
         """Discard the chunks except the beginning; the body can no longer be replayed."""
         if self._chunks is not None:
-            self._beginning = b"".join(self._chunks)[:BEGINNING_BYTES]
+            self._beginning = b"".join(self._chunks)[:BODY_PREFIX_BYTES]
         self.release()
