--- a/src/pewtertack/lab/weakening.py
+++ b/src/pewtertack/lab/weakening.py
@@ -30,7 +30,7 @@
 from pewtertack.node.proxy.application import ProxyApplication
 from pewtertack.node.proxy.edge import DEFAULT_EDGE, EdgeHeaders
 from pewtertack.node.proxy.headers import ResponseMeta
-from pewtertack.node.proxy.shutdown_notice import ShutdownDeadline
+from pewtertack.node.proxy.stop_time import ShutdownDeadline
 from pewtertack.platform import store
 from pewtertack.routing import dispatcher
 from pewtertack.routing.outcomes import Outcome, RequestFailedError
--- a/src/pewtertack/node/proxy/application.py
+++ b/src/pewtertack/node/proxy/application.py
@@ -30,7 +30,7 @@
 )
 from pewtertack.node.proxy.probing import GatewayProber
 from pewtertack.node.proxy.request_log import KnownVersions, ProxyLog, RecordEvent, ignore_event
-from pewtertack.node.proxy.shutdown_notice import notify_gateways
+from pewtertack.node.proxy.stop_time import notify_gateways
 from pewtertack.node.proxy.upstream import ConnectionPool
 from pewtertack.routing.backend_events import (
     BackendChanged,
--- a/src/pewtertack/node/proxy/forwarding.py
+++ b/src/pewtertack/node/proxy/forwarding.py
@@ -46,9 +46,9 @@
 from pewtertack.node.proxy.lifetime import LifetimeEnd, RequestLifetime, end_error
 from pewtertack.node.proxy.metrics import RequestMetrics
 from pewtertack.node.proxy.request_log import ProxyLog
-from pewtertack.node.proxy.shutdown_notice import ShutdownDeadline
+from pewtertack.node.proxy.stop_time import ShutdownDeadline
+from pewtertack.node.proxy.taking_back import withdraw_from_gateway
 from pewtertack.node.proxy.upstream import ConnectionPool
-from pewtertack.node.proxy.withdrawal import withdraw_from_gateway
 from pewtertack.routing.backend import Backend, parse_load
 from pewtertack.routing.deadlines import caller_deadline_of
 from pewtertack.routing.dispatcher import Dispatcher, RetryDecision
--- a/src/pewtertack/node/proxy/shutdown_notice.py
+++ b/src/pewtertack/node/proxy/stop_time.py
@@ -21,8 +21,8 @@
 from pewtertack.node.http.messages import OutgoingRequest
 from pewtertack.node.http.response_reading import ExchangeBrokenError
 from pewtertack.node.proxy.in_flight import RequestsInFlight
+from pewtertack.node.proxy.taking_back import send_to_gateway
 from pewtertack.node.proxy.upstream import ConnectionPool
-from pewtertack.node.proxy.withdrawal import send_to_gateway
 from pewtertack.routing.outcomes import BackendUnreachableError
 
 NOTIFY_SECONDS = 1.0
--- a/tests/lab/test_weakening.py
+++ b/tests/lab/test_weakening.py
@@ -26,7 +26,7 @@
 )
 from pewtertack.node.proxy import exchange
 from pewtertack.node.proxy.application import ProxyApplication
-from pewtertack.node.proxy.shutdown_notice import ShutdownDeadline
+from pewtertack.node.proxy.stop_time import ShutdownDeadline
 from pewtertack.platform import store
 
 SOURCE_DIRECTORY = Path(__file__).resolve().parents[2] / "src"
--- a/tests/node/gateway/test_words_of_a_stop.py
+++ b/tests/node/gateway/test_words_of_a_stop.py
@@ -18,7 +18,7 @@
 from pewtertack.node.gateway.hop import FINISH_BY, finish_by_request, parse_finish_by
 from pewtertack.node.gateway.reception import MAX_EARLY_BODIES
 from pewtertack.node.pacing import LinkPacer
-from pewtertack.node.proxy.shutdown_notice import ShutdownDeadline, notify_gateways
+from pewtertack.node.proxy.stop_time import ShutdownDeadline, notify_gateways
 from pewtertack.routing.link import LinkShare
 from pewtertack.routing.outcomes import BackendUnreachableError
 from tests.node.gateway.test_gateway import GatewayTestCase, header
