--- a/src/pewtertack/core/crashes/ledger.py
+++ b/src/pewtertack/core/crashes/ledger.py
@@ -1,11 +1,12 @@
-"""Which requests ran when back ends ended, over the whole fleet, as far as this node knows.
+"""Record of the requests that back ends were executing when they crashed, across the fleet.
 
-A back end that ends takes along whatever it ran; only one of these requests is at fault. The
-others come to be answered elsewhere, which the one at fault never does: an answer clears a
-request of all ends before it. What has ended enough back ends without an answer in between is
-refused everywhere, for a time that grows with each further end, then tried by one node.
+When a back end crashes, all requests that it was executing fail, but only one of them is the
+cause. The others are eventually answered by another back end; the cause never is. An answer
+therefore clears a request of all earlier crashes. A request whose number of crashes since its last
+answer reaches the limit is refused by every node, for a period that doubles with each further
+crash. After that period a single node tries it.
 
-Two ledgers merge like sets, in any order and any number of times.
+Merging ledgers is commutative and idempotent, like the union of sets.
 """
 
 from __future__ import annotations
@@ -14,84 +15,85 @@
 from collections import Counter
 from collections.abc import Callable, Iterator
 
-from pewtertack.core.crashes.fingerprint import head_of
-
-SUSPECTS_MAX = 256
-"""Requests remembered; some 100 KB."""
-ENDS_MAX = 24
-"""Ends remembered of one request: the largest limit that a route may set, and some more."""
-HOLD_SECONDS = 30.0
-"""How long a request is refused after the end that brought it to its limit."""
-HOLD_DOUBLINGS_MAX = 5
-"""Each further end doubles the hold so often at most (16 minutes)."""
-TRIAL_SECONDS = 5.0
-"""A trial without an outcome holds up the next one for so long."""
-NEWER_SECONDS = 1.0
-"""What is full takes in only what is so much newer than what it would drop. Nodes date an end
-some milliseconds apart, each a little later than whom it heard it from: without this distance
-two full ledgers would tell each other for ever of what the other has just dropped (measured in
-virtual time, 74 nodes and 40 ends within a second: no end of messages)."""
-FORGET_SECONDS = 1200.0
-"""Without a further end for so long, a request is forgotten."""
+from pewtertack.core.crashes.fingerprint import head_digest_of
+
+MAX_SUSPECTS = 256
+"""Maximum number of requests in the ledger, which then takes about 100 KB."""
+MAX_CRASHES_PER_REQUEST = 24
+"""Crashes kept for one request: more than the largest limit that a route may set."""
+QUARANTINE_SECONDS = 30.0
+"""How long a request is refused after the crash with which it reached its limit."""
+MAX_QUARANTINE_DOUBLINGS = 5
+"""Each further crash doubles the quarantine, at most this many times (to 16 minutes)."""
+TRIAL_TIMEOUT_SECONDS = 5.0
+"""How long a trial without an outcome delays the next trial."""
+REPLACEMENT_MARGIN_SECONDS = 1.0
+"""Minimum age difference for an entry to replace an older one when the ledger, or the list of
+crashes of a request, is full. Each node dates a crash some milliseconds later than the peer that
+reported it. Without a margin, two full ledgers would keep reporting to each other what the other
+has just dropped (measured in virtual time with 74 nodes and 40 crashes within a second: the
+messages did not stop)."""
+RETENTION_SECONDS = 1200.0
+"""A request without a further crash for this long is removed."""
 
 
 class Suspect:
-    """One request that ran when back ends ended. Times are monotonic seconds."""
+    """A request that back ends were executing when they crashed. Times are monotonic seconds."""
 
-    __slots__ = ("answered_at", "ends", "fingerprint", "tried_at")
+    __slots__ = ("answered_at", "crashes", "fingerprint", "tried_at")
 
     def __init__(self, fingerprint: bytes) -> None:
         self.fingerprint = fingerprint
-        self.ends: dict[int, float] = {}
-        """When each back end ended, by the end's number."""
+        self.crashes: dict[int, float] = {}
+        """When each crash happened, by crash number."""
         self.answered_at = -math.inf
-        """When a back end last answered it, which clears it of all ends before."""
+        """When a back end last answered the request, which clears it of all earlier crashes."""
         self.tried_at = -math.inf
-        """When this node last sent it on in spite of its ends."""
+        """When this node last sent it to a back end as a trial."""
 
     @property
-    def count(self) -> int:
-        """Ends that speak against it."""
-        return sum(at > self.answered_at for at in self.ends.values())
+    def crash_count(self) -> int:
+        """Number of crashes since the last answer."""
+        return sum(at > self.answered_at for at in self.crashes.values())
 
     @property
-    def last_end(self) -> float:
-        """When a back end last ended under it."""
-        return max(self.ends.values(), default=-math.inf)
+    def last_crash_at(self) -> float:
+        """When a back end last crashed while executing the request."""
+        return max(self.crashes.values(), default=-math.inf)
 
     @property
     def changed_at(self) -> float:
-        """When anything was last learnt of it."""
-        return max(self.last_end, self.answered_at)
+        """Time of the latest crash or answer."""
+        return max(self.last_crash_at, self.answered_at)
 
-    def held_until(self, limit: int) -> float:
-        """Return until when it is refused, having reached ``limit`` ends."""
-        doublings = min(self.count - limit, HOLD_DOUBLINGS_MAX)
-        return self.last_end + HOLD_SECONDS * 2.0**doublings
+    def quarantined_until(self, limit: int) -> float:
+        """Return when the quarantine ends, given that the request has reached ``limit`` crashes."""
+        doublings = min(self.crash_count - limit, MAX_QUARANTINE_DOUBLINGS)
+        return self.last_crash_at + QUARANTINE_SECONDS * 2.0**doublings
 
-    def add_end(self, number: int, at: float) -> bool:
-        """Note an end; false where it was known, or tells nothing that many others do not."""
-        if number in self.ends:
+    def add_crash(self, number: int, at: float) -> bool:
+        """Add a crash; return false if it is known or, with a full list, not new enough."""
+        if number in self.crashes:
             return False
-        if len(self.ends) >= ENDS_MAX:
-            if at < self.last_end + NEWER_SECONDS:
+        if len(self.crashes) >= MAX_CRASHES_PER_REQUEST:
+            if at < self.last_crash_at + REPLACEMENT_MARGIN_SECONDS:
                 return False
-            del self.ends[min(self.ends, key=lambda item: self.ends[item])]
-        self.ends[number] = at
+            del self.crashes[min(self.crashes, key=lambda item: self.crashes[item])]
+        self.crashes[number] = at
         return True
 
 
 class CrashLedger:
-    """What one node knows of all suspects, bounded by ``SUSPECTS_MAX``.
+    """The suspects that one node knows, at most ``MAX_SUSPECTS``.
 
     Args:
-        may_try: whether this node is the one that tries a request whose hold is over.
+        may_try: tells whether this node is the one that tries a request after its quarantine.
     """
 
     def __init__(self, may_try: Callable[[bytes], bool]) -> None:
         self._may_try = may_try
         self._suspects: dict[bytes, Suspect] = {}
-        self._heads: Counter[bytes] = Counter()
+        self._head_digests: Counter[bytes] = Counter()
 
     def __len__(self) -> int:
         return len(self._suspects)
@@ -99,72 +101,78 @@
     def __iter__(self) -> Iterator[Suspect]:
         return iter(self._suspects.values())
 
-    def knows_head(self, head: bytes) -> bool:
-        """Tell whether a request of this head may be a suspect."""
-        return head in self._heads
+    def may_be_suspect(self, head: bytes) -> bool:
+        """Tell whether a request with this head digest may be a suspect."""
+        return head in self._head_digests
 
-    def count(self, fingerprint: bytes) -> int:
-        """Return how many back ends have ended under the request since its last answer."""
+    def crash_count(self, fingerprint: bytes) -> int:
+        """Return the number of crashes of back ends executing the request since its last answer."""
         suspect = self._suspects.get(fingerprint)
-        return suspect.count if suspect is not None else 0
+        return suspect.crash_count if suspect is not None else 0
 
-    def holds(self, fingerprint: bytes, limit: int, now: float) -> bool:
-        """Tell whether no node may send the request to a back end; a limit of 0 is none."""
+    def is_quarantined(self, fingerprint: bytes, limit: int, now: float) -> bool:
+        """Tell whether all nodes must refuse the request; a ``limit`` of 0 means no limit."""
         suspect = self._suspects.get(fingerprint)
-        if suspect is None or limit == 0 or suspect.count < limit:
+        if suspect is None or limit == 0 or suspect.crash_count < limit:
             return False
-        return now < suspect.held_until(limit)
+        return now < suspect.quarantined_until(limit)
 
-    def admits(self, fingerprint: bytes, limit: int, now: float) -> bool:
-        """Tell whether this node may send the request on; that counts as a trial of a suspect."""
+    def try_admit(self, fingerprint: bytes, limit: int, now: float) -> bool:
+        """Tell whether this node may send the request to a back end.
+
+        For a suspect that has reached its limit, returning true counts as a trial.
+        """
         suspect = self._suspects.get(fingerprint)
-        if suspect is None or limit == 0 or suspect.count < limit:
+        if suspect is None or limit == 0 or suspect.crash_count < limit:
             return True
-        if now < max(suspect.held_until(limit), suspect.tried_at + TRIAL_SECONDS):
+        if now < max(suspect.quarantined_until(limit), suspect.tried_at + TRIAL_TIMEOUT_SECONDS):
             return False
         if not self._may_try(fingerprint):
             return False
         suspect.tried_at = now
         return True
 
-    def note_end(self, fingerprint: bytes, number: int, at: float) -> bool:
-        """A back end ended at ``at`` while it ran the request; false where that is no news."""
+    def record_crash(self, fingerprint: bytes, number: int, at: float) -> bool:
+        """Record a crash of a back end executing the request; return false if it is not new."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
-            if not self._make_room(at):
+            if not self._evict_for(at):
                 return False
             suspect = self._suspects[fingerprint] = Suspect(fingerprint)
-            self._heads[head_of(fingerprint)] += 1
-        return suspect.add_end(number, at)
+            self._head_digests[head_digest_of(fingerprint)] += 1
+        return suspect.add_crash(number, at)
 
-    def note_answered(self, fingerprint: bytes, at: float) -> bool:
-        """A back end answered the request; false where it is no suspect."""
+    def record_answer(self, fingerprint: bytes, at: float) -> bool:
+        """Record an answer; return whether it cleared the request of crashes."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None or suspect.answered_at >= at:
             return False
-        cleared = suspect.count > 0
+        cleared = suspect.crash_count > 0
         suspect.answered_at = at
         return cleared
 
-    def forget(self, now: float) -> None:
-        """Drop what ended no back end for long."""
-        old = [item for item in self if now - item.last_end > FORGET_SECONDS]
+    def forget_old(self, now: float) -> None:
+        """Remove suspects without a crash for ``RETENTION_SECONDS``."""
+        old = [item for item in self if now - item.last_crash_at > RETENTION_SECONDS]
         for suspect in old:
-            self._drop(suspect)
+            self._remove(suspect)
+
+    def _evict_for(self, at: float) -> bool:
+        """Make space for a suspect whose first crash was at ``at``; return false if impossible.
 
-    def _make_room(self, at: float) -> bool:
-        """Drop a suspect of few and old ends for one that ended its first at ``at``."""
-        if len(self._suspects) < SUSPECTS_MAX:
+        Only a suspect with at most one crash, older by ``REPLACEMENT_MARGIN_SECONDS``, is removed.
+        """
+        if len(self._suspects) < MAX_SUSPECTS:
             return True
-        least = min(self, key=lambda item: (item.count, item.changed_at))
-        if least.count > 1 or least.changed_at + NEWER_SECONDS > at:
+        candidate = min(self, key=lambda item: (item.crash_count, item.changed_at))
+        if candidate.crash_count > 1 or candidate.changed_at + REPLACEMENT_MARGIN_SECONDS > at:
             return False
-        self._drop(least)
+        self._remove(candidate)
         return True
 
-    def _drop(self, suspect: Suspect) -> None:
+    def _remove(self, suspect: Suspect) -> None:
         del self._suspects[suspect.fingerprint]
-        head = head_of(suspect.fingerprint)
-        self._heads[head] -= 1
-        if not self._heads[head]:
-            del self._heads[head]
+        head = head_digest_of(suspect.fingerprint)
+        self._head_digests[head] -= 1
+        if not self._head_digests[head]:
+            del self._head_digests[head]
--- a/src/pewtertack/core/replication/answers.py
+++ b/src/pewtertack/core/replication/pull_server.py
@@ -1,4 +1,4 @@
-"""Answering pulls: deltas where the log reaches back, else a bounded rate of snapshots."""
+"""Answers to pulls: deltas if the log reaches back far enough, otherwise rate-limited snapshots."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 )
 from pewtertack.wire.packing import PullAnswer, pack
 
-RETRY_AFTER_MILLISECONDS = (200, 800)
-"""Range from which a refused puller's come-back time is drawn."""
+RETRY_AFTER_RANGE_MILLISECONDS = (200, 800)
+"""Range from which the retry delay of a refused peer is chosen at random."""
 
 
-class _LastPacked:
-    """The answer that was packed last: at an edit, a whole zone pulls the same one."""
+class _PackedAnswerCache:
+    """Caches the last packed answer: after an edit, a whole zone pulls the same one."""
 
     __slots__ = ("answer", "packed")
 
@@ -31,25 +31,25 @@
         self.answer: PullAnswer | None = None
         self.packed: PackedAnswer | None = None
 
-    def of(self, answer: PullAnswer) -> PackedAnswer | None:
-        """Return ``answer`` packed; ``None`` if it goes as it is."""
+    def packed_form(self, answer: PullAnswer) -> PackedAnswer | None:
+        """Return ``answer`` packed, or ``None`` if it is to be sent unpacked."""
         if answer != self.answer:
             self.answer, self.packed = answer, pack(answer)
         return self.packed
 
 
-class _Allowance:
-    """A token bucket of one second's worth."""
+class _TokenBucket:
+    """A token bucket that holds the tokens of one second."""
 
-    __slots__ = ("_filled_at", "_rate", "_tokens")
+    __slots__ = ("_refilled_at", "_rate", "_tokens")
 
     def __init__(self, rate: float, now: float) -> None:
         self._rate = self._tokens = rate
-        self._filled_at = now
+        self._refilled_at = now
 
     def take(self, now: float) -> bool:
-        self._tokens = min(self._rate, self._tokens + (now - self._filled_at) * self._rate)
-        self._filled_at = now
+        self._tokens = min(self._rate, self._tokens + (now - self._refilled_at) * self._rate)
+        self._refilled_at = now
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -59,8 +59,9 @@
 class PullServer:
     """Serves the documents of one node to its peers.
 
-    Snapshots are limited, each kind by itself: a joiner needs both, and where they shared one
-    bound, it had the one and was to come back for the other half a second later.
+    The rate of snapshots is limited for each kind of document separately. With a shared limit, a
+    joiner, which needs both documents, received one and had to retry for the other half a second
+    later.
     """
 
     def __init__(
@@ -73,12 +74,12 @@
     ) -> None:
         self._stores = stores
         rate = profile.wide_snapshots_per_second if wide_link else profile.snapshots_per_second
-        self._allowances = {kind: _Allowance(rate, now) for kind in DocumentKind}
+        self._snapshot_buckets = {kind: _TokenBucket(rate, now) for kind in DocumentKind}
         self._random = random
-        self._packed = {kind: _LastPacked() for kind in DocumentKind}
+        self._packed = {kind: _PackedAnswerCache() for kind in DocumentKind}
 
     def answer(self, now: float, pull: Pull) -> Message | None:
-        """Return the answer to ``pull``, or nothing when there is nothing newer."""
+        """Return the answer to ``pull``, or ``None`` if the peer already has the newest."""
         store = self._stores[pull.kind]
         if pull.exact is not None:
             return self._answer_exact(now, pull.kind, pull.exact)
@@ -89,11 +90,11 @@
         deltas = store.deltas_since(pull.have)
         if deltas is not None:
             answer = DeltaAnswer(pull.kind, deltas)
-            return self._packed[pull.kind].of(answer) or answer
+            return self._packed[pull.kind].packed_form(answer) or answer
         return self._snapshot(now, pull.kind, store.revision, store.document)
 
     def _answer_exact(self, now: float, kind: DocumentKind, revision: RevisionId) -> Message | None:
-        document = self._stores[kind].recent(revision)
+        document = self._stores[kind].recent_document(revision)
         if document is None:
             return None
         return self._snapshot(now, kind, revision, document)
@@ -101,7 +102,7 @@
     def _snapshot(
         self, now: float, kind: DocumentKind, revision: RevisionId, document: Document
     ) -> Message:
-        if not self._allowances[kind].take(now):
-            return Busy(kind, self._random.randint(*RETRY_AFTER_MILLISECONDS))
+        if not self._snapshot_buckets[kind].take(now):
+            return Busy(kind, self._random.randint(*RETRY_AFTER_RANGE_MILLISECONDS))
         answer = SnapshotAnswer(kind, revision, dict(document))
-        return self._packed[kind].of(answer) or answer
+        return self._packed[kind].packed_form(answer) or answer
--- a/src/pewtertack/node/gateway/application.py
+++ b/src/pewtertack/node/gateway/application.py
@@ -1,4 +1,4 @@
-"""The gateway's ASGI application: requests of other nodes for the back end beside this one."""
+"""The gateway's ASGI application: serves other nodes' requests for the local back end."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 from pewtertack.core.configuration.resolved import ResolvedConfiguration, ResolvedService
 from pewtertack.core.machines import MachineList, MachineRole
 from pewtertack.node.counting import MetricsRegistry
-from pewtertack.node.crash_detection import (
+from pewtertack.node.crash_reporter import CrashReporter
+from pewtertack.node.crash_watch import (
     BrokenExchange,
     CrashDetector,
     fingerprints_of,
     refuses_connections,
 )
-from pewtertack.node.crash_reporter import CrashReporter
 from pewtertack.node.gateway.cold_watch import ColdWatch
 from pewtertack.node.gateway.context import GatewayContext
 from pewtertack.node.gateway.forwarding import GatewayForwarding
 from pewtertack.node.gateway.hop import (
-    LEAVE_BY,
+    FINISH_BY,
     PROBE_ANSWERED,
     WITHDRAW,
     HopRequest,
     failure_header,
-    for_gateway_alone,
+    gateway_only_header,
+    parse_finish_by,
     read_hop,
-    read_leave_by,
 )
 from pewtertack.node.gateway.incarnations import Incarnation, Incarnations
 from pewtertack.node.gateway.metrics import GatewayMetrics
@@ -38,10 +38,10 @@
 from pewtertack.node.http.framing import RawHeaders
 from pewtertack.node.http.heads import DEFAULT_HEAD_LIMIT
 from pewtertack.node.pacing import LinkPacer
-from pewtertack.node.proxy.answers import Receive, Send, send_failure
 from pewtertack.node.proxy.body import CallerGoneError
 from pewtertack.node.proxy.edge import NODE_EDGE, EdgeHeaders
 from pewtertack.node.proxy.exchange import TruncatedAnswerError
+from pewtertack.node.proxy.failure_responses import Receive, Send, send_failure
 from pewtertack.node.proxy.headers import RequestHead, read_head
 from pewtertack.node.proxy.in_flight import DrainableApplication
 from pewtertack.node.proxy.request_log import GatewayLog, RecordEvent, ignore_event
@@ -63,53 +63,55 @@
 from pewtertack.routing.runs import RunsBeside, none_in_vain
 from pewtertack.settings import Settings
 
-STOP_MARGIN = 2.0
-"""A stopping gateway takes requests whose mean time fits so often before the stop."""
+STOP_TIME_FACTOR = 2.0
+"""A gateway that shuts down admits a request only if this many times its expected duration fits
+into the time left."""
 HOP_HEAD_BYTES = 8 * 1024
-"""Of the headers that nodes add between them."""
-LONGEST_TIME = 3600.0
-"""Seconds that a request without a deadline may take; proxies always send one."""
+"""Limit on the headers that nodes add on the hop between them."""
+DEFAULT_TIMEOUT_SECONDS = 3600.0
+"""Timeout of a request without a deadline; proxies always send one."""
 
 
 class GatewaySettings(msgspec.Struct, frozen=True):
-    """Where the gateway stands, from the node's settings."""
+    """The node settings that concern its gateway."""
 
     address: str
-    """``ip:port`` of the back end beside this node."""
+    """``ip:port`` of the local back end."""
     service: str = ""
-    """The back end's service; empty where the settings do not name it."""
+    """The back end's service; empty if the settings do not name it."""
     zone: str = ""
     cold_overage: float = 1.0
     cold_slack: float = 0.0
     """See ``settings.LimitsSection``."""
     link_mbps: float = 0.0
-    """Rate of the machine's link, 0 while unknown."""
+    """Rate of the machine's link in Mbit/s, 0 if unknown."""
 
 
 class GatewayApplication(DrainableApplication):
-    """Admits requests for one address, whichever incarnation of a back end lives there.
+    """Admits requests for one address, whichever incarnation of a back end runs there.
 
     An ASGI 3 application. All methods are called in the event loop's thread.
 
     Args:
         clock: monotonic time in seconds.
-        place: the back end beside this node.
+        settings: the local back end, its service and zone, and the link.
         edge: header names of the back end.
-        log: receives events of the 6xx numbers.
+        log: receives the events numbered 6xx.
         registry: where the metrics are registered; ``None`` keeps none.
-        reporter: what the node knows of requests that end back ends.
-        policies: the way of each decision that has several.
-        runs: what the back end beside this node runs.
+        reporter: the node's knowledge of requests that crash back ends.
+        policies: the policy for each configurable decision.
+        runs: the requests that the local back end runs.
     """
 
     callers_relay = True
-    """Nodes end the connections of their callers that do not read; a request's deadline bounds
-    what a node that does not is waited for (``node.http.slow_readers``)."""
+    """The callers are nodes, which relay responses and disconnect slow readers themselves. The
+    request's deadline limits how long a node that does not read is waited for
+    (``node.http.unread``)."""
 
     def __init__(
         self,
         clock: Callable[[], float],
-        place: GatewaySettings,
+        settings: GatewaySettings,
         edge: EdgeHeaders,
         log: RecordEvent = ignore_event,
         registry: MetricsRegistry | None = None,
@@ -118,21 +120,21 @@
         runs: RunsBeside | None = None,
     ) -> None:
         self._clock = clock
-        self._place = place
+        self._settings = settings
         self._log = GatewayLog(log, clock)
         self._metrics = GatewayMetrics(registry or MetricsRegistry())
         super().__init__(ConnectionPool(clock))
         self._reporter = reporter or CrashReporter()
         self._backend_down = False
-        """Whether nobody listened at the back end's address when it was last needed."""
+        """Whether the back end's address refused connections when last used."""
         runs = runs or RunsBeside()
         self.origins = watch_for(policies)
-        """Who calls each route, as far as known."""
+        """Who calls each route, as far as known; ``None`` if the policies do not need it."""
         self._context = GatewayContext(
             clock,
             self.connections,
             edge,
-            place.address,
+            settings.address,
             self._log,
             self._metrics,
             CrashDetector(self._note_crash),
@@ -141,100 +143,105 @@
             runs,
             runs.in_vain if policies.begun_runs is SlotOrderPolicy.FINISHABLE else none_in_vain,
             self.requests,
-            pacer=_pacer_of(clock, place, policies),
+            pacer=_make_pacer(clock, settings, policies),
         )
         self._incarnations = Incarnations(clock, policies)
         self._stops_at = math.inf
         self._evacuated = False
         self.service: ResolvedService | None = None
         self.longest_head = DEFAULT_HEAD_LIMIT + HOP_HEAD_BYTES
-        """Bytes, with what nodes say to each other."""
+        """Limit on request heads in bytes, including the headers that nodes add."""
         self._cold_watch = ColdWatch(self, edge.cold_milliseconds, clock)
 
     @property
     def address(self) -> str:
-        """``ip:port`` of the back end beside this node."""
-        return self._place.address
+        """``ip:port`` of the local back end."""
+        return self._settings.address
 
     async def run(self) -> None:
-        """Ask the back end whether it is cold, whenever that is due, until cancelled."""
+        """Query the back end for its cold state whenever that is due, until cancelled."""
         await self._cold_watch.run()
 
     def use_settings(self, settings: Settings) -> None:
-        """Serve another address from now on, if the settings name another."""
+        """Switch to the back-end address of the settings, if it has changed."""
         address = str(settings.backend.address)
         if settings.backend.address is None or address == self.address:
             return
-        self._place = msgspec.structs.replace(self._place, address=address)
+        self._settings = msgspec.structs.replace(self._settings, address=address)
         self._context = msgspec.structs.replace(self._context, address=address)
 
     def use_configuration(self, configuration: ResolvedConfiguration) -> None:
-        """Keep to the service's settings, and to the operator's word on this zone."""
-        self.service = configuration.services.get(self._place.service)
+        """Apply the service's settings and the evacuation state of this zone."""
+        self.service = configuration.services.get(self._settings.service)
         self.longest_head = max(DEFAULT_HEAD_LIMIT, configuration.head_bytes) + HOP_HEAD_BYTES
         self._use_bounds(self.service)
-        evacuated = self._place.zone in configuration.evacuated
+        evacuated = self._settings.zone in configuration.evacuated
         if evacuated != self._evacuated:
             self._evacuated = evacuated
             self._note_evacuation()
 
     def _use_bounds(self, service: ResolvedService | None) -> None:
-        """Bound a cold back end as its service says; one of no known service says nothing."""
-        place = self._place
-        rate, length = (service.cold_rate, service.cold_start) if service is not None else (0, 0)
-        bounds = ColdBounds(rate, length, place.cold_overage, place.cold_slack)
+        """Apply the service's limits for cold back ends; an unknown service has none."""
+        settings = self._settings
+        rate, duration = (service.cold_rate, service.cold_start) if service is not None else (0, 0)
+        bounds = ColdBounds(rate, duration, settings.cold_overage, settings.cold_slack)
         self._incarnations.use_bounds(bounds)
 
     def _note_evacuation(self) -> None:
-        """The zone is evacuated from now on, or is no longer: then its back ends may be cold."""
+        """Apply a change of the zone's evacuation; after its end the back ends may be cold."""
         if self._evacuated:
             self._incarnations.refuse_waiting(_evacuated)
         else:
-            self._incarnations.forget_warmth()
+            self._incarnations.assume_cold()
 
     def after_suspension(self) -> None:
-        """The back end may have turned cold, unseen by this node."""
-        self._incarnations.forget_warmth()
+        """Treat the back end as cold: it may have become so while the machine was suspended."""
+        self._incarnations.assume_cold()
 
     def cold_starts(self) -> list[ColdStart]:
-        """Return what is known of the back ends that take work (``WatchedBackend``)."""
+        """Return the cold-start state of the back ends that take work (``WatchedBackend``)."""
         return self._incarnations.cold_starts()
 
     def use_machines(self, machines: MachineList) -> None:
-        """Learn which back ends live, leave or have gone at the address."""
-        here = (machine for machine in machines.machines if machine.address == self.address)
-        backends = (machine for machine in here if machine.role is MachineRole.BACKEND)
+        """Update which back ends run at the address, are leaving or have gone."""
+        at_address = (machine for machine in machines.machines if machine.address == self.address)
+        backends = (machine for machine in at_address if machine.role is MachineRole.BACKEND)
         if self._incarnations.apply_machine_list({machine.name: machine for machine in backends}):
             self.connections.drop(self.address)
         if self.origins is not None:
-            beside = [item for item in machines.machines if item.gateway]
-            zone = self._place.zone
-            near = Counter(item.service for item in beside if item.zone == zone)
-            self.origins.use_machines(near, len({item.service for item in beside}))
+            with_gateway = [item for item in machines.machines if item.gateway]
+            zone = self._settings.zone
+            services_in_zone = Counter(item.service for item in with_gateway if item.zone == zone)
+            self.origins.use_machines(
+                services_in_zone, len({item.service for item in with_gateway})
+            )
 
     def start_leaving(self, seconds: float) -> None:
-        """Take only requests that end well before the stop; others find another gateway."""
+        """Begin a graceful shutdown that ends in ``seconds``.
+
+        Requests that may not end in time are refused, so that senders try another gateway.
+        """
         self.requests.leaving = True
         self._stops_at = self._clock() + seconds
         if self._context.pacer is not None:
             self._context.pacer.end_at(self._stops_at)
 
-    def flush_answers(self) -> None:
-        """Let all answers go that wait for their turns on the link."""
+    def flush_responses(self) -> None:
+        """Send all responses that wait for their turn on the link at once."""
         if self._context.pacer is not None:
             self._context.pacer.share.open()
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve one request (ASGI entry point)."""
-        own = for_gateway_alone(scope["headers"])
-        if own is not None:
-            await self._answer_own(send, *own)
+        own_header = gateway_only_header(scope["headers"])
+        if own_header is not None:
+            await self._handle_gateway_request(send, *own_header)
             return
-        with self.requests.one():
+        with self.requests.count_one():
             await self._serve(scope, receive, send)
 
     def _note_crash(self, backend: str, broken: tuple[BrokenExchange, ...]) -> None:
-        """The back end has ended; one that was leaving may have done so by plan."""
+        """Record a crash of the back end, unless it was leaving and may have stopped as planned."""
         self._backend_down = True
         if not self._incarnations.get(backend).takes_work:
             return
@@ -248,15 +255,15 @@
         try:
             head = read_head(scope["headers"], NODE_EDGE)
             request = read_hop(scope["headers"])
-            if request.senseless_time:
-                self._metrics.note_senseless_time()
+            if request.invalid_stop_time:
+                self._metrics.note_invalid_stop_time()
             self._note_origin(request)
             await self._forward(scope, receive, send, head, request)
         except RequestFailedError as error:
-            load = self._load_of(request)
+            load = self._load_headers_of(request)
             backend = request.backend if request is not None else ""
-            told = load[0][1].decode() if load else ""
-            self._log.refused(head.request_id, backend, error, told)
+            load_text = load[0][1].decode() if load else ""
+            self._log.refused(head.request_id, backend, error, load_text)
             self._metrics.note_refused(error.code, error.offered)
             headers = [*load, *self._note_refused(request)]
             if request is not None and self._context.pacer is not None:
@@ -269,21 +276,21 @@
             self._log.origin_known(route, origins.origin(route) or "")
 
     def _note_refused(self, request: HopRequest | None) -> RawHeaders:
-        """Count a refused call within; return what to tell its sender of the route's origin."""
+        """Count a refused nested call; return the header that reports the route's origin."""
         if request is None or self.origins is None:
             return []
-        if self.origins.is_within(request.route, request.within):
-            self._metrics.note_within(request.route, admitted=False)
+        if self.origins.is_within(request.route, request.nested):
+            self._metrics.note_nested(request.route, admitted=False)
         return origin_headers(self.origins, request)
 
-    async def _answer_own(self, send: Send, name: bytes, value: bytes) -> None:
-        """Do what another node asks of the gateway itself."""
+    async def _handle_gateway_request(self, send: Send, name: bytes, value: bytes) -> None:
+        """Handle a request that another node addressed to the gateway itself."""
         if name == WITHDRAW:
             await self.requests.withdraw_one(value.decode("latin-1"))
-        elif name == LEAVE_BY:
-            self._note_stopping_sender(value)
+        elif name == FINISH_BY:
+            self._handle_finish_by(value)
         elif self.leaving or self.requests.draining:
-            error: NotRunError = DrainingError("the node beside the back end is stopping")
+            error: NotRunError = DrainingError("the node of the back end is shutting down")
             await _refuse(send, error, RequestHead(), [])
             return
         elif self._evacuated:
@@ -296,24 +303,24 @@
         await send({"type": "http.response.start", "status": PROBE_ANSWERED, "headers": []})
         await send({"type": "http.response.body", "body": b""})
 
-    def _note_stopping_sender(self, value: bytes) -> None:
-        """A node that has sent requests stops: answer those before it has."""
-        seconds, ids = read_leave_by(value)
+    def _handle_finish_by(self, value: bytes) -> None:
+        """Note that a node that has sent requests is shutting down: answer them before it stops."""
+        seconds, ids = parse_finish_by(value)
         if not ids:
-            self._metrics.note_senseless_time()
+            self._metrics.note_invalid_stop_time()
             return
         moment = self._clock() + seconds
-        named = [item for item in self.requests.under_way if item.request_id in ids]
-        for request in named:
-            request.leave_by(moment)
-        self._log.sender_stops(seconds, len(ids), len(named))
+        named_requests = [item for item in self.requests.active if item.request_id in ids]
+        for request in named_requests:
+            request.finish_by(moment)
+        self._log.sender_stopping(seconds, len(ids), len(named_requests))
 
     async def _is_backend_down(self) -> bool:
-        """Ask for a back end that had ended whether it is back, so that no request need to."""
+        """Tell whether the back end is still down, so that no request has to find out."""
         self._backend_down = self._backend_down and await refuses_connections(self.address)
         return self._backend_down
 
-    def _load_of(self, request: HopRequest | None) -> RawHeaders:
+    def _load_headers_of(self, request: HopRequest | None) -> RawHeaders:
         found = self._incarnations.find(request.backend) if request is not None else None
         return load_headers(found.admission, self._clock()) if found is not None else []
 
@@ -322,7 +329,7 @@
     ) -> None:
         incarnation = self._admit(request)
         now = self._clock()
-        deadline = deadline_of(now, head.deadline, LONGEST_TIME)
+        deadline = deadline_of(now, head.deadline, DEFAULT_TIMEOUT_SECONDS)
         forwarding = GatewayForwarding(
             self._context,
             incarnation.admission,
@@ -332,7 +339,7 @@
             head,
             request,
             deadline,
-            lambda: self._check_open(incarnation, request),
+            lambda: self._check_accepting(incarnation, request),
         )
         try:
             await forwarding.run()
@@ -346,7 +353,7 @@
         except RequestFailedError:
             raise
         except (CallerGoneError, TruncatedAnswerError):
-            pass  # the server cuts a connection whose answer was left incomplete
+            pass  # the server cuts a connection whose response is incomplete
         except Exception:
             if forwarding.status == 0:
                 await _refuse(send, InternalError("unexpected error"), head, [])
@@ -354,40 +361,40 @@
 
     def _admit(self, request: HopRequest) -> Incarnation:
         incarnation = self._incarnations.get(request.backend)
-        if self.requests.draining or not self._ends_in_time(incarnation, request):
-            raise _not_offered(DrainingError("the node beside the back end is stopping"))
-        self._check_open(incarnation, request)
+        if self.requests.draining or not self._fits_before_stop(incarnation, request):
+            raise _mark_not_offered(DrainingError("the node of the back end is shutting down"))
+        self._check_accepting(incarnation, request)
         return incarnation
 
-    def _check_open(self, incarnation: Incarnation, request: HopRequest) -> None:
-        """Raise why a back end is given no more requests, where that is so."""
+    def _check_accepting(self, incarnation: Incarnation, request: HopRequest) -> None:
+        """Raise the refusal if the back end may not be sent any more requests."""
         if not incarnation.takes_work:
-            raise incarnation.gone(request.started_at)
+            raise incarnation.refusal(request.started_at)
         if self._evacuated:
             raise _evacuated()
 
-    def _ends_in_time(self, incarnation: Incarnation, request: HopRequest) -> bool:
-        """Tell whether the request will most likely have ended when the node stops."""
+    def _fits_before_stop(self, incarnation: Incarnation, request: HopRequest) -> bool:
+        """Tell whether the request will probably end before the node stops."""
         needed = incarnation.admission.expected_time(request.route) or request.objective
         if self._context.pacer is not None:
             needed += self._context.pacer.answer_time(request.route, request.rank)
-        return self._clock() + needed * STOP_MARGIN < self._stops_at
+        return self._clock() + needed * STOP_TIME_FACTOR < self._stops_at
 
 
-def _pacer_of(
-    clock: Callable[[], float], place: GatewaySettings, policies: Policies
+def _make_pacer(
+    clock: Callable[[], float], settings: GatewaySettings, policies: Policies
 ) -> LinkPacer | None:
-    """Return what paces long answers; ``None`` where they leave at once."""
-    if policies.long_bodies is not LongBodyPolicy.IN_TURNS or not place.link_mbps:
+    """Return the pacer of long responses; ``None`` if they are sent without pacing."""
+    if policies.long_bodies is not LongBodyPolicy.IN_TURNS or not settings.link_mbps:
         return None
-    return LinkPacer(clock, LinkShare(place.link_mbps))
+    return LinkPacer(clock, LinkShare(settings.link_mbps))
 
 
 def _evacuated() -> ZoneEvacuatedError:
     return ZoneEvacuatedError("the zone is evacuated")
 
 
-def _not_offered(error: RequestFailedError) -> RequestFailedError:
+def _mark_not_offered(error: RequestFailedError) -> RequestFailedError:
     error.offered = False
     return error
 
--- a/src/pewtertack/node/gateway/reception.py
+++ b/src/pewtertack/node/gateway/reception.py
@@ -1,9 +1,10 @@
-"""Which long bodies a gateway receives now.
+"""Limits how many long request bodies a gateway receives at once.
 
-The link of a small machine carries a few dozen long bodies a second. Received all at once
-they share it, and every small request behind them is late; received one by one after a slot
-came free, the slot stands idle meanwhile. So few come at a time: of requests that have their
-slot first, then those that wait for one, in the order of the queue.
+The link of a small machine carries a few dozen long bodies a second. If all were received at
+once they would share it, and every small request behind them would be late. If each were received
+only once its request had a slot, that slot would be idle meanwhile. So only a few bodies are
+received at a time: first those of requests that have a slot, then those of waiting requests in
+queue order.
 """
 
 from __future__ import annotations
@@ -13,10 +14,10 @@
 
 from pewtertack.routing.places import AdmissionTicket
 
-RECEIVED_AT_ONCE = 2
-"""Long bodies on their way to one gateway: two fill a link of 10 Mbit/s in windows of 32 KB."""
-MOST_AHEAD = 6
-"""Bodies held whole while their requests wait for a slot; each at most ``body.AHEAD_BYTES``."""
+MAX_CONCURRENT_BODIES = 2
+"""Long bodies received by one gateway at once: two fill a link of 10 Mbit/s with 32 KB windows."""
+MAX_EARLY_BODIES = 6
+"""Bodies buffered while their requests wait for a slot; each at most ``body.READ_AHEAD_BYTES``."""
 
 
 class _Waiter:
@@ -28,57 +29,57 @@
 
 
 class BodyReception:
-    """Hands out the turns to receive a long body, in the event loop's thread."""
+    """Schedules the reception of long bodies. All methods run in the event loop's thread."""
 
-    __slots__ = ("_ahead", "_receiving", "_waiters")
+    __slots__ = ("_early", "_receiving", "_waiters")
 
     def __init__(self) -> None:
         self._receiving = 0
-        self._ahead: list[AdmissionTicket] = []
-        """Requests whose bodies came, or come, before their slots."""
+        self._early: list[AdmissionTicket] = []
+        """Requests whose bodies were, or are being, received before they got a slot."""
         self._waiters: list[_Waiter] = []
 
     async def receive(self, ticket: AdmissionTicket, read: Callable[[], Awaitable[None]]) -> None:
-        """Wait for the ticket's turn, then read its body; when cancelled, leave the place."""
+        """Wait for the ticket's turn, then read its body; on cancellation leave the queue."""
         waiter = _Waiter(ticket)
         self._waiters.append(waiter)
-        self.start_next()
+        self.start_waiters()
         try:
             await waiter.started.wait()
             await read()
         finally:
-            self._leave(waiter)
-
-    def forget(self, ticket: AdmissionTicket) -> None:
-        """The request has ended: its body is held no longer."""
-        if ticket in self._ahead:
-            self._ahead.remove(ticket)
-            self.start_next()
-
-    def start_next(self) -> None:
-        """Give the free turns out; to be called too when a ticket was granted."""
-        self._ahead = [ticket for ticket in self._ahead if not ticket.granted]
-        while self._receiving < RECEIVED_AT_ONCE:
-            waiter = self._first()
+            self._finish(waiter)
+
+    def release(self, ticket: AdmissionTicket) -> None:
+        """Note that the request has ended and its body is no longer buffered."""
+        if ticket in self._early:
+            self._early.remove(ticket)
+            self.start_waiters()
+
+    def start_waiters(self) -> None:
+        """Start as many waiters as the limits allow; also call this when a ticket was granted."""
+        self._early = [ticket for ticket in self._early if not ticket.granted]
+        while self._receiving < MAX_CONCURRENT_BODIES:
+            waiter = self._next_waiter()
             if waiter is None:
                 return
             self._waiters.remove(waiter)
             self._receiving += 1
             if not waiter.ticket.granted:
-                self._ahead.append(waiter.ticket)
+                self._early.append(waiter.ticket)
             waiter.started.set()
 
-    def _first(self) -> _Waiter | None:
-        """Return whose turn is next: with a slot, or next in the queue while few are ahead."""
-        may_wait = len(self._ahead) < MOST_AHEAD
-        waiters = (item for item in self._waiters if item.ticket.granted or may_wait)
+    def _next_waiter(self) -> _Waiter | None:
+        """Return the next waiter: one with a slot, else the first in the queue if allowed."""
+        may_start_early = len(self._early) < MAX_EARLY_BODIES
+        waiters = (item for item in self._waiters if item.ticket.granted or may_start_early)
         return min(
             waiters, key=lambda item: (not item.ticket.granted, item.ticket.order), default=None
         )
 
-    def _leave(self, waiter: _Waiter) -> None:
+    def _finish(self, waiter: _Waiter) -> None:
         if waiter.started.is_set():
             self._receiving -= 1
         else:
             self._waiters.remove(waiter)
-        self.start_next()
+        self.start_waiters()
--- a/src/pewtertack/node/proxy/probing.py
+++ b/src/pewtertack/node/proxy/probing.py
@@ -1,8 +1,8 @@
-"""Probes of gateways that were out of reach, so that no request has to try them.
+"""Probes unreachable gateways, so that no request has to try them.
 
-A gateway whose machine lost power, is cut off or whose process ended is asked over a
-connection of its own until it answers. A request that tried it instead would lose most
-of its time, and one that may not be repeated its only attempt.
+A gateway whose machine lost power or its network, or whose process ended, is probed over a new
+connection until it responds. A request that tried it instead would lose most of its time, and a
+request that may not be repeated would lose its only attempt.
 """
 
 from __future__ import annotations
@@ -20,36 +20,37 @@
 from pewtertack.routing.dispatcher import Dispatcher
 from pewtertack.routing.outcomes import BackendUnreachableError
 
-LOOK_SECONDS = 0.1
+CHECK_SECONDS = 0.1
+"""Interval at which due probes are started while a gateway is unreachable."""
 PROBE_SECONDS = 0.3
-"""For connection and answer together."""
+"""Timeout for the connection and the response together."""
 
 
 class GatewayProber:
-    """Asks the gateways that the dispatcher says are due, each by a task of its own."""
+    """Probes the gateways that the dispatcher reports as due, each in a task of its own."""
 
     def __init__(self, dispatcher: Dispatcher, clock: Callable[[], float]) -> None:
         self._dispatcher = dispatcher
         self._clock = clock
-        self._wanted = anyio.Event()
+        self._needed = anyio.Event()
 
     def wake(self) -> None:
-        """A gateway is out of reach from now on."""
-        self._wanted.set()
+        """Resume probing: a gateway has become unreachable."""
+        self._needed.set()
 
     async def run(self) -> None:
         """Probe until cancelled.
 
-        While every gateway is in reach nothing wakes the process: ten looks a second on each
-        node of a fleet cost more than the probes.
+        While every gateway is reachable, nothing wakes the process: ten checks a second on each
+        node of a fleet would cost more than the probes.
         """
         async with anyio.create_task_group() as tasks:
             while True:
                 if not self._dispatcher.any_unreachable():
-                    self._wanted = anyio.Event()
-                    await self._wanted.wait()
+                    self._needed = anyio.Event()
+                    await self._needed.wait()
                 self._start_due(tasks)
-                await anyio.sleep(LOOK_SECONDS)
+                await anyio.sleep(CHECK_SECONDS)
 
     def _start_due(self, tasks: TaskGroup) -> None:
         for backend in self._dispatcher.probes_due(self._clock()):
@@ -65,13 +66,13 @@
 
 
 async def takes_requests(gateway: str) -> bool:
-    """Ask the gateway at ``ip:port`` over a new connection; false when it cannot be asked."""
+    """Return whether the gateway at ``ip:port`` accepts requests, asked over a new connection."""
     try:
         connection = await connect(gateway, PROBE_SECONDS)
     except BackendUnreachableError:
         return False
     try:
-        response = await connection.exchange(_question(gateway))
+        response = await connection.exchange(_probe_request(gateway))
         return response.status == PROBE_ANSWERED
     except ExchangeBrokenError:
         return False
@@ -79,5 +80,5 @@
         connection.abort()
 
 
-def _question(gateway: str) -> OutgoingRequest:
+def _probe_request(gateway: str) -> OutgoingRequest:
     return OutgoingRequest(b"GET", b"/", [(b"host", gateway.encode()), (PROBE, b"1")])
--- a/src/pewtertack/node/proxy/refusals.py
+++ b/src/pewtertack/node/proxy/refusals.py
@@ -1,10 +1,10 @@
-"""Typed refusals of what is no request: the same bodies and headers as any other refusal."""
+"""Typed refusals of input that is not a valid request, with the headers and body of any other."""
 
 from __future__ import annotations
 
 from pewtertack.node.http.cycle import CLOSE_HEADER, STATUS_LINES
 from pewtertack.node.http.refusals import RefusalReason
-from pewtertack.node.proxy.answers import failure_body, failure_head
+from pewtertack.node.proxy.failure_responses import failure_body, failure_head
 from pewtertack.routing.outcomes import (
     HeadersTooLargeError,
     InvalidRequestError,
@@ -21,10 +21,10 @@
 }
 
 
-def typed_refusal(reason: RefusalReason, begun: bool) -> bytes:
-    """Return the answer that ends a caller's connection (``RefusalWriter``)."""
+def typed_refusal(reason: RefusalReason, started: bool) -> bytes:
+    """Return the response that ends a caller's connection (``RefusalWriter``)."""
     error = ERRORS[reason](reason.value)
-    error.with_outcome(Outcome.UNKNOWN if begun else Outcome.NOT_RUN)
+    error.with_outcome(Outcome.UNKNOWN if started else Outcome.NOT_RUN)
     body = failure_body(error)
     lines = [STATUS_LINES[error.answer_status]]
     for name, value in failure_head(error, "", len(body)):
--- a/tests/node/gateway/test_slow_readers.py
+++ b/tests/node/gateway/test_slow_readers.py
@@ -6,7 +6,7 @@
 from unittest import mock
 
 from pewtertack.node.gateway.hop import hop_headers
-from pewtertack.node.http import slow_readers
+from pewtertack.node.http import unread
 from pewtertack.routing.patience import Lateness
 from tests.node.gateway.test_gateway import GatewayTestCase
 from tests.node.gateway.test_large_answers import head_of
@@ -25,11 +25,11 @@
 class SlowReaderTest(GatewayTestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.under_way = 0
+        self.active = 0
         self.whole = 0
 
     async def answer_large(self, _reader: Any, writer: Any, head: str) -> bool:
-        self.under_way += 1
+        self.active += 1
         try:
             writer.write(head_of(head, LENGTH))
             for _ in range(LENGTH // len(PART)):
@@ -38,7 +38,7 @@
             self.whole += 1
             return True
         finally:
-            self.under_way -= 1
+            self.active -= 1
 
     async def begin(self, count: int) -> list[socket.socket]:
         """Send requests of callers that take in little by themselves, and read nothing yet."""
@@ -58,22 +58,22 @@
 
     async def until_ended(self) -> None:
         async with asyncio.timeout(FAR_BELOW_DEADLINE):
-            while not self.heads or self.under_way:
+            while not self.heads or self.active:
                 await asyncio.sleep(0.02)
 
     async def test_one_that_takes_nothing_is_ended_and_its_slot_is_free(self) -> None:
-        with mock.patch.object(slow_readers, "SLOW_READER_SECONDS", 1.0):
+        with mock.patch.object(unread, "SLOW_READER_SECONDS", 1.0):
             await self.begin(1)
             await self.until_ended()
         self.assertEqual(self.whole, 0)
-        (incarnation,) = self.gateways[0]._incarnations._known.values()
+        (incarnation,) = self.gateways[0]._incarnations._by_name.values()
         async with asyncio.timeout(FAR_BELOW_DEADLINE):
             while incarnation.admission.in_flight:
                 await asyncio.sleep(0.02)
 
     async def test_one_that_reads_slowly_gets_all(self) -> None:
         loop = asyncio.get_running_loop()
-        with mock.patch.object(slow_readers, "SLOW_READER_SECONDS", 0.6):
+        with mock.patch.object(unread, "SLOW_READER_SECONDS", 0.6):
             (caller,) = await self.begin(1)
             received = 0
             while received < LENGTH:
@@ -91,7 +91,7 @@
         system holds.
         """
         loop = asyncio.get_running_loop()
-        with mock.patch.object(slow_readers, "SLOW_READER_SECONDS", 0.6):
+        with mock.patch.object(unread, "SLOW_READER_SECONDS", 0.6):
             (caller,) = await self.begin(1)
             received = 0
             until = loop.time() + 3.0
@@ -109,14 +109,14 @@
         self.assertEqual(self.whole, 1)
 
     async def test_what_many_hold_is_bounded(self) -> None:
-        with mock.patch.object(slow_readers, "MAX_SLOW_READERS", 10):
+        with mock.patch.object(unread, "MAX_SLOW_READERS", 10):
             await self.begin(40)
             async with asyncio.timeout(FAR_BELOW_DEADLINE):
-                while len(self.heads) < 40 or self.under_way > 10:
+                while len(self.heads) < 40 or self.active > 10:
                     await asyncio.sleep(0.02)
             await asyncio.sleep(1.0)
         self.assertEqual([len(server.slow_readers) for server in self.servers], [10, 10])
-        self.assertEqual((self.under_way, self.whole), (10, 0))
+        self.assertEqual((self.active, self.whole), (10, 0))
 
     async def test_what_the_system_holds_for_one_that_reads_nothing_is_bounded(self) -> None:
         """Guards against megabytes of each such answer in the memory of a node's machine."""
@@ -142,7 +142,7 @@
         await loop.sock_connect(node, (host, int(port)))
         began = loop.time()
         await loop.sock_sendall(node, request)
-        with mock.patch.object(slow_readers, "SLOW_READER_SECONDS", 0.2):
+        with mock.patch.object(unread, "SLOW_READER_SECONDS", 0.2):
             await self.until_ended()
         self.assertGreater(loop.time() - began, 0.9)
         self.assertEqual(self.whole, 0)
--- a/tests/node/test_runtime.py
+++ b/tests/node/test_runtime.py
@@ -33,14 +33,14 @@
     WorkContinued,
 )
 from pewtertack.core.machines import MachineList
-from pewtertack.core.replication.stages import Stage, Way
+from pewtertack.core.replication.stages import DeliveryChannel, Stage
 from pewtertack.events import Event
 from pewtertack.log import EventLog
 from pewtertack.node.admin import mask_secrets
 from pewtertack.node.counting import Histogram
 from pewtertack.node.gate import ServingGate
 from pewtertack.node.gateway.incarnations import Incarnations
-from pewtertack.node.runtime import TURNS_BETWEEN, Runtime
+from pewtertack.node.runtime import YIELDS_BETWEEN_SLICES, Runtime
 from pewtertack.routing.registry import BackendRegistry
 from pewtertack.wire.errors import StrangerFrameError
 from pewtertack.wire.frames import Envelope
@@ -109,7 +109,7 @@
                 while not any(isinstance(item, WorkContinued) for item in self.core.inputs):
                     await anyio.lowlevel.checkpoint()
             tasks.cancel_scope.cancel()
-        self.assertGreaterEqual(turns.count(1), TURNS_BETWEEN)
+        self.assertGreaterEqual(turns.count(1), YIELDS_BETWEEN_SLICES)
 
     async def test_work_that_fails_is_counted_and_ends_nobody(self) -> None:
         runtime = self.runtime(ticked=[ContinueWork()])
@@ -124,7 +124,7 @@
 
     async def test_the_stages_of_revisions_are_observed(self) -> None:
         seen = Histogram("h", "", ("stage", "way"), (1.0, 2.0))
-        core = ScriptedCore({Ticked: [StageReached(Stage.HELD, Way.DELTA, 1.5)]})
+        core = ScriptedCore({Ticked: [StageReached(Stage.HELD, DeliveryChannel.DELTA, 1.5)]})
         log = EventLog("n", 5, self.output)
         parts = (self.gate, self.transport, self.reader, self.proxy, log)
         Runtime(core, 0.001, *parts, stages=seen).feed(Ticked())
@@ -218,7 +218,7 @@
             self.assertTrue(gate.may_serve())
             now.return_value = 102.5
             self.assertFalse(gate.may_serve())
-            gate.ticked()
+            gate.note_tick()
             self.assertTrue(gate.may_serve())
 
 
