--- a/src/pewtertack/lab/depth/backend.py
+++ b/src/pewtertack/lab/depth/backend.py
@@ -20,7 +20,7 @@
     TopRequest,
 )
 from pewtertack.lab.overload.world import NETWORK_DELAY, VirtualTime
-from pewtertack.routing.deadlines import deadline_of, header_for
+from pewtertack.routing.deadlines import deadline_of, format_deadline
 
 WORK_SECONDS = 0.002
 NO_TIMEOUT = float("inf")
@@ -155,7 +155,7 @@
             return
         header = None
         if self._header is not None:
-            header = header_for(self._world.time.now, self._deadline)
+            header = format_deadline(self._world.time.now, self._deadline)
         self._below = below.call(self._request, header, self._pass_on)
 
     def _pass_on(self, reply: Reply) -> None:
--- a/src/pewtertack/lab/depth/levels.py
+++ b/src/pewtertack/lab/depth/levels.py
@@ -16,10 +16,9 @@
     Reply,
     TopRequest,
 )
-from pewtertack.routing.answers import end_of_answer
-from pewtertack.routing.deadlines import deadline_of, header_for
+from pewtertack.routing.attempt_results import AttemptResult
+from pewtertack.routing.deadlines import deadline_of, format_deadline
 from pewtertack.routing.dispatcher import Dispatcher
-from pewtertack.routing.ends import AttemptEnd
 from pewtertack.routing.outcomes import (
     RETRIES_SPENT,
     BackendFailedError,
@@ -28,6 +27,7 @@
     RequestFailedError,
 )
 from pewtertack.routing.queueing import Ticket
+from pewtertack.routing.response_results import result_of_response
 
 BACKENDS = 10
 SLOTS = 30
@@ -106,14 +106,14 @@
         """The caller has gone."""
         if not self._ended:
             self._ended = True
-            self._leave(AttemptEnd.CANCELLED)
+            self._leave(AttemptResult.CANCELLED)
 
     def _time_out(self) -> None:
         if not self._ended:
-            self._leave(AttemptEnd.TIMED_OUT)
+            self._leave(AttemptResult.TIMED_OUT)
             self._end(Reply(504, LATE.outcome, RETRIES_SPENT))
 
-    def _leave(self, end: AttemptEnd) -> None:
+    def _leave(self, end: AttemptResult) -> None:
         if self._ticket.backend is None:
             self._level.dispatcher.withdraw(self._ticket)
             return
@@ -139,7 +139,7 @@
 
     def _look(self, ticket: Ticket) -> None:
         if not self._ended and ticket.backend is None and ticket.refusal is None:
-            look_at = self._level.dispatcher.look(ticket, self._time.now)
+            look_at = self._level.dispatcher.check(ticket, self._time.now)
             self._time.at(look_at, lambda: self._look(ticket))
 
     def _woken(self) -> None:
@@ -157,7 +157,7 @@
     def _attempt(self) -> None:
         self._request.attempts += 1
         self._request.deepest_attempts += self._level.deepest
-        header = header_for(self._time.now, self._deadline)
+        header = format_deadline(self._time.now, self._deadline)
         self._run = BackendRun(self._level.world, self._request, header, self._replied)
 
     def _replied(self, reply: Reply) -> None:
@@ -166,13 +166,13 @@
         now = self._time.now
         if reply.status == BROKEN_EXCHANGE:
             self._sent = True
-            self._level.dispatcher.finish(self._ticket, now, AttemptEnd.BROKEN)
+            self._level.dispatcher.finish(self._ticket, now, AttemptResult.BROKEN)
             self._retry(BackendFailedError("the exchange broke"))
             return
-        end = end_of_answer(reply.status, reply.outcome, reply.retries)
+        end = result_of_response(reply.status, reply.outcome, reply.retries)
         self._level.dispatcher.note_answer(self._ticket, now, None, leaving=False)
         self._level.dispatcher.finish(self._ticket, now, end)
-        if end is AttemptEnd.SHED:
+        if end is AttemptResult.SHED:
             self._retry(BackendShedError("shed"))
         else:
             self._end(reply)
--- a/src/pewtertack/lab/depth/simulation.py
+++ b/src/pewtertack/lab/depth/simulation.py
@@ -13,7 +13,7 @@
 from pewtertack.lab.depth.levels import ROUTE_TIMEOUT, DispatcherLevel, FixedLevel, route
 from pewtertack.lab.depth.requests import OK_STATUS, Cancellable, Level, Reply, TopRequest
 from pewtertack.lab.overload.world import VirtualTime
-from pewtertack.routing.deadlines import header_for
+from pewtertack.routing.deadlines import format_deadline
 
 RATE = 50.0
 """Top-level requests per second."""
@@ -153,7 +153,7 @@
             request.ended = time.now
             request.answered = reply.status == OK_STATUS
 
-    call = top.call(request, header_for(time.now, request.deadline), answered)
+    call = top.call(request, format_deadline(time.now, request.deadline), answered)
     time.at(request.deadline, lambda: _leave(request, call))
 
 
--- a/src/pewtertack/lab/overload/gateways.py
+++ b/src/pewtertack/lab/overload/gateways.py
@@ -15,11 +15,11 @@
 from pewtertack.lab.overload.workload import SERVICE, SimulatedRequest, route_of
 from pewtertack.lab.overload.world import NETWORK_DELAY, VirtualTime
 from pewtertack.routing.admission import Admission
+from pewtertack.routing.admission_ticket import AdmissionTicket
+from pewtertack.routing.attempt_results import AttemptResult
 from pewtertack.routing.backend import LoadReport
 from pewtertack.routing.dispatcher import Dispatcher
-from pewtertack.routing.ends import AttemptEnd
 from pewtertack.routing.outcomes import GatewayRefusedError, NotRunError, RequestFailedError
-from pewtertack.routing.places import AdmissionTicket
 from pewtertack.routing.policies import DEFAULT_POLICIES, Policies
 from pewtertack.routing.queueing import Ticket
 
@@ -39,7 +39,7 @@
         rank = (CLASS_ORDER.index(request.profile.work_class), 0)
         objective = request.began + ticket.route.objective
         self.place = AdmissionTicket(
-            ticket.route.name, rank, objective, request.deadline, ticket.lateness
+            ticket.route.name, rank, objective, request.deadline, ticket.wait_policy
         )
         self.place.submitted_at = now
         self.closed = False
@@ -108,9 +108,9 @@
         """Refuse a waiting job once its time is over, as the gateway's timer does."""
         if job.closed or job.place.granted or job.place.refusal is not None:
             return
-        self.admission.expire(job.place, self.time.now)
+        self.admission.recheck(job.place, self.time.now)
         if job.place.refusal is None:
-            self.time.at(self.admission.expires_at(job.place), lambda: self._look(job))
+            self.time.at(self.admission.next_check_at(job.place), lambda: self._look(job))
 
     def _woken(self, job: GatewayJob) -> None:
         if job.place.refusal is not None:
@@ -119,7 +119,7 @@
             self._start(job)
 
     def _start(self, job: GatewayJob) -> None:
-        self.waits.append(job.place.queued)
+        self.waits.append(job.place.queued_seconds)
         job.request.offered_at = self.time.now
         ends = self.time.now + job.request.work * self.slowness
         cut = job.request.deadline
@@ -192,7 +192,7 @@
         if job is not None and not job.ticket.finished:
             assert job.ticket.backend is not None
             self._gateways[job.ticket.backend.name].cancel(job)
-            self._dispatcher.finish(job.ticket, self.time.now, AttemptEnd.CANCELLED)
+            self._dispatcher.finish(job.ticket, self.time.now, AttemptResult.CANCELLED)
 
     def _submit(self, request: SimulatedRequest, ticket: Ticket) -> None:
         try:
@@ -210,7 +210,7 @@
         """The deadline passed while the back end was at work."""
         self._jobs.pop(job.request, None)
         job.request.end(self.time.now)
-        self._dispatcher.finish(job.ticket, self.time.now, AttemptEnd.TIMED_OUT)
+        self._dispatcher.finish(job.ticket, self.time.now, AttemptResult.TIMED_OUT)
 
     def replied(self, job: GatewayJob, error: NotRunError | None, report: LoadReport) -> None:
         """An answer or a refusal has come back."""
@@ -218,9 +218,9 @@
         if job.ticket.finished:
             return
         self._jobs.pop(job.request, None)
-        job.ticket.queued = job.place.queued if error is None else 0.0
+        job.ticket.queued_seconds = job.place.queued_seconds if error is None else 0.0
         self._dispatcher.note_answer(job.ticket, now, report, leaving=False)
-        end = AttemptEnd.ANSWERED if error is None else AttemptEnd.REFUSED
+        end = AttemptResult.ANSWERED if error is None else AttemptResult.REFUSED
         self._dispatcher.finish(job.ticket, now, end)
         if error is None:
             job.request.end(now, answered=True)
--- a/src/pewtertack/lab/overload/nodes.py
+++ b/src/pewtertack/lab/overload/nodes.py
@@ -15,9 +15,9 @@
     route_of,
 )
 from pewtertack.lab.overload.world import Job, SimulatedBackend, VirtualTime
+from pewtertack.routing.attempt_results import AttemptResult
 from pewtertack.routing.backend import LoadReport
 from pewtertack.routing.dispatcher import Dispatcher
-from pewtertack.routing.ends import AttemptEnd
 from pewtertack.routing.outcomes import BackendShedError, RequestFailedError
 from pewtertack.routing.queueing import Ticket
 
@@ -107,7 +107,7 @@
 
     def _look(self, ticket: Ticket) -> None:
         if ticket.backend is None and ticket.refusal is None:
-            look_at = self._dispatcher.look(ticket, self._time.now)
+            look_at = self._dispatcher.check(ticket, self._time.now)
             self._time.at(look_at, lambda: self._look(ticket))
 
     def _woken(self, request: SimulatedRequest, ticket: Ticket) -> None:
@@ -130,7 +130,7 @@
         if not ticket.finished:
             backend.cancel(job)
             request.ended = self._time.now
-            self._dispatcher.finish(ticket, self._time.now, AttemptEnd.TIMED_OUT)
+            self._dispatcher.finish(ticket, self._time.now, AttemptResult.TIMED_OUT)
 
     def _replied(
         self, request: SimulatedRequest, ticket: Ticket, shed: bool, report: LoadReport
@@ -139,7 +139,7 @@
             return
         now = self._time.now
         self._dispatcher.note_answer(ticket, now, report, leaving=False)
-        self._dispatcher.finish(ticket, now, AttemptEnd.SHED if shed else AttemptEnd.ANSWERED)
+        self._dispatcher.finish(ticket, now, AttemptResult.SHED if shed else AttemptResult.ANSWERED)
         if not shed:
             request.ended = now
             request.answered = True
--- a/src/pewtertack/node/assembly.py
+++ b/src/pewtertack/node/assembly.py
@@ -35,7 +35,7 @@
     from pewtertack.node.platform import PlatformReader
     from pewtertack.node.proxy.application import ProxyApplication
     from pewtertack.node.proxy.edge import EdgeHeaders
-    from pewtertack.routing.runs import RunsBeside
+    from pewtertack.routing.executions import LocalExecutions
 
 
 STAGE_BOUNDS = (0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0)
@@ -133,13 +133,13 @@
     return CoordinationCollector(view.status, traffic)
 
 
-def _runs_beside(settings: Settings) -> RunsBeside | None:
+def _runs_beside(settings: Settings) -> LocalExecutions | None:
     """Return what proxy and gateway know in common; only where there are both is it loaded."""
     if settings.listen.proxy is None or settings.listen.gateway is None:
         return None
-    from pewtertack.routing.runs import RunsBeside
+    from pewtertack.routing.executions import LocalExecutions
 
-    return RunsBeside()
+    return LocalExecutions()
 
 
 def _proxy(
@@ -148,7 +148,7 @@
     registry: MetricsRegistry,
     log: EventLog,
     reporter: CrashReporter,
-    runs: RunsBeside | None,
+    runs: LocalExecutions | None,
 ) -> ProxyApplication | None:
     """Return the proxy part; its modules are loaded only where there is one."""
     if settings.listen.proxy is None:
@@ -180,7 +180,7 @@
     log: EventLog,
     registry: MetricsRegistry,
     reporter: CrashReporter,
-    runs: RunsBeside | None,
+    runs: LocalExecutions | None,
 ) -> GatewayApplication | None:
     """Return the gateway part, where a back end is beside the node."""
     if settings.listen.gateway is None or settings.backend.address is None:
--- a/src/pewtertack/node/gateway/application.py
+++ b/src/pewtertack/node/gateway/application.py
@@ -48,8 +48,9 @@
 from pewtertack.node.proxy.upstream import ConnectionPool
 from pewtertack.routing.cold import ColdBounds, ColdStart
 from pewtertack.routing.deadlines import deadline_of
-from pewtertack.routing.link import LinkShare
-from pewtertack.routing.origins import watch_for
+from pewtertack.routing.executions import LocalExecutions, never_without_result
+from pewtertack.routing.link import LinkScheduler
+from pewtertack.routing.origins import origin_detector_for
 from pewtertack.routing.outcomes import (
     BackendGoneError,
     BackendUnreachableError,
@@ -60,7 +61,6 @@
     ZoneEvacuatedError,
 )
 from pewtertack.routing.policies import DEFAULT_POLICIES, LongBodyPolicy, Policies, SlotOrderPolicy
-from pewtertack.routing.runs import RunsBeside, none_in_vain
 from pewtertack.settings import Settings
 
 STOP_TIME_FACTOR = 2.0
@@ -117,7 +117,7 @@
         registry: MetricsRegistry | None = None,
         reporter: CrashReporter | None = None,
         policies: Policies = DEFAULT_POLICIES,
-        runs: RunsBeside | None = None,
+        runs: LocalExecutions | None = None,
     ) -> None:
         self._clock = clock
         self._settings = settings
@@ -127,8 +127,8 @@
         self._reporter = reporter or CrashReporter()
         self._backend_down = False
         """Whether the back end's address refused connections when last used."""
-        runs = runs or RunsBeside()
-        self.origins = watch_for(policies)
+        runs = runs or LocalExecutions()
+        self.origins = origin_detector_for(policies)
         """Who calls each route, as far as known; ``None`` if the policies do not need it."""
         self._context = GatewayContext(
             clock,
@@ -141,7 +141,9 @@
             self._reporter,
             self.origins,
             runs,
-            runs.in_vain if policies.begun_runs is SlotOrderPolicy.FINISHABLE else none_in_vain,
+            runs.likely_without_result
+            if policies.begun_runs is SlotOrderPolicy.FINISHABLE
+            else never_without_result,
             self.requests,
             pacer=_make_pacer(clock, settings, policies),
         )
@@ -229,7 +231,7 @@
     def flush_responses(self) -> None:
         """Send all responses that wait for their turn on the link at once."""
         if self._context.pacer is not None:
-            self._context.pacer.share.open()
+            self._context.pacer.share.send_all_now()
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve one request (ASGI entry point)."""
@@ -264,7 +266,7 @@
             backend = request.backend if request is not None else ""
             load_text = load[0][1].decode() if load else ""
             self._log.refused(head.request_id, backend, error, load_text)
-            self._metrics.note_refused(error.code, error.offered)
+            self._metrics.note_refused(error.code, error.reached_backend)
             headers = [*load, *self._note_refused(request)]
             if request is not None and self._context.pacer is not None:
                 headers += link_headers(self._context.pacer, request.route)
@@ -279,7 +281,7 @@
         """Count a refused nested call; return the header that reports the route's origin."""
         if request is None or self.origins is None:
             return []
-        if self.origins.is_within(request.route, request.nested):
+        if self.origins.is_nested(request.route, request.nested):
             self._metrics.note_nested(request.route, admitted=False)
         return origin_headers(self.origins, request)
 
@@ -387,7 +389,7 @@
     """Return the pacer of long responses; ``None`` if they are sent without pacing."""
     if policies.long_bodies is not LongBodyPolicy.IN_TURNS or not settings.link_mbps:
         return None
-    return LinkPacer(clock, LinkShare(settings.link_mbps))
+    return LinkPacer(clock, LinkScheduler(settings.link_mbps))
 
 
 def _evacuated() -> ZoneEvacuatedError:
@@ -395,7 +397,7 @@
 
 
 def _mark_not_offered(error: RequestFailedError) -> RequestFailedError:
-    error.offered = False
+    error.reached_backend = False
     return error
 
 
--- a/src/pewtertack/node/gateway/cold_watch.py
+++ b/src/pewtertack/node/gateway/cold_watch.py
@@ -84,7 +84,7 @@
 
     async def _query_due(self, path: str) -> None:
         for cold in self._backend.cold_starts():
-            if cold.asks(self._clock()):
+            if cold.should_query(self._clock()):
                 await self._query(cold, path)
 
     async def _query(self, cold: ColdStart, path: str) -> None:
@@ -98,7 +98,7 @@
             return  # the query is repeated; until then the known state stays in force
         remaining = self._remaining_of(answer)
         if remaining is not None:
-            cold.learn(sent_at, self._clock(), remaining)
+            cold.note_remaining(sent_at, self._clock(), remaining)
 
     def _client_for(self, address: str) -> HttpClient:
         """Return a client that keeps its connection between queries."""
--- a/src/pewtertack/node/gateway/context.py
+++ b/src/pewtertack/node/gateway/context.py
@@ -17,8 +17,8 @@
 from pewtertack.node.proxy.in_flight import RequestsInFlight
 from pewtertack.node.proxy.request_log import GatewayLog
 from pewtertack.node.proxy.upstream import ConnectionPool
-from pewtertack.routing.origins import OriginWatch
-from pewtertack.routing.runs import RunsBeside, none_in_vain
+from pewtertack.routing.executions import LocalExecutions, never_without_result
+from pewtertack.routing.origins import OriginDetector
 
 
 class GatewayContext(msgspec.Struct, frozen=True):
@@ -32,10 +32,10 @@
     metrics: GatewayMetrics
     crashes: CrashDetector
     reporter: CrashReporter
-    origins: OriginWatch | None = None
+    origins: OriginDetector | None = None
     """Who calls each route; ``None`` if nested calls are treated like all others."""
-    runs: RunsBeside = msgspec.field(default_factory=RunsBeside)
-    should_defer: Callable[[str, float], bool] = none_in_vain
+    runs: LocalExecutions = msgspec.field(default_factory=LocalExecutions)
+    should_defer: Callable[[str, float], bool] = never_without_result
     """Tells by route and time whether requests should be deferred: their executions often fail
     because nested calls that they make are refused."""
     requests: RequestsInFlight = msgspec.field(default_factory=RequestsInFlight)
--- a/src/pewtertack/node/gateway/forwarding.py
+++ b/src/pewtertack/node/gateway/forwarding.py
@@ -36,6 +36,7 @@
 from pewtertack.node.proxy.in_flight import Progress
 from pewtertack.node.proxy.lifetime import LifetimeEnd, RequestLifetime, end_error
 from pewtertack.routing.admission import Admission
+from pewtertack.routing.admission_ticket import AdmissionTicket
 from pewtertack.routing.outcomes import (
     BackendFailedError,
     BackendHungError,
@@ -45,7 +46,6 @@
     RequestFailedError,
     WithdrawnError,
 )
-from pewtertack.routing.places import AdmissionTicket
 
 REFUSAL_LEAD_SECONDS = 0.5
 """Requests that have not started are refused this long before the sender's node stops relaying
@@ -99,7 +99,7 @@
             deadline,
             request.wait_policy,
             context.origins is not None
-            and context.origins.is_within(request.route, request.nested),
+            and context.origins.is_nested(request.route, request.nested),
         )
         sender_stops_at = now + request.sender_stops_in
         self._link_check = LinkCheck(context.pacer, admission, self._ticket, sender_stops_at)
@@ -170,7 +170,7 @@
         if self._exchange.started:
             raise TruncatedAnswerError("the deadline passed while the response was being sent")
         error = end_error(end)
-        error.offered = self._may_have_run
+        error.reached_backend = self._may_have_run
         raise error.with_outcome(Outcome.UNKNOWN if self._may_have_run else Outcome.NOT_RUN)
 
     def _note_cancelled(self) -> None:
@@ -284,7 +284,7 @@
             refusal, self._pending_refusal = self._pending_refusal, None
             if refusal is None:
                 raise
-            refusal.offered = False
+            refusal.reached_backend = False
             raise refusal from None
         except BaseException:
             self._release_slot()
@@ -302,11 +302,11 @@
         log, request = self._context.log, self.request_id
         log.admitted(request, self._request.backend, self._ticket, self._admission)
         metrics, route = self._context.metrics, self._request.route
-        metrics.note_admitted(route, self._ticket.queued)
-        if self._ticket.within:
+        metrics.note_admitted(route, self._ticket.queued_seconds)
+        if self._ticket.nested:
             metrics.note_nested(route, admitted=True)
         answered = False
-        self._context.runs.begin(route, self._ticket.rank)
+        self._context.runs.note_start(route, self._ticket.rank)
         try:
             await self._attempt()
             answered = True
@@ -315,7 +315,7 @@
             log.answered(request, self._request.backend, self.status, self._ticket)
         finally:
             now = self._context.clock()
-            self._context.runs.end(route, self._ticket.rank, now - self._ticket.started_at)
+            self._context.runs.note_end(route, self._ticket.rank, now - self._ticket.started_at)
             self._admission.finish(self._ticket, now, answered, self._read_delay)
 
     async def _wait_for_slot(self) -> None:
@@ -324,8 +324,8 @@
 
     def _submit(self) -> None:
         ticket, now = self._ticket, self._context.clock()
-        if not ticket.within and self._context.should_defer(ticket.route, now):
-            ticket.lateness = ticket.lateness.yielding
+        if not ticket.nested and self._context.should_defer(ticket.route, now):
+            ticket.wait_policy = ticket.wait_policy.deferred
             self._context.metrics.note_deferred(ticket.route)
         try:
             self._link_check.check(now)
@@ -333,7 +333,7 @@
                 self._sender.reserve()
             self._admission.submit(ticket, now)
         except RequestFailedError as error:
-            error.offered = False
+            error.reached_backend = False
             raise
 
     async def _wait_until_granted(self) -> None:
@@ -378,7 +378,7 @@
         self, work: Awaitable[None], connection: BackendConnection
     ) -> None:
         """Await the work; report a hang if the sender asked for such reports."""
-        hangs = self._admission.hangs
+        hangs = self._admission.hang_detector
         if hangs is None or not self._request.report_hangs:
             await work
             return
@@ -405,7 +405,7 @@
 
     def _response_headers(self) -> RawHeaders:
         self._ticket.answering = True
-        queued = int(self._ticket.queued * 1000)
+        queued = int(self._ticket.queued_seconds * 1000)
         headers = [
             *load_headers(self._admission, self._context.clock()),
             *origin_headers(self._context.origins, self._request),
--- a/src/pewtertack/node/gateway/hang_checks.py
+++ b/src/pewtertack/node/gateway/hang_checks.py
@@ -10,8 +10,8 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from pewtertack.routing.hanging import HangWatch
-from pewtertack.routing.places import AdmissionTicket
+from pewtertack.routing.admission_ticket import AdmissionTicket
+from pewtertack.routing.hanging import HangDetector
 
 REPORT_INTERVAL_SECONDS = 0.25
 """Time between two reports: a sender whose retry budget was empty may have a retry by then."""
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        hangs: HangWatch,
+        hangs: HangDetector,
         ticket: AdmissionTicket,
         clock: Callable[[], float],
         is_answering: Callable[[], bool],
@@ -47,7 +47,7 @@
 
     async def run(self, work: Awaitable[None]) -> None:
         """Await the work, with hang checks until it is done."""
-        self._arm(self._hangs.first_look(self._ticket))
+        self._arm(self._hangs.first_check(self._ticket))
         try:
             await work
         finally:
@@ -61,9 +61,9 @@
     def _check(self) -> None:
         if self._is_answering():
             return
-        if self._hangs.hangs(self._ticket, self._clock()):
+        if self._hangs.should_abandon(self._ticket, self._clock()):
             self._ticket.hung = True
             self._report()
-            self._arm(max(REPORT_INTERVAL_SECONDS, self._hangs.next_look(self._ticket)))
+            self._arm(max(REPORT_INTERVAL_SECONDS, self._hangs.next_check(self._ticket)))
         else:
-            self._arm(self._hangs.next_look(self._ticket))
+            self._arm(self._hangs.next_check(self._ticket))
--- a/src/pewtertack/node/gateway/hop.py
+++ b/src/pewtertack/node/gateway/hop.py
@@ -15,6 +15,7 @@
 from pewtertack.core.configuration.resolved import DEFAULT_CRASH_LIMIT, ResolvedRoute, WorkClass
 from pewtertack.node.http.messages import OutgoingRequest
 from pewtertack.node.proxy.edge import NODE_EDGE
+from pewtertack.routing.executions import Rank
 from pewtertack.routing.outcomes import (
     BackendCrashedError,
     BackendFailedError,
@@ -28,8 +29,7 @@
     RequestEndsBackendsError,
     RequestFailedError,
 )
-from pewtertack.routing.patience import Lateness
-from pewtertack.routing.runs import Rank
+from pewtertack.routing.wait_policy import WaitPolicy
 
 Headers = list[tuple[bytes, bytes]]
 
@@ -42,7 +42,7 @@
 OBJECTIVE = b"x-pewtertack-objective-ms"
 """Milliseconds left until the route's latency objective is missed."""
 WAIT_POLICY = b"x-pewtertack-lateness"
-"""Wait policy (``Lateness``): what to do with the request if it would have to wait."""
+"""Wait policy (``WaitPolicy``): what to do with the request if it would have to wait."""
 CALLER_SERVICE = b"x-pewtertack-caller-service"
 CRASH_LIMIT = b"x-pewtertack-crash-limit"
 """The route's ``crash_limit``, sent where it differs from ``DEFAULT_CRASH_LIMIT``."""
@@ -77,7 +77,7 @@
 LINK = b"x-pewtertack-link-ms"
 """In a response of a gateway that paces long ones: ``<ahead>/<own>``, the time in which its link
 drains the bytes queued now, and the time that a response of the route takes on an idle link
-(``pewtertack.routing.link_words``). Absent if both are 0."""
+(``pewtertack.routing.link_reports``). Absent if both are 0."""
 
 PROBE = b"x-pewtertack-probe"
 """In a request to the gateway itself: asks whether it accepts requests."""
@@ -112,7 +112,7 @@
 NOT_OFFERED = "not-offered"
 PROBE_ANSWERED = 204
 """Status of the response to a request that is addressed to the gateway itself."""
-WAIT_POLICIES = {item.value: item for item in Lateness}
+WAIT_POLICIES = {item.value: item for item in WaitPolicy}
 MAX_HEADER_LENGTH = 256
 _CLASS_RANKS = {work_class: rank for rank, work_class in enumerate(WorkClass)}
 
@@ -125,7 +125,7 @@
     route: str
     rank: tuple[int, int]
     objective: float
-    wait_policy: Lateness
+    wait_policy: WaitPolicy
     caller_service: str
     crash_limit: int = DEFAULT_CRASH_LIMIT
     started_at: int = 0
@@ -148,7 +148,7 @@
     route: ResolvedRoute,
     backend: str,
     objective: float,
-    wait_policy: Lateness,
+    wait_policy: WaitPolicy,
     caller: str,
     nested: bool = False,
     run_rank: Rank | None = None,
@@ -265,7 +265,7 @@
 
 def failure_header(error: RequestFailedError) -> tuple[bytes, bytes]:
     """Return the header that marks a response as the gateway's own failure."""
-    offered = OFFERED if error.offered else NOT_OFFERED
+    offered = OFFERED if error.reached_backend else NOT_OFFERED
     return FAILURE, f"{error.code} {error.outcome} {offered}".encode()
 
 
--- a/src/pewtertack/node/gateway/incarnations.py
+++ b/src/pewtertack/node/gateway/incarnations.py
@@ -65,7 +65,7 @@
         back end's heartbeats do not reach the store, and returns with them.
         """
         error = self._refusal_type(wanted_start)("the back end is leaving or gone")
-        error.offered = False
+        error.reached_backend = False
         return error
 
     def _refusal_type(self, wanted_start: int) -> type[NotRunError]:
@@ -162,7 +162,7 @@
         slots = machine.slots or DEFAULT_SLOTS
         incarnation.cold.slots = slots
         if machine.cold and not incarnation.listed_cold:
-            incarnation.cold.forget(self._clock())
+            incarnation.cold.assume_cold(self._clock())
         incarnation.listed_cold = machine.cold
         incarnation.leaving |= machine.state is MachineState.LEAVING
         incarnation.hand_back_waiting()
@@ -173,13 +173,13 @@
         self._bounds = bounds
         now = self._clock()
         for incarnation in self._by_name.values():
-            incarnation.cold.use_bounds(bounds, now)
+            incarnation.cold.set_bounds(bounds, now)
 
     def assume_cold(self) -> None:
         """Treat all back ends as cold until they report otherwise."""
         now = self._clock()
         for incarnation in self._by_name.values():
-            incarnation.cold.forget(now)
+            incarnation.cold.assume_cold(now)
 
     def cold_starts(self) -> list[ColdStart]:
         """Return the cold-start state of the incarnations that take work."""
--- a/src/pewtertack/node/gateway/link_check.py
+++ b/src/pewtertack/node/gateway/link_check.py
@@ -10,9 +10,9 @@
 
 from pewtertack.node.pacing import LinkPacer
 from pewtertack.routing.admission import Admission
-from pewtertack.routing.long_body import RECEIVER_STOPS, Rank
+from pewtertack.routing.admission_ticket import AdmissionTicket
+from pewtertack.routing.long_body import RECEIVER_STOPPING, Rank
 from pewtertack.routing.outcomes import DeadlineUnmeetableError, DrainingError
-from pewtertack.routing.places import AdmissionTicket
 
 QUEUE_TIME_MARGIN = 1.5
 """The bytes queued before a response may take this many times as long to send as predicted:
@@ -51,12 +51,14 @@
     @property
     def rank(self) -> Rank:
         """The response's rank in the link queue."""
-        return RECEIVER_STOPS if self.sender_stopping else self._ticket.rank
+        return RECEIVER_STOPPING if self.sender_stopping else self._ticket.rank
 
     @property
     def _transfer_seconds(self) -> float:
         """Seconds that the response takes on an idle link; 0 if it is short or unknown."""
-        return self._pacer.share.own_time(self._ticket.route) if self._pacer is not None else 0.0
+        return (
+            self._pacer.share.transfer_time(self._ticket.route) if self._pacer is not None else 0.0
+        )
 
     def check(self, now: float) -> None:
         """Refuse a request whose response would be late because others occupy the link.
@@ -73,7 +75,7 @@
             return
         transfer, queued = self._transfer_seconds, 0.0
         if transfer and self._pacer is not None:
-            queued = self._pacer.share.time_ahead(self.rank, now)
+            queued = self._pacer.share.queue_time(self.rank, now)
             if not (self._fits(now, transfer, queued) or self._may_probe(queued, now)):
                 raise DeadlineUnmeetableError(
                     "the link is occupied for too long", queued + transfer
@@ -89,7 +91,7 @@
         ticket = self._ticket
         idle_end = now + transfer + self._admission.expected_time(ticket.route)
         hard_limit = min(ticket.deadline, self.sender_stops_at)
-        preferred_limit = hard_limit if ticket.within else min(ticket.objective, hard_limit)
+        preferred_limit = hard_limit if ticket.nested else min(ticket.objective, hard_limit)
         limit = preferred_limit if idle_end <= preferred_limit else hard_limit
         return idle_end + queued <= limit and idle_end + QUEUE_TIME_MARGIN * queued <= hard_limit
 
@@ -121,5 +123,5 @@
         run_seconds = self._admission.expected_time(route)
         if self._pacer.ends_before(route, self.rank, run_seconds):
             error = DrainingError("the node of the back end is shutting down")
-            error.offered = False
+            error.reached_backend = False
             raise error
--- a/src/pewtertack/node/gateway/reception.py
+++ b/src/pewtertack/node/gateway/reception.py
@@ -12,7 +12,7 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from pewtertack.routing.places import AdmissionTicket
+from pewtertack.routing.admission_ticket import AdmissionTicket
 
 MAX_CONCURRENT_BODIES = 2
 """Long bodies received by one gateway at once: two fill a link of 10 Mbit/s with 32 KB windows."""
@@ -74,7 +74,7 @@
         may_start_early = len(self._early) < MAX_EARLY_BODIES
         waiters = (item for item in self._waiters if item.ticket.granted or may_start_early)
         return min(
-            waiters, key=lambda item: (not item.ticket.granted, item.ticket.order), default=None
+            waiters, key=lambda item: (not item.ticket.granted, item.ticket.sort_key), default=None
         )
 
     def _finish(self, waiter: _Waiter) -> None:
--- a/src/pewtertack/node/gateway/report_headers.py
+++ b/src/pewtertack/node/gateway/report_headers.py
@@ -8,12 +8,12 @@
 from pewtertack.node.pacing import LinkPacer
 from pewtertack.node.proxy.headers import BACKEND_LOAD
 from pewtertack.routing.admission import Admission
-from pewtertack.routing.origins import OriginWatch
+from pewtertack.routing.origins import OriginDetector
 
 
 def load_headers(admission: Admission, now: float) -> RawHeaders:
     """Return the header with the back end's load, which includes waiting requests."""
-    return [(BACKEND_LOAD, f"{admission.load}/{admission.told_slots(now)}".encode())]
+    return [(BACKEND_LOAD, f"{admission.load}/{admission.advertised_slots(now)}".encode())]
 
 
 def link_headers(pacer: LinkPacer, route: str) -> RawHeaders:
@@ -22,7 +22,7 @@
     return [(hop.LINK, value.encode())] if value is not None else []
 
 
-def origin_headers(origins: OriginWatch | None, request: HopRequest) -> RawHeaders:
+def origin_headers(origins: OriginDetector | None, request: HopRequest) -> RawHeaders:
     """Return the header that names who calls the request's route, if the sender needs it."""
-    value = origins.to_tell(request.route, request.nested) if origins is not None else None
+    value = origins.to_advertise(request.route, request.nested) if origins is not None else None
     return [(hop.ORIGIN, value.encode())] if value is not None else []
--- a/src/pewtertack/node/gateway/sending.py
+++ b/src/pewtertack/node/gateway/sending.py
@@ -12,9 +12,9 @@
 from pewtertack.node.pacing import LinkEndsError, LinkPacer, QueuedBody
 from pewtertack.node.proxy.exchange import START_BUFFER_BYTES
 from pewtertack.node.proxy.failure_responses import Send
+from pewtertack.routing.admission_ticket import AdmissionTicket
 from pewtertack.routing.link import LONG_BYTES
-from pewtertack.routing.long_body import RECEIVER_STOPS
-from pewtertack.routing.places import AdmissionTicket
+from pewtertack.routing.long_body import RECEIVER_STOPPING
 
 RESPONSE_BUFFER_BYTES = 256 * 1024
 """Limit on the buffered bytes of one response; reading more from the back end waits."""
@@ -111,10 +111,10 @@
 
     def reserve(self) -> None:
         """Reserve link capacity for the response of a request that is about to be admitted."""
-        self._reserved_bytes = self._pacer.share.promise(self._ticket.route, self._rank)
+        self._reserved_bytes = self._pacer.share.reserve(self._ticket.route, self._rank)
 
     def _release_reservation(self) -> None:
-        self._pacer.share.keep(self._rank, self._reserved_bytes)
+        self._pacer.share.release(self._rank, self._reserved_bytes)
         self._reserved_bytes = 0
 
     def finish_by(self, moment: float) -> None:
@@ -124,7 +124,7 @@
         """
         had_reservation = self._reserved_bytes > 0
         self._release_reservation()
-        self._rank = RECEIVER_STOPS
+        self._rank = RECEIVER_STOPPING
         self._objective = min(self._objective, moment)
         self._deadline = min(self._deadline, moment)
         if had_reservation:
@@ -151,7 +151,7 @@
             await self._send(head)
         elif len(body) <= LONG_BYTES:
             self._pacer.note_sent(len(body))
-            self._pacer.share.note_answer(self._ticket.route, len(body))
+            self._pacer.share.note_answer_size(self._ticket.route, len(body))
             await self._send(head)
         else:
             del head[WHOLE_BODY]
@@ -175,7 +175,7 @@
         """Record the length for the route, unless the back end was slower than the link."""
         seconds = self._pacer.now() - self._started_at
         if seconds * self._pacer.share.bytes_per_second <= self._body_bytes:
-            self._pacer.share.note_answer(self._ticket.route, self._body_bytes)
+            self._pacer.share.note_answer_size(self._ticket.route, self._body_bytes)
 
     async def _buffer(self, data: bytes) -> None:
         self._chunks.append(data)
--- a/src/pewtertack/node/gateway/slot_wait.py
+++ b/src/pewtertack/node/gateway/slot_wait.py
@@ -8,7 +8,7 @@
 import anyio
 
 from pewtertack.routing.admission import Admission
-from pewtertack.routing.places import AdmissionTicket
+from pewtertack.routing.admission_ticket import AdmissionTicket
 
 MIN_RECHECK_SECONDS = 0.001
 """Minimum delay before a waiting request is rechecked, which matters if a timer fires early."""
@@ -45,7 +45,7 @@
             self._release_ticket()
             raise
         if self._ticket.refusal is not None:
-            self._ticket.refusal.offered = False
+            self._ticket.refusal.reached_backend = False
             raise self._ticket.take_refusal()
 
     async def _until_decided(self) -> None:
@@ -60,8 +60,8 @@
     def _recheck(self) -> None:
         """Refuse the ticket if its waiting time has expired; schedule the next check."""
         now = self._clock()
-        self._admission.expire(self._ticket, now)
-        seconds = max(MIN_RECHECK_SECONDS, self._admission.expires_at(self._ticket) - now)
+        self._admission.recheck(self._ticket, now)
+        seconds = max(MIN_RECHECK_SECONDS, self._admission.next_check_at(self._ticket) - now)
         self._timer = asyncio.get_running_loop().call_later(seconds, self._recheck)
 
     def _release_ticket(self) -> None:
--- a/src/pewtertack/node/pacing.py
+++ b/src/pewtertack/node/pacing.py
@@ -8,8 +8,8 @@
 from types import TracebackType
 
 from pewtertack.errors import PewtertackError
-from pewtertack.routing.link import PART_BYTES, LinkShare
-from pewtertack.routing.link_words import link_text
+from pewtertack.routing.link import PART_BYTES, LinkScheduler
+from pewtertack.routing.link_reports import format_link_report
 from pewtertack.routing.long_body import LongBody, Rank
 
 
@@ -27,7 +27,7 @@
 
     __slots__ = ("_clock", "share")
 
-    def __init__(self, clock: Callable[[], float], share: LinkShare) -> None:
+    def __init__(self, clock: Callable[[], float], share: LinkScheduler) -> None:
         self._clock = clock
         self.share = share
 
@@ -40,20 +40,22 @@
         self.share.note_sent(size, self._clock())
 
     def end_at(self, moment: float) -> None:
-        """See ``LinkShare.end_at``."""
-        self.share.end_at(moment, self._clock())
+        """See ``LinkScheduler.stop_at``."""
+        self.share.stop_at(moment, self._clock())
 
     def ends_before(self, route: str, rank: Rank, run_seconds: float) -> bool:
-        """See ``LinkShare.ends_before``."""
-        return self.share.ends_before(route, rank, self._clock(), run_seconds)
+        """See ``LinkScheduler.stops_before``."""
+        return self.share.stops_before(route, rank, self._clock(), run_seconds)
 
     def answer_time(self, route: str, rank: Rank) -> float:
-        """See ``LinkShare.answer_time``."""
-        return self.share.answer_time(route, rank, self._clock())
+        """See ``LinkScheduler.delivery_time``."""
+        return self.share.delivery_time(route, rank, self._clock())
 
     def link_report(self, route: str) -> str | None:
         """Return what to tell senders of the link, asked for an answer of the route."""
-        return link_text(self.share.line_time(self._clock()), self.share.own_time(route))
+        return format_link_report(
+            self.share.total_queue_time(self._clock()), self.share.transfer_time(route)
+        )
 
     def queue_body(
         self,
@@ -65,8 +67,8 @@
         returnable: int = 0,
         only_here: bool = False,
     ) -> QueuedBody:
-        """Queue one long body; used as a context manager, see ``LinkShare.enter``."""
-        enter = self.share.enter
+        """Queue one long body; used as a context manager, see ``LinkScheduler.enqueue``."""
+        enter = self.share.enqueue
         return QueuedBody(
             self._clock,
             self.share,
@@ -82,7 +84,7 @@
     def __init__(
         self,
         clock: Callable[[], float],
-        share: LinkShare,
+        share: LinkScheduler,
         enter: Callable[[Callable[[], None]], LongBody],
     ) -> None:
         self._clock = clock
@@ -99,17 +101,17 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        self._share.leave(self._body, self._clock())
+        self._share.remove(self._body, self._clock())
 
     def hasten(self, rank: Rank, wanted: float, latest: float) -> None:
-        """Give the body another place (``LinkShare.hasten``)."""
-        self._share.hasten(self._body, rank, wanted, latest, self._clock())
+        """Give the body another place (``LinkScheduler.expedite``)."""
+        self._share.expedite(self._body, rank, wanted, latest, self._clock())
 
     async def parts(self, data: bytes) -> AsyncIterator[bytes]:
         """Yield the data in parts, each when it may be sent.
 
         Raises:
-            LinkEndsError: a node stops too early for it (``LinkShare.end_at``).
+            LinkEndsError: a node stops too early for it (``LinkScheduler.stop_at``).
         """
         for start in range(0, len(data), PART_BYTES):
             await self._wait()
@@ -119,8 +121,8 @@
 
     async def _wait(self) -> None:
         while True:
-            wait = self._share.wait_of(self._body, self._clock())
-            if self._body.given_back:
+            wait = self._share.send_delay(self._body, self._clock())
+            if self._body.handed_back:
                 raise LinkEndsError("a node stops before the body could leave")
             if wait is None:
                 self._changed.clear()
--- a/src/pewtertack/node/proxy/application.py
+++ b/src/pewtertack/node/proxy/application.py
@@ -33,13 +33,14 @@
 from pewtertack.node.proxy.stop_time import notify_gateways
 from pewtertack.node.proxy.upstream import ConnectionPool
 from pewtertack.routing.backend_events import (
-    BackendChanged,
     BackendEvent,
+    BackendHealthChanged,
     BackendLeaving,
     BackendListed,
 )
 from pewtertack.routing.deadlines import deadline_of
 from pewtertack.routing.dispatcher import Dispatcher
+from pewtertack.routing.executions import LocalExecutions
 from pewtertack.routing.outcomes import (
     ConfigurationBehindError,
     DrainingError,
@@ -53,7 +54,6 @@
 from pewtertack.routing.policies import DEFAULT_POLICIES, Policies
 from pewtertack.routing.registry import ListChange
 from pewtertack.routing.retry_window import NO_RETRY_LIMITS, RetryLimits
-from pewtertack.routing.runs import RunsBeside
 from pewtertack.routing.table import RouteTable
 
 if TYPE_CHECKING:
@@ -112,7 +112,7 @@
         reporter: CrashReporter | None = None,
         policies: Policies = DEFAULT_POLICIES,
         retry_limits: RetryLimits = NO_RETRY_LIMITS,
-        runs: RunsBeside | None = None,
+        runs: LocalExecutions | None = None,
     ) -> None:
         self._clock = clock
         self._edge = edge
@@ -139,7 +139,7 @@
             self._metrics,
             self.requests,
             self._reporter,
-            runs or RunsBeside(),
+            runs or LocalExecutions(),
             CrashDetector(self._note_crash),
         )
         registry.add_collector(lambda: _make_collector(dispatcher, lambda: self.in_flight, clock))
@@ -186,7 +186,7 @@
         if self._table is None:
             return False
         used = {route.service for route in self._table.configuration.routes}
-        return self._context.dispatcher.reaches_all(used, self._clock())
+        return self._context.dispatcher.can_reach_all(used, self._clock())
 
     def may_run_beside(self, scope: Scope) -> bool:
         """Tell whether a request may run while another one of its connection runs.
@@ -273,7 +273,7 @@
                     address=backend.address,
                     machine_list=self._versions.machine_list,
                 )
-            case BackendChanged(backend, ejected):
+            case BackendHealthChanged(backend, ejected):
                 if backend.unreachable:
                     self._prober.wake()
                     self._context.connections.drop(backend.gateway)
@@ -338,7 +338,7 @@
             raise  # the server logs it and closes the connection
         finally:
             self._metrics.note_retries(route, forwarding.retries)
-            if forwarding.ticket.within:
+            if forwarding.ticket.nested:
                 self._context.runs.note_call(route.name, self._clock(), failed)
 
     async def _wait_for_newer_table(self, head: RequestHead) -> RouteTable:
--- a/src/pewtertack/node/proxy/attempt_ends.py
+++ b/src/pewtertack/node/proxy/attempt_ends.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from pewtertack.routing.ends import AttemptEnd
+from pewtertack.routing.attempt_results import AttemptResult
 from pewtertack.routing.outcomes import (
     BackendCrashedError,
     BackendGoneError,
@@ -24,20 +24,24 @@
 """Gateway refusals that apply to other requests as well: the back end is unreachable."""
 
 
-def attempt_end_for(error: RequestFailedError) -> AttemptEnd:
+def attempt_end_for(error: RequestFailedError) -> AttemptResult:
     """Return the attempt end by which a failure with ``error`` counts."""
     if isinstance(error, GatewayRefusedError) and error.reason == BackendLeftError.code:
-        return AttemptEnd.GONE
+        return AttemptResult.GONE
     if isinstance(error, GatewayRefusedError):
-        return AttemptEnd.UNREACHABLE if error.reason in UNREACHABLE_REASONS else AttemptEnd.REFUSED
+        return (
+            AttemptResult.UNREACHABLE
+            if error.reason in UNREACHABLE_REASONS
+            else AttemptResult.REFUSED
+        )
     if isinstance(error, BackendHungError):
-        return AttemptEnd.HUNG
+        return AttemptResult.HUNG
     if isinstance(error, BackendShedError):
-        return AttemptEnd.SHED
+        return AttemptResult.SHED
     if isinstance(error, BackendSilentError):
-        return AttemptEnd.SILENT
+        return AttemptResult.SILENT
     if isinstance(error, (BackendUnreachableError, BackendCrashedError)):
-        return AttemptEnd.UNREACHABLE
+        return AttemptResult.UNREACHABLE
     if isinstance(error, CrossedAnswerError):
-        return AttemptEnd.BROKEN
-    return AttemptEnd.BROKEN if error.code == "backend-failed" else AttemptEnd.CANCELLED
+        return AttemptResult.BROKEN
+    return AttemptResult.BROKEN if error.code == "backend-failed" else AttemptResult.CANCELLED
--- a/src/pewtertack/node/proxy/dispatcher_metrics.py
+++ b/src/pewtertack/node/proxy/dispatcher_metrics.py
@@ -39,7 +39,7 @@
         budget = GaugeMetricFamily(
             "pewtertack_retry_budget_left", "Retries that may come at once.", labels=("service",)
         )
-        for name, left in self._dispatcher.budgets_left(self._clock()).items():
+        for name, left in self._dispatcher.available_retries(self._clock()).items():
             budget.add_metric([name], left)
         for service in self._dispatcher.services():
             for work_class, length in service.queue.lengths().items():
--- a/src/pewtertack/node/proxy/exchange.py
+++ b/src/pewtertack/node/proxy/exchange.py
@@ -25,8 +25,7 @@
     ResponseMeta,
     read_response_meta,
 )
-from pewtertack.routing.answers import end_of_answer
-from pewtertack.routing.ends import AttemptEnd
+from pewtertack.routing.attempt_results import AttemptResult
 from pewtertack.routing.outcomes import (
     DEFAULT_RETRY_AFTER,
     BackendFailedError,
@@ -38,6 +37,7 @@
     Outcome,
     RequestFailedError,
 )
+from pewtertack.routing.response_results import result_of_response
 
 MAX_SHED_BODY_BYTES = 64 * 1024
 SHED_BODY_SECONDS = 0.02
@@ -75,7 +75,7 @@
         """Whether the head of a response has been passed to the caller."""
         self.status = 0
         """Status of that response, 0 without one."""
-        self.end = AttemptEnd.CANCELLED
+        self.end = AttemptResult.CANCELLED
         """The attempt's end according to the head of the latest response."""
         self.buffers_start = False
         """Whether to buffer the start of the response, so that the request can be sent again if
@@ -130,10 +130,10 @@
             await _drain_short_body(connection)
             retry_after = _parse_fractional_retry_after(meta.retry_after)
             raise error_from_failure(meta.failure, start.status, retry_after)
-        self.end = end_of_answer(start.status, meta.outcome, meta.retries)
+        self.end = result_of_response(start.status, meta.outcome, meta.retries)
         if self._is_not_run(start.status, meta):
-            self.end = AttemptEnd.SHED
-        if self.end is AttemptEnd.SHED:
+            self.end = AttemptResult.SHED
+        if self.end is AttemptResult.SHED:
             await _drain_short_body(connection)
             raise _shed_error(start, meta)
         self._check_framing(connection, start, meta)
@@ -285,7 +285,7 @@
     """Return the failure of an exchange that broke before its response."""
     error_type = BackendSilentError if connection.peer_silent else BackendFailedError
     error = error_type(f"the exchange broke: {cause}")
-    error.offered = connection.sent
+    error.reached_backend = connection.sent
     return error.with_outcome(Outcome.UNKNOWN if connection.sent else Outcome.NOT_RUN)
 
 
--- a/src/pewtertack/node/proxy/failure_responses.py
+++ b/src/pewtertack/node/proxy/failure_responses.py
@@ -68,7 +68,7 @@
     """Send the caller a typed failure as a complete response."""
     body = failure_body(error)
     headers = failure_head(error, request_id, len(body), edge) + (extra_headers or [])
-    status = error.answer_status
+    status = error.response_status
     await send(
         {"type": "http.response.start", "status": status, "headers": headers, WHOLE_BODY: body}
     )
--- a/src/pewtertack/node/proxy/forwarding.py
+++ b/src/pewtertack/node/proxy/forwarding.py
@@ -49,11 +49,12 @@
 from pewtertack.node.proxy.stop_time import ShutdownDeadline
 from pewtertack.node.proxy.taking_back import withdraw_from_gateway
 from pewtertack.node.proxy.upstream import ConnectionPool
+from pewtertack.routing.attempt_results import AttemptResult
 from pewtertack.routing.backend import Backend, parse_load
 from pewtertack.routing.deadlines import caller_deadline_of
 from pewtertack.routing.dispatcher import Dispatcher, RetryDecision
-from pewtertack.routing.ends import AttemptEnd
-from pewtertack.routing.link_words import parse_link
+from pewtertack.routing.executions import LocalExecutions
+from pewtertack.routing.link_reports import parse_link_report
 from pewtertack.routing.outcomes import (
     BackendCrashedError,
     BackendFailedError,
@@ -63,7 +64,6 @@
 )
 from pewtertack.routing.queueing import Ticket
 from pewtertack.routing.retries import RetryReason
-from pewtertack.routing.runs import RunsBeside
 
 
 class ForwardingContext(msgspec.Struct, frozen=True):
@@ -80,7 +80,7 @@
     metrics: RequestMetrics | None = None
     requests: RequestsInFlight = msgspec.field(default_factory=RequestsInFlight)
     reporter: CrashReporter = msgspec.field(default_factory=CrashReporter)
-    runs: RunsBeside = msgspec.field(default_factory=RunsBeside)
+    runs: LocalExecutions = msgspec.field(default_factory=LocalExecutions)
     """The requests that the local back end runs."""
     crashes: CrashDetector = msgspec.field(default_factory=CrashDetector)
     """For back ends without a gateway; gateways detect the crashes of their own back ends."""
@@ -234,7 +234,7 @@
             await self._crash_guard.refuse_unless_admitted(limit, self._context.clock())
             await self._wait_for_backend()
             if self._withdrawn:
-                self._finish(AttemptEnd.CANCELLED)
+                self._finish(AttemptResult.CANCELLED)
                 self._check_withdrawn()
             try:
                 await self._attempt()
@@ -287,7 +287,7 @@
         try:
             while not granted.is_set():
                 now = self._context.clock()
-                recheck_at = dispatcher.look(ticket, now)
+                recheck_at = dispatcher.check(ticket, now)
                 with anyio.move_on_after(recheck_at - now):
                     await granted.wait()
         except BaseException:
@@ -300,14 +300,14 @@
         if self._ticket.backend is None:
             self._context.dispatcher.withdraw(self._ticket)
         else:
-            self._finish(AttemptEnd.CANCELLED)
+            self._finish(AttemptResult.CANCELLED)
 
     async def _attempt(self) -> None:
         backend = self._ticket.backend
         assert backend is not None
         if self._context.log is not None:
             self._context.log.routed(self._head.request_id, self._ticket, self._revision)
-        end = AttemptEnd.CANCELLED
+        end = AttemptResult.CANCELLED
         self._attempt_active = True
         try:
             await self._exchange_with(backend)
@@ -318,10 +318,10 @@
             end = attempt_end_for(error)
             raise
         except TruncatedAnswerError:
-            end = AttemptEnd.BROKEN
+            end = AttemptResult.BROKEN
             raise
         except anyio.get_cancelled_exc_class():
-            end = AttemptEnd.CANCELLED if self._lifetime.caller_gone else AttemptEnd.TIMED_OUT
+            end = AttemptResult.CANCELLED if self._lifetime.caller_gone else AttemptResult.TIMED_OUT
             raise
         finally:
             self._attempt_active = False
@@ -359,8 +359,8 @@
         if not backend.gateway:
             return [*self._headers, *own_headers, *backend_headers(edge, backend.name, caller)]
         objective = self._ticket.arrived_at + self._route.objective - now
-        wait_policy = self._ticket.lateness
-        nested = self._ticket.within
+        wait_policy = self._ticket.wait_policy
+        nested = self._ticket.nested
         run_rank = self._context.runs.usual_rank() if nested else None
         hop = hop_headers(
             self._route, backend.name, objective, wait_policy, caller, nested, run_rank
@@ -383,7 +383,7 @@
     def _can_repeat(self, now: float) -> bool:
         """Tell whether the request could be sent to another gateway if its response broke off."""
         fits = not self._head.chunked and self._head.body_bytes <= MAX_REPLAY_BYTES
-        return fits and self._context.dispatcher.may_repeat(self._ticket, now)
+        return fits and self._context.dispatcher.may_retry_elsewhere(self._ticket, now)
 
     def _on_hang_report(self, headers: RawHeaders) -> bool:
         """Note that the back end has probably hung; return whether to abandon the attempt.
@@ -410,12 +410,12 @@
             return False
         if self._context.requests.leaving or self._head.has_body:
             return False
-        return self._context.dispatcher.may_leave(self._ticket, self._context.clock())
+        return self._context.dispatcher.may_abandon_hung(self._ticket, self._context.clock())
 
     def _on_response(self, response: ResponseMeta) -> None:
-        self._ticket.queued = response.queued
+        self._ticket.queued_seconds = response.queued
         if response.failure is None:
-            self._context.dispatcher.note_length(self._route.name, response.length)
+            self._context.dispatcher.note_response_length(self._route.name, response.length)
         if response.origin is not None:
             text, now = response.origin, self._context.clock()
             self._context.dispatcher.note_origin(self._route.name, text, now)
@@ -427,11 +427,13 @@
 
     def _note_link(self, text: str, begun: bool) -> None:
         """Record a gateway's report of its link queue; an invalid one is counted and ignored."""
-        report = parse_link(text)
+        report = parse_link_report(text)
         if report is not None:
-            self._context.dispatcher.note_link(self._ticket, report, self._context.clock(), begun)
+            self._context.dispatcher.note_link_report(
+                self._ticket, report, self._context.clock(), begun
+            )
         elif self._context.metrics is not None:
             self._context.metrics.note_invalid_link_report()
 
-    def _finish(self, end: AttemptEnd) -> None:
+    def _finish(self, end: AttemptResult) -> None:
         self._context.dispatcher.finish(self._ticket, self._context.clock(), end)
--- a/src/pewtertack/node/proxy/headers.py
+++ b/src/pewtertack/node/proxy/headers.py
@@ -10,9 +10,9 @@
 from pewtertack.node.gateway import hop
 from pewtertack.node.http.framing import RawHeaders
 from pewtertack.node.proxy.edge import DEADLINE, DEFAULT_EDGE, REQUEST_ID, EdgeHeaders
-from pewtertack.routing.deadlines import header_for
+from pewtertack.routing.deadlines import format_deadline
 from pewtertack.routing.outcomes import RETRIES_HEADER, InvalidRequestError, UpgradeRefusedError
-from pewtertack.routing.service import LARGE_BODY
+from pewtertack.routing.service import LARGE_BODY_BYTES
 
 BACKEND_LOAD = b"x-backend-load"
 BACKEND_STATE = b"x-backend-state"
@@ -61,7 +61,7 @@
     @property
     def body_is_large(self) -> bool:
         """Whether the body is long or its length is unknown."""
-        return self.chunked or self.body_bytes > LARGE_BODY
+        return self.chunked or self.body_bytes > LARGE_BODY_BYTES
 
 
 def read_head(headers: RawHeaders, edge: EdgeHeaders = DEFAULT_EDGE) -> RequestHead:
@@ -172,7 +172,7 @@
     """Return the headers with the request's id and the time left until its deadline."""
     return [
         (edge.request_id, request_id.encode()),
-        (edge.deadline, header_for(now, deadline).encode()),
+        (edge.deadline, format_deadline(now, deadline).encode()),
     ]
 
 
--- a/src/pewtertack/node/proxy/probing.py
+++ b/src/pewtertack/node/proxy/probing.py
@@ -62,7 +62,7 @@
             with anyio.move_on_after(PROBE_SECONDS):
                 answered = await takes_requests(backend.gateway)
         finally:
-            self._dispatcher.note_probe(backend, self._clock(), answered)
+            self._dispatcher.note_probe_result(backend, self._clock(), answered)
 
 
 async def takes_requests(gateway: str) -> bool:
--- a/src/pewtertack/node/proxy/refusals.py
+++ b/src/pewtertack/node/proxy/refusals.py
@@ -26,7 +26,7 @@
     error = ERRORS[reason](reason.value)
     error.with_outcome(Outcome.UNKNOWN if started else Outcome.NOT_RUN)
     body = failure_body(error)
-    lines = [STATUS_LINES[error.answer_status]]
+    lines = [STATUS_LINES[error.response_status]]
     for name, value in failure_head(error, "", len(body)):
         if name != b"connection":
             lines.append(name + b": " + value + b"\r\n")
--- a/src/pewtertack/node/proxy/request_log.py
+++ b/src/pewtertack/node/proxy/request_log.py
@@ -17,8 +17,8 @@
 from pewtertack.node.crash_detection import BrokenExchange
 from pewtertack.node.proxy.in_flight import Progress
 from pewtertack.routing.admission import Admission
+from pewtertack.routing.admission_ticket import AdmissionTicket
 from pewtertack.routing.outcomes import RequestFailedError
-from pewtertack.routing.places import AdmissionTicket
 from pewtertack.routing.queueing import Ticket
 from pewtertack.routing.retries import RetryReason
 
@@ -89,7 +89,7 @@
             backend=backend.name,
             zone=backend.zone,
             attempt=len(ticket.excluded) + 1,
-            reason=ticket.choice,
+            reason=ticket.choice_reason,
             load=f"{round_to_parts(backend.occupancy(now) * _slots(ticket), 10)}/{_slots(ticket)}",
             load_age=_age(now, backend.reported_at),
             slowness=round_to_parts(backend.slowness, 100),
@@ -144,7 +144,7 @@
             attempt=len(ticket.excluded) + 1,
             status=status,
             took=milliseconds(seconds),
-            queued=milliseconds(ticket.queued),
+            queued=milliseconds(ticket.queued_seconds),
         )
 
     def refused(self, request: str, route: ResolvedRoute | None, error: RequestFailedError) -> None:
@@ -156,7 +156,7 @@
             type=error.code,
             outcome=error.outcome,
             detail=error.message,
-            status=error.answer_status,
+            status=error.response_status,
             retry_after=error.retry_after,
             revision=self._versions.revision,
             machine_list=self._versions.machine_list,
@@ -225,8 +225,8 @@
             request=request,
             backend=backend,
             rank=ticket.rank,
-            within=ticket.within,
-            yields=ticket.yields,
+            within=ticket.nested,
+            yields=ticket.is_deferred,
             in_flight=admission.in_flight,
             slots=admission.slots,
             load=admission.load,
@@ -237,7 +237,7 @@
 
     def refused(self, request: str, backend: str, error: RequestFailedError, load: str) -> None:
         """The request ended here; ``load`` is the back end's load, if known."""
-        event = Event.GATEWAY_FAILED if error.offered else Event.GATEWAY_REFUSED
+        event = Event.GATEWAY_FAILED if error.reached_backend else Event.GATEWAY_REFUSED
         self._record(
             event,
             request=request,
--- a/src/pewtertack/routing/places.py
+++ b/src/pewtertack/routing/admission_ticket.py
@@ -7,13 +7,13 @@
 import msgspec
 
 from pewtertack.routing.outcomes import NotRunError
-from pewtertack.routing.patience import YIELDING, Lateness
+from pewtertack.routing.wait_policy import DEFERRED, WaitPolicy
 
-TYPICAL_SHARE = 1 / 3
+ASSUMED_TIME_SHARE = 1 / 3
 """Share of its objective that a request of unknown route is taken to need."""
 
 
-def _nobody_waits() -> None:
+def _wake_nobody() -> None:
     """Wake nobody."""
 
 
@@ -26,11 +26,11 @@
     objective: float
     """When its answer is wanted."""
     deadline: float
-    lateness: Lateness = Lateness.ALLOWED
+    wait_policy: WaitPolicy = WaitPolicy.WAIT
     """What becomes of it when it would have to wait."""
-    within: bool = False
+    nested: bool = False
     """A back end makes it while it runs another request: only its deadline counts."""
-    wake: Callable[[], None] = _nobody_waits
+    wake: Callable[[], None] = _wake_nobody
     granted: bool = False
     answering: bool = False
     """Whether the back end's answer has begun: it does not hang on the request."""
@@ -39,22 +39,22 @@
     """Given up since the back end has most likely hung on it: says nothing of its times."""
     submitted_at: float = 0.0
     started_at: float = 0.0
-    wanted_start: float = 0.0
+    latest_timely_start: float = 0.0
     """Until when it should start."""
-    look_at: float = 0.0
+    check_at: float = 0.0
     """When to judge anew whether it is worth waiting."""
-    order: tuple[int, int, bool, float, int] = msgspec.field(default=(0, 0, False, 0.0, 0))
+    sort_key: tuple[int, int, bool, float, int] = msgspec.field(default=(0, 0, False, 0.0, 0))
     """Rank, whether it is a request of its own, wanted start, arrival."""
 
     @property
-    def yields(self) -> bool:
+    def is_deferred(self) -> bool:
         """Whether it lets go first all that may be in time."""
-        return self.lateness in YIELDING and not self.within
+        return self.wait_policy in DEFERRED and not self.nested
 
     @property
-    def typical_time(self) -> float:
+    def assumed_time(self) -> float:
         """What the back end is taken to need while nothing is known of the route."""
-        return TYPICAL_SHARE * max(0.0, self.objective - self.submitted_at)
+        return ASSUMED_TIME_SHARE * max(0.0, self.objective - self.submitted_at)
 
     def take_refusal(self) -> NotRunError:
         """Return why it was refused, and forget it: raised, it refers to who waited."""
@@ -65,6 +65,6 @@
             self.refusal = None
 
     @property
-    def queued(self) -> float:
+    def queued_seconds(self) -> float:
         """Seconds between its arrival and its start."""
         return self.started_at - self.submitted_at
--- a/src/pewtertack/routing/ends.py
+++ b/src/pewtertack/routing/attempt_results.py
@@ -7,15 +7,15 @@
 from pewtertack.routing.backend import Backend
 from pewtertack.routing.queueing import Ticket
 
-SIGNIFICANT_SECONDS = 1.0
+MIN_SIGNIFICANT_SECONDS = 1.0
 """A timeout or cancellation earlier than this says nothing of the back end."""
 
 
-UNREACHABLE_PAUSE = 0.4
+UNREACHABLE_RETRY_SECONDS = 0.4
 """Seconds for which a gateway that could not be reached is left alone at first."""
 
 
-class AttemptEnd(Enum):
+class AttemptResult(Enum):
     """What became of an attempt, as far as it tells something of the back end."""
 
     ANSWERED = "answered"
@@ -40,43 +40,43 @@
 
 
 FAILURES = {
-    AttemptEnd.FAILED_STATUS,
-    AttemptEnd.UNREACHABLE,
-    AttemptEnd.SILENT,
-    AttemptEnd.BROKEN,
-    AttemptEnd.TIMED_OUT,
-    AttemptEnd.CANCELLED,
+    AttemptResult.FAILED_STATUS,
+    AttemptResult.UNREACHABLE,
+    AttemptResult.SILENT,
+    AttemptResult.BROKEN,
+    AttemptResult.TIMED_OUT,
+    AttemptResult.CANCELLED,
 }
-OUT_OF_REACH = {AttemptEnd.UNREACHABLE, AttemptEnd.SILENT}
+CONNECTIVITY_FAILURES = {AttemptResult.UNREACHABLE, AttemptResult.SILENT}
 """Ends after which a gateway's back end is asked for nothing until a probe is answered."""
 
 
-UNANSWERED = {AttemptEnd.TIMED_OUT, AttemptEnd.CANCELLED, AttemptEnd.BROKEN}
+INCOMPLETE_RESULTS = {AttemptResult.TIMED_OUT, AttemptResult.CANCELLED, AttemptResult.BROKEN}
 """Ends that tell how long the answer would have taken at least."""
 
 
-def ejection_of(ticket: Ticket, backend: Backend, end: AttemptEnd) -> tuple[int, float]:
+def ejection_parameters(ticket: Ticket, backend: Backend, end: AttemptResult) -> tuple[int, float]:
     """Return how many failures in a row eject the back end, and for how many seconds.
 
     A gateway that cannot be reached says so at once, and asking again costs little.
     """
-    if backend.gateway and end in OUT_OF_REACH:
-        return 1, UNREACHABLE_PAUSE
+    if backend.gateway and end in CONNECTIVITY_FAILURES:
+        return 1, UNREACHABLE_RETRY_SECONDS
     return ticket.service.ejection_failures, ticket.service.ejection_time
 
 
-def tells_of_backend(ticket: Ticket, now: float, end: AttemptEnd) -> bool:
+def reflects_on_backend(ticket: Ticket, now: float, end: AttemptResult) -> bool:
     """Tell whether the end of an attempt speaks for or against its back end."""
     silent_of_it = (
-        AttemptEnd.FAILED_BELOW,
-        AttemptEnd.REFUSED,
-        AttemptEnd.GONE,
-        AttemptEnd.HUNG,
+        AttemptResult.FAILED_BELOW,
+        AttemptResult.REFUSED,
+        AttemptResult.GONE,
+        AttemptResult.HUNG,
     )
     if end in silent_of_it:
         return False
-    if end is AttemptEnd.SHED:
+    if end is AttemptResult.SHED:
         return ticket.trial
-    if end not in (AttemptEnd.TIMED_OUT, AttemptEnd.CANCELLED):
+    if end not in (AttemptResult.TIMED_OUT, AttemptResult.CANCELLED):
         return True
-    return not ticket.answered and now - ticket.started_at >= SIGNIFICANT_SECONDS
+    return not ticket.answered and now - ticket.started_at >= MIN_SIGNIFICANT_SECONDS
--- a/src/pewtertack/routing/backend.py
+++ b/src/pewtertack/routing/backend.py
@@ -10,11 +10,11 @@
 from pewtertack.routing.health import Health
 from pewtertack.routing.limit import AdaptiveLimit
 
-REPORT_HALF_LIFE = 0.5
+REPORT_HALF_LIFE_SECONDS = 0.5
 """Seconds after which a load report counts half."""
-REPORT_EXPIRY = 3.0
+REPORT_EXPIRY_SECONDS = 3.0
 """Seconds after which a load report no longer counts."""
-COLD_SHARE = 0.1
+INITIAL_SHARE = 0.1
 """Share of the work that a back end takes at the beginning of its slow start."""
 STALL_SECONDS = 1.0
 """Without any sign for this long while requests wait there, a back end is avoided."""
@@ -22,19 +22,19 @@
 """The same at least for a back end with a gateway, which tells its load with every answer."""
 GATEWAY_STALL_FACTOR = 2.5
 """The same as a multiple of the time that the back end's answers take."""
-STALL_MEMORY = 3.0
+STALL_MEMORY_SECONDS = 3.0
 """Seconds for which a stall counts after the last request there has been given up."""
 STALL_PENALTY = 8.0
-PROBE_GRACE = 0.5
+PROBE_GRACE_SECONDS = 0.5
 """An unreachable gateway is tried by a request when no probe has been made for so long."""
 SLOWNESS_WEIGHT = 0.1
 SLOWNESS_LIMIT = 8.0
 """One answer counts as slower or faster than the mean by this factor at most."""
-SLOWNESS_CHANCE = 1.25
+SLOWNESS_NOISE = 1.25
 """Two equal back ends may seem so far apart, since answers differ from one another."""
-SLOWNESS_HALF_LIFE = 10.0
+SLOWNESS_HALF_LIFE_SECONDS = 10.0
 """Seconds without an answer after which half of what was known of its slowness still counts."""
-MAXIMUM_REPORT = 1_000_000
+MAXIMUM_REPORTED_SLOTS = 1_000_000
 
 
 class LoadReport(msgspec.Struct, frozen=True):
@@ -52,7 +52,7 @@
     if not (in_flight.isdecimal() and slots.isdecimal() and len(text) < 20):
         return None
     report = LoadReport(int(in_flight), int(slots))
-    return report if 0 < report.slots <= MAXIMUM_REPORT else None
+    return report if 0 < report.slots <= MAXIMUM_REPORTED_SLOTS else None
 
 
 class Backend(msgspec.Struct, eq=False):
@@ -73,11 +73,11 @@
     """Gets no new work, by the list or its own answers. Sticky for an incarnation."""
     removed: bool = False
     """Gone from the list, or replaced by another incarnation."""
-    waiting_since: float | None = None
+    silent_since: float | None = None
     """Since when a request has waited there without any sign of the back end."""
     unreachable: bool = False
     """Ejected because its gateway's machine, or process, gave no sign."""
-    others: int = 0
+    other_requests: int = 0
     """Requests of other callers at the back end when it last reported."""
     slots: int = 0
     reported_at: float = float("-inf")
@@ -108,42 +108,42 @@
         self.settings = settings
 
     @property
-    def takes_work(self) -> bool:
+    def accepts_work(self) -> bool:
         """Whether it is listed, and neither leaves nor has a successor that takes work.
 
         The successor may be nobody: an entry can claim an address that is another's.
         """
         if self.leaving or self.removed:
             return False
-        return self.successor is None or not self.successor.takes_work
+        return self.successor is None or not self.successor.accepts_work
 
     def usable(self, now: float) -> bool:
         """Tell whether a request may start here now."""
         return (
-            self.takes_work
+            self.accepts_work
             and (bool(self.gateway) or self.limit.allows(now, self.in_flight))
             and self.reachable(now)
         )
 
     def reachable(self, now: float) -> bool:
         """Tell whether it is not ejected, or due for a request that tries it."""
-        return self.health.admits(now - PROBE_GRACE if self.unreachable else now)
+        return self.health.allows_request(now - PROBE_GRACE_SECONDS if self.unreachable else now)
 
     def note_start(self, now: float) -> None:
         """A request of this proxy starts there."""
         self.in_flight += 1
-        if self.waiting_since is None:
-            self.waiting_since = now
+        if self.silent_since is None:
+            self.silent_since = now
 
-    def note_sign(self, now: float) -> None:
+    def note_contact(self, now: float) -> None:
         """The back end, or its gateway, has answered one of the requests there."""
-        self.waiting_since = now if self.in_flight > 1 else None
+        self.silent_since = now if self.in_flight > 1 else None
 
     def note_end(self, now: float, mean_time: float) -> None:
         """A request there has ended; a silence that is long already is not forgotten."""
         self.in_flight -= 1
         if self.in_flight == 0 and not self.stalled(now, mean_time):
-            self.waiting_since = None
+            self.silent_since = None
 
     def note_time(self, now: float, seconds: float, expected: float) -> None:
         """Compare an answer's time with the service's mean for its route, 0 while unknown."""
@@ -159,14 +159,14 @@
         Its own answers alone renew the estimate, so that a back end that seems slower than others
         gets none to correct it.
         """
-        if _may_be_chance(self.slowness):
+        if _may_be_noise(self.slowness):
             return 1.0
         slowness = self._aged_slowness(now)
-        return 1.0 if _may_be_chance(slowness) else slowness
+        return 1.0 if _may_be_noise(slowness) else slowness
 
     def _aged_slowness(self, now: float) -> float:
         age = max(0.0, now - self.slowness_noted_at)
-        return 1 + (self.slowness - 1) * math.exp2(-age / SLOWNESS_HALF_LIFE)
+        return 1 + (self.slowness - 1) * math.exp2(-age / SLOWNESS_HALF_LIFE_SECONDS)
 
     def expected_wait(self, now: float, mean_time: float) -> float:
         """Return the seconds that one more request would wait at the gateway."""
@@ -177,11 +177,11 @@
 
     def note_report(self, now: float, report: LoadReport) -> None:
         """Take over a load report; it includes this proxy's own requests."""
-        self.others = max(0, report.in_flight - self.in_flight)
+        self.other_requests = max(0, report.in_flight - self.in_flight)
         self.slots = report.slots
         self.reported_at = now
 
-    def note_link(self, now: float, ahead: float) -> None:
+    def note_link_queue(self, now: float, ahead: float) -> None:
         """Its gateway has told how long the line of its link is."""
         self.link_free_at = now + ahead
 
@@ -196,19 +196,19 @@
         make each of them send one.
         """
         self.slots = 1
-        self.others = 1
+        self.other_requests = 1
         self.reported_at = now
 
     def occupancy(self, now: float) -> float:
         """Return the estimated share of the back end's slots that are taken.
 
         Own requests count in full; others' by the last report, which loses
-        half its weight every ``REPORT_HALF_LIFE``.
+        half its weight every ``REPORT_HALF_LIFE_SECONDS``.
         """
         age = now - self.reported_at
-        weight = math.exp2(-age / REPORT_HALF_LIFE) if age < REPORT_EXPIRY else 0.0
+        weight = math.exp2(-age / REPORT_HALF_LIFE_SECONDS) if age < REPORT_EXPIRY_SECONDS else 0.0
         assert self.settings is not None
-        return (self.in_flight + self.others * weight) / (
+        return (self.in_flight + self.other_requests * weight) / (
             self.slots or self.settings.slots_per_backend
         )
 
@@ -216,7 +216,7 @@
         """Return how unattractive the back end is for one more request."""
         assert self.settings is not None
         slots = self.slots or self.settings.slots_per_backend
-        score = (self.occupancy(now) + 1 / slots) / self._warmth(now)
+        score = (self.occupancy(now) + 1 / slots) / self._slow_start_share(now)
         return score * STALL_PENALTY if self.stalled(now) else score
 
     def stalled(self, now: float, mean_time: float = 0.0) -> bool:
@@ -226,10 +226,10 @@
             now: monotonic seconds.
             mean_time: seconds that the service's answers take, 0 while unknown.
         """
-        if self.waiting_since is None:
+        if self.silent_since is None:
             return False
-        silent = now - self.waiting_since
-        if self.in_flight == 0 and silent > STALL_MEMORY:
+        silent = now - self.silent_since
+        if self.in_flight == 0 and silent > STALL_MEMORY_SECONDS:
             return False
         return silent > self._stall_limit(mean_time)
 
@@ -238,14 +238,14 @@
             return STALL_SECONDS
         return max(GATEWAY_STALL_SECONDS, GATEWAY_STALL_FACTOR * mean_time * self.slowness)
 
-    def _warmth(self, now: float) -> float:
+    def _slow_start_share(self, now: float) -> float:
         """Return the share of work, below 1 during the slow start."""
         assert self.settings is not None
-        began = max(self.first_seen, self.health.returned_at)
+        began = max(self.first_seen, self.health.reinstated_at)
         if self.settings.slow_start <= 0 or now - began >= self.settings.slow_start:
             return 1.0
-        return COLD_SHARE + (1 - COLD_SHARE) * (now - began) / self.settings.slow_start
+        return INITIAL_SHARE + (1 - INITIAL_SHARE) * (now - began) / self.settings.slow_start
 
 
-def _may_be_chance(slowness: float) -> bool:
-    return 1 / SLOWNESS_CHANCE <= slowness <= SLOWNESS_CHANCE
+def _may_be_noise(slowness: float) -> bool:
+    return 1 / SLOWNESS_NOISE <= slowness <= SLOWNESS_NOISE
--- a/src/pewtertack/routing/backend_events.py
+++ b/src/pewtertack/routing/backend_events.py
@@ -8,7 +8,7 @@
 from pewtertack.routing.registry import ListChange
 
 
-class BackendChanged(msgspec.Struct, frozen=True):
+class BackendHealthChanged(msgspec.Struct, frozen=True):
     """A back end was ejected, or came back."""
 
     backend: Backend
@@ -28,7 +28,7 @@
     change: ListChange
 
 
-BackendEvent = BackendChanged | BackendLeaving | BackendListed
+BackendEvent = BackendHealthChanged | BackendLeaving | BackendListed
 
 
 def ignore_event(event: BackendEvent) -> None:
--- a/src/pewtertack/routing/choice.py
+++ b/src/pewtertack/routing/choice.py
@@ -9,16 +9,16 @@
 
 from pewtertack.routing.backend import STALL_PENALTY, Backend
 
-SATURATED = 1.0
+SATURATED_OCCUPANCY = 1.0
 """Estimated occupancy from which a back end of the own zone is no longer preferred."""
-FEW = 8
+COMPARE_ALL_UP_TO = 8
 """Up to so many back ends are all compared; what 13 machines in 4 zones need."""
-COMPARED = 3
+SAMPLE_SIZE = 3
 """So many of more are. In virtual time (18 senders, 11 gateways of 3 slots, half loaded) two
 or three bring the mean wait from 26 to 7 to 10 ms."""
-DRAWS = 12
+MAX_DRAWS = 12
 """Attempts to draw them; those that are not usable do not count."""
-CROWDING = 1.5
+CROWDING_FACTOR = 1.5
 """How much longer an answer is taken to need at a back end whose slots are all taken. Without
 it all fill the fastest one first and meet there, since reports are old by the time that others
 read them. In virtual time (8 senders, 7 gateways, seeds 1 and 2) the mean wait falls from
@@ -39,7 +39,7 @@
     two are drawn from all that are usable. Names in ``excluded`` (tried before
     by the same request) are taken only when nothing else is usable.
     """
-    chosen = _better_of_two(local, now, random, excluded, SATURATED)
+    chosen = _better_of_two(local, now, random, excluded, SATURATED_OCCUPANCY)
     if chosen is not None:
         return chosen
     usable = [backend for backend in (*local, *remote) if backend.usable(now)]
@@ -88,27 +88,27 @@
     return backends[first], backends[second + (second >= first)]
 
 
-class Wish(msgspec.Struct, frozen=True):
+class GatewayCriteria(msgspec.Struct, frozen=True):
     """What a request asks of the back end beside whose node it will wait. Seconds."""
 
     expected_time: float
     """Mean time of the route's answers, 0 while unknown."""
     mean_time: float
     """Mean time of all answers of the service."""
-    patience: float
+    max_wait: float
     """How long the request may wait in its own zone, where no bytes cross zones."""
     excluded: Container[str]
     """Those that earlier attempts have tried."""
     refused: Container[str] = NONE_EXCLUDED
     """Those of them that have refused it."""
-    link_time: float = 0.0
+    link_seconds: float = 0.0
     """What its answer takes the link of the back end's node alone; 0 if it is short."""
 
 
 def choose_gateway(
     local: Sequence[Backend],
     remote: Sequence[Backend],
-    wish: Wish,
+    wish: GatewayCriteria,
     now: float,
     random: Random,
 ) -> Backend | None:
@@ -132,51 +132,53 @@
 def _choose_untried(
     local: Sequence[Backend],
     remote: Sequence[Backend],
-    wish: Wish,
+    wish: GatewayCriteria,
     now: float,
     random: Random,
 ) -> Backend | None:
-    near = _soonest(_drawn(local, wish, now, random), wish, now, random)
-    if near is not None and _is_soon(near, wish, now):
+    near = _fastest(_sample(local, wish, now, random), wish, now, random)
+    if near is not None and _is_soon_enough(near, wish, now):
         return near
-    if len(local) > FEW:
-        near = _soonest(_untried(local, wish, now), wish, now, random)
-        if near is not None and _is_soon(near, wish, now):
+    if len(local) > COMPARE_ALL_UP_TO:
+        near = _fastest(_untried(local, wish, now), wish, now, random)
+        if near is not None and _is_soon_enough(near, wish, now):
             return near
-    far = _soonest(_drawn(remote, wish, now, random), wish, now, random)
+    far = _fastest(_sample(remote, wish, now, random), wish, now, random)
     if near is None or far is None:
         return near or far
-    return far if _is_soon(far, wish, now) else near
+    return far if _is_soon_enough(far, wish, now) else near
 
 
-def _is_soon(backend: Backend, wish: Wish, now: float) -> bool:
-    if wish.link_time and backend.link_wait(now) - wish.expected_time > wish.patience:
+def _is_soon_enough(backend: Backend, wish: GatewayCriteria, now: float) -> bool:
+    if wish.link_seconds and backend.link_wait(now) - wish.expected_time > wish.max_wait:
         return False  # its answer will have to wait longer for the link
-    return backend.expected_wait(now, wish.mean_time) <= wish.patience
+    return backend.expected_wait(now, wish.mean_time) <= wish.max_wait
 
 
-def _untried(backends: Sequence[Backend], wish: Wish, now: float) -> list[Backend]:
+def _untried(backends: Sequence[Backend], wish: GatewayCriteria, now: float) -> list[Backend]:
     return [item for item in backends if item.usable(now) and item.name not in wish.excluded]
 
 
-def _drawn(
-    backends: Sequence[Backend], wish: Wish, now: float, random: Random
+def _sample(
+    backends: Sequence[Backend], wish: GatewayCriteria, now: float, random: Random
 ) -> Sequence[Backend]:
     """Return a few back ends to compare, at random; all where they are few."""
     count = len(backends)
-    if count <= FEW:
+    if count <= COMPARE_ALL_UP_TO:
         return _untried(backends, wish, now)
     drawn: list[Backend] = []
-    for _ in range(DRAWS):
+    for _ in range(MAX_DRAWS):
         item = backends[int(random.random() * count)]
         if item not in drawn and item.name not in wish.excluded and item.usable(now):
             drawn.append(item)
-            if len(drawn) == COMPARED:
+            if len(drawn) == SAMPLE_SIZE:
                 return drawn
     return drawn or _untried(backends, wish, now)
 
 
-def _soonest(backends: Sequence[Backend], wish: Wish, now: float, random: Random) -> Backend | None:
+def _fastest(
+    backends: Sequence[Backend], wish: GatewayCriteria, now: float, random: Random
+) -> Backend | None:
     """Return the back end from which the answer is expected first, any of those that are alike."""
 
     def cost(backend: Backend) -> tuple[float, float]:
@@ -184,9 +186,9 @@
         stalled = STALL_PENALTY if backend.stalled(now, wish.mean_time) else 1.0
         slowness = backend.known_slowness(now) * stalled
         occupancy = backend.occupancy(now)
-        crowding = 1 + CROWDING * occupancy * occupancy
+        crowding = 1 + CROWDING_FACTOR * occupancy * occupancy
         ready = wait + wish.expected_time * slowness * crowding
-        if wish.link_time:
+        if wish.link_seconds:
             ready = max(ready, backend.link_wait(now))
         return ready, occupancy * stalled
 
--- a/src/pewtertack/routing/cold.py
+++ b/src/pewtertack/routing/cold.py
@@ -16,14 +16,14 @@
 
 import msgspec
 
-WINDOW = 1.0
+WINDOW_SECONDS = 1.0
 """Seconds over which a rate is counted; any span of that length counts."""
-ASK_AGAIN = 0.25
+QUERY_RETRY_SECONDS = 0.25
 """Seconds between two questions while nothing is known."""
-CHECK_SECONDS = 0.5
+WARM_CHECK_SECONDS = 0.5
 """A warm back end that gets more than a cold one bears is asked so often whether it is still
 warm. One of 7 slots that take 0.25 s each is given at most 14 requests meanwhile."""
-CHECK_SHARE = 0.5
+WARM_CHECK_MIN_SHARE = 0.5
 """A back end that gets less than this share of what a cold one bears is not asked at all."""
 
 
@@ -32,14 +32,14 @@
 
     rate: float
     """Requests a second, as its service publishes them."""
-    length: float
+    duration: float
     """Seconds for which a start stays cold."""
     overage: float = 1.0
     """Multiple of the rate that operators allow."""
     slack: float = 0.0
     """Requests in one second that operators allow beyond that."""
 
-    def per_second(self, slots: int) -> int:
+    def max_starts_per_second(self, slots: int) -> int:
         """Return how many requests may start within any second.
 
         What is granted a slot may reach the back end later, as many as have slots: so many fewer
@@ -51,93 +51,103 @@
 class ColdStart:
     """Whether one back end is cold, and what it may be given now. Times: monotonic seconds."""
 
-    __slots__ = ("_asked_at", "_forgotten_at", "_known", "_starts", "bounds", "cold_until", "slots")
+    __slots__ = (
+        "_queried_at",
+        "_assumed_at",
+        "_is_known",
+        "_start_times",
+        "bounds",
+        "cold_until",
+        "slots",
+    )
 
     def __init__(self, slots: int, now: float, bounds: ColdBounds | None = None) -> None:
         self.slots = slots
         self.bounds = bounds
         """``None`` while the service's settings are unknown."""
         self.cold_until = math.inf
-        self._known = False
-        self._forgotten_at = now
-        self._asked_at = -math.inf
-        self._starts: deque[float] = deque()
-        self.forget(now)
+        self._is_known = False
+        self._assumed_at = now
+        self._queried_at = -math.inf
+        self._start_times: deque[float] = deque()
+        self.assume_cold(now)
 
     @property
-    def per_second(self) -> int:
+    def max_starts_per_second(self) -> int:
         """Requests that may start within a second while it is cold.
 
         Before the service's settings are known: one for each slot, which any back end bears.
         """
-        return self.bounds.per_second(self.slots) if self.bounds is not None else self.slots
+        return (
+            self.bounds.max_starts_per_second(self.slots) if self.bounds is not None else self.slots
+        )
 
     @property
-    def bounded(self) -> bool:
+    def is_limited(self) -> bool:
         """Whether its service says anything of cold back ends, as far as is known."""
         return self.bounds is None or self.bounds.rate > 0
 
-    def use_bounds(self, bounds: ColdBounds, now: float) -> None:
+    def set_bounds(self, bounds: ColdBounds, now: float) -> None:
         """Take over the service's settings."""
         if bounds == self.bounds:
             return
         self.bounds = bounds
-        if not self._known:
-            self.forget(now)
+        if not self._is_known:
+            self.assume_cold(now)
 
-    def forget(self, now: float) -> None:
+    def assume_cold(self, now: float) -> None:
         """Take it for cold until it is asked: it may have turned so, unseen by this node."""
-        self._known = False
-        self._forgotten_at = now
-        self._asked_at = -math.inf
-        self.cold_until = now + self.bounds.length if self.bounds is not None else math.inf
+        self._is_known = False
+        self._assumed_at = now
+        self._queried_at = -math.inf
+        self.cold_until = now + self.bounds.duration if self.bounds is not None else math.inf
 
-    def learn(self, asked_at: float, now: float, remaining: float) -> None:
+    def note_remaining(self, asked_at: float, now: float, remaining: float) -> None:
         """It has said for how many more seconds it is cold.
 
         An answer to a question of before ``forget`` may be as old, and says nothing.
         """
-        if asked_at < self._forgotten_at:
+        if asked_at < self._assumed_at:
             return
-        self._known = True
+        self._is_known = True
         self.cold_until = now + max(0.0, remaining)
 
     def is_cold(self, now: float) -> bool:
         """Tell whether the bound holds now."""
-        return self.bounded and now < self.cold_until
+        return self.is_limited and now < self.cold_until
 
     def note_start(self, now: float) -> None:
         """A request is given to it."""
-        if self.bounded:
-            self._starts.append(now)
-            self._drop_old(now)
+        if self.is_limited:
+            self._start_times.append(now)
+            self._drop_expired(now)
 
     def may_start(self, now: float) -> bool:
         """Tell whether it may be given one more request."""
-        return not self.is_cold(now) or self._room(now) > 0
+        return not self.is_cold(now) or self._remaining_starts(now) > 0
 
-    def asks(self, now: float) -> bool:
+    def should_query(self, now: float) -> bool:
         """Tell whether to ask it now how long it stays cold; if so, the question is asked."""
-        if self.bounds is None or not self.bounded:
+        if self.bounds is None or not self.is_limited:
             return False
-        since = now - self._asked_at
+        since = now - self._queried_at
         if self.is_cold(now):
-            due = not self._known and since >= ASK_AGAIN
+            due = not self._is_known and since >= QUERY_RETRY_SECONDS
         else:
-            due = self._is_busy(now) and since >= CHECK_SECONDS
+            due = self._is_busy(now) and since >= WARM_CHECK_SECONDS
         if due:
-            self._asked_at = now
+            self._queried_at = now
         return due
 
     def _is_busy(self, now: float) -> bool:
         """Tell whether it gets so much that it matters whether it is cold."""
-        self._drop_old(now)
-        return len(self._starts) >= CHECK_SHARE * self.per_second
+        self._drop_expired(now)
+        return len(self._start_times) >= WARM_CHECK_MIN_SHARE * self.max_starts_per_second
 
-    def _room(self, now: float) -> int:
-        self._drop_old(now)
-        return self.per_second - len(self._starts)
+    def _remaining_starts(self, now: float) -> int:
+        self._drop_expired(now)
+        return self.max_starts_per_second - len(self._start_times)
 
-    def _drop_old(self, now: float) -> None:
-        while self._starts and self._starts[0] <= now - WINDOW:
-            self._starts.popleft()
+    def _drop_expired(self, now: float) -> None:
+        while self._start_times and self._start_times[0] <= now - WINDOW_SECONDS:
+            self._start_times.popleft()
--- a/src/pewtertack/routing/deadlines.py
+++ b/src/pewtertack/routing/deadlines.py
@@ -34,6 +34,6 @@
     return int(text)
 
 
-def header_for(now: float, deadline: float) -> str:
+def format_deadline(now: float, deadline: float) -> str:
     """Return the header value that passes on the time left, rounded down, at least 1."""
     return str(max(1, int((deadline - now) * 1000)))
--- a/src/pewtertack/routing/dispatcher.py
+++ b/src/pewtertack/routing/dispatcher.py
@@ -14,34 +14,32 @@
 
 from pewtertack.core.configuration.resolved import ResolvedRoute
 from pewtertack.core.machines import MachineList, MachineRole
-from pewtertack.routing.asking import FurtherAsks
+from pewtertack.routing.attempt_results import (
+    CONNECTIVITY_FAILURES,
+    FAILURES,
+    INCOMPLETE_RESULTS,
+    UNREACHABLE_RETRY_SECONDS,
+    AttemptResult,
+    ejection_parameters,
+    reflects_on_backend,
+)
 from pewtertack.routing.backend import Backend, LoadReport
 from pewtertack.routing.backend_events import (
-    BackendChanged,
     BackendEvent,
+    BackendHealthChanged,
     BackendLeaving,
     BackendListed,
     ignore_event,
 )
-from pewtertack.routing.budgets import ServiceBudgets
-from pewtertack.routing.ends import (
-    FAILURES,
-    OUT_OF_REACH,
-    UNANSWERED,
-    UNREACHABLE_PAUSE,
-    AttemptEnd,
-    ejection_of,
-    tells_of_backend,
-)
+from pewtertack.routing.gateway_acceptance import AcceptanceTracker
 from pewtertack.routing.link import LONG_BYTES
-from pewtertack.routing.link_words import LinkWord
-from pewtertack.routing.origins import ORIGIN_WORDS, Origin, OriginBeliefs
+from pewtertack.routing.link_reports import LinkReport
+from pewtertack.routing.origins import ORIGIN_VALUES, AdvertisedOrigins, Origin
 from pewtertack.routing.outcomes import (
     BackendShedError,
     RequestEndsBackendsError,
     RequestFailedError,
 )
-from pewtertack.routing.patience import CallerPatience, Lateness, pause_after_shedding
 from pewtertack.routing.policies import (
     DEFAULT_POLICIES,
     HungRequestPolicy,
@@ -57,9 +55,11 @@
     RetryReason,
     judge_retry,
 )
+from pewtertack.routing.retry_budgets import RetryBudgets
 from pewtertack.routing.retry_window import NO_RETRY_LIMITS, RetryLimits
 from pewtertack.routing.service import ServiceDispatcher
 from pewtertack.routing.splits import SplitPicker
+from pewtertack.routing.wait_policy import CallerWaitPolicies, WaitPolicy, retry_after_shedding
 
 
 class RetryDecision(msgspec.Struct, frozen=True):
@@ -86,13 +86,13 @@
         self._evacuated: frozenset[str] = frozenset()
         self._registry = BackendRegistry()
         self._services: dict[str, ServiceDispatcher] = {}
-        self._budgets = ServiceBudgets(policies.retry_budget, retry_limits)
+        self._budgets = RetryBudgets(policies.retry_budget, retry_limits)
         self._splits = SplitPicker()
-        self._patience = CallerPatience(policies.returning)
-        self._asks = FurtherAsks(random)
+        self._wait_policies = CallerWaitPolicies(policies.returning)
+        self._acceptance = AcceptanceTracker(random)
         self.short_answers: set[str] = set()
         """Routes whose last answer was short: their next won't take a gateway's link for long."""
-        self.origins = OriginBeliefs()
+        self.origins = AdvertisedOrigins()
         """Which routes back ends call while they run other requests."""
 
     def pick_service(self, route: ResolvedRoute) -> ResolvedRoute:
@@ -103,7 +103,7 @@
         """Prefer back ends of this zone."""
         if zone != self._zone:
             self._zone = zone
-            self._spread_backends()
+            self._assign_backends()
 
     def use_evacuated(self, zones: frozenset[str], now: float) -> bool:
         """Send nothing to the back ends of these zones; return whether that is news.
@@ -117,7 +117,7 @@
         for backend in self._registry.all():
             if backend.zone in returned:
                 backend.assume_cold(now)
-        self._spread_backends()
+        self._assign_backends()
         return True
 
     def unserved(self, services: Iterable[str]) -> list[str]:
@@ -125,10 +125,10 @@
         return [
             name
             for name in sorted(services)
-            if self._registry.of_service(name) and not self._open_backends(name)
+            if self._registry.of_service(name) and not self._unevacuated_backends(name)
         ]
 
-    def _open_backends(self, service: str) -> list[Backend]:
+    def _unevacuated_backends(self, service: str) -> list[Backend]:
         """Return the back ends of the service that lie in no evacuated zone."""
         members = self._registry.of_service(service)
         return [item for item in members if item.zone not in self._evacuated]
@@ -136,8 +136,8 @@
     def keep_only(self, routes: Container[str], services: Container[str], now: float) -> None:
         """Forget what was learnt of routes and idle services that are in force no longer."""
         self._splits.keep_only(routes)
-        self._patience.keep_only(routes)
-        self._asks.keep_only(routes)
+        self._wait_policies.keep_only(routes)
+        self._acceptance.keep_only(routes)
         self.short_answers = {name for name in self.short_answers if name in routes}
         self.origins.keep_only(routes)
         self._budgets.keep_only(services, now)
@@ -152,40 +152,40 @@
         if self._registry.update(machines, now):
             for backend, change in self._registry.changes:
                 self._notify(BackendListed(backend, change))
-            self._count_nodes(machines, now)
-            self._spread_backends()
+            self._update_node_count(machines, now)
+            self._assign_backends()
             for service in self._services.values():
                 service.pump(now)
 
-    def _count_nodes(self, machines: MachineList, now: float) -> None:
+    def _update_node_count(self, machines: MachineList, now: float) -> None:
         nodes = sum(machine.role is MachineRole.NODE for machine in machines.machines)
-        self._budgets.use_nodes(nodes, now)
+        self._budgets.set_node_count(nodes, now)
 
-    def _spread_backends(self) -> None:
+    def _assign_backends(self) -> None:
         for name, service in self._services.items():
-            service.use_backends(self._open_backends(name), self._zone)
+            service.use_backends(self._unevacuated_backends(name), self._zone)
 
-    def reaches_all(self, services: Iterable[str], now: float) -> bool:
+    def can_reach_all(self, services: Iterable[str], now: float) -> bool:
         """Tell whether every one of the services has a back end that may be reached.
 
         A service with no back end on the list counts as reached: no node is better off.
         """
-        return all(self.service(name).may_reach(now) for name in services)
+        return all(self.service(name).is_reachable(now) for name in services)
 
     def addresses(self) -> frozenset[str]:
         """Return the addresses to which idle connections are worth keeping."""
         return self._registry.addresses()
 
-    def budgets_left(self, now: float) -> dict[str, float]:
+    def available_retries(self, now: float) -> dict[str, float]:
         """Return the retries that may come at once, by service."""
-        return self._budgets.left(now)
+        return self._budgets.available(now)
 
     def service(self, name: str) -> ServiceDispatcher:
         """Return the dispatcher of one service."""
         found = self._services.get(name)
         if found is None:
             found = self._services[name] = ServiceDispatcher(name, self._random)
-            found.use_backends(self._open_backends(name), self._zone)
+            found.use_backends(self._unevacuated_backends(name), self._zone)
         return found
 
     def has_gateways(self, service: str) -> bool:
@@ -200,35 +200,35 @@
         """Grant the ticket or let it wait; see ``ServiceDispatcher.submit``."""
         if not ticket.excluded:
             ticket.arrived_at = now
-            ticket.caller_lateness = self._patience.classify(
+            ticket.caller_wait_policy = self._wait_policies.classify(
                 ticket.route.name, ticket.route.objective, ticket.caller_deadline - now, now
             )
-            ticket.within = self._is_within(ticket.route.name, now)
-            if ticket.within:
-                ticket.caller_lateness = Lateness.ALLOWED  # whoever waits for it is a run
-            budget = self._budgets.of(ticket.service.name, now)
+            ticket.nested = self._is_nested(ticket.route.name, now)
+            if ticket.nested:
+                ticket.caller_wait_policy = WaitPolicy.WAIT  # whoever waits for it is a run
+            budget = self._budgets.for_service(ticket.service.name, now)
             budget.note_first_attempt(now, ticket.route.retry_budget)
         self.service(ticket.route.service).submit(ticket, now)
 
-    def _is_within(self, route: str, now: float) -> bool:
+    def _is_nested(self, route: str, now: float) -> bool:
         first = self._policies.calls_within is NestedCallPolicy.FIRST
-        return first and self.origins.is_within(route, now)
+        return first and self.origins.is_nested(route, now)
 
     def note_origin(self, route: str, told: str, now: float) -> None:
         """A gateway has told who makes the route's requests."""
-        if told in ORIGIN_WORDS:
-            self.origins.note_told(route, Origin(told), now)
+        if told in ORIGIN_VALUES:
+            self.origins.note_advertised(route, Origin(told), now)
 
     def note_failed(self, route: str, now: float) -> None:
         """A request of the route ended without a good answer: its caller may come back."""
-        self._patience.note_failed(route, now)
+        self._wait_policies.note_failed(route, now)
 
-    def look(self, ticket: Ticket, now: float) -> float:
+    def check(self, ticket: Ticket, now: float) -> float:
         """See what a waiting ticket can do now; return when to look again."""
         service = self.service(ticket.route.service)
         service.pump(now)
         service.give_up(ticket, now)
-        return service.next_look(ticket, now)
+        return service.next_check(ticket, now)
 
     def withdraw(self, ticket: Ticket) -> None:
         """Take a waiting ticket out, since its caller has gone."""
@@ -245,23 +245,23 @@
         backend = ticket.backend
         assert backend is not None
         ticket.answered = True
-        backend.note_sign(now)
+        backend.note_contact(now)
         ticket.report = report
         if report is not None:
             backend.note_report(now, report)
         if leaving:
             self._note_leaving(backend)
 
-    def note_link(self, ticket: Ticket, word: LinkWord, now: float, begun: bool) -> None:
-        """A gateway has told of its link (``ServiceDispatcher.note_link``)."""
-        self.service(ticket.route.service).note_link(ticket, word, now, begun)
+    def note_link_report(self, ticket: Ticket, word: LinkReport, now: float, begun: bool) -> None:
+        """A gateway has told of its link (``ServiceDispatcher.note_link_report``)."""
+        self.service(ticket.route.service).note_link_report(ticket, word, now, begun)
 
     def note_hung(self, ticket: Ticket, now: float, report: LoadReport | None) -> None:
         """The gateway, which lives, takes its back end to hang on the attempt."""
         backend = ticket.backend
         assert backend is not None
         ticket.hung = True
-        backend.note_sign(now)
+        backend.note_contact(now)
         if report is not None:
             backend.note_report(now, report)
 
@@ -271,30 +271,30 @@
             if not backend.removed:
                 self._notify(BackendLeaving(backend))
 
-    def finish(self, ticket: Ticket, now: float, end: AttemptEnd) -> None:
+    def finish(self, ticket: Ticket, now: float, end: AttemptResult) -> None:
         """An attempt has ended; its place goes to the next that waits."""
         backend = ticket.backend
         if backend is None or ticket.finished:
             return
         ticket.finished = True
-        if ticket.hung and end in (AttemptEnd.TIMED_OUT, AttemptEnd.CANCELLED):
-            end = AttemptEnd.HUNG  # it was awaited for want of a better place
+        if ticket.hung and end in (AttemptResult.TIMED_OUT, AttemptResult.CANCELLED):
+            end = AttemptResult.HUNG  # it was awaited for want of a better place
         service = self.service(ticket.route.service)
         backend.note_end(now, service.mean_time)
         service.in_flight -= 1
-        if end is AttemptEnd.GONE:
+        if end is AttemptResult.GONE:
             self._note_leaving(backend)
-        elif ticket.refusals and end not in OUT_OF_REACH:
-            self._asks.note(ticket.route.name, now, end is not AttemptEnd.REFUSED)
+        elif ticket.unseen_attempts and end not in CONNECTIVITY_FAILURES:
+            self._acceptance.note(ticket.route.name, now, end is not AttemptResult.REFUSED)
         service.limit.note_finished(now, now - ticket.started_at)
-        seconds = max(0.0, now - ticket.started_at - ticket.queued)
+        seconds = max(0.0, now - ticket.started_at - ticket.queued_seconds)
         expected = service.expected_time(ticket.route.name)
-        if end is AttemptEnd.ANSWERED:
+        if end is AttemptResult.ANSWERED:
             service.note_time(ticket.route.name, seconds)
-        if end is AttemptEnd.ANSWERED or (seconds > expected and end in UNANSWERED):
+        if end is AttemptResult.ANSWERED or (seconds > expected and end in INCOMPLETE_RESULTS):
             backend.note_time(now, seconds, expected)
         self._adapt_limits(service, backend, ticket, now, end)
-        self._judge(service, backend, ticket, now, end)
+        self._update_health(service, backend, ticket, now, end)
         service.pump(now)
 
     def _adapt_limits(
@@ -303,44 +303,48 @@
         backend: Backend,
         ticket: Ticket,
         now: float,
-        end: AttemptEnd,
+        end: AttemptResult,
     ) -> None:
         limit = backend.limit
-        if end is AttemptEnd.SHED:
+        if end is AttemptResult.SHED:
             limit.note_shed(now, ticket.started_at, self._random.random())
             service.limit.note_shed(now, ticket.started_at)
-        elif end in (AttemptEnd.ANSWERED, AttemptEnd.FAILED_STATUS, AttemptEnd.FAILED_BELOW):
+        elif end in (
+            AttemptResult.ANSWERED,
+            AttemptResult.FAILED_STATUS,
+            AttemptResult.FAILED_BELOW,
+        ):
             _adapt_to_load(service, backend, ticket, now)
-        elif end in OUT_OF_REACH or end in (AttemptEnd.TIMED_OUT, AttemptEnd.BROKEN):
+        elif end in CONNECTIVITY_FAILURES or end in (AttemptResult.TIMED_OUT, AttemptResult.BROKEN):
             limit.note_overload(now, ticket.started_at)
 
-    def _judge(
+    def _update_health(
         self,
         service: ServiceDispatcher,
         backend: Backend,
         ticket: Ticket,
         now: float,
-        end: AttemptEnd,
+        end: AttemptResult,
     ) -> None:
         """Let the end of an attempt count for or against the back end's health.
 
         What ends at a former life says nothing of the next one, nor of its gateway.
         """
-        if backend.removed or not tells_of_backend(ticket, now, end):
-            backend.health.abandon(ticket.trial)
-        elif end is not AttemptEnd.ANSWERED and end in FAILURES:
-            may_eject = end is not AttemptEnd.FAILED_STATUS or service.may_eject()
-            threshold, pause = ejection_of(ticket, backend, end)
-            if backend.health.fail(now, ticket.trial, threshold, pause, may_eject):
-                backend.unreachable = bool(backend.gateway) and end in OUT_OF_REACH
-                self._notify(BackendChanged(backend, ejected=True))
-        elif backend.health.succeed(now, ticket.trial):
-            self._return(backend)
-
-    def _return(self, backend: Backend) -> None:
+        if backend.removed or not reflects_on_backend(ticket, now, end):
+            backend.health.note_inconclusive(ticket.trial)
+        elif end is not AttemptResult.ANSWERED and end in FAILURES:
+            may_eject = end is not AttemptResult.FAILED_STATUS or service.may_eject()
+            threshold, pause = ejection_parameters(ticket, backend, end)
+            if backend.health.note_failure(now, ticket.trial, threshold, pause, may_eject):
+                backend.unreachable = bool(backend.gateway) and end in CONNECTIVITY_FAILURES
+                self._notify(BackendHealthChanged(backend, ejected=True))
+        elif backend.health.note_success(now, ticket.trial):
+            self._reinstate(backend)
+
+    def _reinstate(self, backend: Backend) -> None:
         backend.unreachable = False
-        backend.waiting_since = None
-        self._notify(BackendChanged(backend, ejected=False))
+        backend.silent_since = None
+        self._notify(BackendHealthChanged(backend, ejected=False))
 
     def any_unreachable(self) -> bool:
         """Tell whether a gateway is out of reach, so that probes of it come due."""
@@ -351,18 +355,18 @@
         due = [
             backend
             for backend in self._registry.all()
-            if backend.unreachable and not backend.leaving and backend.health.admits(now)
+            if backend.unreachable and not backend.leaving and backend.health.allows_request(now)
         ]
         for backend in due:
-            backend.health.begin()
+            backend.health.note_start()
         return due
 
-    def note_probe(self, backend: Backend, now: float, answered: bool) -> None:
+    def note_probe_result(self, backend: Backend, now: float, answered: bool) -> None:
         """A probe of the back end's gateway has ended."""
         if not answered:
-            backend.health.fail_probe(now, UNREACHABLE_PAUSE)
-        elif backend.health.succeed(now, True):
-            self._return(backend)
+            backend.health.note_probe_failure(now, UNREACHABLE_RETRY_SECONDS)
+        elif backend.health.note_success(now, True):
+            self._reinstate(backend)
             self.service(backend.service).pump(now)
 
     def retry(
@@ -380,11 +384,11 @@
         if isinstance(error, BackendShedError) and error.retry_after is None:
             report = ticket.report
             has_room = report is not None and report.in_flight < report.slots
-            error.retry_after = pause_after_shedding(ticket.route.objective, has_room)
+            error.retry_after = retry_after_shedding(ticket.route.objective, has_room)
         if isinstance(error, RequestEndsBackendsError):
             return RetryDecision(RetryReason.ENDS_BACKENDS)
-        if not error.offered and ticket.backend.gateway:
-            return self._next_gateway(ticket, now, replayable)
+        if not error.reached_backend and ticket.backend.gateway:
+            return self._try_another_gateway(ticket, now, replayable)
         record = AttemptRecord(
             ticket.route,
             ticket.retries,
@@ -393,54 +397,59 @@
             replayable,
         )
         reason = judge_retry(record, error, now)
-        if reason in GRANTED_REASONS and not self._budgets.of(ticket.service.name, now).withdraw(
-            now, ticket.within
-        ):
+        if reason in GRANTED_REASONS and not self._budgets.for_service(
+            ticket.service.name, now
+        ).take(now, ticket.nested):
             reason = RetryReason.BUDGET
         granted = reason in GRANTED_REASONS
-        return RetryDecision(reason, ticket.following(ticket.refusals) if granted else None)
+        return RetryDecision(
+            reason, ticket.next_attempt(ticket.unseen_attempts) if granted else None
+        )
 
-    def note_length(self, route: str, length: int | None) -> None:
+    def note_response_length(self, route: str, length: int | None) -> None:
         """An answer of the route announces so many bytes, ``None`` where it tells none."""
         if length is not None and length <= LONG_BYTES:
             self.short_answers.add(route)
         else:
             self.short_answers.discard(route)
 
-    def may_leave(self, ticket: Ticket, now: float) -> bool:
+    def may_abandon_hung(self, ticket: Ticket, now: float) -> bool:
         """Tell whether an attempt would now be made elsewhere if its back end hangs on it."""
-        return self._policies.hanging is HungRequestPolicy.LEFT and self.may_repeat(ticket, now)
+        return self._policies.hanging is HungRequestPolicy.LEFT and self.may_retry_elsewhere(
+            ticket, now
+        )
 
-    def may_repeat(self, ticket: Ticket, now: float) -> bool:
+    def may_retry_elsewhere(self, ticket: Ticket, now: float) -> bool:
         """Tell whether an attempt that fails now would be made elsewhere."""
         if not ticket.route.repeatable:
             return False
         assert ticket.backend is not None
         service = self.service(ticket.route.service)
         return (
-            service.has_other((*ticket.excluded, ticket.backend.name), now)
+            service.has_untried((*ticket.excluded, ticket.backend.name), now)
             and ticket.retries < ticket.route.retry_limit
             and now + service.expected_time(ticket.route.name) < ticket.deadline
-            and self._budgets.of(ticket.service.name, now).left(now, ticket.within) >= 1
+            and self._budgets.for_service(ticket.service.name, now).available(now, ticket.nested)
+            >= 1
         )
 
-    def _next_gateway(self, ticket: Ticket, now: float, replayable: bool) -> RetryDecision:
+    def _try_another_gateway(self, ticket: Ticket, now: float, replayable: bool) -> RetryDecision:
         """No back end has seen the request: ask another gateway, which costs no retry."""
-        refusals = ticket.refusals + 1
+        refusals = ticket.unseen_attempts + 1
         if not replayable:
             return RetryDecision(RetryReason.BODY_GONE)
         if now >= ticket.deadline:
             return RetryDecision(RetryReason.NO_TIME)
-        following = ticket.following(refusals)
+        following = ticket.next_attempt(refusals)
         service = self.service(ticket.route.service)
         # One that has broken the request off is better than none: the attempt was granted.
-        if refusals >= MAXIMUM_REFUSALS or not service.has_other(following.refused, now):
+        if refusals >= MAXIMUM_REFUSALS or not service.has_untried(following.refused, now):
             return RetryDecision(RetryReason.NO_GATEWAY)
-        if following.within:
+        if following.nested:
             return RetryDecision(RetryReason.NEXT_GATEWAY, following)
-        if not service.has_prospect(following, now):
+        if not service.another_gateway_may_help(following, now):
             return RetryDecision(RetryReason.NO_PROSPECT)
-        if not self._asks.worth_it(ticket.route.name, now):
+        if not self._acceptance.worth_trying(ticket.route.name, now):
             return RetryDecision(RetryReason.NO_ODDS)
         return RetryDecision(RetryReason.NEXT_GATEWAY, following)
 
@@ -451,8 +460,8 @@
     """Grow or shrink the limits by the load that the back end has just reported."""
     report = ticket.report
     if report is None or report.in_flight < report.slots:
-        backend.limit.note_room(backend.in_flight)
-        service.limit.note_room(service.in_flight)
+        backend.limit.note_free_slots(backend.in_flight)
+        service.limit.note_free_slots(service.in_flight)
         return
     service.limit.note_full(now, service.in_flight)
     if report.in_flight > report.slots:
--- a/src/pewtertack/routing/asking.py
+++ b/src/pewtertack/routing/gateway_acceptance.py
@@ -13,43 +13,43 @@
 from collections.abc import Container
 from random import Random
 
-LEAST_ODDS = 0.3
+MIN_ACCEPTANCE_SHARE = 0.3
 """Below this share of further gateways that accept, none is asked. Chosen between the shares
 above and what is usual without a shortage, where nearly all accept."""
-NOTED_WEIGHT = 0.2
+NEWEST_WEIGHT = 0.2
 """Weight of the newest outcome: some five outcomes decide."""
-FORGETTING_SECONDS = 0.5
+RECOVERY_HALF_LIFE_SECONDS = 0.5
 """Outcomes lose half of their weight in this time, so that the end of a shortage is seen."""
-TRIED_SHARE = 0.1
+PROBE_SHARE = 0.1
 """Share of the requests for which a gateway is asked all the same, to see whether it is over."""
 
 
-class _Odds:
+class _AcceptanceRate:
     """How often a further gateway has accepted, for one route."""
 
-    __slots__ = ("noted_at", "share")
+    __slots__ = ("updated_at", "share")
 
     def __init__(self) -> None:
         self.share = 1.0
-        self.noted_at = -math.inf
+        self.updated_at = -math.inf
 
     def at(self, now: float) -> float:
         """Return the share, which tends to 1 while nothing is heard."""
         missing = 1 - self.share
-        return 1 - missing * math.exp2(-(now - self.noted_at) / FORGETTING_SECONDS)
+        return 1 - missing * math.exp2(-(now - self.updated_at) / RECOVERY_HALF_LIFE_SECONDS)
 
     def note(self, now: float, accepted: bool) -> None:
         known = self.at(now)
-        self.share = known + NOTED_WEIGHT * (accepted - known)
-        self.noted_at = now
+        self.share = known + NEWEST_WEIGHT * (accepted - known)
+        self.updated_at = now
 
 
-class FurtherAsks:
+class AcceptanceTracker:
     """The odds of all routes of one proxy. Times are monotonic seconds."""
 
     def __init__(self, random: Random) -> None:
         self._random = random
-        self._routes: dict[str, _Odds] = {}
+        self._routes: dict[str, _AcceptanceRate] = {}
 
     def keep_only(self, routes: Container[str]) -> None:
         """Forget routes that are in force no longer."""
@@ -57,11 +57,11 @@
 
     def note(self, route: str, now: float, accepted: bool) -> None:
         """A gateway that was asked after another had refused took the request, or did not."""
-        self._routes.setdefault(route, _Odds()).note(now, accepted)
+        self._routes.setdefault(route, _AcceptanceRate()).note(now, accepted)
 
-    def worth_it(self, route: str, now: float) -> bool:
+    def worth_trying(self, route: str, now: float) -> bool:
         """Tell whether to ask one more gateway for a request of the route."""
         known = self._routes.get(route)
-        if known is None or known.at(now) >= LEAST_ODDS:
+        if known is None or known.at(now) >= MIN_ACCEPTANCE_SHARE:
             return True
-        return self._random.random() < TRIED_SHARE
+        return self._random.random() < PROBE_SHARE
--- a/src/pewtertack/routing/health.py
+++ b/src/pewtertack/routing/health.py
@@ -8,7 +8,7 @@
 
 MAXIMUM_DOUBLINGS = 4
 MAXIMUM_PROBE_DOUBLINGS = 2
-FORGIVEN_AFTER = 10
+FORGET_AFTER_EJECTION_TIMES = 10
 """Ejections are forgotten after this many ejection times without a failure."""
 
 
@@ -17,33 +17,33 @@
 
     def __init__(self) -> None:
         self.ejected = False
-        self.returned_at = float("-inf")
+        self.reinstated_at = float("-inf")
         self.retry_at = float("-inf")
         """While ejected, the time from which one trial is allowed."""
         self._trial_running = False
         self._failures = 0
         self._ejections = 0
-        self._probes = 0
+        self._failed_probes = 0
         """Probes in a row that found nobody."""
         self._failed_at = float("-inf")
 
-    def admits(self, now: float) -> bool:
+    def allows_request(self, now: float) -> bool:
         """Tell whether a request, or a trial, may start."""
         if not self.ejected:
             return True
         return now >= self.retry_at and not self._trial_running
 
-    def begin(self) -> bool:
+    def note_start(self) -> bool:
         """Note that a request starts; return whether it is a trial."""
         self._trial_running = self._trial_running or self.ejected
         return self.ejected
 
-    def abandon(self, trial: bool) -> None:
+    def note_inconclusive(self, trial: bool) -> None:
         """A request ended without telling anything of the back end."""
         if trial:
             self._trial_running = False
 
-    def succeed(self, now: float, trial: bool) -> bool:
+    def note_success(self, now: float, trial: bool) -> bool:
         """A request succeeded; return whether the back end comes back by this.
 
         Only a trial brings it back: late answers to requests from before the
@@ -55,21 +55,21 @@
         if not trial:
             return False
         self.ejected = self._trial_running = False
-        self._failures = self._probes = 0
-        self.returned_at = now
+        self._failures = self._failed_probes = 0
+        self.reinstated_at = now
         return True
 
-    def fail_probe(self, now: float, pause: float) -> None:
+    def note_probe_failure(self, now: float, pause: float) -> None:
         """A probe, which costs no request, found nobody: the next one follows soon."""
         self._trial_running = False
-        self._probes += 1
-        self.retry_at = now + pause * 2 ** min(self._probes, MAXIMUM_PROBE_DOUBLINGS)
+        self._failed_probes += 1
+        self.retry_at = now + pause * 2 ** min(self._failed_probes, MAXIMUM_PROBE_DOUBLINGS)
 
-    def fail(
+    def note_failure(
         self, now: float, trial: bool, threshold: int, ejection_time: float, may_eject: bool
     ) -> bool:
         """A request failed; return whether the back end is ejected by this."""
-        if now - self._failed_at > FORGIVEN_AFTER * ejection_time:
+        if now - self._failed_at > FORGET_AFTER_EJECTION_TIMES * ejection_time:
             self._ejections = 0
         self._failed_at = now
         self._failures += 1
--- a/src/pewtertack/routing/limit.py
+++ b/src/pewtertack/routing/limit.py
@@ -11,27 +11,27 @@
 
 INITIAL_LIMIT = 2.0
 MINIMUM_LIMIT = 1.0
-DECREASE = 0.7
+DECREASE_FACTOR = 0.7
 """Factor on the limit per back end after a shed request or an overload."""
-MINIMUM_PAUSE = 0.02
-MAXIMUM_PAUSE = 1.0
+MINIMUM_PAUSE_SECONDS = 0.02
+MAXIMUM_PAUSE_SECONDS = 1.0
 """Seconds for which a back end that sheds single requests is left alone; doubling."""
 
 INITIAL_SERVICE_LIMIT = 4.0
 MINIMUM_SERVICE_LIMIT = 0.1
-SERVICE_START = 1.0
+INITIAL_SERVICE_GROWTH = 1.0
 """Growth per answer with free slots until the first shed request."""
-SERVICE_INCREASE = 0.2
+SERVICE_GROWTH = 0.2
 """The same from then on."""
-SERVICE_PROBE = 0.02
+FULL_SERVICE_GROWTH = 0.02
 """Growth per answer with all slots taken, while nothing is shed."""
-SERVICE_YIELD = 0.02
+FULL_SERVICE_DECREASE = 0.02
 """Shrinking per answer with all slots taken, while requests are shed too."""
-SERVICE_DECREASE = 0.15
+SHED_SERVICE_DECREASE = 0.15
 """Share of the limit that is given up after a shed request."""
 LARGE_SERVICE_LIMIT = 6.0
 """From here on that decrease no longer grows with the limit."""
-SHED_MEMORY = 1.0
+SHED_MEMORY_SECONDS = 1.0
 """Seconds for which a shed request makes reports of full back ends credible."""
 URGENT_HEADROOM = 0.25
 """Share of the limit, at least one request, that only urgent requests may use."""
@@ -44,7 +44,7 @@
         self.ceiling = float(max(1, ceiling))
         self.value = min(INITIAL_LIMIT, self.ceiling)
         self.paused_until = 0.0
-        self._pause = MINIMUM_PAUSE
+        self._pause = MINIMUM_PAUSE_SECONDS
         self._decreased_at = float("-inf")
 
     def set_ceiling(self, ceiling: int) -> None:
@@ -56,22 +56,22 @@
         """Tell whether one more request may start."""
         return in_flight < int(self.value) and now >= self.paused_until
 
-    def note_room(self, in_flight: int) -> None:
+    def note_free_slots(self, in_flight: int) -> None:
         """The back end answered and has free slots: grow if the limit was in use."""
-        self._pause = MINIMUM_PAUSE
+        self._pause = MINIMUM_PAUSE_SECONDS
         if in_flight + 1 >= int(self.value):
             self.value = min(self.ceiling, self.value + 1 / self.value)
 
     def note_full(self) -> None:
         """The back end answered, and all its slots are taken: neither grow nor shrink."""
-        self._pause = MINIMUM_PAUSE
+        self._pause = MINIMUM_PAUSE_SECONDS
 
     def note_overload(self, now: float, started_at: float) -> None:
         """The back end reports more work than slots: shrink, once per round trip."""
         if started_at < self._decreased_at:
             return
         self._decreased_at = now
-        self.value = max(MINIMUM_LIMIT, self.value * DECREASE)
+        self.value = max(MINIMUM_LIMIT, self.value * DECREASE_FACTOR)
 
     def note_shed(self, now: float, started_at: float, jitter: float) -> None:
         """The back end refused a request: shrink; at the least limit also pause.
@@ -82,7 +82,7 @@
         self.note_overload(now, started_at)
         if at_minimum:
             self.paused_until = now + self._pause * (0.5 + jitter)
-            self._pause = min(MAXIMUM_PAUSE, self._pause * 2)
+            self._pause = min(MAXIMUM_PAUSE_SECONDS, self._pause * 2)
 
 
 class ServiceLimit:
@@ -97,48 +97,48 @@
         self.value = INITIAL_SERVICE_LIMIT
         self._shed_at = float("-inf")
         self._decreased_at = float("-inf")
-        self._resting_until = float("-inf")
+        self._paused_until = float("-inf")
 
     def allows(self, now: float, in_flight: int, urgent: bool) -> bool:
         """Tell whether one more request may start."""
         if urgent:
             return in_flight < self.value + max(1.0, self.value * URGENT_HEADROOM)
         if self.value < 1:
-            return in_flight == 0 and now >= self._resting_until
+            return in_flight == 0 and now >= self._paused_until
         return in_flight < int(self.value)
 
-    def next_start(self) -> float:
+    def paused_until(self) -> float:
         """Return when a pause of a limit below 1 ends."""
-        return self._resting_until
+        return self._paused_until
 
     def note_finished(self, now: float, seconds: float) -> None:
         """A request that took ``seconds`` has ended: a limit below 1 rests for a while."""
         if self.value < 1:
-            self._resting_until = now + seconds * (1 / self.value - 1)
+            self._paused_until = now + seconds * (1 / self.value - 1)
 
-    def note_room(self, in_flight: int) -> None:
+    def note_free_slots(self, in_flight: int) -> None:
         """A back end answered and has free slots: grow if the limit was in use."""
         started = self._shed_at > float("-inf")
-        self._grow(in_flight, SERVICE_INCREASE if started else SERVICE_START)
+        self._grow(in_flight, SERVICE_GROWTH if started else INITIAL_SERVICE_GROWTH)
 
     def note_full(self, now: float, in_flight: int) -> None:
         """A back end answered with all slots taken: leave room for urgent requests.
 
         Reports may mislead: they shrink the limit only while back ends shed too.
         """
-        if now - self._shed_at > SHED_MEMORY:
-            self._grow(in_flight, SERVICE_PROBE)
+        if now - self._shed_at > SHED_MEMORY_SECONDS:
+            self._grow(in_flight, FULL_SERVICE_GROWTH)
         else:
-            self._shrink_to(self.value - SERVICE_YIELD * self._step())
+            self._shrink_to(self.value - FULL_SERVICE_DECREASE * self._step_size())
 
     def _shrink_to(self, value: float) -> None:
         self.value = max(MINIMUM_SERVICE_LIMIT, value)
 
     def _grow(self, in_flight: int, rate: float) -> None:
         if in_flight + 2 > self.value:
-            self.value += rate * self._step()
+            self.value += rate * self._step_size()
 
-    def _step(self) -> float:
+    def _step_size(self) -> float:
         """Return what makes the change per unit of time alike for all limits."""
         return 1 / self.value if self.value > 1 else self.value
 
@@ -147,4 +147,6 @@
         self._shed_at = now
         if started_at >= self._decreased_at:
             self._decreased_at = now
-            self._shrink_to(self.value - SERVICE_DECREASE * min(self.value, LARGE_SERVICE_LIMIT))
+            self._shrink_to(
+                self.value - SHED_SERVICE_DECREASE * min(self.value, LARGE_SERVICE_LIMIT)
+            )
--- a/src/pewtertack/routing/link.py
+++ b/src/pewtertack/routing/link.py
@@ -15,7 +15,7 @@
 import math
 from collections.abc import Callable
 
-from pewtertack.routing.long_body import ENDS_NOW, LongBody, Rank, Turn
+from pewtertack.routing.long_body import FINISHING_SOON, LongBody, Rank, SchedulingKey
 from pewtertack.routing.policies import LongBodyPolicy, Parameter, PolicyKind, policy
 from pewtertack.routing.queueing import smoothed
 
@@ -26,10 +26,10 @@
 LINK_SHARE = 0.8
 """Share of the link's rate that long bodies and what is noted beside them may fill: the rest
 is for heads, acknowledgements and messages between nodes, which nobody counts."""
-AHEAD_BYTES = PART_BYTES
+SEND_AHEAD_BYTES = PART_BYTES
 """So much may still be in the link's line when the next part follows, or the link stands idle
 while a process with half a core gets its turn."""
-PROBE_SECONDS = 1.0
+PROBE_INTERVAL_SECONDS = 1.0
 """Of a route whose answers are too long for any deadline one request in so long is let through:
 answers alone teach how long they are."""
 SLOW_READER_SECONDS = 0.5
@@ -40,8 +40,8 @@
 others go first. A node that stops keeps as long for last answers."""
 LAST_RANK: Rank = (1 << 62, 0)
 """Behind every rank that there is."""
-BITS = 8
-MEGA = 1_000_000
+BITS_PER_BYTE = 8
+BITS_PER_MEGABIT = 1_000_000
 
 
 @policy(
@@ -51,7 +51,7 @@
     Parameter("long_bytes", LONG_BYTES, "B", "13 ms of a link of 10 Mbit/s"),
     Parameter("link_share", LINK_SHARE, "", "the rest is for what nobody counts"),
 )
-class LinkShare:
+class LinkScheduler:
     """Who may send a part of a long body, and when. Times are monotonic seconds.
 
     Args:
@@ -60,47 +60,47 @@
 
     __slots__ = (
         "_arrivals",
-        "_ends_at",
+        "_stops_at",
         "_free_at",
-        "_line",
-        "_open",
+        "_queue",
+        "_sends_all_now",
         "_probed_at",
-        "_promised",
-        "_sizes",
+        "_reserved_bytes",
+        "_mean_sizes",
         "bytes_per_second",
     )
 
     def __init__(self, megabits: float) -> None:
-        self.bytes_per_second = megabits * MEGA / BITS * LINK_SHARE
+        self.bytes_per_second = megabits * BITS_PER_MEGABIT / BITS_PER_BYTE * LINK_SHARE
         self._free_at = 0.0
         """When the link will have carried all that was sent."""
-        self._ends_at = math.inf
+        self._stops_at = math.inf
         """When the link's node carries nothing any longer."""
-        self._line: list[LongBody] = []
-        self._open = False
+        self._queue: list[LongBody] = []
+        self._sends_all_now = False
         """Whether nothing waits any longer."""
         self._arrivals = 0
-        self._promised: dict[Rank, int] = {}
+        self._reserved_bytes: dict[Rank, int] = {}
         """Bytes of long answers that are to come, by rank; whole ones, so that they add up."""
         self._probed_at: dict[str, float] = {}
         """When a request of a route too long was last let through, or first refused."""
-        self._sizes: dict[str, float] = {}
+        self._mean_sizes: dict[str, float] = {}
         """Mean length of the long answers of each route; 0 bytes for routes without."""
 
     def note_sent(self, size: int, now: float) -> None:
         """Something was sent without waiting."""
         self._free_at = max(self._free_at, now) + size / self.bytes_per_second
 
-    def enter(
+    def enqueue(
         self,
         rank: Rank,
         size: int,
-        wanted: float,
+        target_time: float,
         wake: Callable[[], None],
-        begun: bool = False,
-        latest: float = math.inf,
-        returnable: int = 0,
-        only_here: bool = False,
+        started: bool = False,
+        expires_at: float = math.inf,
+        uncommitted_bytes: int = 0,
+        only_source: bool = False,
     ) -> LongBody:
         """Put a long body into the line; ``wake`` is called when its turn may have come.
 
@@ -114,190 +114,192 @@
             returnable, only_here: see ``LongBody``.
         """
         self._arrivals += 1
-        body = LongBody(rank, size, min(wanted, latest), self._arrivals, wake)
-        body.begun = begun
-        body.latest = latest
-        body.returnable = returnable
-        body.only_here = only_here
-        self._line.append(body)
+        body = LongBody(rank, size, min(target_time, expires_at), self._arrivals, wake)
+        body.started = started
+        body.expires_at = expires_at
+        body.uncommitted_bytes = uncommitted_bytes
+        body.only_source = only_source
+        self._queue.append(body)
         return body
 
-    def hasten(self, body: LongBody, rank: Rank, wanted: float, latest: float, now: float) -> None:
+    def expedite(
+        self, body: LongBody, rank: Rank, target_time: float, expires_at: float, now: float
+    ) -> None:
         """Give a body another place, since it must have left earlier than it said (``enter``)."""
         body.rank = rank
-        body.wanted = min(wanted, latest)
-        body.latest = latest
-        self._wake_first(now)
+        body.target_time = min(target_time, expires_at)
+        body.expires_at = expires_at
+        self._wake_next(now)
 
-    def leave(self, body: LongBody, now: float) -> None:
+    def remove(self, body: LongBody, now: float) -> None:
         """The body has been sent, or will not be."""
-        if not body.given_back:
-            self._line.remove(body)
-        self._wake_first(now)
+        if not body.handed_back:
+            self._queue.remove(body)
+        self._wake_next(now)
 
-    def end_at(self, moment: float, now: float) -> None:
+    def stop_at(self, moment: float, now: float) -> None:
         """The link's node stops, and carries nothing after ``moment``.
 
         What has begun goes on, before all others. What can't leave by then is given back while
         it can be had elsewhere: begun shortly before the end, it would be broken off there.
         """
-        self._ends_at = moment
-        self._give_back(now)
+        self._stops_at = moment
+        self._hand_back(now)
 
-    def _give_back(self, now: float) -> None:
+    def _hand_back(self, now: float) -> None:
         """Take out of the line what will not leave before a node stops, as far as it may be."""
-        if self._ends_at == math.inf and not any(item.receiver_stops for item in self._line):
+        if self._stops_at == math.inf and not any(item.receiver_stopping for item in self._queue):
             return
         free_at = max(now, self._free_at)
-        for body in sorted(self._line, key=lambda item: self._turn(item, now)):
-            if self._is_held_up(body, now):
+        for body in sorted(self._queue, key=lambda item: self._scheduling_key(item, now)):
+            if self._is_blocked(body, now):
                 continue
-            left_at = free_at + body.left / self.bytes_per_second
-            if left_at <= self._end_for(body) or not body.returnable:
+            left_at = free_at + body.remaining_bytes / self.bytes_per_second
+            if left_at <= self._cutoff_for(body) or not body.uncommitted_bytes:
                 free_at = left_at
                 continue
-            self._line.remove(body)
-            body.given_back = True
+            self._queue.remove(body)
+            body.handed_back = True
             body.wake()
 
-    def _end_for(self, body: LongBody) -> float:
+    def _cutoff_for(self, body: LongBody) -> float:
         """Return when the node carries the body no longer, or its receiver's node takes it no more.
 
         That one would not live to see it late; the others at least wait until their deadlines.
         What could be had nowhere else is better given to the system at this node's end (``open``).
         """
-        own_end = math.inf if body.only_here else self._ends_at
-        return min(own_end, body.latest) if body.receiver_stops else own_end
+        own_end = math.inf if body.only_source else self._stops_at
+        return min(own_end, body.expires_at) if body.receiver_stopping else own_end
 
-    def ends_before(self, route: str, rank: Rank, now: float, run_seconds: float) -> bool:
+    def stops_before(self, route: str, rank: Rank, now: float, run_seconds: float) -> bool:
         """Tell whether the node stops before an answer of the route, not run yet, has left."""
-        own = self.own_time(route)
-        if not own or self._ends_at == math.inf:
+        own = self.transfer_time(route)
+        if not own or self._stops_at == math.inf:
             return False
-        ahead = self._line_bytes(rank, now) / self.bytes_per_second
+        ahead = self._queued_bytes(rank, now) / self.bytes_per_second
         turn_at = max(now, self._free_at) + ahead
-        return max(turn_at, now + run_seconds) + own > self._ends_at
+        return max(turn_at, now + run_seconds) + own > self._stops_at
 
-    def _wake_first(self, now: float) -> None:
-        first = self._first(now)
+    def _wake_next(self, now: float) -> None:
+        first = self._next(now)
         if first is not None:
             first.wake()
 
-    def _first(self, now: float) -> LongBody | None:
+    def _next(self, now: float) -> LongBody | None:
         """Return whose turn is next."""
-        waiting = (item for item in self._line if item.waits)
-        return min(waiting, key=lambda item: self._turn(item, now), default=None)
+        waiting = (item for item in self._queue if item.is_ready)
+        return min(waiting, key=lambda item: self._scheduling_key(item, now), default=None)
 
-    def _turn(self, item: LongBody, now: float) -> Turn:
+    def _scheduling_key(self, item: LongBody, now: float) -> SchedulingKey:
         """Return the body's place in the line; the smallest goes first.
 
         Where the node stops, what can be had elsewhere lets all go first that can not.
         """
-        returns = item.returnable > 0 and not item.only_here
-        lets_go_first = self._ends_at < math.inf and returns
-        end = now + item.left / self.bytes_per_second
-        goes_on = item.begun and end <= item.latest + OVERDUE_SECONDS
+        returns = item.uncommitted_bytes > 0 and not item.only_source
+        lets_go_first = self._stops_at < math.inf and returns
+        end = now + item.remaining_bytes / self.bytes_per_second
+        goes_on = item.started and end <= item.expires_at + OVERDUE_SECONDS
         # Else what is more urgent and keeps coming would have it broken off, sent for nothing.
-        rank = ENDS_NOW if goes_on and self._must_go(item, now) else item.rank
-        return lets_go_first, rank, not goes_on, item.due(end), item.arrival
+        rank = FINISHING_SOON if goes_on and self._is_finishing(item, now) else item.rank
+        return lets_go_first, rank, not goes_on, item.due_time(end), item.sequence
 
-    def _must_go(self, item: LongBody, now: float) -> bool:
+    def _is_finishing(self, item: LongBody, now: float) -> bool:
         """Tell whether no more time was left to it once than twice what it then took.
 
         It stays so: with each part that leaves, what is left takes less.
         """
-        takes = item.left / self.bytes_per_second
-        item.hurries = item.hurries or (item.begun and now + 2 * takes >= item.latest)
-        return item.hurries and not item.receiver_stops
+        takes = item.remaining_bytes / self.bytes_per_second
+        item.is_urgent = item.is_urgent or (item.started and now + 2 * takes >= item.expires_at)
+        return item.is_urgent and not item.receiver_stopping
 
-    def wait_of(self, body: LongBody, now: float) -> float | None:
+    def send_delay(self, body: LongBody, now: float) -> float | None:
         """Return in how many seconds it may send a part.
 
         ``None`` while another goes first, which is woken: it may have become the first since.
         """
-        body.waits = True
-        if self._open:
+        body.is_ready = True
+        if self._sends_all_now:
             return 0.0
-        self._give_back(now)
-        if self._first(now) is not body:
-            self._wake_first(now)
+        self._hand_back(now)
+        if self._next(now) is not body:
+            self._wake_next(now)
             return None
-        return max(0.0, self._free_at - AHEAD_BYTES / self.bytes_per_second - now)
+        return max(0.0, self._free_at - SEND_AHEAD_BYTES / self.bytes_per_second - now)
 
-    def open(self) -> None:
+    def send_all_now(self) -> None:
         """Let everything go at once from now on: what this process keeps ends with it, while the
         system goes on sending what it was given.
         """
-        self._open = True
-        for body in sorted(self._line, key=lambda item: (item.rank, not item.begun)):
+        self._sends_all_now = True
+        for body in sorted(self._queue, key=lambda item: (item.rank, not item.started)):
             body.wake()
 
     def note_part(self, body: LongBody, size: int, now: float) -> None:
         """A part of the body was sent."""
-        body.begun = True
-        body.waits = False
-        body.sent_at = now
-        body.left = max(0, body.left - size)
-        body.returnable = max(0, body.returnable - size)
+        body.started = True
+        body.is_ready = False
+        body.last_sent_at = now
+        body.remaining_bytes = max(0, body.remaining_bytes - size)
+        body.uncommitted_bytes = max(0, body.uncommitted_bytes - size)
         self.note_sent(size, now)
-        self._wake_first(now)
+        self._wake_next(now)
 
-    def note_answer(self, route: str, size: int) -> None:
+    def note_answer_size(self, route: str, size: int) -> None:
         """Learn how long the answers of a route are; routes of short ones are not kept."""
-        if size <= LONG_BYTES and route not in self._sizes:
+        if size <= LONG_BYTES and route not in self._mean_sizes:
             return
-        self._sizes[route] = smoothed(self._sizes.get(route, 0.0), float(size))
+        self._mean_sizes[route] = smoothed(self._mean_sizes.get(route, 0.0), float(size))
 
-    def promise(self, route: str, rank: Rank) -> int:
+    def reserve(self, route: str, rank: Rank) -> int:
         """An answer of the route is to come; return the bytes to reckon with, 0 if it is short."""
-        size = round(self._sizes.get(route, 0.0))
+        size = round(self._mean_sizes.get(route, 0.0))
         if size <= LONG_BYTES:
             return 0
-        self._promised[rank] = self._promised.get(rank, 0) + size
+        self._reserved_bytes[rank] = self._reserved_bytes.get(rank, 0) + size
         return size
 
-    def keep(self, rank: Rank, promised: int) -> None:
+    def release(self, rank: Rank, promised: int) -> None:
         """What was promised is in line now, or will not come."""
-        left = self._promised.pop(rank, 0) - promised
+        left = self._reserved_bytes.pop(rank, 0) - promised
         if left > 0:
-            self._promised[rank] = left
+            self._reserved_bytes[rank] = left
 
-    def own_time(self, route: str) -> float:
+    def transfer_time(self, route: str) -> float:
         """Return the seconds that an answer of the route takes alone; 0 if it is short."""
-        size = self._sizes.get(route, 0.0)
+        size = self._mean_sizes.get(route, 0.0)
         return size / self.bytes_per_second if size > LONG_BYTES else 0.0
 
     def may_probe(self, route: str, now: float) -> bool:
         """Tell whether to let a request through although answers of its route are too long."""
-        if now - self._probed_at.setdefault(route, now) < PROBE_SECONDS:
+        if now - self._probed_at.setdefault(route, now) < PROBE_INTERVAL_SECONDS:
             return False
         self._probed_at[route] = now
         return True
 
-    def time_ahead(self, rank: Rank, now: float) -> float:
+    def queue_time(self, rank: Rank, now: float) -> float:
         """Return the seconds for which others take the link before a long answer of the rank."""
-        ahead = self._line_bytes(rank, now)
-        ahead += sum(total for other, total in self._promised.items() if other <= rank)
+        ahead = self._queued_bytes(rank, now)
+        ahead += sum(total for other, total in self._reserved_bytes.items() if other <= rank)
         return max(0.0, self._free_at - now) + ahead / self.bytes_per_second
 
-    def line_time(self, now: float) -> float:
+    def total_queue_time(self, now: float) -> float:
         """Return the seconds that all take the link that stand in its line or are to come."""
-        return self.time_ahead(LAST_RANK, now)
+        return self.queue_time(LAST_RANK, now)
 
-    def _line_bytes(self, rank: Rank, now: float) -> float:
+    def _queued_bytes(self, rank: Rank, now: float) -> float:
         """Return the bytes in line of what goes before a long answer of the rank."""
         return sum(
-            float(item.left)
-            for item in self._line
-            if item.rank <= rank or self._must_go(item, now)
-            if not self._is_held_up(item, now)
+            float(item.remaining_bytes)
+            for item in self._queue
+            if item.rank <= rank or self._is_finishing(item, now)
+            if not self._is_blocked(item, now)
         )
 
-    def _is_held_up(self, item: LongBody, now: float) -> bool:
+    def _is_blocked(self, item: LongBody, now: float) -> bool:
         """Tell whether its reader, or its sender, is slow, so that it takes nobody's time."""
-        return not item.waits and now - item.sent_at >= SLOW_READER_SECONDS
+        return not item.is_ready and now - item.last_sent_at >= SLOW_READER_SECONDS
 
-    def answer_time(self, route: str, rank: Rank, now: float) -> float:
+    def delivery_time(self, route: str, rank: Rank, now: float) -> float:
         """Return in how many seconds an answer of the route would have left; 0 if it is short."""
-        own = self.own_time(route)
-        return own + self.time_ahead(rank, now) if own else 0.0
+        own = self.transfer_time(route)
+        return own + self.queue_time(rank, now) if own else 0.0
--- a/src/pewtertack/routing/link_words.py
+++ b/src/pewtertack/routing/link_reports.py
@@ -11,53 +11,53 @@
 
 from pewtertack.routing.queueing import smoothed
 
-MILLISECONDS = 1000
-LONGEST_MS = 10_000
+MILLISECONDS_PER_SECOND = 1000
+MAX_REPORTED_MS = 10_000
 """A longer line is told as this: either is far too long."""
 SEPARATOR = "/"
 
 
-class LinkWord(msgspec.Struct, frozen=True):
+class LinkReport(msgspec.Struct, frozen=True):
     """How long a long answer would wait at a link, and take it. Seconds."""
 
-    ahead: float
+    queue_seconds: float
     """Until all that stands in the line has left."""
-    own: float
+    transfer_seconds: float
     """What an answer of the route that was asked for takes alone; 0 if it is short."""
 
 
-def link_text(ahead: float, own: float) -> str | None:
+def format_link_report(ahead: float, own: float) -> str | None:
     """Return what to tell of a link; ``None`` where there is nothing to be told."""
-    word = [round(seconds * MILLISECONDS) for seconds in (ahead, own)]
+    word = [round(seconds * MILLISECONDS_PER_SECOND) for seconds in (ahead, own)]
     if not any(word):
         return None
-    return SEPARATOR.join(str(min(item, LONGEST_MS)) for item in word)
+    return SEPARATOR.join(str(min(item, MAX_REPORTED_MS)) for item in word)
 
 
-def parse_link(text: str) -> LinkWord | None:
+def parse_link_report(text: str) -> LinkReport | None:
     """Read such a word; ``None`` for one that makes no sense."""
     ahead, _, own = text.partition(SEPARATOR)
-    if len(text) > len(f"{LONGEST_MS}/{LONGEST_MS}"):
+    if len(text) > len(f"{MAX_REPORTED_MS}/{MAX_REPORTED_MS}"):
         return None
     if not (ahead.isascii() and ahead.isdecimal() and own.isascii() and own.isdecimal()):
         return None
-    if max(int(ahead), int(own)) > LONGEST_MS:
+    if max(int(ahead), int(own)) > MAX_REPORTED_MS:
         return None
-    return LinkWord(int(ahead) / MILLISECONDS, int(own) / MILLISECONDS)
+    return LinkReport(int(ahead) / MILLISECONDS_PER_SECOND, int(own) / MILLISECONDS_PER_SECOND)
 
 
-class LongRoute:
+class LongRouteTimes:
     """What a sender knows of a route of long answers. Seconds."""
 
-    __slots__ = ("own", "run")
+    __slots__ = ("transfer_seconds", "execution_seconds")
 
     def __init__(self) -> None:
-        self.own = 0.0
+        self.transfer_seconds = 0.0
         """What an answer takes a link alone, by the newest word."""
-        self.run = 0.0
+        self.execution_seconds = 0.0
         """Mean time until an answer begins, which is before it waits for the link."""
 
     def note(self, own: float, run: float) -> None:
         """An answer has begun."""
-        self.own = own
-        self.run = smoothed(self.run, run)
+        self.transfer_seconds = own
+        self.execution_seconds = smoothed(self.execution_seconds, run)
--- a/src/pewtertack/routing/margins.py
+++ b/src/pewtertack/routing/margins.py
@@ -10,7 +10,7 @@
 
 from pewtertack.routing.policies import Parameter, PolicyKind, WaitMarginPolicy, policy
 
-KEPT_MOST = 0.5
+MAX_RESERVED_SHARE = 0.5
 """At most so much of the time that a request may wait is kept. In virtual time a third and two
 thirds earn the same within noise; nothing kept earns less."""
 
@@ -20,7 +20,7 @@
     WaitMarginPolicy.SPREAD,
     "a request waits while its answer is seldom late, however much answers' times differ",
 )
-def keep_spread(arrived_at: float, latest: float, spread: float) -> float:
+def reserve_spread(arrived_at: float, latest: float, spread: float) -> float:
     """Return until when to start what arrived and may start at ``latest``, at a usual answer."""
     return latest - spread
 
@@ -29,11 +29,13 @@
     PolicyKind.MARGIN,
     WaitMarginPolicy.HALF,
     "a request waits for half the time that a usual answer leaves, or longer where it is safe",
-    Parameter("kept_most", KEPT_MOST, "", "in virtual time a third to two thirds are alike"),
+    Parameter(
+        "kept_most", MAX_RESERVED_SHARE, "", "in virtual time a third to two thirds are alike"
+    ),
 )
-def keep_half(arrived_at: float, latest: float, spread: float) -> float:
+def reserve_half(arrived_at: float, latest: float, spread: float) -> float:
     """Return the same; the spread takes no more than half of the time from its arrival on."""
-    return latest - min(spread, KEPT_MOST * max(0.0, latest - arrived_at))
+    return latest - min(spread, MAX_RESERVED_SHARE * max(0.0, latest - arrived_at))
 
 
-MARGINS = {WaitMarginPolicy.SPREAD: keep_spread, WaitMarginPolicy.HALF: keep_half}
+MARGINS = {WaitMarginPolicy.SPREAD: reserve_spread, WaitMarginPolicy.HALF: reserve_half}
--- a/src/pewtertack/routing/outcomes.py
+++ b/src/pewtertack/routing/outcomes.py
@@ -23,7 +23,7 @@
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Callers may take these to mean that the request has not run and never will."""
 
-UNKNOWN_STATUSES = frozenset({502, 504})
+UNKNOWN_OUTCOME_STATUSES = frozenset({502, 504})
 """Callers can take nothing from these: what may not be repeated is lost with them."""
 
 
@@ -49,15 +49,15 @@
         self.outcome = self.default_outcome
         self.retries_spent = False
         """Whether nodes above must leave this failure alone."""
-        self.offered = True
+        self.reached_backend = True
         """Whether a back end has seen the request, so that a further attempt is a retry."""
 
     @property
-    def answer_status(self) -> int:
+    def response_status(self) -> int:
         """The status to answer with: it promises "not run" where that is so, and only there."""
         if self.outcome is Outcome.UNKNOWN and self.status in NOT_RUN_STATUSES:
             return RequestFailedError.status
-        if self.outcome is Outcome.NOT_RUN and self.status in UNKNOWN_STATUSES:
+        if self.outcome is Outcome.NOT_RUN and self.status in UNKNOWN_OUTCOME_STATUSES:
             return NotRunError.status
         return self.status
 
@@ -159,7 +159,7 @@
 
     def __init__(self, message: str, retry_after: float | None = DEFAULT_RETRY_AFTER) -> None:
         super().__init__(message, retry_after)
-        self.offered = False
+        self.reached_backend = False
 
 
 class QueueFullError(NotRunError):
@@ -193,7 +193,7 @@
 
     def __init__(self, message: str, retry_after: float | None = DEFAULT_RETRY_AFTER) -> None:
         super().__init__(message, retry_after)
-        self.offered = False
+        self.reached_backend = False
 
 
 class GatewayRefusedError(NotRunError):
@@ -205,7 +205,7 @@
         super().__init__(message, retry_after)
         self.reason = reason
         """Code of the refusal at the gateway."""
-        self.offered = False
+        self.reached_backend = False
 
 
 class BackendGoneError(NotRunError):
@@ -233,7 +233,7 @@
 
     def __init__(self, message: str, retry_after: float | None = DEFAULT_RETRY_AFTER) -> None:
         super().__init__(message, retry_after)
-        self.offered = False
+        self.reached_backend = False
 
 
 class BackendShedError(NotRunError):
@@ -270,7 +270,7 @@
 
     def __init__(self, message: str, retry_after: float | None = None) -> None:
         super().__init__(message, retry_after)
-        self.offered = False
+        self.reached_backend = False
 
 
 class BackendSilentError(BackendFailedError):
--- a/src/pewtertack/routing/policies.py
+++ b/src/pewtertack/routing/policies.py
@@ -41,17 +41,17 @@
     "policy",
 ]
 
-Made = TypeVar("Made")
+Implementation = TypeVar("Implementation")
 
 MODULES: tuple[str, ...] = (
     "pewtertack.routing.hanging",
     "pewtertack.routing.link",
     "pewtertack.routing.margins",
     "pewtertack.routing.origins",
-    "pewtertack.routing.patience",
+    "pewtertack.routing.wait_policy",
     "pewtertack.routing.retries",
     "pewtertack.routing.retry_window",
-    "pewtertack.routing.runs",
+    "pewtertack.routing.executions",
 )
 """Modules that fill the registry."""
 
@@ -72,7 +72,7 @@
 class Policy:
     """One way of making a decision."""
 
-    __slots__ = ("kind", "made_by", "name", "parameters", "purpose")
+    __slots__ = ("kind", "implementation", "name", "parameters", "purpose")
 
     def __init__(
         self,
@@ -86,7 +86,7 @@
         self.name = name
         self.purpose = purpose
         self.parameters = parameters
-        self.made_by = made_by
+        self.implementation = made_by
 
 
 REGISTRY: dict[tuple[PolicyKind, str], Policy] = {}
@@ -94,10 +94,10 @@
 
 def policy(
     kind: PolicyKind, name: str, purpose: str, *parameters: Parameter
-) -> Callable[[Callable[..., Made]], Callable[..., Made]]:
+) -> Callable[[Callable[..., Implementation]], Callable[..., Implementation]]:
     """Return a decorator that enters a class or function as a way of the kind."""
 
-    def enter(made_by: Callable[..., Made]) -> Callable[..., Made]:
+    def enter(made_by: Callable[..., Implementation]) -> Callable[..., Implementation]:
         REGISTRY[kind, name] = Policy(kind, name, purpose, parameters, made_by)
         return made_by
 
--- a/src/pewtertack/routing/queueing.py
+++ b/src/pewtertack/routing/queueing.py
@@ -15,7 +15,7 @@
 from pewtertack.core.configuration.resolved import ResolvedRoute, ResolvedService, WorkClass
 from pewtertack.routing.backend import Backend, LoadReport
 from pewtertack.routing.outcomes import RequestFailedError
-from pewtertack.routing.patience import Lateness
+from pewtertack.routing.wait_policy import WaitPolicy
 
 SMOOTHING = 0.1
 """Weight of the newest value in exponentially weighted means."""
@@ -25,7 +25,7 @@
     WorkClass.BULK: 4,
     WorkClass.BACKGROUND: 1,
 }
-MAXIMUM_WAIT = {
+MAXIMUM_WAIT_SECONDS = {
     WorkClass.URGENT: 1.0,
     WorkClass.INTERACTIVE: 3.0,
     WorkClass.BULK: 10.0,
@@ -34,7 +34,7 @@
 """Seconds that a request waits at most, however late its deadline is."""
 
 
-def _nobody_waits() -> None:
+def _wake_nobody() -> None:
     """Wake nobody."""
 
 
@@ -48,7 +48,7 @@
     """Back ends that earlier attempts of the request have tried."""
     refused: tuple[str, ...] = ()
     """Those of them whose gateways refused it, or were not reached."""
-    wake: Callable[[], None] = _nobody_waits
+    wake: Callable[[], None] = _wake_nobody
     """Called when a waiting ticket is granted or refused."""
     backend: Backend | None = None
     refusal: RequestFailedError | None = None
@@ -62,29 +62,29 @@
     report: LoadReport | None = None
     """What the back end said of its load with this answer."""
     finished: bool = False
-    refusals: int = 0
+    unseen_attempts: int = 0
     """Attempts that no back end has seen: gateways refused them or were not reached."""
     arrived_at: float = 0.0
     """When the request's first attempt was submitted."""
-    queued: float = 0.0
+    queued_seconds: float = 0.0
     """Seconds that the request waited at the gateway, as told with the answer."""
-    lateness: Lateness = Lateness.ALLOWED
+    wait_policy: WaitPolicy = WaitPolicy.WAIT
     """What the gateway should do if the request would have to wait."""
     caller_deadline: float = 0.0
     """How long the caller will wait over all its attempts, 0 while unknown."""
-    caller_lateness: Lateness = Lateness.ALLOWED
+    caller_wait_policy: WaitPolicy = WaitPolicy.WAIT
     """What its caller's patience speaks for, wherever the attempt goes."""
-    choice: str = ""
+    choice_reason: str = ""
     """Why this back end was chosen, for the log."""
     body_bytes: int = 0
     """Length of the request's body, as far as announced."""
-    within: bool = False
+    nested: bool = False
     """A back end makes it while it runs another request."""
 
     @property
-    def caller_may_come_back(self) -> bool:
+    def caller_can_retry(self) -> bool:
         """Whether the caller, if refused, has time for another whole attempt."""
-        return self.caller_lateness.prompt
+        return self.caller_wait_policy.prefers_retry
 
     def take_refusal(self) -> RequestFailedError:
         """Return why it was refused, and forget it: raised, it refers to who waited."""
@@ -94,25 +94,25 @@
         finally:
             self.refusal = None
 
-    def following(self, refusals: int) -> Ticket:
+    def next_attempt(self, refusals: int) -> Ticket:
         """Return the ticket of one more attempt, after so many that no back end has seen."""
         assert self.backend is not None
         excluded = (*self.excluded, self.backend.name)
-        newly = (self.backend.name,) if refusals > self.refusals else ()
+        newly = (self.backend.name,) if refusals > self.unseen_attempts else ()
         refused = (*self.refused, *newly)
         ticket = Ticket(self.route, self.service, self.deadline, excluded, refused, self.wake)
-        ticket.refusals = refusals
+        ticket.unseen_attempts = refusals
         ticket.arrived_at = self.arrived_at
         ticket.body_bytes = self.body_bytes
         ticket.caller_deadline = self.caller_deadline
-        ticket.caller_lateness = self.caller_lateness
-        ticket.within = self.within
+        ticket.caller_wait_policy = self.caller_wait_policy
+        ticket.nested = self.nested
         return ticket
 
     @property
     def retries(self) -> int:
         """Earlier attempts that a back end may have seen."""
-        return len(self.excluded) - self.refusals
+        return len(self.excluded) - self.unseen_attempts
 
 
 def smoothed(mean: float, value: float) -> float:
@@ -124,17 +124,17 @@
     step: float
     """Virtual time that one request takes: the inverse of the class's weight."""
     tickets: deque[Ticket] = msgspec.field(default_factory=deque)
-    position: float = 0.0
+    due_virtual_time: float = 0.0
     """Virtual time at which the first ticket is due."""
     interval: float = 0.0
     """Mean seconds from one ticket's turn to the next; 0 while unknown."""
-    served_at: float = 0.0
+    last_turn_at: float = 0.0
     """When the class's last turn was, or its first ticket came."""
 
     def note_turn(self, now: float) -> None:
         """A ticket has had its turn."""
-        self.interval = smoothed(self.interval, now - self.served_at)
-        self.served_at = now
+        self.interval = smoothed(self.interval, now - self.last_turn_at)
+        self.last_turn_at = now
 
 
 class ClassQueue:
@@ -142,7 +142,7 @@
 
     def __init__(self) -> None:
         self._lanes = {work_class: _Lane(1 / weight) for work_class, weight in WEIGHTS.items()}
-        self._position = 0.0
+        self._virtual_time = 0.0
         self._by_route: dict[str, int] = {}
         self._length = 0
 
@@ -160,7 +160,7 @@
         """Return how many requests of each class wait."""
         return {work_class: len(lane.tickets) for work_class, lane in self._lanes.items()}
 
-    def place_of(self, ticket: Ticket) -> int:
+    def position_of(self, ticket: Ticket) -> int:
         """Return how many of the ticket's class go before it, waiting or yet to come."""
         tickets = self._lanes[ticket.route.work_class].tickets
         return tickets.index(ticket) if ticket in tickets else len(tickets)
@@ -178,7 +178,7 @@
         by_weight = per_turn * (place + 1 + self._others_before(work_class, place))
         if not lane.tickets or not lane.interval:
             return by_weight
-        seen = (place + 1) * lane.interval - (now - lane.served_at)
+        seen = (place + 1) * lane.interval - (now - lane.last_turn_at)
         return max(by_weight, seen)
 
     def _others_before(self, work_class: WorkClass, place: int) -> float:
@@ -193,8 +193,8 @@
         """Append a ticket to its class."""
         lane = self._lanes[ticket.route.work_class]
         if not lane.tickets:
-            lane.served_at = now
-            lane.position = max(lane.position, self._position) + lane.step
+            lane.last_turn_at = now
+            lane.due_virtual_time = max(lane.due_virtual_time, self._virtual_time) + lane.step
         lane.tickets.append(ticket)
         self._count(ticket, 1)
 
@@ -213,7 +213,7 @@
         tickets = self._lanes[work_class].tickets
         return tickets[0] if tickets else None
 
-    def take_overtaking(self, ticket: Ticket, now: float) -> None:
+    def remove_out_of_turn(self, ticket: Ticket, now: float) -> None:
         """Take out a ticket which has its turn before it is next."""
         self._lanes[ticket.route.work_class].note_turn(now)
         self.remove(ticket)
@@ -223,16 +223,16 @@
         lane = self._next_lane()
         assert lane is not None
         lane.note_turn(now)
-        self._position = lane.position
+        self._virtual_time = lane.due_virtual_time
         ticket = lane.tickets.popleft()
         if lane.tickets:
-            lane.position += lane.step
+            lane.due_virtual_time += lane.step
         self._count(ticket, -1)
         return ticket
 
     def _next_lane(self) -> _Lane | None:
         waiting = [lane for lane in self._lanes.values() if lane.tickets]
-        return min(waiting, key=lambda lane: lane.position, default=None)
+        return min(waiting, key=lambda lane: lane.due_virtual_time, default=None)
 
     def _count(self, ticket: Ticket, change: int) -> None:
         name = ticket.route.name
--- a/src/pewtertack/routing/recent_delay.py
+++ b/src/pewtertack/routing/recent_delay.py
@@ -9,7 +9,7 @@
 
 from pewtertack.routing.queueing import SMOOTHING
 
-HALF_LIFE = 0.5
+HALF_LIFE_SECONDS = 0.5
 """Seconds after which half of what was noted still counts."""
 
 
@@ -24,13 +24,13 @@
 
     def note(self, delay: float, now: float) -> None:
         """Take in one more delay; the longer ago the last one was, the more it counts."""
-        weight = max(SMOOTHING, 1 - self._fading(now))
+        weight = max(SMOOTHING, 1 - self._decay(now))
         self._mean += weight * (delay - self._mean)
         self._noted_at = now
 
     def at(self, now: float) -> float:
         """Return the delay to expect now."""
-        return self._mean and self._mean * self._fading(now)
+        return self._mean and self._mean * self._decay(now)
 
-    def _fading(self, now: float) -> float:
-        return math.exp2((self._noted_at - now) / HALF_LIFE)
+    def _decay(self, now: float) -> float:
+        return math.exp2((self._noted_at - now) / HALF_LIFE_SECONDS)
--- a/src/pewtertack/routing/registry.py
+++ b/src/pewtertack/routing/registry.py
@@ -9,9 +9,9 @@
 from pewtertack.core.machines import Machine, MachineList, MachineRole, MachineState
 from pewtertack.routing.backend import Backend
 
-LEFT_KEPT = 4096
+MAX_REMEMBERED_LEAVING = 4096
 """Incarnations remembered as leaving."""
-STARTS_KEPT = 4096
+MAX_REMEMBERED_STARTS = 4096
 """Back ends whose newest start is remembered, for entries that come late."""
 
 
@@ -39,8 +39,8 @@
         self._number = 0
         self._backends: dict[str, Backend] = {}
         self._services: dict[str, tuple[Backend, ...]] = {}
-        self._left: dict[_Incarnation, None] = {}
-        self._starts: dict[str, int] = {}
+        self._leaving_incarnations: dict[_Incarnation, None] = {}
+        self._latest_starts: dict[str, int] = {}
         """The newest start of each back end whose start is told, the latest told last."""
         self.changes: tuple[tuple[Backend, ListChange], ...] = ()
         """What the newest list changed."""
@@ -61,7 +61,7 @@
         listed = [machine for machine in machines.machines if machine.role is MachineRole.BACKEND]
         for backend in self._backends.values():
             backend.removed = True
-        current = (self._current(machine, now) for machine in listed)
+        current = (self._updated_backend(machine, now) for machine in listed)
         self._backends = {backend.name: backend for backend in current if backend is not None}
         self._note_successors(listed)
         self._services = _by_service(self._backends.values())
@@ -96,9 +96,9 @@
             if backend.leaving and not was_leaving.get(name, False):
                 yield backend, ListChange.LEAVING
 
-    def _current(self, machine: Machine, now: float) -> Backend | None:
+    def _updated_backend(self, machine: Machine, now: float) -> Backend | None:
         backend = self._backends.get(machine.name)
-        if machine.is_before_incarnation(self._starts.get(machine.name, 0)):
+        if machine.is_before_incarnation(self._latest_starts.get(machine.name, 0)):
             if backend is not None:
                 backend.removed = False
             return backend
@@ -107,7 +107,7 @@
         incarnation = _Incarnation(machine.name, machine.address, machine.service, started_at)
         if backend is None or not _is_same(backend, incarnation):
             backend = Backend(machine.name, machine.service, machine.address, machine.zone, now)
-            backend.leaving = incarnation in self._left
+            backend.leaving = incarnation in self._leaving_incarnations
         backend.started_at = started_at
         backend.zone = machine.zone
         backend.gateway = machine.gateway
@@ -118,21 +118,21 @@
         backend.leaving = backend.leaving or machine.state is MachineState.LEAVING
         backend.removed = False
         if backend.leaving:
-            self._remember_left(incarnation)
+            self._remember_leaving(incarnation)
         return backend
 
     def _remember_start(self, machine: Machine) -> None:
         if machine.started_at == 0:
             return
-        self._starts.pop(machine.name, None)
-        self._starts[machine.name] = machine.started_at
-        if len(self._starts) > STARTS_KEPT:
-            del self._starts[next(iter(self._starts))]
-
-    def _remember_left(self, incarnation: _Incarnation) -> None:
-        self._left[incarnation] = None
-        if len(self._left) > LEFT_KEPT:
-            del self._left[next(iter(self._left))]
+        self._latest_starts.pop(machine.name, None)
+        self._latest_starts[machine.name] = machine.started_at
+        if len(self._latest_starts) > MAX_REMEMBERED_STARTS:
+            del self._latest_starts[next(iter(self._latest_starts))]
+
+    def _remember_leaving(self, incarnation: _Incarnation) -> None:
+        self._leaving_incarnations[incarnation] = None
+        if len(self._leaving_incarnations) > MAX_REMEMBERED_LEAVING:
+            del self._leaving_incarnations[next(iter(self._leaving_incarnations))]
 
     def all(self) -> Iterable[Backend]:
         """Return all listed back ends."""
--- a/src/pewtertack/routing/answers.py
+++ b/src/pewtertack/routing/response_results.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from pewtertack.routing.ends import AttemptEnd
+from pewtertack.routing.attempt_results import AttemptResult
 from pewtertack.routing.outcomes import RETRIES_SPENT, Outcome
 
 SHED_STATUS = 503
@@ -16,7 +16,7 @@
 LOWEST_FAILING_STATUS = 500
 
 
-def end_of_answer(status: int, outcome: str | None, retries: str | None) -> AttemptEnd:
+def result_of_response(status: int, outcome: str | None, retries: str | None) -> AttemptResult:
     """Return how an attempt ended whose answer has this status.
 
     Args:
@@ -26,7 +26,7 @@
     """
     spent = retries is not None and retries.strip().lower() == RETRIES_SPENT
     if spent and status >= LOWEST_FAILING_STATUS:
-        return AttemptEnd.FAILED_BELOW
+        return AttemptResult.FAILED_BELOW
     if status == SHED_STATUS and outcome == Outcome.NOT_RUN:
-        return AttemptEnd.SHED
-    return AttemptEnd.FAILED_STATUS if status in FAILED_STATUSES else AttemptEnd.ANSWERED
+        return AttemptResult.SHED
+    return AttemptResult.FAILED_STATUS if status in FAILED_STATUSES else AttemptResult.ANSWERED
--- a/src/pewtertack/routing/retries.py
+++ b/src/pewtertack/routing/retries.py
@@ -11,7 +11,7 @@
 from pewtertack.routing.outcomes import InvalidRequestError, Outcome, RequestFailedError
 from pewtertack.routing.policies import Parameter, PolicyKind, RetryBudgetPolicy, policy
 
-BUDGET_BURST = 10.0
+NODE_BURST = 10.0
 """Retries that one node may make at once after a quiet time."""
 FLEET_BURST = 36.0
 """The same for all nodes of a fleet together, to one service."""
@@ -19,18 +19,18 @@
 """Gateways that may refuse one request before its caller is told to come back."""
 
 
-def burst_of(nodes: int) -> float:
+def node_burst(nodes: int) -> float:
     """Return one node's part of the fleet's burst; ``nodes`` is 0 while unknown."""
-    return min(BUDGET_BURST, max(1.0, FLEET_BURST / nodes)) if nodes else BUDGET_BURST
+    return min(NODE_BURST, max(1.0, FLEET_BURST / nodes)) if nodes else NODE_BURST
 
 
 class Budget(Protocol):
     """The retries of one node to one service. Times are monotonic seconds."""
 
-    def left(self, now: float, within: bool = False) -> float:
+    def available(self, now: float, nested: bool = False) -> float:
         """Return the retries that may come at once."""
 
-    def use_nodes(self, nodes: int, now: float) -> None:
+    def set_node_count(self, nodes: int, now: float) -> None:
         """Take over the fleet's size, 0 while unknown."""
 
     def is_idle(self, now: float) -> bool:
@@ -39,7 +39,7 @@
     def note_first_attempt(self, now: float, ratio: float) -> None:
         """A request of a route with this ``retry_budget`` begins."""
 
-    def withdraw(self, now: float, within: bool = False) -> bool:
+    def take(self, now: float, nested: bool = False) -> bool:
         """Take one retry; false when there is none. ``within``: a back end's call."""
 
 
@@ -47,7 +47,7 @@
     PolicyKind.RETRY_BUDGET,
     RetryBudgetPolicy.SHARE,
     "each first attempt earns the route's share of a retry, up to a small burst",
-    Parameter("burst", BUDGET_BURST, "retries", "one node"),
+    Parameter("burst", NODE_BURST, "retries", "one node"),
     Parameter("fleet_burst", FLEET_BURST, "retries", "all nodes"),
 )
 class RetryBudget:
@@ -56,11 +56,11 @@
     Nodes share no counter: each keeps to its part of the fleet's burst.
     """
 
-    def __init__(self, burst: float = BUDGET_BURST) -> None:
+    def __init__(self, burst: float = NODE_BURST) -> None:
         self._burst = burst
         self._tokens = burst
 
-    def left(self, now: float, within: bool = False) -> float:
+    def available(self, now: float, nested: bool = False) -> float:
         """Return the retries that may come at once, whoever makes them."""
         return self._tokens
 
@@ -68,16 +68,16 @@
         """Tell whether nothing of it has to be remembered: a burst is small."""
         return True
 
-    def use_nodes(self, nodes: int, now: float) -> None:
+    def set_node_count(self, nodes: int, now: float) -> None:
         """Take over another part of the fleet's burst, as the fleet grows or shrinks."""
-        self._burst = burst_of(nodes)
+        self._burst = node_burst(nodes)
         self._tokens = min(self._tokens, self._burst)
 
     def note_first_attempt(self, now: float, ratio: float) -> None:
         """A request's first attempt earns ``ratio`` of a retry."""
         self._tokens = min(self._burst, self._tokens + ratio)
 
-    def withdraw(self, now: float, within: bool = False) -> bool:
+    def take(self, now: float, nested: bool = False) -> bool:
         """Take one retry out of the budget, whoever makes it; false when there is none."""
         if self._tokens < 1:
             return False
--- a/src/pewtertack/routing/budgets.py
+++ b/src/pewtertack/routing/retry_budgets.py
@@ -9,7 +9,7 @@
 from pewtertack.routing.retry_window import RetryLimits, WindowBudget
 
 
-class ServiceBudgets:
+class RetryBudgets:
     """All budgets by service. Times are monotonic seconds.
 
     Args:
@@ -17,41 +17,41 @@
         limits: what operators allow a service over all nodes, for ``window``.
     """
 
-    __slots__ = ("_began", "_budgets", "_nodes", "limits", "way")
+    __slots__ = ("_started_at", "_budgets", "_node_count", "limits", "policy")
 
     def __init__(self, way: RetryBudgetPolicy, limits: RetryLimits) -> None:
-        self.way = way
+        self.policy = way
         self.limits = limits
         self._budgets: dict[str, Budget] = {}
-        self._began: float | None = None
+        self._started_at: float | None = None
         """When the first machine list came: what this process may have sent before is unknown."""
-        self._nodes = 0
+        self._node_count = 0
         """Nodes of the fleet, 0 while unknown."""
 
-    def use_nodes(self, nodes: int, now: float) -> None:
+    def set_node_count(self, nodes: int, now: float) -> None:
         """Take over the fleet's size from a machine list."""
-        if self._began is None:
-            self._began = now
-        self._nodes = nodes
+        if self._started_at is None:
+            self._started_at = now
+        self._node_count = nodes
         for budget in self._budgets.values():
-            budget.use_nodes(nodes, now)
+            budget.set_node_count(nodes, now)
 
-    def of(self, service: str, now: float) -> Budget:
+    def for_service(self, service: str, now: float) -> Budget:
         """Return the service's budget."""
         budget = self._budgets.get(service)
         if budget is None:
-            budget = self._budgets[service] = self._new(now)
-            budget.use_nodes(self._nodes, now)
+            budget = self._budgets[service] = self._create(now)
+            budget.set_node_count(self._node_count, now)
         return budget
 
-    def _new(self, now: float) -> Budget:
-        if self.way is RetryBudgetPolicy.WINDOW:
-            return WindowBudget(self.limits, now if self._began is None else self._began)
+    def _create(self, now: float) -> Budget:
+        if self.policy is RetryBudgetPolicy.WINDOW:
+            return WindowBudget(self.limits, now if self._started_at is None else self._started_at)
         return RetryBudget()
 
-    def left(self, now: float) -> dict[str, float]:
+    def available(self, now: float) -> dict[str, float]:
         """Return the retries that may come at once, by service."""
-        return {name: budget.left(now) for name, budget in self._budgets.items()}
+        return {name: budget.available(now) for name, budget in self._budgets.items()}
 
     def keep_only(self, services: Container[str], now: float) -> None:
         """Forget services that are in force no longer, once nothing has to be remembered."""
--- a/src/pewtertack/routing/retry_window.py
+++ b/src/pewtertack/routing/retry_window.py
@@ -26,9 +26,9 @@
 
 STEP_SHARE = 1 / 20
 """Length of a step as a share of the window: requests are forgotten by steps."""
-KEPT_FOR_CALLS = 0.5
+MAX_NESTED_SHARE = 0.5
 """Largest share of the allowed retries that is left to calls within that lacked one."""
-MARGIN = 0.9
+USED_SHARE = 0.9
 """Share of the allowed retries that is used. Steps keep requests up to a twentieth longer than
 the window, and an attempt counts when it arrives, a crossing after it was decided on."""
 
@@ -54,7 +54,7 @@
     number: int
     requests: float = 0.0
     retries: int = 0
-    calls_refused: int = 0
+    refused_nested: int = 0
 
 
 @policy(
@@ -64,116 +64,116 @@
     Parameter("ratio", None, "", "setting limits.retry_ratio"),
     Parameter("window", None, "s", "setting limits.retry_window"),
     Parameter("slack", None, "", "setting limits.retry_slack, over all nodes"),
-    Parameter("margin", MARGIN, "", "attempts arrive later than they are decided on"),
+    Parameter("margin", USED_SHARE, "", "attempts arrive later than they are decided on"),
 )
 class WindowBudget:
     """Retries of one node to one service. Times are monotonic seconds."""
 
     __slots__ = (
-        "_calls_refused",
-        "_counts",
+        "_refused_nested",
+        "_node_counts",
         "_requests",
         "_retries",
         "_steps",
         "limits",
-        "since",
+        "started_at",
     )
 
     def __init__(self, limits: RetryLimits, since: float) -> None:
         self.limits = limits
-        self.since = since
+        self.started_at = since
         """When the budget, or the process, began."""
-        self._counts: list[tuple[float, int]] = []
+        self._node_counts: list[tuple[float, int]] = []
         """Nodes of the fleet by when the list told so many; empty while unknown."""
         self._steps: deque[_Step] = deque()
         self._requests = 0.0
         self._retries = 0
-        self._calls_refused = 0
+        self._refused_nested = 0
 
-    def left(self, now: float, within: bool = False) -> float:
+    def available(self, now: float, nested: bool = False) -> float:
         """Return the retries that may come at once."""
-        self._forget(now)
+        self._drop_expired(now)
         allowed = self._allowed(now)
-        return max(0.0, allowed - self._retries - self._kept_back(allowed, within))
+        return max(0.0, allowed - self._retries - self._reserved_for_nested(allowed, nested))
 
-    def use_nodes(self, nodes: int, now: float) -> None:
+    def set_node_count(self, nodes: int, now: float) -> None:
         """Take over the fleet's size; 0 while unknown: then nothing beyond the share is allowed."""
-        if self._counts and self._counts[-1][1] == nodes:
+        if self._node_counts and self._node_counts[-1][1] == nodes:
             return
         started = now - self.limits.window
-        newer = [item for item in self._counts[:-1] if item[0] >= started]
-        self._counts = [*newer, *self._counts[-1:], (now, nodes)]
+        newer = [item for item in self._node_counts[:-1] if item[0] >= started]
+        self._node_counts = [*newer, *self._node_counts[-1:], (now, nodes)]
 
     def is_idle(self, now: float) -> bool:
         """Tell whether nothing of the last window has to be remembered."""
-        self._forget(now)
+        self._drop_expired(now)
         return not self._steps
 
     def note_first_attempt(self, now: float, ratio: float) -> None:
         """A request's first attempt begins; the operator's ratio holds for all routes."""
-        self._step(now).requests += 1
+        self._current_step(now).requests += 1
         self._requests += 1
 
-    def withdraw(self, now: float, within: bool = False) -> bool:
+    def take(self, now: float, nested: bool = False) -> bool:
         """Take one retry out of the budget; false when there is none.
 
         Args:
             now: monotonic seconds.
             within: a back end makes the request while it runs another one.
         """
-        step = self._step(now)
+        step = self._current_step(now)
         allowed = self._allowed(now)
-        if self._retries + 1 + self._kept_back(allowed, within) > allowed:
-            step.calls_refused += within
-            self._calls_refused += within
+        if self._retries + 1 + self._reserved_for_nested(allowed, nested) > allowed:
+            step.refused_nested += nested
+            self._refused_nested += nested
             return False
         step.retries += 1
         self._retries += 1
         return True
 
-    def _kept_back(self, allowed: float, within: bool) -> float:
+    def _reserved_for_nested(self, allowed: float, nested: bool) -> float:
         """Return what is left to calls within."""
-        return 0.0 if within else min(float(self._calls_refused), KEPT_FOR_CALLS * allowed)
+        return 0.0 if nested else min(float(self._refused_nested), MAX_NESTED_SHARE * allowed)
 
     def _allowed(self, now: float) -> float:
-        return MARGIN * (self.limits.ratio * self._requests + self._slack(now))
+        return USED_SHARE * (self.limits.ratio * self._requests + self._slack(now))
 
     def _slack(self, now: float) -> float:
         """Return this node's part of what is allowed beyond the share."""
-        nodes = self._nodes(now)
+        nodes = self._largest_node_count(now)
         if nodes == 0:
             return 0.0
-        grown = min(1.0, max(0.0, now - self.since) / self.limits.window)
+        grown = min(1.0, max(0.0, now - self.started_at) / self.limits.window)
         return grown * self.limits.slack / nodes
 
-    def _nodes(self, now: float) -> int:
+    def _largest_node_count(self, now: float) -> int:
         """Return the largest count of nodes that held within the last window."""
-        if not self._counts:
+        if not self._node_counts:
             return 0
         started = now - self.limits.window
         largest = 0
-        ends = [at for at, _ in self._counts[1:]]
-        for (_, nodes), end in zip(self._counts, [*ends, now], strict=True):
+        ends = [at for at, _ in self._node_counts[1:]]
+        for (_, nodes), end in zip(self._node_counts, [*ends, now], strict=True):
             if end >= started:
                 largest = max(largest, nodes)
         return largest
 
-    def _step(self, now: float) -> _Step:
+    def _current_step(self, now: float) -> _Step:
         """Return the step of ``now``, after what has left the window is forgotten."""
-        self._forget(now)
-        number = self._number(now)
+        self._drop_expired(now)
+        number = self._step_number(now)
         if not self._steps or self._steps[-1].number < number:
             self._steps.append(_Step(number))
         return self._steps[-1]
 
-    def _number(self, now: float) -> int:
+    def _step_number(self, now: float) -> int:
         return int(now / (self.limits.window * STEP_SHARE))
 
-    def _forget(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         """Forget the steps that lie a window back, and none that reaches into it."""
-        oldest = self._number(now) - round(1 / STEP_SHARE)
+        oldest = self._step_number(now) - round(1 / STEP_SHARE)
         while self._steps and self._steps[0].number < oldest:
             gone = self._steps.popleft()
             self._requests -= gone.requests
             self._retries -= gone.retries
-            self._calls_refused -= gone.calls_refused
+            self._refused_nested -= gone.refused_nested
--- a/src/pewtertack/routing/service.py
+++ b/src/pewtertack/routing/service.py
@@ -8,26 +8,26 @@
 
 from pewtertack.core.configuration.resolved import ResolvedService, WorkClass
 from pewtertack.routing.backend import Backend
-from pewtertack.routing.choice import Wish, choose, choose_gateway
+from pewtertack.routing.choice import GatewayCriteria, choose, choose_gateway
 from pewtertack.routing.limit import ServiceLimit
-from pewtertack.routing.link_words import LinkWord, LongRoute
+from pewtertack.routing.link_reports import LinkReport, LongRouteTimes
 from pewtertack.routing.outcomes import (
     DeadlineUnmeetableError,
     NoBackendError,
     QueueFullError,
     RequestFailedError,
 )
-from pewtertack.routing.patience import Lateness, may_come_back
-from pewtertack.routing.queueing import MAXIMUM_WAIT, ClassQueue, Ticket, smoothed
+from pewtertack.routing.queueing import MAXIMUM_WAIT_SECONDS, ClassQueue, Ticket, smoothed
+from pewtertack.routing.wait_policy import WaitPolicy, can_retry
 
 MINIMUM_RETRY_AFTER = 0.1
 MAXIMUM_RETRY_AFTER = 30.0
 MINIMUM_CAPACITY = 0.1
-UNCERTAINTY = 1.5
+TIME_UNCERTAINTY_FACTOR = 1.5
 """Answers take up to so many times the mean often enough to plan for it."""
 CROSSING_SHARE = 0.05
 """What crosses zones costs bytes: it does when it would wait for this share of its objective."""
-LARGE_BODY = 16 * 1024
+LARGE_BODY_BYTES = 16 * 1024
 """A request with a longer body goes to another zone only to meet its deadline."""
 OWN_ZONE = "own-zone"
 NONE_IN_ZONE = "no untried back end in the own zone"
@@ -54,7 +54,7 @@
         self.mean_time = 0.0
         """Mean seconds of all answers, 0 while unknown."""
         self._route_times: dict[str, float] = {}
-        self._long_routes: dict[str, LongRoute] = {}
+        self._long_routes: dict[str, LongRouteTimes] = {}
         """Routes whose answers wait for a gateway's link, as gateways have told."""
 
     def use_backends(self, backends: Iterable[Backend], zone: str) -> None:
@@ -67,13 +67,13 @@
         if self._settings is not None:
             self.configure(self._settings)
 
-    def has_other(self, excluded: Container[str], now: float) -> bool:
+    def has_untried(self, excluded: Container[str], now: float) -> bool:
         """Tell whether a back end that the request has not tried may take it."""
         return any(item.name not in excluded and item.usable(now) for item in self.backends)
 
-    def has_prospect(self, ticket: Ticket, now: float) -> bool:
+    def another_gateway_may_help(self, ticket: Ticket, now: float) -> bool:
         """Tell whether asking one more gateway is better than telling the caller to come back."""
-        if not ticket.caller_may_come_back:
+        if not ticket.caller_can_retry:
             return True
         return any(
             item.expected_wait(now, self.mean_time) <= 0
@@ -81,9 +81,9 @@
             if item.usable(now) and item.name not in ticket.refused
         )
 
-    def may_reach(self, now: float) -> bool:
+    def is_reachable(self, now: float) -> bool:
         """Tell whether any back end that takes work answers, or is overdue for a trial."""
-        working = [item for item in self.backends if item.takes_work]
+        working = [item for item in self.backends if item.accepts_work]
         return not working or any(item.reachable(now) for item in working)
 
     @property
@@ -106,16 +106,16 @@
         self.mean_time = smoothed(self.mean_time, seconds)
         self._route_times[route] = smoothed(self._route_times.get(route, 0.0), seconds)
 
-    def note_link(self, ticket: Ticket, word: LinkWord, now: float, begun: bool) -> None:
+    def note_link_report(self, ticket: Ticket, word: LinkReport, now: float, begun: bool) -> None:
         """A gateway has told of its link, with an answer that has begun or with a refusal."""
         assert ticket.backend is not None
-        ticket.backend.note_link(now, word.ahead)
+        ticket.backend.note_link_queue(now, word.queue_seconds)
         route = ticket.route.name
-        if not word.own:
+        if not word.transfer_seconds:
             self._long_routes.pop(route, None)
         elif begun:
-            run = max(0.0, now - ticket.started_at - ticket.queued)
-            self._long_routes.setdefault(route, LongRoute()).note(word.own, run)
+            run = max(0.0, now - ticket.started_at - ticket.queued_seconds)
+            self._long_routes.setdefault(route, LongRouteTimes()).note(word.transfer_seconds, run)
 
     def submit(self, ticket: Ticket, now: float) -> None:
         """Grant the ticket or let it wait.
@@ -142,10 +142,12 @@
         self.pump(now)
 
     def _check_backends(self, now: float) -> None:
-        open_to_work = [item for item in self.backends if item.takes_work]
+        open_to_work = [item for item in self.backends if item.accepts_work]
         if not open_to_work:
             raise NoBackendError(f"service {self.name} has no back end")
-        if all(item.health.ejected and not item.health.admits(now) for item in open_to_work):
+        if all(
+            item.health.ejected and not item.health.allows_request(now) for item in open_to_work
+        ):
             soonest = min(item.health.retry_at for item in open_to_work) - now
             raise NoBackendError(
                 f"all back ends of {self.name} are ejected", self.retry_after(soonest)
@@ -153,18 +155,18 @@
 
     def _expected_wait(self, ticket: Ticket, now: float) -> float:
         per_turn = self.mean_time / max(MINIMUM_CAPACITY, self._capacity(now))
-        place = self.queue.place_of(ticket)
+        place = self.queue.position_of(ticket)
         return self.queue.expected_wait(ticket.route.work_class, place, per_turn, now)
 
     def _capacity(self, now: float) -> float:
         """Return how many requests this proxy may have in flight at the service."""
-        working = (item for item in self.backends if item.takes_work and not item.health.ejected)
+        working = (item for item in self.backends if item.accepts_work and not item.health.ejected)
         places = sum(int(item.limit.value) for item in working if item.limit.paused_until <= now)
         return min(float(places), self.limit.value)
 
     def _latest_start(self, ticket: Ticket, now: float) -> float:
         by_deadline = ticket.deadline - self.expected_time(ticket.route.name)
-        return min(by_deadline, now + MAXIMUM_WAIT[ticket.route.work_class])
+        return min(by_deadline, now + MAXIMUM_WAIT_SECONDS[ticket.route.work_class])
 
     def retry_after(self, wait: float) -> float:
         """Return when to come back after a refusal: the expected wait, spread at random."""
@@ -188,7 +190,7 @@
         urgent = self.queue.first_of(WorkClass.URGENT)
         if urgent is None or urgent is self.queue.peek() or not self._grant(urgent, now):
             return False
-        self.queue.take_overtaking(urgent, now)
+        self.queue.remove_out_of_turn(urgent, now)
         urgent.wake()
         return True
 
@@ -220,15 +222,15 @@
             ticket.refusal = refusal
             ticket.wake()
 
-    def next_look(self, ticket: Ticket, now: float) -> float:
+    def next_check(self, ticket: Ticket, now: float) -> float:
         """Return when a waiting ticket should be looked at again, at the latest."""
-        rested = self.limit.next_start()
+        rested = self.limit.paused_until()
         return min(ticket.expires_at, now + POLL_SECONDS, rested if rested > now else math.inf)
 
     def _grant(self, ticket: Ticket, now: float) -> bool:
         urgent = ticket.route.work_class is WorkClass.URGENT
         if self.has_gateways:
-            wish = self._wish(ticket, now)
+            wish = self._gateway_criteria(ticket, now)
             backend = choose_gateway(self._local, self._remote, wish, now, self._random)
         elif self.limit.allows(now, self.in_flight, urgent):
             backend = choose(self._local, self._remote, now, self._random, ticket.excluded)
@@ -238,36 +240,40 @@
             return False
         backend.note_start(now)
         self.in_flight += 1
-        ticket.trial = backend.health.begin()
+        ticket.trial = backend.health.note_start()
         ticket.backend = backend
         if self._long_routes:
-            self._note_long(ticket, backend, now)
+            self._reserve_link(ticket, backend, now)
         near = backend.zone == self._zone
-        ticket.choice = OWN_ZONE if near else self._why_other_zone(ticket)
-        ticket.lateness = _lateness_of(ticket, near or ticket.choice == NONE_IN_ZONE)
+        ticket.choice_reason = OWN_ZONE if near else self._why_other_zone(ticket)
+        ticket.wait_policy = _wait_policy_of(ticket, near or ticket.choice_reason == NONE_IN_ZONE)
         ticket.started_at = now
         return True
 
-    def _wish(self, ticket: Ticket, now: float) -> Wish:
+    def _gateway_criteria(self, ticket: Ticket, now: float) -> GatewayCriteria:
         objective = ticket.arrived_at + ticket.route.objective
         long_route = self._long_routes.get(ticket.route.name)
         if long_route is not None:
-            own, run = long_route.own, long_route.run
-            patience = max(0.0, objective - now - own - run * UNCERTAINTY)
-            return Wish(run, self.mean_time, patience, ticket.excluded, ticket.refused, own)
+            own, run = long_route.transfer_seconds, long_route.execution_seconds
+            patience = max(0.0, objective - now - own - run * TIME_UNCERTAINTY_FACTOR)
+            return GatewayCriteria(
+                run, self.mean_time, patience, ticket.excluded, ticket.refused, own
+            )
         expected = self.expected_time(ticket.route.name)
-        patient_until = ticket.deadline if ticket.body_bytes > LARGE_BODY else objective
-        patience = patient_until - now - expected * UNCERTAINTY
-        if _may_cross_early(ticket) and ticket.body_bytes <= LARGE_BODY:
+        patient_until = ticket.deadline if ticket.body_bytes > LARGE_BODY_BYTES else objective
+        patience = patient_until - now - expected * TIME_UNCERTAINTY_FACTOR
+        if _may_cross_early(ticket) and ticket.body_bytes <= LARGE_BODY_BYTES:
             patience = min(patience, CROSSING_SHARE * ticket.route.objective)
-        return Wish(expected, self.mean_time, max(0.0, patience), ticket.excluded, ticket.refused)
+        return GatewayCriteria(
+            expected, self.mean_time, max(0.0, patience), ticket.excluded, ticket.refused
+        )
 
-    def _note_long(self, ticket: Ticket, backend: Backend, now: float) -> None:
+    def _reserve_link(self, ticket: Ticket, backend: Backend, now: float) -> None:
         """Reckon with the answer, until the gateway's next word does."""
         long_route = self._long_routes.get(ticket.route.name)
         if long_route is not None:
             ready_at = max(backend.link_free_at, now)
-            backend.link_free_at = ready_at + long_route.own
+            backend.link_free_at = ready_at + long_route.transfer_seconds
 
     def _why_other_zone(self, ticket: Ticket) -> str:
         if not any(item.name not in ticket.excluded for item in self._local):
@@ -286,14 +292,14 @@
     Who has less time than ``ROOM`` asks for is told to come back as well where operators choose
     so, and would then cross as early: bytes between zones doubled by it.
     """
-    if not ticket.caller_may_come_back:
+    if not ticket.caller_can_retry:
         return False
     caller_time = ticket.caller_deadline - ticket.arrived_at
-    return may_come_back(ticket.route.objective, caller_time)
+    return can_retry(ticket.route.objective, caller_time)
 
 
-def _lateness_of(ticket: Ticket, may_wait: bool) -> Lateness:
+def _wait_policy_of(ticket: Ticket, may_wait: bool) -> WaitPolicy:
     """Return what a gateway should do with the ticket; ``may_wait`` where it is the last hope."""
-    if ticket.caller_lateness is Lateness.ALLOWED and not may_wait:
-        return Lateness.REFUSED
-    return ticket.caller_lateness
+    if ticket.caller_wait_policy is WaitPolicy.WAIT and not may_wait:
+        return WaitPolicy.TRY_ANOTHER_GATEWAY
+    return ticket.caller_wait_policy
--- a/src/pewtertack/routing/service_times.py
+++ b/src/pewtertack/routing/service_times.py
@@ -6,9 +6,9 @@
 
 from pewtertack.routing.queueing import smoothed
 
-FEW = 9
+MEDIAN_COUNT = 9
 """Times of which medians are taken."""
-SPREAD = 2.0
+SPREAD_DEVIATIONS = 2.0
 """Answers seldom take longer than the mean and so many times the mean deviation. In virtual
 time 2.0 earns more beyond capacity than 1.5 (docs/FARMARECOGE.md)."""
 
@@ -22,13 +22,13 @@
     mean: float = 0.0
     deviation: float = 0.0
     """Mean distance of a time from the mean."""
-    first: list[float] | None = msgspec.field(default_factory=list)
+    first_times: list[float] | None = msgspec.field(default_factory=list)
     """The times so far, while they are few."""
 
     def note(self, seconds: float) -> None:
         """Take one more time into the means."""
-        if self.first is not None:
-            self._note_first(self.first, seconds)
+        if self.first_times is not None:
+            self._note_first(self.first_times, seconds)
             return
         self.deviation = smoothed(self.deviation, abs(seconds - self.mean))
         self.mean = smoothed(self.mean, seconds)
@@ -37,8 +37,8 @@
         first.append(seconds)
         self.mean = _median(first)
         self.deviation = _median([abs(item - self.mean) for item in first])
-        if len(first) == FEW:
-            self.first = None
+        if len(first) == MEDIAN_COUNT:
+            self.first_times = None
 
 
 class ServiceTimes:
@@ -68,7 +68,7 @@
     def spread_of(self, route: str) -> float:
         """Return by how much an answer of the route may well take longer than the mean."""
         known = self.routes.get(route)
-        return known.deviation * SPREAD if known is not None else 0.0
+        return known.deviation * SPREAD_DEVIATIONS if known is not None else 0.0
 
 
 def _median(times: list[float]) -> float:
