--- a/src/pewtertack/routing/splits.py
+++ b/src/pewtertack/routing/splits.py
@@ -13,7 +13,7 @@
 from pewtertack.core.configuration.resolved import ResolvedRoute
 
 
-class _Turns:
+class _WeightedRotation:
     """Whose turn it is among the services of one route."""
 
     def __init__(self, route: ResolvedRoute) -> None:
@@ -35,15 +35,15 @@
     """Keeps the turns of every route that has a split."""
 
     def __init__(self) -> None:
-        self._turns: dict[str, _Turns] = {}
+        self._rotations: dict[str, _WeightedRotation] = {}
 
     def pick(self, route: ResolvedRoute) -> ResolvedRoute:
         """Return ``route`` with the service whose turn it is."""
         if not route.split:
             return route
-        turns = self._turns.get(route.name)
+        turns = self._rotations.get(route.name)
         if turns is None or (turns.route is not route and turns.route.split != route.split):
-            turns = self._turns[route.name] = _Turns(route)
+            turns = self._rotations[route.name] = _WeightedRotation(route)
         part = turns.next()
         return (
             part if turns.route is route else msgspec.structs.replace(route, service=part.service)
@@ -51,4 +51,4 @@
 
     def keep_only(self, routes: Container[str]) -> None:
         """Forget routes that are in force no longer."""
-        self._turns = {name: turns for name, turns in self._turns.items() if name in routes}
+        self._rotations = {name: turns for name, turns in self._rotations.items() if name in routes}
--- a/tests/node/gateway/test_bodies_under_way.py
+++ b/tests/node/gateway/test_bodies_under_way.py
@@ -104,7 +104,7 @@
     async def test_the_time_for_which_it_had_its_slot_tells_nothing_of_the_back_end(self) -> None:
         task = await self.begin()
         admission = self.gateways[0]._incarnations.get("b0").admission
-        admission._times.note("lookup", QUICK)
+        admission._service_times.note("lookup", QUICK)
         await asyncio.sleep(5 * QUICK)
         await self.proxy.withdraw_waiting()
         self.assert_refused(await self.answer_of(task), 503, "not-run")
--- a/tests/node/gateway/test_hanging.py
+++ b/tests/node/gateway/test_hanging.py
@@ -10,8 +10,8 @@
 from pewtertack.core.policies import HungRequestPolicy, Policies
 from pewtertack.node.gateway.forwarding import GatewayForwarding
 from pewtertack.node.proxy.application import ProxyApplication
-from pewtertack.routing.hanging import HangWatch
-from pewtertack.routing.places import AdmissionTicket
+from pewtertack.routing.admission_ticket import AdmissionTicket
+from pewtertack.routing.hanging import HangDetector
 from tests.node.gateway.test_gateway import EDGE, GatewayTestCase, answer_well, header
 from tests.node.proxy.harness import raw_call, request_bytes
 from tests.routing.samples import configuration, route
@@ -134,7 +134,7 @@
         self.assertGreater(len(served), 10)
 
 
-def hangs_when_late(_watch: HangWatch, ticket: AdmissionTicket, now: float) -> bool:
+def hangs_when_late(_watch: HangDetector, ticket: AdmissionTicket, now: float) -> bool:
     return now - ticket.started_at > HELD_UP_SECONDS
 
 
@@ -164,7 +164,7 @@
         asyncio.get_running_loop().slow_callback_duration = 2 * HELD_UP_SECONDS
         with (
             mock.patch.object(GatewayForwarding, "_report_hang") as doubt,
-            mock.patch.object(HangWatch, "hangs", hangs_when_late),
+            mock.patch.object(HangDetector, "should_abandon", hangs_when_late),
         ):
             for _ in range(2):
                 self.assertEqual((await raw_call(address, get("/held"))).status, 200)
--- a/tests/node/gateway/test_left_at_a_stop.py
+++ b/tests/node/gateway/test_left_at_a_stop.py
@@ -92,8 +92,10 @@
 
     async def test_what_runs_when_the_last_retry_has_been_spent(self) -> None:
         async def spent() -> None:
-            budget = self.proxy._context.dispatcher._budgets.of("logbook", time.monotonic())
-            while budget.withdraw(time.monotonic()):
+            budget = self.proxy._context.dispatcher._budgets.for_service(
+                "logbook", time.monotonic()
+            )
+            while budget.take(time.monotonic()):
                 pass
 
         self.assert_all_ran_to_their_ends(await self.statuses_when(spent))
--- a/tests/node/gateway/test_link_check.py
+++ b/tests/node/gateway/test_link_check.py
@@ -6,9 +6,9 @@
 from pewtertack.node.gateway.link_check import LinkCheck
 from pewtertack.node.pacing import LinkPacer
 from pewtertack.routing.admission import Admission
-from pewtertack.routing.link import LinkShare
+from pewtertack.routing.admission_ticket import AdmissionTicket
+from pewtertack.routing.link import LinkScheduler
 from pewtertack.routing.outcomes import DeadlineUnmeetableError
-from pewtertack.routing.places import AdmissionTicket
 
 MEGABITS = 10.0
 DOWNLOAD = 90_000
@@ -23,14 +23,14 @@
 class LinkCheckTest(unittest.TestCase):
     def setUp(self) -> None:
         self.now = 1000.0
-        self.share = LinkShare(MEGABITS)
+        self.share = LinkScheduler(MEGABITS)
         self.admission = Admission(4)
         self.pacer = LinkPacer(lambda: self.now, self.share)
 
     def submit(self, objective: float = OBJECTIVE, within: bool = False) -> AdmissionTicket:
         """Submit a request as a gateway does."""
         made = AdmissionTicket("export", RANK, self.now + objective, self.now + DEADLINE)
-        made.within = within
+        made.nested = within
         LinkCheck(self.pacer, self.admission, made).check(self.now)
         self.admission.submit(made, self.now)
         return made
@@ -39,7 +39,7 @@
         made = self.submit()
         self.now += seconds
         self.admission.finish(made, self.now, True)
-        self.share.note_answer("export", DOWNLOAD)
+        self.share.note_answer_size("export", DOWNLOAD)
         self.share.note_sent(DOWNLOAD, self.now)
         self.now += 1.0
 
@@ -53,7 +53,7 @@
             self.assertTrue(self.submit(objective).granted)
 
     def test_what_is_too_long_for_its_deadline_is_refused_but_for_a_probe_a_second(self) -> None:
-        self.share.note_answer("export", 50_000_000)
+        self.share.note_answer_size("export", 50_000_000)
         passed = 0
         for _ in range(100):
             with contextlib.suppress(DeadlineUnmeetableError):
@@ -67,10 +67,10 @@
         What stood before it took somewhat longer than reckoned.
         """
         self.serve(0.05)
-        own = self.share.own_time("export")
-        while self.share.time_ahead(RANK, self.now) < 1.0:
-            self.share.enter(RANK, DOWNLOAD, self.now + 60.0, nobody)
-        ahead = self.share.time_ahead(RANK, self.now)
+        own = self.share.transfer_time("export")
+        while self.share.queue_time(RANK, self.now) < 1.0:
+            self.share.enqueue(RANK, DOWNLOAD, self.now + 60.0, nobody)
+        ahead = self.share.queue_time(RANK, self.now)
         run = self.admission.expected_time("export")
         for deadline, taken in ((run + own + ahead * 1.1, False), (run + own + ahead * 2, True)):
             made = AdmissionTicket("export", RANK, self.now + 60.0, self.now + deadline)
@@ -86,11 +86,11 @@
     def test_what_others_make_late_is_refused_and_calls_within_by_their_deadline(self) -> None:
         self.serve(0.05)
         for _ in range(10):
-            self.share.enter(RANK, DOWNLOAD, self.now + 1.0, nobody)
+            self.share.enqueue(RANK, DOWNLOAD, self.now + 1.0, nobody)
         with self.assertRaises(DeadlineUnmeetableError):
             self.submit()
         self.assertTrue(self.submit(within=True).granted)
         for _ in range(60):
-            self.share.enter(RANK, DOWNLOAD, self.now + 1.0, nobody)
+            self.share.enqueue(RANK, DOWNLOAD, self.now + 1.0, nobody)
         with self.assertRaises(DeadlineUnmeetableError):
             self.submit(within=True)
--- a/tests/node/gateway/test_link_words.py
+++ b/tests/node/gateway/test_link_words.py
@@ -61,7 +61,7 @@
         self.assertEqual([item for item in answers[0].headers if "pewtertack" in item], [])
         (long_route,) = self.proxy._context.dispatcher.service("logbook")._long_routes.values()
         own = LENGTH / self.pacer.share.bytes_per_second
-        self.assertAlmostEqual(long_route.own, own, places=2)
+        self.assertAlmostEqual(long_route.transfer_seconds, own, places=2)
         self.assertGreater(self.backend.link_free_at, 0.0)
 
     async def test_a_refusal_tells_of_the_line_too(self) -> None:
--- a/tests/node/gateway/test_lives.py
+++ b/tests/node/gateway/test_lives.py
@@ -10,10 +10,10 @@
 
 from pewtertack.core.machines import Machine, MachineList, MachineRole, MachineState
 from pewtertack.node.gateway.incarnations import MAX_UNLISTED_NAMES, Incarnations
+from pewtertack.routing.admission_ticket import AdmissionTicket
 from pewtertack.routing.cold import ColdBounds
 from pewtertack.routing.outcomes import BackendGoneError, BackendLeftError
-from pewtertack.routing.patience import Lateness
-from pewtertack.routing.places import AdmissionTicket
+from pewtertack.routing.wait_policy import WaitPolicy
 from tests.node.gateway.test_gateway import POST, GatewayTestCase, answer_well, raw_call
 
 BEFORE, AFTER = 1_700_000_000_000, 1_700_000_005_000
@@ -25,7 +25,7 @@
 
 
 def request() -> AdmissionTicket:
-    return AdmissionTicket("lookup", (0, 0), 5.0, 9.0, Lateness.ALLOWED)
+    return AdmissionTicket("lookup", (0, 0), 5.0, 9.0, WaitPolicy.WAIT)
 
 
 class IncarnationsTest(unittest.TestCase):
@@ -68,7 +68,7 @@
     def test_a_new_life_is_cold_until_it_says_otherwise(self) -> None:
         self.subject.use_bounds(ColdBounds(5.0, 3.0))
         self.subject.apply_machine_list(said(BEFORE))
-        self.subject.get("b1").cold.learn(0.0, 0.0, 0.0)
+        self.subject.get("b1").cold.note_remaining(0.0, 0.0, 0.0)
         self.assertFalse(self.subject.get("b1").cold.is_cold(0.0))
         self.subject.apply_machine_list(said(AFTER))
         self.assertTrue(self.subject.get("b1").cold.is_cold(0.0))
--- a/tests/node/gateway/test_origins.py
+++ b/tests/node/gateway/test_origins.py
@@ -11,9 +11,9 @@
 from pewtertack.node.gateway.application import GatewayApplication, GatewaySettings
 from pewtertack.node.gateway.hop import NESTED, hop_headers, read_hop
 from pewtertack.node.proxy.application import ProxyApplication
-from pewtertack.routing.patience import Lateness
+from pewtertack.routing.executions import LocalExecutions
 from pewtertack.routing.policies import NestedCallPolicy, Policies
-from pewtertack.routing.runs import RunsBeside
+from pewtertack.routing.wait_policy import WaitPolicy
 from tests.node.gateway.test_gateway import EDGE, GatewayTestCase, answer_well
 from tests.node.proxy.harness import RawBackend, raw_call, request_bytes
 from tests.routing.samples import configuration, route
@@ -50,7 +50,7 @@
             "gateway": "10.9.9.9:2",
         }
         self.machines.append(msgspec.structs.replace(listed, **other))
-        self.runs = RunsBeside()
+        self.runs = LocalExecutions()
         ledger = await self.start_proxy("ledger", policies)
         return ledger, await self.start_proxy("logbook", policies)
 
@@ -87,7 +87,7 @@
             answer = await raw_call(ledger, CALL)
         self.assertNotIn("x-pewtertack-origin", answer.headers)
         self.assertEqual(sorted(self.origins), [("fee", "back-ends"), ("verify", "callers")])
-        self.runs.begin("history", (1, 2))
+        self.runs.note_start("history", (1, 2))
         await raw_call(ledger, CALL)
         await raw_call(ledger, OWN)
         told = [(item["within"], item["rank"]) for item in self.admitted]
@@ -110,7 +110,7 @@
     def test_the_header_is_there_for_calls_within_alone(self) -> None:
         for within in (True, False):
             headers = hop_headers(
-                ROUTES[1], "b0", 0.3, Lateness.ALLOWED, "ledger", within, run_rank=(1, 1)
+                ROUTES[1], "b0", 0.3, WaitPolicy.WAIT, "ledger", within, run_rank=(1, 1)
             )
             self.assertEqual(NESTED in dict(headers), within)
             request = read_hop(headers)
--- a/tests/node/gateway/test_own_stop.py
+++ b/tests/node/gateway/test_own_stop.py
@@ -12,8 +12,8 @@
 from pewtertack.node.pacing import LinkPacer
 from pewtertack.node.proxy.body import MAX_REPLAY_BYTES
 from pewtertack.node.proxy.request_log import RecordEvent
-from pewtertack.routing.link import LinkShare
-from pewtertack.routing.patience import Lateness
+from pewtertack.routing.link import LinkScheduler
+from pewtertack.routing.wait_policy import WaitPolicy
 from tests.node.gateway.test_gateway import GatewayTestCase, header
 from tests.node.proxy.harness import Answer, answer_bytes, begin_call, raw_call, request_bytes
 from tests.routing.samples import route
@@ -63,7 +63,7 @@
         self.proxy._request_log._record = self.recorder("proxy")
         for gateway, machine in zip(self.gateways, self.machines, strict=True):
             gateway._log._record = self.recorder(machine.name)
-            pacer = LinkPacer(time.monotonic, LinkShare(MEGABITS))
+            pacer = LinkPacer(time.monotonic, LinkScheduler(MEGABITS))
             gateway._context = msgspec.structs.replace(gateway._context, pacer=pacer)
         self.start_calls(calls)
 
@@ -200,8 +200,8 @@
     async def test_nothing_is_given_back_once_the_retry_budget_is_spent(self) -> None:
         await self.begin(calls=0)
         now = time.monotonic()
-        budget = self.proxy._context.dispatcher._budgets.of("logbook", now)
-        while budget.withdraw(now):
+        budget = self.proxy._context.dispatcher._budgets.for_service("logbook", now)
+        while budget.take(now):
             pass
         self.start_calls(CALLS)
         await self.assert_none_given_back()
@@ -295,7 +295,7 @@
 
 class WordTest(GatewayTestCase):
     async def test_a_gateway_is_told_which_answers_can_be_had_elsewhere(self) -> None:
-        headers = hop_headers(route(), "b0", 1.0, Lateness.ALLOWED, "desk")
+        headers = hop_headers(route(), "b0", 1.0, WaitPolicy.WAIT, "desk")
         self.assertFalse(read_hop(headers).buffers_start)
         self.assertTrue(read_hop([*headers, (BUFFERS_START, b"1")]).buffers_start)
         self.assertFalse(read_hop(headers).no_alternative)
--- a/tests/node/gateway/test_reception.py
+++ b/tests/node/gateway/test_reception.py
@@ -4,12 +4,12 @@
 import unittest
 
 from pewtertack.node.gateway.reception import MAX_CONCURRENT_BODIES, MAX_EARLY_BODIES, BodyReception
-from pewtertack.routing.places import AdmissionTicket
+from pewtertack.routing.admission_ticket import AdmissionTicket
 
 
 def ticket(place: int, granted: bool = False) -> AdmissionTicket:
     made = AdmissionTicket("upload", (0, 0), 1.0, 5.0)
-    made.order = (0, 0, float(place), place)
+    made.sort_key = (0, 0, float(place), place)
     made.granted = granted
     return made
 
@@ -23,11 +23,11 @@
 
     async def begin(self, *tickets: AdmissionTicket) -> None:
         for item in tickets:
-            self.tasks[item.order[3]] = asyncio.create_task(self.receive(item))
+            self.tasks[item.sort_key[3]] = asyncio.create_task(self.receive(item))
         await self.settle()
 
     async def receive(self, item: AdmissionTicket) -> None:
-        place = item.order[3]
+        place = item.sort_key[3]
         self.ends[place] = asyncio.Event()
 
         async def read() -> None:
--- a/tests/node/gateway/test_sending.py
+++ b/tests/node/gateway/test_sending.py
@@ -11,8 +11,8 @@
 from pewtertack.node.gateway.sending import RESPONSE_BUFFER_BYTES, BufferedBytes, ResponseSender
 from pewtertack.node.http.cycle import WHOLE_BODY
 from pewtertack.node.pacing import LinkPacer
-from pewtertack.routing.link import LONG_BYTES, LinkShare
-from pewtertack.routing.places import AdmissionTicket
+from pewtertack.routing.admission_ticket import AdmissionTicket
+from pewtertack.routing.link import LONG_BYTES, LinkScheduler
 from tests.node.gateway.test_gateway import GatewayTestCase, header
 from tests.node.proxy.harness import answer_bytes, raw_call, request_bytes
 
@@ -29,7 +29,7 @@
     def setUp(self) -> None:
         self.sent: list[Any] = []
         self.held = BufferedBytes()
-        self.pacer = LinkPacer(time.monotonic, LinkShare(MEGABITS))
+        self.pacer = LinkPacer(time.monotonic, LinkScheduler(MEGABITS))
 
     def make(self, route: str = "export") -> ResponseSender:
         now = time.monotonic()
@@ -84,22 +84,22 @@
         """
         size = 50 * LONG_BYTES
         share = self.pacer.share
-        share.note_answer("export", size)
+        share.note_answer_size("export", size)
         sender = self.make()
         sender.reserve()
-        own = share.own_time("export")
-        self.assertAlmostEqual(share.time_ahead(BULK, time.monotonic()), own, delta=0.001)
+        own = share.transfer_time("export")
+        self.assertAlmostEqual(share.queue_time(BULK, time.monotonic()), own, delta=0.001)
         await self.begin(sender, size)
         for _ in range(size // LONG_BYTES):
             part = {"type": "http.response.body", "body": b"x" * LONG_BYTES, "more_body": True}
             await sender(part)
-            ahead = share.time_ahead(BULK, time.monotonic())
+            ahead = share.queue_time(BULK, time.monotonic())
             self.assertGreater(ahead, own * 0.9 - LONG_BYTES / share.bytes_per_second)
             if len(self.sent) > 4:
                 break
         sender.close()
         await asyncio.sleep(0.01)
-        self.assertEqual(share.time_ahead(BULK, time.monotonic() + 1.0), 0.0)
+        self.assertEqual(share.queue_time(BULK, time.monotonic() + 1.0), 0.0)
 
     async def test_a_long_answer_that_comes_whole_with_its_head_takes_its_turn(self) -> None:
         data = bytes(index % 251 for index in range(3 * LONG_BYTES))
@@ -214,7 +214,7 @@
         lines were full all that time, with answers that had come later; and with the time by
         which a late one is due as the only change, all of them arrived.
         """
-        self.pacer = LinkPacer(time.monotonic, LinkShare(20.0))
+        self.pacer = LinkPacer(time.monotonic, LinkScheduler(20.0))
         now = time.monotonic()
         late = AdmissionTicket("export", BULK, now - 0.1, now + 1.0)
         sender = ResponseSender(self.send, self.pacer, self.held, late)
@@ -258,7 +258,7 @@
             piece = {"type": "http.response.body", "body": b"x" * 2 * LONG_BYTES}
             await sender(piece | {"more_body": True})
             await asyncio.sleep(0)
-            seconds = share.time_ahead(BULK, time.monotonic() + 60.0)
+            seconds = share.queue_time(BULK, time.monotonic() + 60.0)
             self.assertAlmostEqual(seconds * share.bytes_per_second, size, delta=1)
         sender.close()
 
@@ -266,7 +266,7 @@
         self,
     ) -> None:
         share = self.pacer.share
-        share.note_answer("export", 10 * LONG_BYTES)
+        share.note_answer_size("export", 10 * LONG_BYTES)
         share.note_sent(RESPONSE_BUFFER_BYTES, time.monotonic())
         sender = self.make()
         sender.reserve()
@@ -274,12 +274,12 @@
         piece = {"type": "http.response.body", "body": b"x" * 2 * LONG_BYTES}
         await sender(piece | {"more_body": True})
         await asyncio.sleep(0)
-        seconds = share.time_ahead(BULK, time.monotonic() + 60.0)
+        seconds = share.queue_time(BULK, time.monotonic() + 60.0)
         self.assertAlmostEqual(seconds * share.bytes_per_second, 10 * LONG_BYTES, delta=1)
         await sender({"type": "http.response.body", "body": b""})
         await sender.finish()
         self.assertEqual(len(self.body()), 2 * LONG_BYTES)
-        self.assertEqual(share.time_ahead(BULK, time.monotonic() + 60.0), 0.0)
+        self.assertEqual(share.queue_time(BULK, time.monotonic() + 60.0), 0.0)
 
     async def test_a_back_end_slower_than_the_link_holds_nobody_up(self) -> None:
         slow, quick = self.make(), self.make("other")
@@ -309,17 +309,17 @@
 
     async def test_what_is_to_come_is_reckoned_with_until_it_is_sent_or_given_up(self) -> None:
         share = self.pacer.share
-        share.note_answer("export", RESPONSE_BUFFER_BYTES)
-        alone = share.answer_time("export", BULK, time.monotonic())
+        share.note_answer_size("export", RESPONSE_BUFFER_BYTES)
+        alone = share.delivery_time("export", BULK, time.monotonic())
         sent, given_up = self.make(), self.make()
         sent.reserve()
         given_up.reserve()
-        self.assertAlmostEqual(share.answer_time("export", BULK, time.monotonic()), 3 * alone)
+        self.assertAlmostEqual(share.delivery_time("export", BULK, time.monotonic()), 3 * alone)
         given_up.close()
         await self.answer(sent, b"x" * LONG_BYTES, b"x" * LONG_BYTES)
         await sent.finish()
         sent.close()
-        after = share.answer_time("export", BULK, time.monotonic() + 1.0)
+        after = share.delivery_time("export", BULK, time.monotonic() + 1.0)
         self.assertLess(after, 1.01 * alone)
 
     async def test_whatever_becomes_of_answers_nothing_of_them_is_reckoned_with_for_good(
@@ -327,11 +327,11 @@
     ) -> None:
         for seed in range(30):
             chance = random.Random(seed)
-            self.pacer.share.note_answer("export", 5 * LONG_BYTES)
+            self.pacer.share.note_answer_size("export", 5 * LONG_BYTES)
             await asyncio.gather(*(self.some_end(chance) for _ in range(8)))
             share = self.pacer.share
-            self.assertEqual((share._line, self.held.byte_count), ([], 0), f"seed {seed}")
-            self.assertLess(sum(share._promised.values()), 0.001, f"seed {seed}")
+            self.assertEqual((share._queue, self.held.byte_count), ([], 0), f"seed {seed}")
+            self.assertLess(sum(share._reserved_bytes.values()), 0.001, f"seed {seed}")
 
     async def some_end(self, chance: random.Random) -> None:
         """Take an answer to some end: refused, broken off, given up while it is sent, whole."""
@@ -386,7 +386,7 @@
 
         address = await self.start_fleet(script, slots=1)
         gateway = self.gateways[0]
-        pacer = LinkPacer(time.monotonic, LinkShare(4.0))
+        pacer = LinkPacer(time.monotonic, LinkScheduler(4.0))
         gateway._context = msgspec.structs.replace(gateway._context, pacer=pacer)
         return address
 
@@ -405,7 +405,7 @@
     async def test_one_that_would_leave_too_late_is_refused_before_it_runs(self) -> None:
         address = await self.start()
         share = self.gateways[0]._context.pacer.share  # type: ignore[union-attr]
-        share.note_answer("lookup", 50_000_000)
+        share.note_answer_size("lookup", 50_000_000)
         answer = await raw_call(address, get("/long"))
         self.assert_refused(answer, 503, "not-run")
         self.assertEqual(self.heads, [])
--- a/tests/node/gateway/test_slow_readers.py
+++ b/tests/node/gateway/test_slow_readers.py
@@ -7,7 +7,7 @@
 
 from pewtertack.node.gateway.hop import hop_headers
 from pewtertack.node.http import unread
-from pewtertack.routing.patience import Lateness
+from pewtertack.routing.wait_policy import WaitPolicy
 from tests.node.gateway.test_gateway import GatewayTestCase
 from tests.node.gateway.test_large_answers import head_of
 from tests.node.proxy.harness import request_bytes
@@ -130,7 +130,7 @@
     async def test_a_node_that_takes_nothing_is_waited_for_until_the_deadline(self) -> None:
         await self.start_fleet(self.answer_large, slots=64, timeout=60.0)
         host, _, port = self.machines[0].gateway.rpartition(":")
-        headers = hop_headers(route(), "b0", 1.0, Lateness.ALLOWED, "desk")
+        headers = hop_headers(route(), "b0", 1.0, WaitPolicy.WAIT, "desk")
         lines = (f"{name.decode()}: {value.decode()}" for name, value in headers)
         request = request_bytes(
             "GET", "/", headers=("x-request-id: call-1", "x-deadline-ms: 1000", *lines)
--- a/tests/node/gateway/test_stopping_senders.py
+++ b/tests/node/gateway/test_stopping_senders.py
@@ -21,8 +21,8 @@
 )
 from pewtertack.node.pacing import LinkPacer
 from pewtertack.node.proxy.in_flight import Progress
-from pewtertack.routing.link import LinkShare
-from pewtertack.routing.patience import Lateness
+from pewtertack.routing.link import LinkScheduler
+from pewtertack.routing.wait_policy import WaitPolicy
 from tests.node.gateway.test_gateway import GatewayTestCase, header
 from tests.node.proxy.harness import Answer, answer_bytes, raw_call, request_bytes
 from tests.routing.samples import route
@@ -38,7 +38,7 @@
 
 class WordTest(unittest.TestCase):
     def read(self, text: bytes) -> Any:
-        headers = hop_headers(route(), "b0", 1.0, Lateness.ALLOWED, "desk")
+        headers = hop_headers(route(), "b0", 1.0, WaitPolicy.WAIT, "desk")
         return read_hop([*headers, (SENDER_STOPS_IN, text)])
 
     def test_the_time_left_is_read(self) -> None:
@@ -54,7 +54,7 @@
                 self.assertEqual(parse_finish_by(text + b"\tcall-1"), (math.inf, frozenset()))
 
     def test_without_the_word_nothing_is_counted(self) -> None:
-        request = read_hop(hop_headers(route(), "b0", 1.0, Lateness.ALLOWED, "desk"))
+        request = read_hop(hop_headers(route(), "b0", 1.0, WaitPolicy.WAIT, "desk"))
         self.assertEqual((request.sender_stops_in, request.invalid_stop_time), (math.inf, False))
 
     def test_many_requests_are_named_in_several_words(self) -> None:
@@ -81,7 +81,7 @@
         self.gateway = self.gateways[0]
         self.events: list[Event] = []
         self.gateway._log._record = lambda event, **_: self.events.append(event)
-        pacer = LinkPacer(time.monotonic, LinkShare(MEGABITS))
+        pacer = LinkPacer(time.monotonic, LinkScheduler(MEGABITS))
         self.gateway._context = msgspec.structs.replace(self.gateway._context, pacer=pacer)
         self.assertEqual((await self.call("first")).status, 200)
         self.others = [asyncio.create_task(self.call(f"other-{n}")) for n in range(OTHERS)]
--- a/tests/node/gateway/test_words_of_a_stop.py
+++ b/tests/node/gateway/test_words_of_a_stop.py
@@ -19,7 +19,7 @@
 from pewtertack.node.gateway.reception import MAX_EARLY_BODIES
 from pewtertack.node.pacing import LinkPacer
 from pewtertack.node.proxy.stop_time import ShutdownDeadline, notify_gateways
-from pewtertack.routing.link import LinkShare
+from pewtertack.routing.link import LinkScheduler
 from pewtertack.routing.outcomes import BackendUnreachableError
 from tests.node.gateway.test_gateway import GatewayTestCase, header
 from tests.node.proxy.harness import Answer, answer_bytes, begin_call, raw_call, request_bytes
@@ -170,7 +170,7 @@
 
     async def test_what_waits_is_refused_when_its_answer_would_leave_too_late(self) -> None:
         """The same for a download, which needs time on the link after its run."""
-        pacer = LinkPacer(time.monotonic, LinkShare(MEGABITS))
+        pacer = LinkPacer(time.monotonic, LinkScheduler(MEGABITS))
         gateway = self.gateways[0]
         gateway._context = msgspec.structs.replace(gateway._context, pacer=pacer)
         self.seconds, self.size = 0.05, DOWNLOAD
--- a/tests/node/proxy/test_probing.py
+++ b/tests/node/proxy/test_probing.py
@@ -14,7 +14,7 @@
     IDLE_SECONDS,
     ConnectionPool,
 )
-from pewtertack.routing.ends import AttemptEnd
+from pewtertack.routing.attempt_results import AttemptResult
 from pewtertack.routing.queueing import Ticket
 from tests.node.gateway.test_gateway import POST, GatewayTestCase, answer_well
 from tests.node.proxy.harness import LOOPBACK, RawBackend, raw_call
@@ -42,7 +42,7 @@
         dispatcher = self.proxy._context.dispatcher
         ticket = Ticket(route(), service(), time.monotonic() + 5)
         dispatcher.submit(ticket, time.monotonic())
-        dispatcher.finish(ticket, time.monotonic(), AttemptEnd.SILENT)
+        dispatcher.finish(ticket, time.monotonic(), AttemptResult.SILENT)
         self.assertEqual((await raw_call(address, POST)).status, 503)
         prober = asyncio.create_task(self.proxy.run())
         while dispatcher.service("logbook").backends[0].unreachable:
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -5,10 +5,10 @@
 from typing import Any
 
 from pewtertack.routing.admission import QUEUE_PER_SLOT, Admission
+from pewtertack.routing.admission_ticket import AdmissionTicket
 from pewtertack.routing.cold import ColdBounds, ColdStart
 from pewtertack.routing.outcomes import DeadlineUnmeetableError, QueueFullError
-from pewtertack.routing.patience import Lateness
-from pewtertack.routing.places import AdmissionTicket
+from pewtertack.routing.wait_policy import WaitPolicy
 
 
 def ticket(rank: int = 0, objective: float = 1.0, deadline: float = 2.0, **rest: Any) -> Any:
@@ -121,7 +121,9 @@
     def test_a_request_that_may_not_be_late_is_refused_when_it_would_be(self) -> None:
         admission = busy(seconds=0.2)
         with self.assertRaises(DeadlineUnmeetableError):
-            admission.submit(ticket(objective=0.3, deadline=1.0, lateness=Lateness.REFUSED), 0.0)
+            admission.submit(
+                ticket(objective=0.3, deadline=1.0, wait_policy=WaitPolicy.TRY_ANOTHER_GATEWAY), 0.0
+            )
 
     def test_what_can_still_be_in_time_goes_before_what_is_late_whatever_its_rank(self) -> None:
         admission = Admission(1)
@@ -136,7 +138,7 @@
         admission = busy(seconds=0.2)
         waiting = ticket(objective=0.4, deadline=2.0)
         admission.submit(waiting, 0.0)
-        admission.expire(waiting, 0.91)
+        admission.recheck(waiting, 0.91)
         self.assertIsInstance(waiting.refusal, DeadlineUnmeetableError)
 
     def test_a_request_whose_turn_has_come_too_late_is_refused_and_not_started(self) -> None:
@@ -144,7 +146,7 @@
         waiting = ticket(objective=0.3, deadline=0.35)
         waiting.submitted_at = -5.0
         admission._queue.append(waiting)
-        admission.expire(waiting, 0.16)
+        admission.recheck(waiting, 0.16)
         self.assertIsInstance(waiting.refusal, DeadlineUnmeetableError)
         self.assertEqual(admission.load, 1)
 
@@ -201,7 +203,7 @@
     """Requests whose callers may come back, beside those that have to wait."""
 
     def prompt(self, **changes: Any) -> Any:
-        return ticket(**{"deadline": 9.0, "lateness": Lateness.PROMPT, **changes})
+        return ticket(**{"deadline": 9.0, "wait_policy": WaitPolicy.RETRY, **changes})
 
     def test_it_is_refused_at_once_when_its_answer_would_often_be_late(self) -> None:
         admission = busy(seconds=0.2)
@@ -225,14 +227,14 @@
         admission = busy(seconds=0.2)
         waiting = self.prompt(objective=0.6)
         admission.submit(waiting, 0.0)
-        admission.expire(waiting, 0.39)
+        admission.recheck(waiting, 0.39)
         self.assertIsNone(waiting.refusal)
-        admission.expire(waiting, 0.41)
+        admission.recheck(waiting, 0.41)
         self.assertIsInstance(waiting.refusal, DeadlineUnmeetableError)
 
     def test_one_that_came_back_waits_behind_all_that_may_be_in_time(self) -> None:
         admission = busy(seconds=0.2)
-        back = ticket(objective=1.0, deadline=3.0, lateness=Lateness.YIELDING)
+        back = ticket(objective=1.0, deadline=3.0, wait_policy=WaitPolicy.DEFERRED)
         fresh = self.prompt(objective=1.5)
         admission.submit(back, 0.0)
         admission.submit(fresh, 0.0)
@@ -244,8 +246,8 @@
 
     def test_what_yields_does_not_count_as_load(self) -> None:
         admission = busy(seconds=0.2)
-        for lateness in (Lateness.ALLOWED, Lateness.YIELDING):
-            admission.submit(ticket(objective=1.0, deadline=9.0, lateness=lateness), 0.0)
+        for lateness in (WaitPolicy.WAIT, WaitPolicy.DEFERRED):
+            admission.submit(ticket(objective=1.0, deadline=9.0, wait_policy=lateness), 0.0)
         self.assertEqual((admission.in_flight, admission.load), (1, 2))
 
     def test_what_is_short_of_time_goes_before_others_of_its_rank(self) -> None:
@@ -274,13 +276,13 @@
     """Requests that cannot be in time any longer, beside others that keep coming."""
 
     def late(self) -> Any:
-        return ticket(objective=0.3, deadline=3.0, lateness=Lateness.YIELDING)
+        return ticket(objective=0.3, deadline=3.0, wait_policy=WaitPolicy.DEFERRED)
 
     def press(self, admission: Admission, until: float) -> None:
         """Let requests that go first come 20 times a second, four times what one slot takes."""
         for step in range(round(until * 20)):
-            admission._going_first.note(step / 20)
-            admission._moved_at = step / 20
+            admission._precedence_arrivals.note(step / 20)
+            admission._last_progress_at = step / 20
 
     def test_it_is_refused_at_once_where_others_take_all_there_is(self) -> None:
         admission = busy(seconds=0.2)
@@ -293,10 +295,10 @@
         admission = busy(seconds=0.2)
         waiting = self.late()
         admission.submit(waiting, 0.0)
-        admission.expire(waiting, 0.1)
+        admission.recheck(waiting, 0.1)
         self.assertIsNone(waiting.refusal)
         self.press(admission, until=1.5)
-        admission.expire(waiting, 1.5)
+        admission.recheck(waiting, 1.5)
         self.assertIsInstance(waiting.refusal, DeadlineUnmeetableError)
         self.assertEqual(admission.load, 1)
 
@@ -304,10 +306,10 @@
         admission = busy(seconds=0.2)
         waiting = self.late()
         admission.submit(waiting, 0.0)
-        admission._moved_at = 1.6
-        admission.expire(waiting, 1.7)
+        admission._last_progress_at = 1.6
+        admission.recheck(waiting, 1.7)
         self.assertIsNone(waiting.refusal)
-        admission.expire(waiting, 2.9)
+        admission.recheck(waiting, 2.9)
         self.assertIsInstance(waiting.refusal, DeadlineUnmeetableError)
 
 
@@ -318,7 +320,7 @@
     """
 
     def call(self, now: float = 0.0, rank: int = 1, **rest: Any) -> Any:
-        given = {"objective": now + 0.3, "deadline": now + 0.9, "within": True, **rest}
+        given = {"objective": now + 0.3, "deadline": now + 0.9, "nested": True, **rest}
         return ticket(rank=rank, **given)
 
     def order(self, admission: Admission, *waiting: Any) -> list[int]:
@@ -355,9 +357,9 @@
         self.assertEqual((call.granted, bulk.granted), (True, False))
 
     def test_what_its_sender_says_of_a_callers_patience_does_not_make_it_yield(self) -> None:
-        for lateness in Lateness:
+        for lateness in WaitPolicy:
             admission = busy()
-            call = self.call(lateness=lateness)
+            call = self.call(wait_policy=lateness)
             admission.submit(ticket(rank=1, objective=0.5, deadline=9.0), 0.0)
             admission.submit(call, 0.0)
             self.end_one(admission, 0.2)
@@ -378,9 +380,9 @@
         admission = busy()
         call = self.call(deadline=2.0)
         admission.submit(call, 0.0)
-        admission.expire(call, 0.59)
+        admission.recheck(call, 0.59)
         self.assertIsNone(call.refusal)
-        admission.expire(call, 0.81)
+        admission.recheck(call, 0.81)
         self.assertIsInstance(call.refusal, DeadlineUnmeetableError)
 
     def test_a_cold_back_end_that_may_begin_nothing_yet_does_not_stall(self) -> None:
@@ -391,7 +393,7 @@
         admission.cold = ColdStart(1, 0.0, ColdBounds(1.0, 9.0, 1.0, 4.0))
         for _ in range(4):
             admission.cold.note_start(0.5)
-        admission.expire(call, 0.81)
+        admission.recheck(call, 0.81)
         self.assertIsNone(call.refusal)
 
     def test_it_is_told_to_go_elsewhere_when_urgent_ones_have_taken_its_turn(self) -> None:
@@ -400,7 +402,7 @@
         admission.submit(call, 0.0)
         for _ in range(4):
             admission.submit(ticket(rank=0, objective=4.0, deadline=9.0), 0.01)
-        admission.expire(call, 0.06)
+        admission.recheck(call, 0.06)
         self.assertIsInstance(call.refusal, DeadlineUnmeetableError)
 
     def test_urgent_requests_keep_their_place_however_many_calls_come(self) -> None:
@@ -422,5 +424,5 @@
             begun = [item for item in calls + urgent if item.granted and item not in running]
             running += [item for item in begun if item.started_at == now]
         self.assertEqual(sum(item.granted for item in urgent), 25)
-        self.assertLessEqual(max(item.queued for item in urgent), 0.1)
+        self.assertLessEqual(max(item.queued_seconds for item in urgent), 0.1)
         self.assertGreater(sum(item.granted for item in calls), 65)
--- a/tests/routing/test_arrivals.py
+++ b/tests/routing/test_arrivals.py
@@ -10,16 +10,16 @@
         rate = ArrivalRate()
         for _ in range(4):
             rate.note(0.0)
-        self.assertEqual(rate.at_least(0.0), 0.0)
+        self.assertEqual(rate.lower_bound(0.0), 0.0)
 
     def test_many_at_an_even_pace_are_held_for_sure_less_a_part(self) -> None:
         rate = ArrivalRate()
         for step in range(500):
             rate.note(step / 100)
-        self.assertAlmostEqual(rate.at_least(5.0), 80.0, delta=2.0)
+        self.assertAlmostEqual(rate.lower_bound(5.0), 80.0, delta=2.0)
 
     def test_old_arrivals_are_forgotten(self) -> None:
         rate = ArrivalRate()
         for step in range(500):
             rate.note(step / 100)
-        self.assertEqual(rate.at_least(10.0), 0.0)
+        self.assertEqual(rate.lower_bound(10.0), 0.0)
--- a/tests/routing/test_choice.py
+++ b/tests/routing/test_choice.py
@@ -5,9 +5,9 @@
 from random import Random
 
 from pewtertack.core.machines import MachineList, MachineState
+from pewtertack.routing.attempt_results import AttemptResult
 from pewtertack.routing.backend import LoadReport, parse_load
 from pewtertack.routing.dispatcher import Dispatcher
-from pewtertack.routing.ends import AttemptEnd
 from pewtertack.routing.outcomes import NoBackendError
 from tests.routing.samples import backend, dispatcher, machines, service, ticket
 
@@ -19,7 +19,7 @@
     assert request.backend is not None
     name = request.backend.name
     subject.note_answer(request, now, None, leaving=False)
-    subject.finish(request, now, AttemptEnd.ANSWERED)
+    subject.finish(request, now, AttemptResult.ANSWERED)
     return name
 
 
@@ -39,7 +39,7 @@
         busy = first.backend
         assert busy is not None
         subject.note_answer(first, 0.0, LoadReport(6, 6), leaving=False)
-        subject.finish(first, 0.0, AttemptEnd.ANSWERED)
+        subject.finish(first, 0.0, AttemptResult.ANSWERED)
         soon = Counter(placed(subject, 0.1) for _ in range(20))
         late = Counter(placed(subject, 20.0) for _ in range(100))
         self.assertEqual(soon[busy.name], 0)
@@ -72,7 +72,7 @@
         request = ticket()
         subject.submit(request, 0.0)
         subject.note_answer(request, 0.0, None, leaving=True)
-        subject.finish(request, 0.0, AttemptEnd.ANSWERED)
+        subject.finish(request, 0.0, AttemptResult.ANSWERED)
         subject.use_machines(machines("a", number=2), 1.0)
         with self.assertRaises(NoBackendError):
             placed(subject, 1.0)
@@ -97,7 +97,7 @@
         busy = ticket(50.0)
         subject.submit(busy, 2.9)
         subject.note_answer(busy, 3.0, LoadReport(4, 6), leaving=False)
-        subject.finish(busy, 3.0, AttemptEnd.ANSWERED)
+        subject.finish(busy, 3.0, AttemptResult.ANSWERED)
         self.assertEqual({placed(subject, 3.0) for _ in range(20)}, {other})
 
     def test_load_reports_that_make_no_sense_are_ignored(self) -> None:
--- a/tests/routing/test_cold.py
+++ b/tests/routing/test_cold.py
@@ -5,15 +5,15 @@
 from typing import Any
 
 from pewtertack.routing.admission import Admission
+from pewtertack.routing.admission_ticket import AdmissionTicket
 from pewtertack.routing.backend import Backend
-from pewtertack.routing.choice import Wish, choose_gateway
-from pewtertack.routing.cold import WINDOW, ColdBounds, ColdStart
+from pewtertack.routing.choice import GatewayCriteria, choose_gateway
+from pewtertack.routing.cold import WINDOW_SECONDS, ColdBounds, ColdStart
 from pewtertack.routing.outcomes import DeadlineUnmeetableError
-from pewtertack.routing.places import AdmissionTicket
 from tests.routing.samples import service
 
 SLOTS = 7
-BOUNDS = ColdBounds(rate=6.5, length=3.0, overage=1.5, slack=8.0)
+BOUNDS = ColdBounds(rate=6.5, duration=3.0, overage=1.5, slack=8.0)
 """A published rate of 6.5 a second; operators count more than 17.75 in a second as a fault."""
 BROKEN_ABOVE = 17
 SECONDS = 0.25
@@ -26,7 +26,8 @@
 
 def most_in_a_window(times: list[float]) -> int:
     return max(
-        (sum(begin <= time < begin + WINDOW for time in times) for begin in times), default=0
+        (sum(begin <= time < begin + WINDOW_SECONDS for time in times) for begin in times),
+        default=0,
     )
 
 
@@ -50,7 +51,7 @@
         while now < begin + seconds:
             self._end_due(now)
             for item in list(self.waiting):
-                self.admission.expire(item, now)
+                self.admission.recheck(item, now)
             if self.random.random() < per_second * step:
                 self._arrive(now)
             self._note_granted(now)
@@ -86,7 +87,7 @@
         cold = ColdStart(SLOTS, 10.0, BOUNDS)
         self.assertTrue(cold.is_cold(12.9))
         self.assertFalse(cold.is_cold(13.1))
-        cold.learn(10.1, 10.2, 0.0)
+        cold.note_remaining(10.1, 10.2, 0.0)
         self.assertFalse(cold.is_cold(10.3))
 
     def test_before_the_service_is_known_it_is_given_one_request_for_each_slot(self) -> None:
@@ -98,34 +99,36 @@
         self.assertTrue(cold.may_start(1.6))
 
     def test_what_is_granted_and_sent_later_still_fits_below_the_bound(self) -> None:
-        self.assertEqual(BOUNDS.per_second(SLOTS), 10)
-        self.assertLessEqual(BOUNDS.per_second(SLOTS) + SLOTS, BROKEN_ABOVE)
-        self.assertLessEqual(ColdBounds(6.5, 3.0, 1.5, 4.0).per_second(SLOTS) + SLOTS, 13)
-        self.assertEqual(ColdBounds(0.2, 3.0).per_second(SLOTS), 1)
+        self.assertEqual(BOUNDS.max_starts_per_second(SLOTS), 10)
+        self.assertLessEqual(BOUNDS.max_starts_per_second(SLOTS) + SLOTS, BROKEN_ABOVE)
+        self.assertLessEqual(
+            ColdBounds(6.5, 3.0, 1.5, 4.0).max_starts_per_second(SLOTS) + SLOTS, 13
+        )
+        self.assertEqual(ColdBounds(0.2, 3.0).max_starts_per_second(SLOTS), 1)
 
     def test_an_answer_to_a_question_of_before_says_nothing(self) -> None:
         cold = ColdStart(SLOTS, 0.0, BOUNDS)
-        cold.learn(0.0, 0.1, 0.0)
-        cold.forget(5.0)
-        cold.learn(4.9, 5.1, 0.0)
+        cold.note_remaining(0.0, 0.1, 0.0)
+        cold.assume_cold(5.0)
+        cold.note_remaining(4.9, 5.1, 0.0)
         self.assertTrue(cold.is_cold(5.2))
 
     def test_a_warm_one_is_asked_only_while_it_gets_much(self) -> None:
         cold = ColdStart(SLOTS, 0.0, BOUNDS)
-        self.assertTrue(cold.asks(0.0))
-        self.assertFalse(cold.asks(0.1))
-        cold.learn(0.0, 0.1, 0.0)
-        self.assertFalse(cold.asks(5.0))
+        self.assertTrue(cold.should_query(0.0))
+        self.assertFalse(cold.should_query(0.1))
+        cold.note_remaining(0.0, 0.1, 0.0)
+        self.assertFalse(cold.should_query(5.0))
         for _ in range(6):
             cold.note_start(5.0)
-        self.assertTrue(cold.asks(5.1))
-        self.assertFalse(cold.asks(5.3))
-        self.assertTrue(cold.asks(5.7))
+        self.assertTrue(cold.should_query(5.1))
+        self.assertFalse(cold.should_query(5.3))
+        self.assertTrue(cold.should_query(5.7))
 
     def test_one_whose_health_is_silent_is_asked_no_longer_once_it_counts_as_warm(self) -> None:
         cold = ColdStart(SLOTS, 0.0, BOUNDS)
         self.assertEqual(
-            [cold.asks(at) for at in (0.0, 1.0, 2.0, 4.0, 5.0)], [True] * 3 + [False] * 2
+            [cold.should_query(at) for at in (0.0, 1.0, 2.0, 4.0, 5.0)], [True] * 3 + [False] * 2
         )
 
     def test_a_service_that_publishes_no_rate_bounds_nothing(self) -> None:
@@ -133,7 +136,7 @@
         for _ in range(100):
             self.assertTrue(cold.may_start(0.0))
             cold.note_start(0.0)
-        self.assertFalse(cold.asks(9.0))
+        self.assertFalse(cold.should_query(9.0))
 
 
 class ColdAdmissionTest(unittest.TestCase):
@@ -144,7 +147,7 @@
             played = Played(cold, seed)
             played.play(1.5, per_second=30 + seed % 50, step=0.01)
             worst = max(worst, most_in_a_window(played.starts))
-        self.assertEqual(worst, BOUNDS.per_second(SLOTS))
+        self.assertEqual(worst, BOUNDS.max_starts_per_second(SLOTS))
 
     def test_without_the_bound_the_same_load_breaks_it(self) -> None:
         played = Played(None, 1)
@@ -153,21 +156,21 @@
 
     def test_turning_cold_under_full_load_counts_what_was_given_before(self) -> None:
         cold = ColdStart(SLOTS, 0.0, BOUNDS)
-        cold.learn(0.0, 0.0, 0.0)
+        cold.note_remaining(0.0, 0.0, 0.0)
         played = Played(cold, 3)
         played.play(2.0, per_second=28)
-        cold.learn(2.0, 2.0, 3.0)
+        cold.note_remaining(2.0, 2.0, 3.0)
         before = list(played.starts)
         played.play(3.0, per_second=28, begin=2.0)
         since = [time for time in played.starts if time >= 2.0]
-        self.assertGreater(most_in_a_window(before), BOUNDS.per_second(SLOTS))
-        self.assertLessEqual(most_in_a_window(since), BOUNDS.per_second(SLOTS))
+        self.assertGreater(most_in_a_window(before), BOUNDS.max_starts_per_second(SLOTS))
+        self.assertLessEqual(most_in_a_window(since), BOUNDS.max_starts_per_second(SLOTS))
 
     def test_what_it_does_not_bear_is_refused_at_once_and_what_it_bears_is_served(self) -> None:
         cold = ColdStart(SLOTS, 0.0, BOUNDS)
         played = Played(cold, 5)
         played.play(3.0, per_second=30)
-        self.assertGreaterEqual(len(played.starts), 3 * BOUNDS.per_second(SLOTS) - 2)
+        self.assertGreaterEqual(len(played.starts), 3 * BOUNDS.max_starts_per_second(SLOTS) - 2)
         came = len(played.starts) + len(played.waiting) + played.refused + played.refused_later
         self.assertGreater(played.refused + played.refused_later, came / 2)
         self.assertGreater(played.refused, played.refused_later)
@@ -181,12 +184,12 @@
         self.assertEqual([item.granted for item in (first, usual, urgent)], [True, False, False])
         admission.finish(first, 0.2, answered=True)
         self.assertFalse(urgent.granted)
-        admission.expire(usual, 1.01)
+        admission.recheck(usual, 1.01)
         self.assertEqual([usual.granted, urgent.granted], [False, True])
 
     def test_what_waits_is_looked_at_though_no_request_ends(self) -> None:
         admission = Admission(SLOTS, ColdStart(SLOTS, 0.0, BOUNDS))
-        tickets = [ticket(0.0, 2.0) for _ in range(BOUNDS.per_second(SLOTS) + 1)]
+        tickets = [ticket(0.0, 2.0) for _ in range(BOUNDS.max_starts_per_second(SLOTS) + 1)]
         for item in tickets[:SLOTS]:
             admission.submit(item, 0.0)
         for item in tickets[SLOTS:]:
@@ -195,8 +198,8 @@
             admission.finish(item, SECONDS, answered=True)
         last = tickets[-1]
         self.assertFalse(last.granted)
-        while not last.granted and last.look_at < 1.5:
-            admission.expire(last, last.look_at)
+        while not last.granted and last.check_at < 1.5:
+            admission.recheck(last, last.check_at)
         self.assertLess(last.started_at, 1.1)
 
     def test_a_refusal_tells_when_the_cold_one_has_room(self) -> None:
@@ -210,10 +213,10 @@
         admission = Admission(SLOTS, ColdStart(SLOTS, 0.0, BOUNDS))
         warm = ticket(0.0)
         admission.submit(warm, 0.0)
-        self.assertEqual(admission.told_slots(0.0), 1)
+        self.assertEqual(admission.advertised_slots(0.0), 1)
         admission.finish(warm, SECONDS, answered=True)
-        self.assertEqual(admission.told_slots(1.0), 2)
-        self.assertEqual(admission.told_slots(3.1), SLOTS)
+        self.assertEqual(admission.advertised_slots(1.0), 2)
+        self.assertEqual(admission.advertised_slots(3.1), SLOTS)
 
 
 class PlacementTest(unittest.TestCase):
@@ -227,7 +230,7 @@
         warm, new = self.backend("warm"), self.backend("new")
         warm.in_flight = 4
         new.assume_cold(10.0)
-        wish = Wish(0.2, 0.2, 1.0, frozenset())
+        wish = GatewayCriteria(0.2, 0.2, 1.0, frozenset())
         chosen = choose_gateway([warm, new], [], wish, 10.05, random.Random(1))
         self.assertIs(chosen, warm)
 
--- a/tests/routing/test_dispatcher.py
+++ b/tests/routing/test_dispatcher.py
@@ -4,10 +4,10 @@
 from random import Random
 
 from pewtertack.core.configuration.resolved import WorkClass
+from pewtertack.routing.attempt_results import AttemptResult
 from pewtertack.routing.backend import LoadReport
 from pewtertack.routing.backend_events import BackendEvent, BackendLeaving, BackendListed
 from pewtertack.routing.dispatcher import Dispatcher
-from pewtertack.routing.ends import AttemptEnd
 from pewtertack.routing.limit import ServiceLimit
 from pewtertack.routing.outcomes import (
     BackendFailedError,
@@ -26,15 +26,15 @@
     return request
 
 
-def end(subject: Dispatcher, request: Ticket, now: float, how: AttemptEnd) -> None:
-    if how is AttemptEnd.ANSWERED:
+def end(subject: Dispatcher, request: Ticket, now: float, how: AttemptResult) -> None:
+    if how is AttemptResult.ANSWERED:
         subject.note_answer(request, now, None, leaving=False)
     subject.finish(request, now, how)
 
 
 def fail_until_ejected(subject: Dispatcher, now: float = 0.0) -> None:
     for _ in range(3):
-        end(subject, submitted(subject, now, ticket(now + 5)), now, AttemptEnd.UNREACHABLE)
+        end(subject, submitted(subject, now, ticket(now + 5)), now, AttemptResult.UNREACHABLE)
 
 
 class LimitTest(unittest.TestCase):
@@ -45,12 +45,12 @@
             for request in requests:
                 subject.submit(request, float(turn))
             for request in requests:  # in order of their grants
-                end(subject, request, turn + 0.5, AttemptEnd.ANSWERED)
+                end(subject, request, turn + 0.5, AttemptResult.ANSWERED)
         requests = [submitted(subject, 100.0, ticket(105.0)) for _ in range(8)]
         granted = [request for request in requests if request.backend]
         self.assertEqual(len(granted), 6)
         for request in granted:
-            end(subject, request, 100.1, AttemptEnd.SHED)
+            end(subject, request, 100.1, AttemptResult.SHED)
         assert granted[0].backend is not None
         self.assertLess(granted[0].backend.limit.value, 6)
 
@@ -59,16 +59,16 @@
         request = submitted(subject, 0.0, ticket())
         assert request.backend is not None
         subject.note_answer(request, 0.1, LoadReport(9, 6), leaving=False)
-        subject.finish(request, 0.1, AttemptEnd.ANSWERED)
+        subject.finish(request, 0.1, AttemptResult.ANSWERED)
         self.assertLess(request.backend.limit.value, 2)
 
     def test_a_back_end_that_sheds_a_single_request_rests(self) -> None:
         subject = dispatcher("a")
         for _ in range(2):
-            end(subject, submitted(subject, 0.0, ticket()), 0.0, AttemptEnd.SHED)
+            end(subject, submitted(subject, 0.0, ticket()), 0.0, AttemptResult.SHED)
         waiting = submitted(subject, 0.0, ticket())
         self.assertIsNone(waiting.backend)
-        subject.look(waiting, 1.5)
+        subject.check(waiting, 1.5)
         self.assertIsNotNone(waiting.backend)
 
 
@@ -104,7 +104,7 @@
         for _ in range(10):
             urgent = submitted(subject, 0.0, ticket(work_class=WorkClass.URGENT))
             self.assertIsNotNone(urgent.backend)
-            end(subject, urgent, 0.0, AttemptEnd.CANCELLED)
+            end(subject, urgent, 0.0, AttemptResult.CANCELLED)
 
 
 class QueueTest(unittest.TestCase):
@@ -125,7 +125,7 @@
         order = []
         running = self.running
         while len(order) < 100:
-            end(self.subject, running.pop(0), 0.1, AttemptEnd.ANSWERED)
+            end(self.subject, running.pop(0), 0.1, AttemptResult.ANSWERED)
             granted = [item for item in waiting if item.backend and item not in running]
             fresh = [item for item in granted if not item.finished]
             running.extend(fresh)
@@ -141,7 +141,7 @@
         self.assertGreater(caught.exception.retry_after or 0, 0)
 
     def test_a_deadline_that_cannot_be_met_is_refused_early(self) -> None:
-        end(self.subject, self.running[0], 1.0, AttemptEnd.ANSWERED)
+        end(self.subject, self.running[0], 1.0, AttemptResult.ANSWERED)
         for _ in range(3):
             submitted(self.subject, 1.0, ticket(60.0))
         submitted(self.subject, 1.0, ticket(4.5))
@@ -152,24 +152,24 @@
         waiting = submitted(self.subject, 0.0, ticket(1000.0))
         look_at = 0.0
         while waiting.refusal is None and look_at < 20:
-            look_at = self.subject.look(waiting, look_at)
+            look_at = self.subject.check(waiting, look_at)
         self.assertIsInstance(waiting.refusal, DeadlineUnmeetableError)
         self.assertLessEqual(look_at, 3.5)
 
     def test_a_request_whose_turn_would_now_come_too_late_is_given_up_at_once(self) -> None:
-        end(self.subject, self.running[0], 1.0, AttemptEnd.ANSWERED)
+        end(self.subject, self.running[0], 1.0, AttemptResult.ANSWERED)
         submitted(self.subject, 1.0, ticket(50.0))
         waiting = submitted(self.subject, 1.0, ticket(50.0))
-        self.subject.look(waiting, 1.1)
+        self.subject.check(waiting, 1.1)
         self.assertIsNone(waiting.refusal)
         self.subject.service("logbook").limit.value = 0.1
-        self.subject.look(waiting, 1.2)
+        self.subject.check(waiting, 1.2)
         self.assertIsInstance(waiting.refusal, DeadlineUnmeetableError)
 
     def test_a_caller_that_goes_leaves_the_queue(self) -> None:
         waiting = submitted(self.subject, 0.0, ticket(50.0))
         self.subject.withdraw(waiting)
-        end(self.subject, self.running[0], 0.1, AttemptEnd.ANSWERED)
+        end(self.subject, self.running[0], 0.1, AttemptResult.ANSWERED)
         self.assertIsNone(waiting.backend)
 
 
@@ -209,13 +209,13 @@
         self.assertTrue(trial.trial)
         second = submitted(subject, 6.0, ticket(20.0)) if trial.backend is None else None
         self.assertIsNone(second)
-        end(subject, trial, 6.1, AttemptEnd.ANSWERED)
+        end(subject, trial, 6.1, AttemptResult.ANSWERED)
         self.assertFalse(submitted(subject, 6.2, ticket(20.0)).trial)
 
     def test_a_failed_trial_ejects_for_longer(self) -> None:
         subject = dispatcher("a")
         fail_until_ejected(subject)
-        end(subject, submitted(subject, 6.0, ticket(20.0)), 6.0, AttemptEnd.UNREACHABLE)
+        end(subject, submitted(subject, 6.0, ticket(20.0)), 6.0, AttemptResult.UNREACHABLE)
         with self.assertRaises(NoBackendError):
             subject.submit(ticket(20.0), 12.0)
         self.assertTrue(submitted(subject, 16.5, ticket(20.0)).trial)
@@ -224,15 +224,15 @@
         subject = dispatcher("a")
         settings = service(ejection_failures=1)
         early, failing = (submitted(subject, 0.0, ticket(50.0, settings)) for _ in range(2))
-        end(subject, failing, 0.0, AttemptEnd.BROKEN)
-        end(subject, early, 1.0, AttemptEnd.ANSWERED)
+        end(subject, failing, 0.0, AttemptResult.BROKEN)
+        end(subject, early, 1.0, AttemptResult.ANSWERED)
         with self.assertRaises(NoBackendError):
             subject.submit(ticket(), 1.0)
 
     def test_failing_answers_eject_at_most_half_of_the_back_ends(self) -> None:
         subject = dispatcher("a", "b", "c", "d")
         for _ in range(60):
-            end(subject, submitted(subject, 0.0, ticket()), 0.0, AttemptEnd.FAILED_STATUS)
+            end(subject, submitted(subject, 0.0, ticket()), 0.0, AttemptResult.FAILED_STATUS)
         members = {submitted(subject, 0.0, ticket(queue_limit=50)).backend for _ in range(4)}
         self.assertEqual(len({item.name for item in members if item}), 2)
 
@@ -243,14 +243,14 @@
                 request = submitted(subject, 0.0, ticket())
                 if hung:
                     subject.note_hung(request, 2.0, LoadReport(1, 6))
-                end(subject, request, 5.0, AttemptEnd.TIMED_OUT)
+                end(subject, request, 5.0, AttemptResult.TIMED_OUT)
             assert request.backend is not None
-            self.assertEqual(request.backend.health.admits(5.0), hung)
+            self.assertEqual(request.backend.health.allows_request(5.0), hung)
 
     def test_short_deadlines_do_not_eject(self) -> None:
         subject = dispatcher("a")
         for _ in range(10):
-            end(subject, submitted(subject, 0.0, ticket()), 0.1, AttemptEnd.TIMED_OUT)
+            end(subject, submitted(subject, 0.0, ticket()), 0.1, AttemptResult.TIMED_OUT)
         self.assertFalse(submitted(subject, 1.0, ticket()).trial)
 
 
@@ -260,7 +260,7 @@
     ) -> Ticket | None:
         subject = dispatcher("a", "b")
         request = submitted(subject, 0.0, ticket(**route))  # type: ignore[arg-type]
-        subject.finish(request, now, AttemptEnd.BROKEN)
+        subject.finish(request, now, AttemptResult.BROKEN)
         return subject.retry(request, error, now, replayable)
 
     def test_only_what_certainly_did_not_run_or_may_be_repeated(self) -> None:
@@ -279,7 +279,7 @@
         while request is not None:
             assert request.backend is not None
             tried.append(request.backend.name)
-            subject.finish(request, 0.0, AttemptEnd.UNREACHABLE)
+            subject.finish(request, 0.0, AttemptResult.UNREACHABLE)
             following = subject.retry(request, BackendUnreachableError("x"), 0.0, True)
             if following is None:
                 break
@@ -295,7 +295,7 @@
             request = submitted(subject, now, ticket(now + 5, settings))
             if request.backend is None:
                 continue
-            subject.finish(request, now, AttemptEnd.UNREACHABLE)
+            subject.finish(request, now, AttemptResult.UNREACHABLE)
             again = subject.retry(request, BackendUnreachableError("x"), now, True)
             retries += again is not None
         self.assertTrue(90 <= retries <= 115, retries)
@@ -307,6 +307,6 @@
         request = submitted(subject, 0.0, ticket())
         subject.keep_only((), (), 0.0)
         self.assertEqual(len(subject.services()), 1)
-        subject.finish(request, 0.1, AttemptEnd.ANSWERED)
+        subject.finish(request, 0.1, AttemptResult.ANSWERED)
         subject.keep_only((), (), 0.0)
         self.assertEqual(subject.services(), ())
--- a/tests/routing/test_gateway_choice.py
+++ b/tests/routing/test_gateway_choice.py
@@ -11,18 +11,18 @@
 from pewtertack.core.machines import Machine, MachineList, MachineRole, MachineState
 from pewtertack.lab.overload.simulation import Shape, simulate_gateways
 from pewtertack.routing import choice
+from pewtertack.routing.attempt_results import AttemptResult
 from pewtertack.routing.backend import LoadReport
 from pewtertack.routing.dispatcher import Dispatcher
-from pewtertack.routing.ends import AttemptEnd
 from pewtertack.routing.outcomes import (
     BackendFailedError,
     BackendUnreachableError,
     GatewayRefusedError,
 )
-from pewtertack.routing.patience import Lateness
 from pewtertack.routing.policies import Policies, RetryLaterPolicy
 from pewtertack.routing.queueing import Ticket
-from pewtertack.routing.retries import FLEET_BURST, RetryReason, burst_of
+from pewtertack.routing.retries import FLEET_BURST, RetryReason, node_burst
+from pewtertack.routing.wait_policy import WaitPolicy
 from tests.routing.samples import dispatcher, route, service
 
 
@@ -50,7 +50,7 @@
 
 def report(made: Dispatcher, ticket: Ticket, load: int, now: float = 0.0) -> None:
     made.note_answer(ticket, now, LoadReport(load, 2), leaving=False)
-    made.finish(ticket, now + 0.5, AttemptEnd.ANSWERED)
+    made.finish(ticket, now + 0.5, AttemptResult.ANSWERED)
 
 
 class ChoiceTest(unittest.TestCase):
@@ -85,7 +85,7 @@
             wanted = Ticket(route(target_latency=4.0), service(), 9.0)
             wanted.caller_deadline = 0.5 + caller_time
             made.submit(wanted, 0.5)
-            self.assertTrue(wanted.caller_may_come_back)
+            self.assertTrue(wanted.caller_can_retry)
             self.assertEqual(wanted.backend and wanted.backend.name, zone)
 
     def test_a_long_body_leaves_its_zone_for_its_deadline_only(self) -> None:
@@ -101,9 +101,9 @@
 
     def refuse(self, made: Dispatcher, wanted: Ticket, now: float) -> RetryReason:
         made.note_answer(wanted, now, LoadReport(9, 2), leaving=False)
-        made.finish(wanted, now, AttemptEnd.REFUSED)
+        made.finish(wanted, now, AttemptResult.REFUSED)
         error = GatewayRefusedError("refused", 0.1, "deadline-unmeetable")
-        error.offered = False
+        error.reached_backend = False
         return made.decide_retry(wanted, error, now, True).reason
 
     def busy_fleet(self) -> Dispatcher:
@@ -116,7 +116,7 @@
         made = self.busy_fleet()
         wanted = Ticket(route(target_latency=0.4), service(), 1.7, caller_deadline=3.0)
         made.submit(wanted, 0.5)
-        self.assertEqual(wanted.lateness, Lateness.PROMPT)
+        self.assertEqual(wanted.wait_policy, WaitPolicy.RETRY)
         self.assertEqual(self.refuse(made, wanted, 0.5), RetryReason.NO_PROSPECT)
 
     def test_a_second_gateway_is_asked_only_where_a_slot_is_believed_free(self) -> None:
@@ -129,7 +129,7 @@
         made = self.busy_fleet()
         wanted = Ticket(route(target_latency=0.4), service(), 1.7, caller_deadline=1.7)
         made.submit(wanted, 0.5)
-        self.assertEqual(wanted.lateness, Lateness.ALLOWED)
+        self.assertEqual(wanted.wait_policy, WaitPolicy.WAIT)
         self.assertEqual(self.refuse(made, wanted, 0.5), RetryReason.NEXT_GATEWAY)
 
 
@@ -138,7 +138,7 @@
 
     def test_it_takes_a_request_that_waits(self) -> None:
         made = fleet(gated("near"))
-        made.finish(submitted(made), 0.1, AttemptEnd.UNREACHABLE)
+        made.finish(submitted(made), 0.1, AttemptResult.UNREACHABLE)
         waiting = Ticket(route(), service(), 5.0)
         waiting.expires_at = 4.0
         made.service("logbook").queue.push(waiting, 0.1)
@@ -150,9 +150,9 @@
         wanted = Ticket(route(target_latency=0.4), service(), 1.7, caller_deadline=3.0)
         made.submit(wanted, 0.0)
         made.use_machines(MachineList(3, (gated("near"), gated("fresh"))), 0.0)
-        made.finish(wanted, 0.0, AttemptEnd.REFUSED)
+        made.finish(wanted, 0.0, AttemptResult.REFUSED)
         error = GatewayRefusedError("refused", 0.1, "deadline-unmeetable")
-        error.offered = False
+        error.reached_backend = False
         decision = made.decide_retry(wanted, error, 0.0, True)
         self.assertEqual(decision.reason, RetryReason.NEXT_GATEWAY)
 
@@ -165,7 +165,7 @@
         slow = submitted(made)
         assert slow.backend is not None
         before = slow.backend.slowness
-        made.finish(slow, 5.0, AttemptEnd.TIMED_OUT)
+        made.finish(slow, 5.0, AttemptResult.TIMED_OUT)
         self.assertGreater(slow.backend.slowness, before)
 
 
@@ -177,7 +177,7 @@
         ticket = submitted(made, began)
         assert ticket.backend is not None
         made.note_answer(ticket, began, LoadReport(1, 2), leaving=False)
-        made.finish(ticket, began + seconds[ticket.backend.name], AttemptEnd.ANSWERED)
+        made.finish(ticket, began + seconds[ticket.backend.name], AttemptResult.ANSWERED)
         return ticket.backend.name
 
     def test_one_whose_first_answers_were_a_little_quicker_does_not_get_all(self) -> None:
@@ -210,7 +210,7 @@
 
 class RefusalTest(unittest.TestCase):
     def refuse(self, made: Dispatcher, ticket: Ticket) -> Ticket | None:
-        made.finish(ticket, 0.0, AttemptEnd.REFUSED)
+        made.finish(ticket, 0.0, AttemptResult.REFUSED)
         error = GatewayRefusedError("full", 0.1, "queue-full")
         return made.retry(ticket, error, 0.0, replayable=True)
 
@@ -224,7 +224,7 @@
             assert again.backend is not None and ticket.backend is not None
             self.assertNotEqual(again.backend.name, ticket.backend.name)
             self.assertEqual(again.retries, 0)
-            made.finish(again, 0.1, AttemptEnd.ANSWERED)
+            made.finish(again, 0.1, AttemptResult.ANSWERED)
 
     def test_no_gateway_is_asked_twice(self) -> None:
         made = fleet(gated("a"))
@@ -245,7 +245,7 @@
         made = fleet(gated("a"), gated("bb"))
         ticket = submitted(made)
         assert ticket.backend is not None
-        made.finish(ticket, 0.0, AttemptEnd.UNREACHABLE)
+        made.finish(ticket, 0.0, AttemptResult.UNREACHABLE)
         self.assertFalse(ticket.backend.usable(0.1))
         self.assertIsNotNone(made.retry(ticket, BackendUnreachableError("down"), 0.0, True))
 
@@ -253,20 +253,20 @@
 class ReachTest(unittest.TestCase):
     def test_a_service_is_out_of_reach_while_all_its_gateways_are_left_alone(self) -> None:
         made = fleet(gated("a"), gated("bb"))
-        self.assertTrue(made.reaches_all(["logbook"], 0.0))
+        self.assertTrue(made.can_reach_all(["logbook"], 0.0))
         for _ in range(2):
-            made.finish(submitted(made), 0.0, AttemptEnd.UNREACHABLE)
-        self.assertFalse(made.reaches_all(["logbook"], 0.1))
-        self.assertTrue(made.reaches_all(["logbook"], 10.0))
+            made.finish(submitted(made), 0.0, AttemptResult.UNREACHABLE)
+        self.assertFalse(made.can_reach_all(["logbook"], 0.1))
+        self.assertTrue(made.can_reach_all(["logbook"], 10.0))
 
     def test_a_service_without_back_ends_does_not_make_a_node_unready(self) -> None:
-        self.assertTrue(fleet().reaches_all(["logbook"], 0.0))
+        self.assertTrue(fleet().can_reach_all(["logbook"], 0.0))
 
 
 class FleetBudgetTest(unittest.TestCase):
     def test_the_bursts_of_all_nodes_add_up_to_the_fleets(self) -> None:
         for nodes in (4, 12, 30):
-            self.assertLessEqual(nodes * burst_of(nodes), FLEET_BURST + 1e-9)
+            self.assertLessEqual(nodes * node_burst(nodes), FLEET_BURST + 1e-9)
 
     def test_retries_of_all_routes_of_a_service_draw_on_one_budget(self) -> None:
         machines = [gated("a"), gated("bb"), *(node(index) for index in range(12))]
@@ -274,7 +274,7 @@
         granted = 0
         for index in range(20):
             ticket = submitted(made, name=f"route-{index % 5}", retry_budget=0.0)
-            made.finish(ticket, 0.0, AttemptEnd.FAILED_BELOW)
+            made.finish(ticket, 0.0, AttemptResult.FAILED_BELOW)
             error = BackendFailedError("broke")
             granted += made.retry(ticket, error, 0.0, replayable=True) is not None
         self.assertEqual(granted, int(FLEET_BURST / 12))
@@ -339,7 +339,7 @@
 
     def mean_wait(self, crowding: float, load: float) -> float:
         shape = Shape(nodes=18, backends=12, seconds=8.0)
-        with mock.patch.object(choice, "CROWDING", crowding):
+        with mock.patch.object(choice, "CROWDING_FACTOR", crowding):
             results = [simulate_gateways(shape, load, seed) for seed in (1, 2, 3)]
         for result in results:
             self.assertGreaterEqual(result.goodput, load - 0.03)
@@ -347,7 +347,7 @@
 
     def test_callers_wait_less_at_half_load(self) -> None:
         """Measured, lab overload --gateways --load 0.5: 10.6 ms (seed 1), now 9.7."""
-        without, with_it = self.mean_wait(0.0, 0.5), self.mean_wait(choice.CROWDING, 0.5)
+        without, with_it = self.mean_wait(0.0, 0.5), self.mean_wait(choice.CROWDING_FACTOR, 0.5)
         self.assertLess(with_it, without)
 
     def test_of_two_equally_fast_ones_without_a_wait_the_emptier_is_asked(self) -> None:
--- a/tests/routing/test_hanging.py
+++ b/tests/routing/test_hanging.py
@@ -3,8 +3,8 @@
 import unittest
 from random import Random
 
-from pewtertack.routing.hanging import USUAL_SHARE, HangWatch
-from pewtertack.routing.places import AdmissionTicket
+from pewtertack.routing.admission_ticket import AdmissionTicket
+from pewtertack.routing.hanging import PRIOR_HANGING_SHARE, HangDetector
 
 MEAN = 0.2
 PATIENCE = 60.0
@@ -24,7 +24,7 @@
 
     def __init__(self, seed: int = 1) -> None:
         self.random = Random(seed)
-        self.watch = HangWatch()
+        self.watch = HangDetector()
         self.now = 0.0
         self.running: list[tuple[AdmissionTicket, float]] = []
         self.given_up: list[tuple[float, bool]] = []
@@ -45,7 +45,7 @@
         while self.now < until:
             if self.now >= next_at:
                 ticket = started(self.now)
-                self.watch.begin(ticket)
+                self.watch.note_start(ticket)
                 ends = float("inf") if self.random.random() < hang else self.now + draw()
                 self.running.append((ticket, ends))
                 next_at += 1 / 11
@@ -56,10 +56,10 @@
         for item in tuple(self.running):
             ticket, ends = item
             if ends <= self.now:
-                self.watch.end(ticket, self.now, answered=True)
+                self.watch.note_end(ticket, self.now, answered=True)
                 self.answered += 1
-            elif self.watch.hangs(ticket, self.now):
-                self.watch.end(ticket, self.now, answered=False)
+            elif self.watch.should_abandon(ticket, self.now):
+                self.watch.note_end(ticket, self.now, answered=False)
                 self.given_up.append((self.now - ticket.started_at, ends == float("inf")))
             else:
                 continue
@@ -83,11 +83,11 @@
     def test_the_share_of_slots_follows_the_share_that_hangs(self) -> None:
         backend = Backend()
         backend.run(20.0)
-        self.assertEqual(backend.watch.told_slots(12, backend.now), 12)
+        self.assertEqual(backend.watch.advertised_slots(12, backend.now), 12)
         backend.run(6.0, hang=0.45)
-        self.assertIn(backend.watch.told_slots(12, backend.now), range(5, 10))
+        self.assertIn(backend.watch.advertised_slots(12, backend.now), range(5, 10))
         backend.run(15.0)
-        self.assertEqual(backend.watch.told_slots(12, backend.now), 12)
+        self.assertEqual(backend.watch.advertised_slots(12, backend.now), 12)
 
     def test_long_answers_that_are_usual_are_waited_for(self) -> None:
         backend = Backend()
@@ -127,32 +127,32 @@
         backend = Backend()
         backend.run(20.0)
         later = backend.now + 10 * MEAN
-        usual = backend.watch.share(later)
+        usual = backend.watch.hanging_share(later)
         slow = [started(backend.now) for _ in range(3)]
         for ticket in slow:
-            backend.watch.begin(ticket)
+            backend.watch.note_start(ticket)
             ticket.answering = True
-        self.assertAlmostEqual(backend.watch.share(later), usual, places=6)
-        self.assertFalse(any(backend.watch.hangs(ticket, later) for ticket in slow))
+        self.assertAlmostEqual(backend.watch.hanging_share(later), usual, places=6)
+        self.assertFalse(any(backend.watch.should_abandon(ticket, later) for ticket in slow))
 
     def test_nothing_is_judged_before_anything_was_answered(self) -> None:
-        watch, ticket = HangWatch(), started(0.0)
-        watch.begin(ticket)
-        self.assertIsNone(watch.first_look(ticket))
-        self.assertFalse(watch.hangs(ticket, 50.0))
-        self.assertLessEqual(watch.share(9.0), USUAL_SHARE)
+        watch, ticket = HangDetector(), started(0.0)
+        watch.note_start(ticket)
+        self.assertIsNone(watch.first_check(ticket))
+        self.assertFalse(watch.should_abandon(ticket, 50.0))
+        self.assertLessEqual(watch.hanging_share(9.0), PRIOR_HANGING_SHARE)
 
     def test_a_request_is_not_left_when_no_time_is_left_elsewhere(self) -> None:
         backend = Backend()
         backend.run(20.0)
         hung = started(backend.now, deadline=backend.now + 4.0)
-        backend.watch.begin(hung)
+        backend.watch.note_start(hung)
         backend.run(10.0)
         late = 2 * MEAN
-        self.assertTrue(backend.watch.hangs(hung, hung.deadline - late))
-        self.assertFalse(backend.watch.hangs(hung, hung.deadline - late / 4))
+        self.assertTrue(backend.watch.should_abandon(hung, hung.deadline - late))
+        self.assertFalse(backend.watch.should_abandon(hung, hung.deadline - late / 4))
 
     def test_an_end_that_was_never_begun_changes_nothing(self) -> None:
-        watch = HangWatch()
-        watch.end(started(0.0), 1.0, answered=False)
-        self.assertLessEqual(watch.share(9.0), USUAL_SHARE)
+        watch = HangDetector()
+        watch.note_end(started(0.0), 1.0, answered=False)
+        self.assertLessEqual(watch.hanging_share(9.0), PRIOR_HANGING_SHARE)
--- a/tests/routing/test_link_end.py
+++ b/tests/routing/test_link_end.py
@@ -10,9 +10,9 @@
     LONG_BYTES,
     PART_BYTES,
     SLOW_READER_SECONDS,
-    LinkShare,
+    LinkScheduler,
 )
-from pewtertack.routing.long_body import RECEIVER_STOPS, LongBody, Rank
+from pewtertack.routing.long_body import RECEIVER_STOPPING, LongBody, Rank
 
 MEGABITS = 5.0
 URGENT, BULK = (0, 0), (2, 0)
@@ -25,15 +25,15 @@
     """A line in virtual time whose readers take each part at once."""
 
     def __init__(self) -> None:
-        self.share = LinkShare(MEGABITS)
+        self.share = LinkScheduler(MEGABITS)
         self.now = 0.0
         self.bodies: list[LongBody] = []
         self.woken = 0
         self.left_at: dict[LongBody, float] = {}
 
     def enter(self, size: int, rank: Rank = BULK, returnable: int = HELD_BACK) -> LongBody:
-        body = self.share.enter(rank, size, SOON, self.wake, returnable=returnable)
-        body.waits = True
+        body = self.share.enqueue(rank, size, SOON, self.wake, uncommitted_bytes=returnable)
+        body.is_ready = True
         self.bodies.append(body)
         return body
 
@@ -46,16 +46,16 @@
     def send_part(self) -> LongBody | None:
         """Send the next part, as soon as it may go; tell whose it was."""
         for body in self.bodies:
-            if body.given_back or body in self.left_at:
+            if body.handed_back or body in self.left_at:
                 continue
-            wait = self.share.wait_of(body, self.now)
-            if wait is not None and not body.given_back:
+            wait = self.share.send_delay(body, self.now)
+            if wait is not None and not body.handed_back:
                 self.now += wait
-                self.share.note_part(body, min(PART_BYTES, body.left), self.now)
-                body.waits = True
-                if not body.left:
+                self.share.note_part(body, min(PART_BYTES, body.remaining_bytes), self.now)
+                body.is_ready = True
+                if not body.remaining_bytes:
                     self.left_at[body] = max(self.now, self.share._free_at)
-                    self.share.leave(body, self.now)
+                    self.share.remove(body, self.now)
                 return body
         return None
 
@@ -77,22 +77,22 @@
         seconds = self.line.seconds
         self.line.enter(400_000, returnable=0)
         own = self.line.enter(100_000)
-        self.share.hasten(own, RECEIVER_STOPS, seconds(200_000), seconds(200_000), 0.0)
-        self.share.end_at(seconds(600_000), 0.0)
-        self.assertTrue(own.given_back)
+        self.share.expedite(own, RECEIVER_STOPPING, seconds(200_000), seconds(200_000), 0.0)
+        self.share.stop_at(seconds(600_000), 0.0)
+        self.assertTrue(own.handed_back)
 
     def test_what_can_not_leave_is_given_back_at_once_and_the_others_leave(self) -> None:
         bodies = [self.line.enter(100_000) for _ in range(5)]
-        self.share.end_at(self.line.seconds(250_000), 0.0)
-        self.assertEqual([body.given_back for body in bodies], [False] * 2 + [True] * 3)
+        self.share.stop_at(self.line.seconds(250_000), 0.0)
+        self.assertEqual([body.handed_back for body in bodies], [False] * 2 + [True] * 3)
         self.assertEqual(self.line.woken, 3)
         self.line.send_all()
         self.assertEqual(list(self.line.left_at), bodies[:2])
 
     def test_a_shorter_one_behind_has_the_time_that_a_longer_one_leaves(self) -> None:
         longer, shorter = self.line.enter(300_000), self.line.enter(90_000)
-        self.share.end_at(self.line.seconds(100_000), 0.0)
-        self.assertEqual((longer.given_back, shorter.given_back), (True, False))
+        self.share.stop_at(self.line.seconds(100_000), 0.0)
+        self.assertEqual((longer.handed_back, shorter.handed_back), (True, False))
 
     def test_what_has_left_so_far_that_it_is_had_nowhere_else_goes_on_before_all_others(
         self,
@@ -100,9 +100,9 @@
         begun = self.line.enter(300_000)
         for _ in range(4):
             self.line.send_part()
-        self.assertEqual(begun.returnable, 0)
+        self.assertEqual(begun.uncommitted_bytes, 0)
         newer = self.line.enter(20_000, URGENT)
-        self.share.end_at(SOON, self.line.now)
+        self.share.stop_at(SOON, self.line.now)
         self.assertIs(self.line.send_part(), begun)
         self.line.send_all()
         self.assertEqual(list(self.line.left_at), [begun, newer])
@@ -111,14 +111,14 @@
         begun = self.line.enter(300_000)
         for _ in range(3):
             self.line.send_part()
-        self.share.end_at(self.line.seconds(200_000), self.line.now)
-        self.assertTrue(begun.given_back)
+        self.share.stop_at(self.line.seconds(200_000), self.line.now)
+        self.assertTrue(begun.handed_back)
 
     def test_what_can_be_had_nowhere_else_is_not_given_back(self) -> None:
         only = self.line.enter(300_000, returnable=0)
         other = self.line.enter(20_000, URGENT)
-        self.share.end_at(self.line.seconds(100_000), 0.0)
-        self.assertEqual((only.given_back, other.given_back), (False, True))
+        self.share.stop_at(self.line.seconds(100_000), 0.0)
+        self.assertEqual((only.handed_back, other.handed_back), (False, True))
         self.line.send_all()
         self.assertEqual(list(self.line.left_at), [only])
 
@@ -126,39 +126,39 @@
         slow = self.line.enter(300_000, returnable=0)
         self.share.note_part(slow, PART_BYTES, 0.0)
         other = self.line.enter(90_000)
-        self.share.end_at(1.0, SLOW_READER_SECONDS)
-        self.assertFalse(other.given_back)
+        self.share.stop_at(1.0, SLOW_READER_SECONDS)
+        self.assertFalse(other.handed_back)
 
     def test_what_can_not_leave_before_its_receiver_stops_is_given_back(self) -> None:
         first, second, other = (self.line.enter(100_000) for _ in range(3))
         ends_at = self.line.seconds(150_000)
         for body in (first, second):
-            self.share.hasten(body, RECEIVER_STOPS, ends_at, ends_at, 0.0)
+            self.share.expedite(body, RECEIVER_STOPPING, ends_at, ends_at, 0.0)
         self.line.send_all()
-        self.assertEqual([body.given_back for body in self.line.bodies], [False, True, False])
+        self.assertEqual([body.handed_back for body in self.line.bodies], [False, True, False])
         self.assertEqual(list(self.line.left_at), [first, other])
         self.assertLessEqual(self.line.left_at[first], ends_at)
 
     def test_what_is_given_back_leaves_the_line_once(self) -> None:
         first, second = self.line.enter(100_000), self.line.enter(100_000)
-        self.share.end_at(0.0, 0.0)
-        self.assertTrue(first.given_back and second.given_back)
-        self.assertEqual(self.share.time_ahead(BULK, 0.0), 0.0)
-        self.share.leave(first, 0.0)
-        self.assertIsNone(self.share.wait_of(second, 0.0))
+        self.share.stop_at(0.0, 0.0)
+        self.assertTrue(first.handed_back and second.handed_back)
+        self.assertEqual(self.share.queue_time(BULK, 0.0), 0.0)
+        self.share.remove(first, 0.0)
+        self.assertIsNone(self.share.send_delay(second, 0.0))
 
     def test_an_answer_to_come_that_could_not_leave_is_known_before_it_runs(self) -> None:
-        self.share.note_answer("export", 100_000)
+        self.share.note_answer_size("export", 100_000)
         self.line.enter(100_000, returnable=0)
-        self.assertFalse(self.share.ends_before("export", BULK, 0.0, 9.0))
-        self.share.end_at(self.line.seconds(250_000), 0.0)
+        self.assertFalse(self.share.stops_before("export", BULK, 0.0, 9.0))
+        self.share.stop_at(self.line.seconds(250_000), 0.0)
         cases = (("export", 0.0, False), ("export", 0.5, True), ("short", 9.0, False))
         for route, run_seconds, ends in cases:
             with self.subTest(route=route, run=run_seconds):
-                self.assertIs(self.share.ends_before(route, BULK, 0.0, run_seconds), ends)
+                self.assertIs(self.share.stops_before(route, BULK, 0.0, run_seconds), ends)
         self.line.enter(60_000, returnable=0)
-        self.assertTrue(self.share.ends_before("export", BULK, 0.0, 0.0))
-        self.assertFalse(self.share.ends_before("export", URGENT, 0.0, 0.0))
+        self.assertTrue(self.share.stops_before("export", BULK, 0.0, 0.0))
+        self.assertFalse(self.share.stops_before("export", URGENT, 0.0, 0.0))
 
     @given(
         st.lists(
@@ -182,15 +182,15 @@
         for _ in range(sent):
             line.send_part()
         gone = set(line.left_at)  # was with the system before the stop
-        begun = [body for body in line.bodies if not body.returnable or body in gone]
+        begun = [body for body in line.bodies if not body.uncommitted_bytes or body in gone]
         ends_at = line.now + seconds
-        line.share.end_at(ends_at, line.now)
+        line.share.stop_at(ends_at, line.now)
         for size, rank, later in entries:
             if later:
                 line.enter(size, rank)
         line.send_all()
         for body in line.bodies:
-            if body not in begun and not body.given_back:
+            if body not in begun and not body.handed_back:
                 self.assertLessEqual(line.left_at.get(body, math.inf), ends_at + 1e-6)
 
 
--- a/tests/routing/test_link_order.py
+++ b/tests/routing/test_link_order.py
@@ -8,8 +8,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pewtertack.routing.link import LONG_BYTES, OVERDUE_SECONDS, PART_BYTES, LinkShare
-from pewtertack.routing.long_body import RECEIVER_STOPS, LongBody, Rank
+from pewtertack.routing.link import LONG_BYTES, OVERDUE_SECONDS, PART_BYTES, LinkScheduler
+from pewtertack.routing.long_body import RECEIVER_STOPPING, LongBody, Rank
 
 MEGABITS = 5.0
 DOWNLOAD = 90_000
@@ -33,14 +33,14 @@
 
     @property
     def halfway(self) -> float:
-        return (self.place.wanted + self.place.latest) / 2
+        return (self.place.target_time + self.place.expires_at) / 2
 
 
 class Line:
     """A machine's line in virtual time; each part is sent as soon as it may go."""
 
     def __init__(self) -> None:
-        self.share = LinkShare(MEGABITS)
+        self.share = LinkScheduler(MEGABITS)
         self.now = 0.0
         self.going: list[Answer] = []
         self.all: list[Answer] = []
@@ -56,7 +56,7 @@
         rank: Rank = BULK,
         pause: float = 0.0,
     ) -> Answer:
-        place = self.share.enter(rank, size, wanted, nobody, latest=latest)
+        place = self.share.enqueue(rank, size, wanted, nobody, expires_at=latest)
         answer = Answer(place, self.now, pause, self.now)
         self.going.append(answer)
         self.all.append(answer)
@@ -68,7 +68,7 @@
             self._drop_ended()
             wait, first = self._first()
             slow = [item.ready_at for item in self.going if item.ready_at > self.now]
-            ends = [item.place.latest for item in self.going]
+            ends = [item.place.expires_at for item in self.going]
             event = min([*slow, *ends, until])
             if first is not None and self.now + wait <= event:
                 self._send(wait, first)
@@ -79,12 +79,12 @@
         self.now = max(self.now, until)
 
     def _drop_ended(self) -> None:
-        for item in [item for item in self.going if item.place.latest <= self.now]:
+        for item in [item for item in self.going if item.place.expires_at <= self.now]:
             self._leave(item)
 
     def _leave(self, item: Answer) -> None:
         self.going.remove(item)
-        self.share.leave(item.place, self.now)
+        self.share.remove(item.place, self.now)
 
     @property
     def waiting(self) -> list[Answer]:
@@ -93,9 +93,9 @@
 
     def _first(self) -> tuple[float, Answer | None]:
         for item in self.waiting:
-            item.place.waits = True
+            item.place.is_ready = True
         for item in self.waiting:
-            wait = self.share.wait_of(item.place, self.now)
+            wait = self.share.send_delay(item.place, self.now)
             if wait is not None:
                 return wait, item
         if self.waiting:
@@ -108,9 +108,9 @@
         self.now += wait
         self._check_order(item)
         item.begun_at = min(item.begun_at, self.now)
-        self.share.note_part(item.place, min(PART_BYTES, item.place.left), self.now)
+        self.share.note_part(item.place, min(PART_BYTES, item.place.remaining_bytes), self.now)
         item.ready_at = self.now + item.pause
-        if item.place.left <= 0:
+        if item.place.remaining_bytes <= 0:
             item.ended_at = self.now
             self._leave(item)
 
@@ -118,14 +118,14 @@
         """What has begun, or is due, waits for no newer one of its rank that has not begun, unless
         it is far too late.
         """
-        if first.place.begun:
+        if first.place.started:
             return
         for other in self.waiting:
             if other.place.rank > first.place.rank or other is first:
                 continue
-            end = self.now + self.seconds(other.place.left)
-            can_end = end <= other.place.latest
-            goes_on = other.place.begun and end <= other.place.latest + OVERDUE_SECONDS
+            end = self.now + self.seconds(other.place.remaining_bytes)
+            can_end = end <= other.place.expires_at
+            goes_on = other.place.started and end <= other.place.expires_at + OVERDUE_SECONDS
             if goes_on or (can_end and first.entered > other.halfway):
                 raise AssertionError("passed over")
 
@@ -158,9 +158,9 @@
             wanted += line.now
             line.enter(size, wanted, wanted + more, (rank, 0), pause)
         line.advance(line.now + FOREVER / 2)
-        self.assertEqual((line.going, line.share._line), ([], []))
+        self.assertEqual((line.going, line.share._queue), ([], []))
         for item in line.all:
-            self.assertTrue(item.ended_at < math.inf or item.place.latest < FOREVER / 2)
+            self.assertTrue(item.ended_at < math.inf or item.place.expires_at < FOREVER / 2)
 
     def test_a_late_one_goes_once_half_of_the_time_is_over_that_it_still_has(self) -> None:
         line = Line()
@@ -193,7 +193,7 @@
         others = [line.enter(DOWNLOAD, OBJECTIVE, DEADLINE) for _ in range(4)]
         self.assertEqual(vain.begun_at, 0.0)
         for item in (vain, *others):
-            line.share.hasten(item.place, RECEIVER_STOPS, 1.5, 1.5, line.now)
+            line.share.expedite(item.place, RECEIVER_STOPPING, 1.5, 1.5, line.now)
         line.advance(DEADLINE)
         self.assertLess(max(item.ended_at for item in others), 1.5)
 
@@ -223,8 +223,8 @@
         line.advance(0.1)
         other = line.enter(DOWNLOAD, OBJECTIVE, DEADLINE)
         soon = line.seconds(10 * DOWNLOAD) - OVERDUE_SECONDS / 2
-        line.share.hasten(late.place, RECEIVER_STOPS, soon, soon, line.now)
-        line.share.hasten(other.place, RECEIVER_STOPS, DEADLINE, DEADLINE, line.now)
+        line.share.expedite(late.place, RECEIVER_STOPPING, soon, soon, line.now)
+        line.share.expedite(other.place, RECEIVER_STOPPING, DEADLINE, DEADLINE, line.now)
         line.advance(soon - 0.01)
         self.assertEqual(other.begun_at, math.inf)
 
@@ -246,12 +246,12 @@
 def overloaded(chance: random.Random) -> Line:
     """Ask for 1.5 times what the line carries; take what should be in time, as gateways do."""
     line = Line()
-    line.share.note_answer("export", DOWNLOAD)
-    own = line.share.own_time("export")
+    line.share.note_answer_size("export", DOWNLOAD)
+    own = line.share.transfer_time("export")
     for _ in range(600):
         line.advance(line.now + chance.expovariate(1.5 / own))
         size = max(LONG_BYTES + 1, round(chance.lognormvariate(math.log(DOWNLOAD) - 0.18, 0.6)))
-        if line.share.answer_time("export", BULK, line.now) <= OBJECTIVE:
+        if line.share.delivery_time("export", BULK, line.now) <= OBJECTIVE:
             line.enter(size, line.now + OBJECTIVE, line.now + DEADLINE)
         line.share.note_sent(chance.choice((400, 5000)), line.now)
     line.advance(line.now + DEADLINE)
--- a/tests/routing/test_link_properties.py
+++ b/tests/routing/test_link_properties.py
@@ -13,13 +13,13 @@
 from hypothesis import strategies as st
 
 from pewtertack.routing.link import (
-    AHEAD_BYTES,
     LONG_BYTES,
     OVERDUE_SECONDS,
     PART_BYTES,
-    LinkShare,
+    SEND_AHEAD_BYTES,
+    LinkScheduler,
 )
-from pewtertack.routing.long_body import RECEIVER_STOPS, LongBody, Rank
+from pewtertack.routing.long_body import RECEIVER_STOPPING, LongBody, Rank
 
 MEGABITS = 5.0
 HELD_BACK = 4 * PART_BYTES
@@ -79,7 +79,7 @@
         self.waiting: Waiting | None = None
 
     def ask(self) -> None:
-        self.promised = self.line.share.promise(ROUTES[self.entry.size % 3], self.rank)
+        self.promised = self.line.share.reserve(ROUTES[self.entry.size % 3], self.rank)
 
     def come(self) -> None:
         """The answer has come: it is in line, in place of what was promised."""
@@ -87,16 +87,21 @@
             return
         share, entry = self.line.share, self.entry
         self.forget_promise()
-        share.note_answer(ROUTES[entry.size % 3], entry.size)
+        share.note_answer_size(ROUTES[entry.size % 3], entry.size)
         wanted = self.asked_at + entry.wanted
         returnable = HELD_BACK if entry.returnable else 0
-        self.place = share.enter(
-            self.rank, entry.size, wanted, self.wake, latest=self.latest, returnable=returnable
+        self.place = share.enqueue(
+            self.rank,
+            entry.size,
+            wanted,
+            self.wake,
+            expires_at=self.latest,
+            uncommitted_bytes=returnable,
         )
         self.line.take_turn(self)
 
     def forget_promise(self) -> None:
-        self.line.share.keep(self.rank, self.promised)
+        self.line.share.release(self.rank, self.promised)
         self.promised = 0
 
     def hasten(self) -> None:
@@ -104,13 +109,13 @@
             return
         promised = self.promised > 0
         self.forget_promise()
-        self.rank = RECEIVER_STOPS
+        self.rank = RECEIVER_STOPPING
         self.latest = min(self.latest, self.line.now + 1.0)
         if promised:
             self.ask()
         if self.place is not None:
             self.line.forget_waiting()
-            self.line.share.hasten(self.place, self.rank, self.latest, self.latest, self.line.now)
+            self.line.share.expedite(self.place, self.rank, self.latest, self.latest, self.line.now)
 
     def leave(self) -> None:
         if self.gone:
@@ -118,7 +123,7 @@
         self.gone = True
         self.forget_promise()
         if self.place is not None:
-            self.line.share.leave(self.place, self.line.now)
+            self.line.share.remove(self.place, self.line.now)
 
     def wake(self) -> None:
         self.line.at(self.line.now, lambda: self.line.take_turn(self))
@@ -128,7 +133,7 @@
     """A line in virtual time."""
 
     def __init__(self) -> None:
-        self.share = LinkShare(MEGABITS)
+        self.share = LinkScheduler(MEGABITS)
         self.now = 0.0
         self.answers: list[Answer] = []
         self.stopped = False
@@ -165,19 +170,19 @@
     def stop(self, seconds: float) -> None:
         self.stopped = True
         self.forget_waiting()
-        self.share.end_at(self.now + seconds, self.now)
+        self.share.stop_at(self.now + seconds, self.now)
 
     def in_line(self) -> list[Answer]:
         return [
             item
             for item in self.answers
-            if item.place is not None and not item.gone and not item.place.given_back
+            if item.place is not None and not item.gone and not item.place.handed_back
         ]
 
     def check_not_idle(self, moment: float) -> None:
         """Nothing waits that the link could have taken long before the next event."""
-        ready = [item for item in self.in_line() if item.place is not None and item.place.waits]
-        free_at = max(self.now, self.share._free_at - self.seconds(AHEAD_BYTES))
+        ready = [item for item in self.in_line() if item.place is not None and item.place.is_ready]
+        free_at = max(self.now, self.share._free_at - self.seconds(SEND_AHEAD_BYTES))
         if ready and moment > free_at + TINY:
             raise AssertionError("the link is idle while a part may go")
 
@@ -186,13 +191,13 @@
         body = answer.place
         if body is None or answer.gone:
             return
-        if body.given_back:
+        if body.handed_back:
             answer.leave()
             return
         if self.now < answer.ready_at:
             return
-        wait = self.share.wait_of(body, self.now)
-        if body.given_back:
+        wait = self.share.send_delay(body, self.now)
+        if body.handed_back:
             answer.leave()
             return
         self.begin_waiting(answer, body)
@@ -205,13 +210,13 @@
 
     def begin_waiting(self, answer: Answer, body: LongBody) -> None:
         """Note what stands before a body that has begun, when its next part comes to be there."""
-        if not body.begun or answer.waiting is not None or self.stopped:
+        if not body.started or answer.waiting is not None or self.stopped:
             return
         before = [
-            item.place.left
+            item.place.remaining_bytes
             for item in self.in_line()
             if item is not answer and item.place is not None
-            if item.place.begun  # of a lower rank, too: it goes first where it has little time left
+            if item.place.started  # also of a lower rank: first when little time is left
         ]
         carried = max(0.0, self.share._free_at - self.now) * self.share.bytes_per_second
         answer.waiting = Waiting(self.now, carried, sum(before))
@@ -222,11 +227,11 @@
             item.waiting = None
 
     def send(self, answer: Answer, body: LongBody) -> None:
-        size = min(PART_BYTES, body.left)
+        size = min(PART_BYTES, body.remaining_bytes)
         self.check_waits(answer, body, size)
         answer.waiting = None
         self.share.note_part(body, size, self.now)
-        if not body.left:
+        if not body.remaining_bytes:
             answer.ended = True
             answer.leave()
         else:
@@ -237,17 +242,17 @@
         """Of its own rank, what has begun waits for what had begun before it waits, and no more."""
         for item in self.in_line():
             body, waiting = item.place, item.waiting
-            if body is None or waiting is None or not body.waits:
+            if body is None or waiting is None or not body.is_ready:
                 continue
             if item is sender:
                 lasted = self.now - waiting.since
-                most = self.seconds(max(0.0, waiting.carried - AHEAD_BYTES) + waiting.sent)
+                most = self.seconds(max(0.0, waiting.carried - SEND_AHEAD_BYTES) + waiting.sent)
                 if lasted > most + TINY:
                     raise AssertionError("it waits longer than the bytes before it take")
                 continue
             waiting.sent += size
-            end = self.now + self.seconds(body.left)
-            if sent.rank < body.rank or end > body.latest + OVERDUE_SECONDS:
+            end = self.now + self.seconds(body.remaining_bytes)
+            if sent.rank < body.rank or end > body.expires_at + OVERDUE_SECONDS:
                 continue  # owed to another rank; or it can't end in time any longer
             waiting.ahead -= size
             if waiting.ahead < 0:
@@ -292,9 +297,9 @@
         if stops is not None:
             line.at(stops, lambda: line.stop(2.0))
         line.run()
-        self.assertEqual((line.in_line(), line.share._line), ([], []))
-        self.assertEqual(line.share._promised, {})
-        self.assertEqual(line.share.time_ahead((9, 9), line.now + 1000.0), 0.0)
+        self.assertEqual((line.in_line(), line.share._queue), ([], []))
+        self.assertEqual(line.share._reserved_bytes, {})
+        self.assertEqual(line.share.queue_time((9, 9), line.now + 1000.0), 0.0)
 
     @given(ENTRIES)
     def test_where_nobody_cancels_or_stops_whatever_has_time_ends(
@@ -313,15 +318,15 @@
     def test_what_was_promised_comes_back_to_zero_in_whatever_order(
         self, answers: list[tuple[int, int]]
     ) -> None:
-        share = LinkShare(MEGABITS)
+        share = LinkScheduler(MEGABITS)
         promised: list[tuple[Rank, int]] = []
         for size, rank in answers:
-            share.note_answer("export", size)
-            promised.append(((rank, 0), share.promise("export", (rank, 0))))
+            share.note_answer_size("export", size)
+            promised.append(((rank, 0), share.reserve("export", (rank, 0))))
         for place, size in sorted(promised, key=lambda item: item[1]):
-            share.keep(place, size)
-        self.assertEqual(share._promised, {})
-        self.assertEqual(share.time_ahead((9, 9), 0.0), 0.0)
+            share.release(place, size)
+        self.assertEqual(share._reserved_bytes, {})
+        self.assertEqual(share.queue_time((9, 9), 0.0), 0.0)
 
     def test_a_whole_answer_leaves_at_the_pace_of_the_link(self) -> None:
         line = Line()
--- a/tests/routing/test_link_words.py
+++ b/tests/routing/test_link_words.py
@@ -7,15 +7,15 @@
 from hypothesis import strategies as st
 
 from pewtertack.core.machines import MachineList
+from pewtertack.routing.attempt_results import AttemptResult
 from pewtertack.routing.backend import Backend, LoadReport
 from pewtertack.routing.dispatcher import Dispatcher
-from pewtertack.routing.ends import AttemptEnd
-from pewtertack.routing.link_words import (
-    LONGEST_MS,
-    MILLISECONDS,
-    LinkWord,
-    link_text,
-    parse_link,
+from pewtertack.routing.link_reports import (
+    MAX_REPORTED_MS,
+    MILLISECONDS_PER_SECOND,
+    LinkReport,
+    format_link_report,
+    parse_link_report,
 )
 from pewtertack.routing.queueing import Ticket
 from tests.routing.samples import route, service
@@ -30,29 +30,36 @@
 class WordTest(unittest.TestCase):
     @given(st.floats(0.0, 100.0), st.floats(0.0, 100.0))
     def test_what_is_told_is_understood(self, ahead: float, own: float) -> None:
-        told = link_text(ahead, own)
+        told = format_link_report(ahead, own)
         if told is None:
-            self.assertLess(max(ahead, own), 1 / MILLISECONDS)
+            self.assertLess(max(ahead, own), 1 / MILLISECONDS_PER_SECOND)
             return
-        word = parse_link(told)
+        word = parse_link_report(told)
         assert word is not None
-        longest = LONGEST_MS / MILLISECONDS
-        self.assertAlmostEqual(word.ahead, min(ahead, longest), delta=1 / MILLISECONDS)
-        self.assertAlmostEqual(word.own, min(own, longest), delta=1 / MILLISECONDS)
+        longest = MAX_REPORTED_MS / MILLISECONDS_PER_SECOND
+        self.assertAlmostEqual(
+            word.queue_seconds, min(ahead, longest), delta=1 / MILLISECONDS_PER_SECOND
+        )
+        self.assertAlmostEqual(
+            word.transfer_seconds, min(own, longest), delta=1 / MILLISECONDS_PER_SECOND
+        )
 
     def test_an_idle_link_of_a_route_of_short_answers_is_told_nothing_of(self) -> None:
-        self.assertIsNone(link_text(0.0, 0.0))
+        self.assertIsNone(format_link_report(0.0, 0.0))
 
     def test_what_makes_no_sense_is_no_word(self) -> None:
         for text in ("", "/", "5", "5/", "/5", "-1/5", "1.5/5", "5/5/5", "x/5", "٣/5", "10001/0"):
             with self.subTest(text):
-                self.assertIsNone(parse_link(text))
+                self.assertIsNone(parse_link_report(text))
 
     @given(st.text(max_size=20))
     def test_no_text_is_too_strange(self, text: str) -> None:
-        word = parse_link(text)
+        word = parse_link_report(text)
         if word is not None:
-            self.assertLessEqual(max(word.ahead, word.own), LONGEST_MS / MILLISECONDS)
+            self.assertLessEqual(
+                max(word.queue_seconds, word.transfer_seconds),
+                MAX_REPORTED_MS / MILLISECONDS_PER_SECOND,
+            )
 
 
 class FirstOfEquals(Random):
@@ -85,7 +92,7 @@
 
     def chosen(self, name: str = "export") -> str:
         ticket = self.submit(name)
-        self.made.finish(ticket, self.now, AttemptEnd.CANCELLED)
+        self.made.finish(ticket, self.now, AttemptResult.CANCELLED)
         assert ticket.backend is not None
         return ticket.backend.name
 
@@ -97,8 +104,8 @@
         ticket.backend.note_start(self.now)
         self.made.service("logbook").in_flight += 1
         self.made.note_answer(ticket, self.now, LoadReport(1, 2), leaving=False)
-        self.made.note_link(ticket, LinkWord(ahead, own), self.now, begun=True)
-        self.made.finish(ticket, self.now, AttemptEnd.ANSWERED)
+        self.made.note_link_report(ticket, LinkReport(ahead, own), self.now, begun=True)
+        self.made.finish(ticket, self.now, AttemptResult.ANSWERED)
 
     @property
     def backends(self) -> tuple[Backend, ...]:
@@ -130,7 +137,7 @@
 
     def test_a_gateway_that_dies_with_its_word_out_is_forgotten_like_any_other(self) -> None:
         self.use("busy", "free")
-        self.tell("busy", LONGEST_MS / MILLISECONDS)
+        self.tell("busy", MAX_REPORTED_MS / MILLISECONDS_PER_SECOND)
         self.use("free")
         self.assertEqual(self.chosen(), "free")
         self.use("busy", "free")
@@ -139,12 +146,12 @@
 
     def test_a_word_that_lies_holds_until_the_next(self) -> None:
         self.use("liar", "free")
-        self.tell("liar", LONGEST_MS / MILLISECONDS)
+        self.tell("liar", MAX_REPORTED_MS / MILLISECONDS_PER_SECOND)
         self.assertEqual(self.chosen(), "free")
         self.now = 0.1
         ticket = self.submit("lookup")
         ticket.backend = self.backends[0]
-        self.made.note_link(ticket, LinkWord(0.0, OWN), self.now, begun=True)
+        self.made.note_link_report(ticket, LinkReport(0.0, OWN), self.now, begun=True)
         self.assertLess(ticket.backend.link_wait(self.now), OWN)
 
     def test_own_requests_count_until_the_next_word(self) -> None:
@@ -165,7 +172,7 @@
         self.use("near", far=("far",))
         self.tell("near", 2 * OBJECTIVE)
         far = self.backends[1]
-        far.note_link(self.now, 3 * OBJECTIVE)
+        far.note_link_queue(self.now, 3 * OBJECTIVE)
         self.assertEqual(self.chosen(), "near")
 
     def test_a_route_whose_answers_turn_short_is_chosen_for_as_others_are(self) -> None:
@@ -178,8 +185,8 @@
         self.use("busy", "free")
         refused = self.submit()
         assert refused.backend is not None
-        self.made.note_link(refused, LinkWord(1.0, OWN), self.now, begun=False)
-        self.made.finish(refused, self.now, AttemptEnd.REFUSED)
+        self.made.note_link_report(refused, LinkReport(1.0, OWN), self.now, begun=False)
+        self.made.finish(refused, self.now, AttemptResult.REFUSED)
         self.assertEqual(refused.backend.link_wait(self.now), 1.0)
         self.assertEqual(self.made.service("logbook")._long_routes, {})
 
--- a/tests/routing/test_lives.py
+++ b/tests/routing/test_lives.py
@@ -5,10 +5,10 @@
 from typing import Any
 
 from pewtertack.core.machines import Machine, MachineList, MachineState
+from pewtertack.routing.attempt_results import AttemptResult
 from pewtertack.routing.backend import Backend, LoadReport
 from pewtertack.routing.backend_events import BackendEvent, BackendListed
 from pewtertack.routing.dispatcher import Dispatcher
-from pewtertack.routing.ends import AttemptEnd
 from pewtertack.routing.queueing import Ticket
 from pewtertack.routing.registry import BackendRegistry, ListChange
 from tests.routing.samples import backend, service, ticket
@@ -43,13 +43,13 @@
         former.in_flight, former.slowness = 3, 5.0
         former.note_report(0.0, LoadReport(6, 6))
         for _ in range(3):
-            former.health.fail(0.0, False, 3, 5.0, True)
+            former.health.note_failure(0.0, False, 3, 5.0, True)
         self.assertTrue(former.health.ejected)
         heir = self.use(told(2, AFTER, slots=6))
         self.assertIsNot(heir, former)
         self.assertTrue(former.removed)
         self.assertFalse(heir.health.ejected)
-        self.assertEqual((heir.in_flight, heir.others, heir.slowness), (0, 0, 1.0))
+        self.assertEqual((heir.in_flight, heir.other_requests, heir.slowness), (0, 0, 1.0))
         self.assertFalse(heir.listed_cold)
 
     def test_leaving_and_return_within_one_reading_are_told_apart(self) -> None:
@@ -106,9 +106,9 @@
         late, answered = self.submitted(0.0), self.submitted(0.0)
         self.subject.use_machines(told(2, AFTER), 1.0)
         self.subject.note_answer(answered, 1.1, LoadReport(6, 6), leaving=True)
-        self.subject.finish(late, 2.0, AttemptEnd.BROKEN)
+        self.subject.finish(late, 2.0, AttemptResult.BROKEN)
         heir = self.submitted(2.0).backend
         assert heir is not None
         self.assertEqual(heir.started_at, AFTER)
-        self.assertEqual((heir.in_flight, heir.others, heir.leaving), (1, 0, False))
+        self.assertEqual((heir.in_flight, heir.other_requests, heir.leaving), (1, 0, False))
         self.assertTrue(all(isinstance(event, BackendListed) for event in self.events))
--- a/tests/routing/test_margins.py
+++ b/tests/routing/test_margins.py
@@ -14,17 +14,17 @@
     simulate_returning,
 )
 from pewtertack.routing.admission import Admission
-from pewtertack.routing.margins import keep_half, keep_spread
+from pewtertack.routing.admission_ticket import AdmissionTicket
+from pewtertack.routing.margins import reserve_half, reserve_spread
 from pewtertack.routing.outcomes import DeadlineUnmeetableError
-from pewtertack.routing.patience import Lateness
-from pewtertack.routing.places import AdmissionTicket
 from pewtertack.routing.policies import Policies, RetryLaterPolicy, WaitMarginPolicy
+from pewtertack.routing.wait_policy import WaitPolicy
 
 SECONDS = st.floats(0.0, 100.0)
 
 
 def prompt(objective: float) -> Any:
-    return AdmissionTicket("lookup", (1, 0), objective, 9.0, Lateness.PROMPT)
+    return AdmissionTicket("lookup", (1, 0), objective, 9.0, WaitPolicy.RETRY)
 
 
 def uneven(margin: WaitMarginPolicy) -> Admission:
@@ -61,18 +61,18 @@
         waiting = prompt(objective=0.8)
         admission.submit(waiting, 0.0)
         usual = admission.expected_time("lookup")
-        admission.expire(waiting, (0.8 - usual) / 2 + 0.01)
+        admission.recheck(waiting, (0.8 - usual) / 2 + 0.01)
         self.assertIsInstance(waiting.refusal, DeadlineUnmeetableError)
 
     def test_what_is_sure_to_be_in_time_waits_as_long_by_either(self) -> None:
-        self.assertEqual(keep_half(0.0, 1.0, 0.2), keep_spread(0.0, 1.0, 0.2))
+        self.assertEqual(reserve_half(0.0, 1.0, 0.2), reserve_spread(0.0, 1.0, 0.2))
 
     @given(SECONDS, SECONDS, SECONDS)
     def test_half_never_waits_shorter_nor_beyond_a_usual_answer(
         self, arrived_at: float, latest: float, spread: float
     ) -> None:
-        until = keep_half(arrived_at, latest, spread)
-        self.assertGreaterEqual(until, keep_spread(arrived_at, latest, spread))
+        until = reserve_half(arrived_at, latest, spread)
+        self.assertGreaterEqual(until, reserve_spread(arrived_at, latest, spread))
         self.assertLessEqual(until, latest)
 
 
--- a/tests/routing/test_outcomes.py
+++ b/tests/routing/test_outcomes.py
@@ -25,4 +25,4 @@
         )
         for kind, outcome, status in cases:
             with self.subTest(kind.__name__, outcome=outcome):
-                self.assertEqual(kind("").with_outcome(outcome).answer_status, status)
+                self.assertEqual(kind("").with_outcome(outcome).response_status, status)
--- a/tests/routing/test_properties.py
+++ b/tests/routing/test_properties.py
@@ -7,9 +7,9 @@
 
 from pewtertack.core.configuration.resolved import WorkClass
 from pewtertack.core.machines import MachineList, MachineState
+from pewtertack.routing.attempt_results import AttemptResult
 from pewtertack.routing.backend import LoadReport
 from pewtertack.routing.dispatcher import Dispatcher
-from pewtertack.routing.ends import AttemptEnd
 from pewtertack.routing.outcomes import NotRunError
 from pewtertack.routing.queueing import Ticket
 from tests.routing.samples import backend, dispatcher, service, ticket
@@ -19,7 +19,7 @@
     st.tuples(
         st.sampled_from(["submit", "submit", "submit", "finish", "finish", "look", "leave"]),
         st.integers(0, 20),
-        st.sampled_from(list(AttemptEnd)),
+        st.sampled_from(list(AttemptResult)),
         st.sampled_from(list(WorkClass)),
         st.floats(0, 0.5),
     ),
@@ -57,7 +57,7 @@
     def look(self, subject: Dispatcher, tickets: list[Ticket], now: float) -> None:
         for item in tickets:
             if not (item.backend or item.refusal):
-                subject.look(item, now)
+                subject.check(item, now)
 
     def submit(self, subject: Dispatcher, tickets: list, item: Ticket, now: float) -> None:
         try:
@@ -67,12 +67,12 @@
         tickets.append(item)
 
     def finish(
-        self, subject: Dispatcher, tickets: list, pick: int, how: AttemptEnd, now: float
+        self, subject: Dispatcher, tickets: list, pick: int, how: AttemptResult, now: float
     ) -> None:
         running = [item for item in tickets if item.backend and not item.finished]
         if running:
             item = running[pick % len(running)]
-            if how is AttemptEnd.ANSWERED:
+            if how is AttemptResult.ANSWERED:
                 subject.note_answer(item, now, LoadReport(pick % 9, 6), leaving=False)
             subject.finish(item, now, how)
 
--- a/tests/routing/test_retry_window.py
+++ b/tests/routing/test_retry_window.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 
 from pewtertack.core.machines import Machine, MachineList, MachineRole
+from pewtertack.routing.attempt_results import AttemptResult
 from pewtertack.routing.dispatcher import Dispatcher
-from pewtertack.routing.ends import AttemptEnd
 from pewtertack.routing.outcomes import BackendShedError
 from pewtertack.routing.policies import Policies, RetryBudgetPolicy
 from pewtertack.routing.queueing import Ticket
@@ -26,14 +26,14 @@
 def budget_of(nodes: int, since: float = LONG_AGO) -> WindowBudget:
     """Return the budget of one of so many nodes, of a process that began at ``since``."""
     budget = WindowBudget(LIMITS, since)
-    budget.use_nodes(nodes, since)
+    budget.set_node_count(nodes, since)
     return budget
 
 
 def spend(budget: WindowBudget, now: float, within: bool = False) -> int:
     """Withdraw all that there is; return how much it was."""
     spent = 0
-    while budget.withdraw(now, within):
+    while budget.take(now, within):
         spent += 1
     return spent
 
@@ -51,35 +51,35 @@
         budget = budget_of(20)
         for _ in range(100):
             budget.note_first_attempt(0.0, 0.1)
-        granted = sum(budget.withdraw(0.1) for _ in range(100))
+        granted = sum(budget.take(0.1) for _ in range(100))
         self.assertEqual(granted, int(0.9 * (0.2 * 100 + 40 / 20)))
 
     def test_an_unknown_fleet_has_no_slack(self) -> None:
-        self.assertFalse(WindowBudget(LIMITS, LONG_AGO).withdraw(0.0))
+        self.assertFalse(WindowBudget(LIMITS, LONG_AGO).take(0.0))
 
     def test_what_has_left_the_window_allows_and_costs_nothing(self) -> None:
         budget = budget_of(0)
         for _ in range(100):
             budget.note_first_attempt(0.0, 0.1)
-        while budget.withdraw(0.1):
+        while budget.take(0.1):
             pass
         later = LIMITS.window * (1 + 2 * STEP_SHARE)
-        self.assertEqual(budget.left(later), 0.0)
+        self.assertEqual(budget.available(later), 0.0)
         for _ in range(100):
             budget.note_first_attempt(later, 0.1)
-        self.assertTrue(budget.withdraw(later))
+        self.assertTrue(budget.take(later))
 
     def test_what_calls_within_lacked_is_kept_for_them(self) -> None:
         budget = budget_of(0)
         for _ in range(100):
             budget.note_first_attempt(0.0, 0.1)
-        while budget.withdraw(0.0, within=True):
+        while budget.take(0.0, nested=True):
             pass
         for _ in range(10):
             budget.note_first_attempt(0.5, 0.1)
-        self.assertGreaterEqual(budget.left(0.5, within=True), 1)
-        self.assertFalse(budget.withdraw(0.5))
-        self.assertTrue(budget.withdraw(0.5, within=True))
+        self.assertGreaterEqual(budget.available(0.5, nested=True), 1)
+        self.assertFalse(budget.take(0.5))
+        self.assertTrue(budget.take(0.5, nested=True))
 
     def test_calls_that_lacked_retries_keep_no_more_than_half_from_others(self) -> None:
         budget = budget_of(0)
@@ -87,7 +87,7 @@
             budget.note_first_attempt(0.0, 0.1)
         spend(budget, 0.0, within=True)
         for _ in range(50):
-            budget.withdraw(0.0, within=True)
+            budget.take(0.0, nested=True)
         for _ in range(400):
             budget.note_first_attempt(0.5, 0.1)
         self.assertGreater(spend(budget, 0.5), 0)
@@ -99,8 +99,8 @@
         spend(budget, 0.0, within=True)
         for _ in range(10):
             budget.note_first_attempt(0.5, 0.1)
-        self.assertLess(budget.left(0.5), 1)
-        self.assertGreaterEqual(budget.left(0.5, within=True), 1)
+        self.assertLess(budget.available(0.5), 1)
+        self.assertGreaterEqual(budget.available(0.5, nested=True), 1)
 
     def test_a_fleet_that_restarts_together_does_not_spend_the_slack_twice(self) -> None:
         nodes, spent = 10, 0
@@ -114,13 +114,13 @@
 
     def test_a_fleet_that_shrinks_on_the_list_has_its_former_part_for_a_window(self) -> None:
         budget = budget_of(20)
-        budget.use_nodes(2, 0.0)
+        budget.set_node_count(2, 0.0)
         self.assertEqual(spend(budget, 1.0), int(0.9 * 40 / 20))
         self.assertEqual(spend(budget, 25.0), int(0.9 * 40 / 2))
 
     def test_a_fleet_that_grows_has_the_smaller_part_at_once(self) -> None:
         budget = budget_of(2)
-        budget.use_nodes(20, 0.0)
+        budget.set_node_count(20, 0.0)
         self.assertEqual(spend(budget, 1.0), int(0.9 * 40 / 20))
 
     @given(
@@ -143,7 +143,7 @@
             if kind == "first":
                 budget.note_first_attempt(now, 0.1)
                 firsts.append(now)
-            elif budget.withdraw(now, within=kind == "call"):
+            elif budget.take(now, nested=kind == "call"):
                 retries.append(now)
         slack = LIMITS.slack / nodes if nodes else 0.0
         older = LIMITS.window * (1 + STEP_SHARE)
@@ -167,10 +167,10 @@
             ticket = Ticket(route(), service(), now + 3.0)
             made.submit(ticket, now)
             if index % 2:
-                made.finish(ticket, now, AttemptEnd.ANSWERED)
+                made.finish(ticket, now, AttemptResult.ANSWERED)
                 continue
             shed += 1
-            made.finish(ticket, now, AttemptEnd.SHED)
+            made.finish(ticket, now, AttemptResult.SHED)
             decision = made.decide_retry(ticket, BackendShedError("shed"), now, True)
             if decision.reason is RetryReason.NOT_RUN:
                 sent_again += 1
@@ -194,16 +194,16 @@
         made.use_machines(MachineList(1, tuple(_machines())), LONG_AGO)
         ticket = Ticket(route(), service(), 10.0)
         made.submit(ticket, 0.0)
-        made.finish(ticket, 0.0, AttemptEnd.SHED)
+        made.finish(ticket, 0.0, AttemptResult.SHED)
         left = []
         for _ in range(2):
             while made.decide_retry(ticket, BackendShedError("shed"), 0.1, True).ticket:
                 pass
-            left.append(made.budgets_left(0.1)["logbook"])
+            left.append(made.available_retries(0.1)["logbook"])
             made.keep_only((), (), 0.1)
         self.assertEqual(left[0], left[1])
         made.keep_only((), (), 30.0)
-        self.assertEqual(made.budgets_left(30.0), {})
+        self.assertEqual(made.available_retries(30.0), {})
 
 
 def _machines() -> list[Machine]:
--- a/tests/routing/test_runs.py
+++ b/tests/routing/test_runs.py
@@ -12,18 +12,18 @@
 from hypothesis import strategies as st
 
 from pewtertack.routing.admission import Admission
-from pewtertack.routing.outcomes import DeadlineUnmeetableError, QueueFullError
-from pewtertack.routing.patience import Lateness
-from pewtertack.routing.places import AdmissionTicket
-from pewtertack.routing.runs import (
-    CALLS_LEAST,
-    ENDS_MOST,
-    PICTURE_SECONDS,
-    ROUTES_MOST,
-    RUNS_LEAST,
-    RunsBeside,
-    none_in_vain,
+from pewtertack.routing.admission_ticket import AdmissionTicket
+from pewtertack.routing.executions import (
+    MAX_RESULTS,
+    MAX_ROUTES,
+    MIN_CALLS_PER_EXECUTION,
+    MIN_EXECUTIONS,
+    RESULT_WINDOW_SECONDS,
+    LocalExecutions,
+    never_without_result,
 )
+from pewtertack.routing.outcomes import DeadlineUnmeetableError, QueueFullError
+from pewtertack.routing.wait_policy import WaitPolicy
 
 RANK = (1, 1)
 WORK_SECONDS = 0.2
@@ -33,20 +33,20 @@
 
 class RanksTest(unittest.TestCase):
     def test_the_rank_of_most_runs_counts_the_more_urgent_of_equals(self) -> None:
-        runs = RunsBeside()
+        runs = LocalExecutions()
         self.assertIsNone(runs.usual_rank())
         for rank in ((1, 2), (1, 2), (1, 0)):
-            runs.begin("history", rank)
+            runs.note_start("history", rank)
         self.assertEqual(runs.usual_rank(), (1, 2))
-        runs.end("history", (1, 2), 0.2)
+        runs.note_end("history", (1, 2), 0.2)
         self.assertEqual(runs.usual_rank(), (1, 0))
 
     def test_what_has_ended_leaves_nothing_behind(self) -> None:
-        runs = RunsBeside()
+        runs = LocalExecutions()
         for rank in range(1000):
-            runs.begin("history", (1, rank))
-            runs.end("history", (1, rank), 0.2)
-        runs.end("history", (1, 1), 0.2)
+            runs.note_start("history", (1, rank))
+            runs.note_end("history", (1, rank), 0.2)
+        runs.note_end("history", (1, 1), 0.2)
         self.assertIsNone(runs.usual_rank())
         self.assertEqual(runs._ranks, {})
 
@@ -55,8 +55,8 @@
     """One back end of six slots in virtual time; ``fails`` tells which of its runs' calls fail."""
 
     def __init__(self, fails: Callable[[float, Random], bool], finishable: bool = True) -> None:
-        self.runs = RunsBeside()
-        self.in_vain = self.runs.in_vain if finishable else none_in_vain
+        self.runs = LocalExecutions()
+        self.in_vain = self.runs.likely_without_result if finishable else never_without_result
         self.admission = Admission(6)
         self.fates: Counter[tuple[str, str]] = Counter()
         self.yielded_at: list[float] = []
@@ -80,10 +80,10 @@
         heapq.heappush(self._events, (when, next(self._order), happen))
 
     def _arrive(self, route: str) -> None:
-        lateness = Lateness.PROMPT
+        lateness = WaitPolicy.RETRY
         if self.in_vain(route, self.now):
             self.yielded_at.append(self.now)
-            lateness = lateness.yielding
+            lateness = lateness.deferred
         ticket = AdmissionTicket(route, RANK, self.now + 0.8, self.now + 3.0, lateness)
         ticket.wake = lambda: self._begin(ticket)
         try:
@@ -98,15 +98,15 @@
 
     def _look(self, ticket: Any) -> None:
         """Look at a waiting request as the node does."""
-        self.admission.expire(ticket, self.now)
+        self.admission.recheck(ticket, self.now)
         if not ticket.granted and ticket.refusal is None:
-            self._at(self.admission.expires_at(ticket) + 1e-6, lambda: self._look(ticket))
+            self._at(self.admission.next_check_at(ticket) + 1e-6, lambda: self._look(ticket))
 
     def _begin(self, ticket: Any) -> None:
         if ticket.refusal is not None:
             self.fates[ticket.route, "refused"] += 1
             return
-        self.runs.begin(ticket.route, RANK)
+        self.runs.note_start(ticket.route, RANK)
         work = self._random.gammavariate(4, WORK_SECONDS / 4)
         calls = ticket.route == "history" and self._random.random() < CALLING_SHARE
         if calls:
@@ -122,7 +122,7 @@
 
     def _end(self, ticket: Any, fate: str) -> None:
         self.fates[ticket.route, fate] += 1
-        self.runs.end(ticket.route, RANK, self.now - ticket.started_at)
+        self.runs.note_end(ticket.route, RANK, self.now - ticket.started_at)
         self.admission.finish(ticket, self.now, answered=True)
 
 
@@ -138,8 +138,8 @@
         node = Node(lambda now, random: False)
         node.play(40.0, per_second=25.0, transfers=0.5)
         history, transfer = (node.runs._routes[name] for name in ("history", "transfer"))
-        self.assertAlmostEqual(history.calls_of("fee"), CALLING_SHARE, delta=0.15)
-        self.assertLess(transfer.calls_of("fee"), CALLS_LEAST)
+        self.assertAlmostEqual(history.calls_per_execution("fee"), CALLING_SHARE, delta=0.15)
+        self.assertLess(transfer.calls_per_execution("fee"), MIN_CALLS_PER_EXECUTION)
 
     def served(self, node: Node) -> int:
         return sum(count for (_, fate), count in node.fates.items() if fate == "served")
@@ -168,31 +168,31 @@
         node.play(20.0, per_second=45.0)
         during = [at for at in node.yielded_at if 5.0 < at < 10.0]
         self.assertGreater(len(during), 50)
-        self.assertLess(max(node.yielded_at), 10.0 + PICTURE_SECONDS)
+        self.assertLess(max(node.yielded_at), 10.0 + RESULT_WINDOW_SECONDS)
 
     def test_a_call_service_that_restarts_is_tried_while_it_is_away(self) -> None:
         """What yields finds out that calls get through again, since it runs where it can."""
         node = Node(lambda now, random: 5.0 < now < 6.0 or 7.0 < now < 8.0)
         node.play(20.0, per_second=25.0)
-        self.assertLess(max(node.yielded_at), 8.0 + PICTURE_SECONDS)
+        self.assertLess(max(node.yielded_at), 8.0 + RESULT_WINDOW_SECONDS)
         self.assertGreater(self.served(node), 0.85 * 20 * 25)
 
     def test_a_node_that_has_just_started_lets_nobody_go_first(self) -> None:
-        runs = RunsBeside()
-        for index in range(int(RUNS_LEAST) - 1):
-            runs.begin("history", RANK)
+        runs = LocalExecutions()
+        for index in range(int(MIN_EXECUTIONS) - 1):
+            runs.note_start("history", RANK)
             runs.note_call("fee", index * 0.01, failed=True)
-            runs.end("history", RANK, 0.2)
-        self.assertEqual(runs.bad_share("history", 0.2), 0.0)
+            runs.note_end("history", RANK, 0.2)
+        self.assertEqual(runs.failing_share("history", 0.2), 0.0)
 
     def test_nobody_yields_by_a_picture_that_is_older_than_a_second(self) -> None:
-        runs = RunsBeside()
+        runs = LocalExecutions()
         for _ in range(100):
-            runs.begin("history", RANK)
+            runs.note_start("history", RANK)
             runs.note_call("fee", 0.0, failed=True)
-            runs.end("history", RANK, 0.2)
-        self.assertGreater(runs.bad_share("history", 0.9), 0.9)
-        self.assertEqual(runs.bad_share("history", PICTURE_SECONDS + 0.01), 0.0)
+            runs.note_end("history", RANK, 0.2)
+        self.assertGreater(runs.failing_share("history", 0.9), 0.9)
+        self.assertEqual(runs.failing_share("history", RESULT_WINDOW_SECONDS + 0.01), 0.0)
 
     @settings(max_examples=100, deadline=None)
     @given(
@@ -203,28 +203,28 @@
     def test_nobody_yields_while_calls_succeed(
         self, happened: list[tuple[str, str, float]]
     ) -> None:
-        runs = RunsBeside()
+        runs = LocalExecutions()
         now = 0.0
         for route, called, gap in happened:
             now += gap
-            runs.begin(route, RANK)
+            runs.note_start(route, RANK)
             runs.note_call(called, now, failed=False)
-            self.assertFalse(any(runs.in_vain(name, now) for name in "abc"))
+            self.assertFalse(any(runs.likely_without_result(name, now) for name in "abc"))
             if gap > 0.5:
-                runs.end(route, RANK, gap)
+                runs.note_end(route, RANK, gap)
 
     def test_what_is_kept_is_bounded(self) -> None:
-        runs = RunsBeside()
-        for index in range(3 * ROUTES_MOST):
-            runs.begin(f"r{index}", RANK)
+        runs = LocalExecutions()
+        for index in range(3 * MAX_ROUTES):
+            runs.note_start(f"r{index}", RANK)
             runs.note_call(f"c{index}", 0.0, failed=True)
-            runs.end(f"r{index}", RANK, 0.1)
-        for _ in range(3 * ENDS_MOST):
+            runs.note_end(f"r{index}", RANK, 0.1)
+        for _ in range(3 * MAX_RESULTS):
             runs.note_call("c0", 0.0, failed=True)
-        self.assertLessEqual(len(runs._routes), ROUTES_MOST)
-        self.assertLessEqual(len(runs._called), ROUTES_MOST)
-        self.assertLessEqual(max(len(item.calls) for item in runs._routes.values()), ROUTES_MOST)
-        self.assertLessEqual(len(runs._called["c0"]._ends), ENDS_MOST)
+        self.assertLessEqual(len(runs._routes), MAX_ROUTES)
+        self.assertLessEqual(len(runs._called), MAX_ROUTES)
+        self.assertLessEqual(max(len(item.calls) for item in runs._routes.values()), MAX_ROUTES)
+        self.assertLessEqual(len(runs._called["c0"]._results), MAX_RESULTS)
 
 
 if __name__ == "__main__":
--- a/tests/routing/test_silence.py
+++ b/tests/routing/test_silence.py
@@ -2,9 +2,9 @@
 
 import unittest
 
-from pewtertack.routing.backend import GATEWAY_STALL_SECONDS, STALL_MEMORY, Backend
+from pewtertack.routing.attempt_results import AttemptResult
+from pewtertack.routing.backend import GATEWAY_STALL_SECONDS, STALL_MEMORY_SECONDS, Backend
 from pewtertack.routing.dispatcher import Dispatcher
-from pewtertack.routing.ends import AttemptEnd
 from pewtertack.routing.queueing import Ticket
 from tests.routing.test_gateway_choice import fleet, gated, report, submitted
 
@@ -26,7 +26,7 @@
             report(self.fleet, ticket, load=1)
 
     def give_up(self, ticket: Ticket, now: float) -> None:
-        self.fleet.finish(ticket, now, AttemptEnd.TIMED_OUT)
+        self.fleet.finish(ticket, now, AttemptResult.TIMED_OUT)
 
     def test_silence_is_remembered_after_short_deadlines(self) -> None:
         """Callers that wait less than any limit on silence hid a gateway behind a cut."""
@@ -36,7 +36,7 @@
             following = submitted(self.fleet, 12.0 + turn)
             self.assertIsNot(following.backend, silent.backend)
             self.fleet.note_answer(following, 12.1 + turn, None, leaving=False)
-            self.fleet.finish(following, 12.1 + turn, AttemptEnd.ANSWERED)
+            self.fleet.finish(following, 12.1 + turn, AttemptResult.ANSWERED)
 
     def test_one_that_waits_too_long_is_avoided_while_it_waits(self) -> None:
         waiting = submitted(self.fleet, 10.0)
@@ -44,7 +44,7 @@
 
     def test_a_caller_that_leaves_soon_says_nothing_of_the_back_end(self) -> None:
         ticket = submitted(self.fleet, 10.0)
-        self.fleet.finish(ticket, 10.0 + GATEWAY_STALL_SECONDS / 2, AttemptEnd.CANCELLED)
+        self.fleet.finish(ticket, 10.0 + GATEWAY_STALL_SECONDS / 2, AttemptResult.CANCELLED)
         self.assertFalse(backend_of(ticket).stalled(11.0, ANSWER_TIME))
 
     def test_a_stall_is_forgotten(self) -> None:
@@ -52,7 +52,7 @@
         self.give_up(ticket, 12.0)
         backend = backend_of(ticket)
         self.assertTrue(backend.stalled(12.1, ANSWER_TIME))
-        self.assertFalse(backend.stalled(10.1 + STALL_MEMORY, ANSWER_TIME))
+        self.assertFalse(backend.stalled(10.1 + STALL_MEMORY_SECONDS, ANSWER_TIME))
 
 
 class SilentMachineTest(unittest.TestCase):
@@ -60,7 +60,7 @@
         self.fleet: Dispatcher = fleet(gated("a"), gated("bb"))
         self.ticket = submitted(self.fleet)
         self.backend = backend_of(self.ticket)
-        self.fleet.finish(self.ticket, 0.4, AttemptEnd.SILENT)
+        self.fleet.finish(self.ticket, 0.4, AttemptResult.SILENT)
 
     def test_one_unacknowledged_request_ejects_the_back_end(self) -> None:
         self.assertFalse(self.backend.usable(0.5))
@@ -74,7 +74,7 @@
 
     def test_an_answered_probe_brings_it_back(self) -> None:
         self.fleet.probes_due(0.9)
-        self.fleet.note_probe(self.backend, 1.0, answered=True)
+        self.fleet.note_probe_result(self.backend, 1.0, answered=True)
         self.assertTrue(self.backend.usable(1.0))
         self.assertFalse(self.backend.unreachable)
 
@@ -82,7 +82,7 @@
         now = 0.9
         for _ in range(8):
             self.assertEqual(self.fleet.probes_due(now), [self.backend])
-            self.fleet.note_probe(self.backend, now, answered=False)
+            self.fleet.note_probe_result(self.backend, now, answered=False)
             self.assertFalse(self.backend.usable(now))
             now += 1.7
 
@@ -91,12 +91,12 @@
 
     def test_a_service_is_out_of_reach_until_a_probe_is_answered(self) -> None:
         other = submitted(self.fleet, 0.5)
-        self.fleet.finish(other, 0.9, AttemptEnd.SILENT)
+        self.fleet.finish(other, 0.9, AttemptResult.SILENT)
         for now in (1.0, 1.3):
-            self.assertFalse(self.fleet.reaches_all(["logbook"], now))
+            self.assertFalse(self.fleet.can_reach_all(["logbook"], now))
             self.fleet.probes_due(now)
-        self.fleet.note_probe(backend_of(other), 1.4, answered=True)
-        self.assertTrue(self.fleet.reaches_all(["logbook"], 1.4))
+        self.fleet.note_probe_result(backend_of(other), 1.4, answered=True)
+        self.assertTrue(self.fleet.can_reach_all(["logbook"], 1.4))
 
 
 if __name__ == "__main__":
--- a/tests/routing/test_successors.py
+++ b/tests/routing/test_successors.py
@@ -8,9 +8,9 @@
 
 from pewtertack.core.machines import Machine, MachineList, MachineRole, MachineState
 from pewtertack.node.proxy.attempt_ends import attempt_end_for
+from pewtertack.routing.attempt_results import AttemptResult
 from pewtertack.routing.backend_events import BackendEvent, BackendLeaving
 from pewtertack.routing.dispatcher import Dispatcher
-from pewtertack.routing.ends import AttemptEnd
 from pewtertack.routing.outcomes import (
     BackendGoneError,
     BackendLeftError,
@@ -82,7 +82,7 @@
         self.subject.submit(wanted, 0.0)
         assert wanted.backend is not None
         self.assertEqual(wanted.backend.name, "b")
-        self.subject.finish(wanted, 0.1, AttemptEnd.GONE)
+        self.subject.finish(wanted, 0.1, AttemptResult.GONE)
         self.assertEqual(self.takers(), ["a"])
         self.use(entry("a", 7), entry("b", 9))
         self.assertEqual(self.takers(), ["a"])
@@ -95,12 +95,12 @@
 
 
 class LeftForGoodTest(unittest.TestCase):
-    def refused(self, code: str) -> AttemptEnd:
+    def refused(self, code: str) -> AttemptResult:
         return attempt_end_for(GatewayRefusedError("refused", None, code))
 
     def test_a_gateway_tells_gone_for_good_from_not_listed(self) -> None:
-        self.assertEqual(self.refused(BackendLeftError.code), AttemptEnd.GONE)
-        self.assertEqual(self.refused(BackendGoneError.code), AttemptEnd.UNREACHABLE)
+        self.assertEqual(self.refused(BackendLeftError.code), AttemptResult.GONE)
+        self.assertEqual(self.refused(BackendGoneError.code), AttemptResult.UNREACHABLE)
 
     def test_one_that_left_is_asked_once_and_others_are_told(self) -> None:
         told: list[BackendEvent] = []
@@ -111,7 +111,7 @@
         first = ticket()
         subject.submit(first, 0.0)
         assert first.backend is not None
-        subject.finish(first, 0.1, AttemptEnd.GONE)
+        subject.finish(first, 0.1, AttemptResult.GONE)
         self.assertFalse(first.backend.health.ejected)
         self.assertFalse(first.backend.unreachable)
         self.assertEqual(told[-1], BackendLeaving(first.backend))
@@ -121,5 +121,5 @@
             subject.submit(wanted, 0.2)
             assert wanted.backend is not None
             names.add(wanted.backend.name)
-            subject.finish(wanted, 0.3, AttemptEnd.ANSWERED)
+            subject.finish(wanted, 0.3, AttemptResult.ANSWERED)
         self.assertNotIn(first.backend.name, names)
