--- a/src/pewtertack/core/effects.py
+++ b/src/pewtertack/core/effects.py
@@ -85,7 +85,7 @@
     """Record that a revision reached a stage ``seconds`` after this node learned of it."""
 
     stage: Stage
-    way: DeliveryChannel
+    channel: DeliveryChannel
     seconds: float
 
 
--- a/src/pewtertack/node/runtime.py
+++ b/src/pewtertack/node/runtime.py
@@ -247,7 +247,7 @@
     def _observe(self, stage_reached: StageReached) -> None:
         if self._stages is not None:
             self._stages.observe(
-                (stage_reached.stage.value, stage_reached.way.value), stage_reached.seconds
+                (stage_reached.stage.value, stage_reached.channel.value), stage_reached.seconds
             )
 
     def _bring_into_force(self, configuration: ResolvedConfiguration) -> None:
--- a/tests/core/test_node.py
+++ b/tests/core/test_node.py
@@ -1,4 +1,4 @@
-"""Phases of a node: joining, serving, waking, being replaced, leaving."""
+"""Phases of a node: joining, serving, resuming after a pause, superseded, leaving."""
 
 import unittest
 from random import Random
@@ -23,16 +23,16 @@
     "services": {"archive": {}},
     "routes": {"browse": {"service": "archive", "path_prefix": "/"}},
 }
-START = 1000
-LONG_PAUSE = 300.0
+INCARNATION = 1000
+LONG_PAUSE_SECONDS = 300.0
 PEER = MemberUpdate("peer", "127.0.0.1:2", "a", "", 500, MemberStatus.ALIVE)
 
 
-def own_name(incarnation: int, status: MemberStatus = MemberStatus.ALIVE) -> MemberUpdate:
+def own_update(incarnation: int, status: MemberStatus = MemberStatus.ALIVE) -> MemberUpdate:
     return MemberUpdate("self", "127.0.0.9:1", "a", "", incarnation, status)
 
 
-def answer_about(*members: MemberUpdate) -> MessageReceived:
+def join_answer(*members: MemberUpdate) -> MessageReceived:
     state = VersionState.of(NO_REVISION, NO_REVISION, 0, serving=True)
     return MessageReceived(PEER.name, PEER.address, 500, JoinAnswer(state, PEER, members))
 
@@ -41,71 +41,71 @@
     def setUp(self) -> None:
         self.now = 0.0
         self.core = NodeCore(
-            NodeIdentity("self", "127.0.0.1:1", "a", "", START), FAST, Random(1), self.now
+            NodeIdentity("self", "127.0.0.1:1", "a", "", INCARNATION), FAST, Random(1), self.now
         )
 
-    def feed(self, event: Input) -> list[Effect]:
+    def handle(self, event: Input) -> list[Effect]:
         return self.core.handle(self.now, event)
 
     def tick_for(self, seconds: float) -> list[Effect]:
         effects: list[Effect] = []
         for _ in range(round(seconds / FAST.tick)):
             self.now += FAST.tick
-            effects += self.feed(Ticked())
+            effects += self.handle(Ticked())
         return effects
 
     def serve(self) -> None:
-        """Bootstrap a fleet of one."""
+        """Bring a fleet of one node to the serving phase."""
         self.tick_for(FAST.bootstrap_delay + FAST.reader_settle + FAST.join_patience)
-        self.feed(DocumentRead(DocumentKind.CONFIGURATION, 1, TREE))
+        self.handle(DocumentRead(DocumentKind.CONFIGURATION, 1, TREE))
         self.assertEqual(self.core.phase, NodePhase.SERVING)
 
-    def test_nothing_is_in_force_before_the_node_serves(self) -> None:
-        effects = self.feed(DocumentRead(DocumentKind.CONFIGURATION, 1, TREE))
+    def test_no_configuration_is_in_force_before_the_node_serves(self) -> None:
+        effects = self.handle(DocumentRead(DocumentKind.CONFIGURATION, 1, TREE))
         self.assertFalse(any(isinstance(effect, BringIntoForce) for effect in effects))
 
-    def test_a_paused_process_that_was_replaced_never_serves_again(self) -> None:
+    def test_a_process_replaced_during_a_pause_never_serves_again(self) -> None:
         self.serve()
-        self.now += LONG_PAUSE
-        effects = self.feed(Ticked())
+        self.now += LONG_PAUSE_SECONDS
+        effects = self.handle(Ticked())
         self.assertIn(SetServing(False), effects)
-        self.feed(answer_about(own_name(START + 60_000)))
+        self.handle(join_answer(own_update(INCARNATION + 60_000)))
         self.tick_for(10.0)
         self.assertEqual(self.core.phase, NodePhase.SUPERSEDED)
 
-    def test_a_process_that_was_only_suspected_refutes_and_serves_again(self) -> None:
+    def test_a_paused_process_reported_dead_refutes_and_joins_again(self) -> None:
         self.serve()
-        self.now += LONG_PAUSE
-        self.feed(answer_about(own_name(START, MemberStatus.DEAD)))
-        self.assertEqual(self.core.membership.own_update.incarnation, START + 1)
+        self.now += LONG_PAUSE_SECONDS
+        self.handle(join_answer(own_update(INCARNATION, MemberStatus.DEAD)))
+        self.assertEqual(self.core.membership.own_update.incarnation, INCARNATION + 1)
         self.assertEqual(self.core.phase, NodePhase.JOINING)
 
-    def test_a_replacement_whose_clock_is_behind_outranks_its_predecessor(self) -> None:
-        self.feed(answer_about(own_name(START + 60_000, MemberStatus.DEAD)))
-        self.assertEqual(self.core.membership.own_update.incarnation, START + 60_001)
+    def test_a_replacement_with_a_slow_clock_exceeds_its_predecessors_incarnation(self) -> None:
+        self.handle(join_answer(own_update(INCARNATION + 60_000, MemberStatus.DEAD)))
+        self.assertEqual(self.core.membership.own_update.incarnation, INCARNATION + 60_001)
         self.assertEqual(self.core.phase, NodePhase.JOINING)
 
-    def test_a_message_handled_before_the_ticker_already_notices_the_pause(self) -> None:
+    def test_a_message_handled_before_the_first_tick_detects_the_pause(self) -> None:
         self.serve()
-        self.now += LONG_PAUSE
-        effects = self.feed(answer_about())
+        self.now += LONG_PAUSE_SECONDS
+        effects = self.handle(join_answer())
         self.assertIn(SetServing(False), effects)
 
-    def test_a_serving_node_answers_a_joiner_with_its_versions(self) -> None:
+    def test_a_serving_node_answers_a_join_request_with_its_versions(self) -> None:
         self.serve()
         request = MessageReceived(PEER.name, PEER.address, 500, JoinRequest(PEER))
         answers = [
             effect.message
-            for effect in self.feed(request)
+            for effect in self.handle(request)
             if isinstance(effect, Send) and isinstance(effect.message, JoinAnswer)
         ]
         self.assertEqual(answers[0].state.committed, revision_id_of(1, TREE))
         self.assertTrue(answers[0].state.serving)
 
-    def test_a_draining_node_tells_its_peers(self) -> None:
+    def test_a_draining_node_notifies_its_peers(self) -> None:
         self.serve()
-        self.feed(MessageReceived(PEER.name, PEER.address, 500, JoinRequest(PEER)))
-        effects = self.feed(DrainRequested())
+        self.handle(MessageReceived(PEER.name, PEER.address, 500, JoinRequest(PEER)))
+        effects = self.handle(DrainRequested())
         pings = [
             effect.message
             for effect in effects
--- a/tests/core/test_reads_of_node.py
+++ b/tests/core/test_reads_of_node.py
@@ -1,4 +1,4 @@
-"""What a node tells of its reads of the source."""
+"""Log events and state of a node's reads of the source."""
 
 import unittest
 from random import Random
@@ -28,54 +28,55 @@
         self.now = 0.0
         identity = NodeIdentity("self", "127.0.0.1:1", "a", "", 1000)
         self.core = NodeCore(identity, DIRECT, Random(1), self.now, source=DURABLE)
-        self.read = self.core.replication.reader.open_reads[DocumentKind.CONFIGURATION]
+        self.reads = self.core.replication.reader.open_reads[DocumentKind.CONFIGURATION]
 
-    def feed(self, event: Input) -> list[Effect]:
+    def handle(self, event: Input) -> list[Effect]:
         return self.core.handle(self.now, event)
 
     def fail(self, failure: ReadFailure | None) -> dict[str, Any]:
+        """Fail the oldest read; return the fields of the log event."""
         kind = DocumentKind.CONFIGURATION
-        effects = self.feed(DocumentReadFailed(kind, "reason", failure=failure))
+        effects = self.handle(DocumentReadFailed(kind, "reason", failure=failure))
         logs = [item for item in effects if isinstance(item, Log)]
         return next(item.fields for item in logs if item.event is Event.SOURCE_FAILED)
 
-    def test_a_failed_read_tells_how_it_ended_and_how_long_it_took(self) -> None:
-        self.feed(Ticked())
-        assert self.read.oldest is not None
-        self.assertEqual(self.read.oldest.opened_at, 0.0)
+    def test_a_failed_read_is_logged_with_its_failure_and_duration(self) -> None:
+        self.handle(Ticked())
+        assert self.reads.oldest is not None
+        self.assertEqual(self.reads.oldest.opened_at, 0.0)
         self.now = 1.5
         fields = self.fail(ReadFailure.SLOW)
         self.assertEqual(fields, {"reason": "reason", "failure": "slow", "seconds": 1.5})
-        self.assertEqual((self.read.oldest, self.read.failure_count), (None, 1))
+        self.assertEqual((self.reads.oldest, self.reads.failure_count), (None, 1))
         self.assertEqual(self.fail(None), {"reason": "reason"})
-        self.assertEqual(self.read.failure_count, 2)
+        self.assertEqual(self.reads.failure_count, 2)
 
-    def test_of_several_open_reads_each_has_its_own_time(self) -> None:
+    def test_each_of_several_open_reads_has_its_own_start_time(self) -> None:
         kind = DocumentKind.CONFIGURATION
         reads = OpenReads()
         for number in (1, 2, 3):
             reads.open(ReadDocument(kind, 0, 5.0, read_id=number), float(number), 1.0)
         failed = DocumentReadFailed(kind, "reason", read_id=2)
         self.assertEqual(reads.failed(10.0, failed)["seconds"], 8.0)
-        self.assertEqual(self.opened(reads), [1.0, 3.0])
+        self.assertEqual(self.opened_at(reads), [1.0, 3.0])
         reads.answered(1)
-        self.assertEqual(self.opened(reads), [3.0])
+        self.assertEqual(self.opened_at(reads), [3.0])
         reads.answered(1)
-        self.assertEqual((self.opened(reads), len(reads)), ([3.0], 1))
+        self.assertEqual((self.opened_at(reads), len(reads)), ([3.0], 1))
 
-    def opened(self, reads: OpenReads) -> list[float]:
-        """Return when the open reads began, the oldest first."""
-        moments = [read.opened_at for read in reads]
+    def opened_at(self, reads: OpenReads) -> list[float]:
+        """Return the start times of the open reads, the oldest first."""
+        start_times = [read.opened_at for read in reads]
         assert reads.oldest is not None
-        self.assertEqual(reads.oldest.opened_at, moments[0])
-        return moments
+        self.assertEqual(reads.oldest.opened_at, start_times[0])
+        return start_times
 
-    def test_an_answer_ends_the_failures(self) -> None:
+    def test_an_answer_resets_the_failures(self) -> None:
         kind = DocumentKind.CONFIGURATION
         for answer in (DocumentUnchanged(kind), DocumentRead(kind, 7, TREE)):
             self.fail(ReadFailure.SILENT)
-            self.feed(answer)
-            self.assertEqual((self.read.failure_count, self.read.last_failure), (0, None))
+            self.handle(answer)
+            self.assertEqual((self.reads.failure_count, self.reads.last_failure), (0, None))
 
 
 if __name__ == "__main__":
--- a/tests/core/test_source_era.py
+++ b/tests/core/test_source_era.py
@@ -1,4 +1,4 @@
-"""What is believed of the era that a source tells with its answers, whatever it tells."""
+"""Which eras reported by a source are accepted, for any sequence of answers."""
 
 import contextlib
 import unittest
@@ -22,13 +22,13 @@
 
 NAME = "Era"
 ERAS = st.integers(0, ERA_MAX)
-TOLD = st.one_of(st.none(), st.binary(max_size=6), ERAS.map(lambda era: b"%d" % era))
+REPORTED = st.one_of(st.none(), st.binary(max_size=6), ERAS.map(lambda era: b"%d" % era))
 REVISIONS = st.integers(0, 400_000_000)
 
 
 class NumbersTest(unittest.TestCase):
     @given(ERAS, REVISIONS, ERAS, REVISIONS)
-    def test_lists_are_ordered_by_era_and_then_by_revision(
+    def test_list_numbers_are_ordered_by_era_then_by_revision(
         self, era: int, revision: int, other_era: int, other: int
     ) -> None:
         number, other_number = list_number(era, revision), list_number(other_era, other)
@@ -36,13 +36,13 @@
         self.assertEqual((era_of(number), revision_of(number)), (era, revision))
 
     @given(REVISIONS, st.integers(0, 999_999_999))
-    def test_without_eras_numbers_are_what_they_were(self, revision: int, version: int) -> None:
+    def test_era_0_gives_the_plain_numbers(self, revision: int, version: int) -> None:
         self.assertEqual(list_number(0, revision), revision)
         number = tree_number(version, logical_time(0, revision))
         self.assertEqual(number, version * 1_000_000_000 + revision)
 
     @given(st.integers(1, 999), ERAS, REVISIONS, st.integers(0, LOGICAL_TIMES_PER_ERA - 1))
-    def test_a_tree_of_a_later_era_goes_before_unless_its_version_is_older(
+    def test_tree_numbers_are_ordered_by_version_then_by_era(
         self, version: int, era: int, revision: int, lost: int
     ) -> None:
         before = tree_number(version, logical_time(era, revision + lost))
@@ -58,59 +58,57 @@
     def setUp(self) -> None:
         self.era = SourceEra(NAME)
 
-    def take(self, value: bytes | None, fresh: bool = True) -> None:
-        self.era.update(1.0, value, self.era.known, fresh)
+    def update(self, value: bytes | None, new_connection: bool = True) -> None:
+        self.era.update(1.0, value, self.era.known, new_connection)
 
     def problems(self) -> list[ItemProblem]:
         return [finding.problem for finding in self.era.pop_findings()]
 
-    def test_a_source_that_tells_none_has_era_0_and_no_finding(self) -> None:
+    def test_a_source_without_eras_has_era_0_and_no_finding(self) -> None:
         for _ in range(2):
-            self.take(None)
+            self.update(None)
         self.assertEqual((self.era.known, self.problems()), (0, []))
 
-    def test_an_era_that_cannot_be_read_is_found_and_the_known_one_holds(self) -> None:
-        self.take(b"3")
+    def test_an_invalid_era_is_reported_and_the_known_one_stays(self) -> None:
+        self.update(b"3")
         for value in (b"", b"-1", b"four", b"1.5", b"4 5", b"\xff", b"9" * 30, b"9999", None):
             with self.subTest(value=value):
-                self.take(value)
+                self.update(value)
                 self.assertEqual((self.era.known, self.problems()), (3, [ItemProblem.ERA]))
 
-    def test_a_falling_era_is_found_and_its_answer_not_used(self) -> None:
-        self.take(b"3")
+    def test_a_lower_era_is_reported_and_its_answer_discarded(self) -> None:
+        self.update(b"3")
         for value in (b"2", b"0"):
             with self.subTest(value=value), self.assertRaises(SourceEraError):
-                self.take(value)
+                self.update(value)
             self.assertEqual((self.era.known, self.problems()), (3, [ItemProblem.ERA]))
 
-    def test_a_rise_on_a_connection_that_has_answered_is_found_and_not_believed(self) -> None:
-        self.take(b"3")
+    def test_a_higher_era_on_a_used_connection_is_reported_and_ignored(self) -> None:
+        self.update(b"3")
         with self.assertRaises(SourceEraError):
-            self.take(b"4", fresh=False)
+            self.update(b"4", new_connection=False)
         self.assertEqual((self.era.known, self.problems()), (3, [ItemProblem.ERA]))
 
-    def test_a_rise_is_believed_and_what_was_asked_before_it_is_not_used(self) -> None:
-        self.take(b"3")
+    def test_a_higher_era_is_accepted_and_answers_to_earlier_requests_are_discarded(self) -> None:
+        self.update(b"3")
         with self.assertRaises(SourceEraError):
-            self.take(b"4")
+            self.update(b"4")
         self.assertEqual((self.era.known, self.problems()), (4, []))
-        self.take(b"4", fresh=False)
+        self.update(b"4", new_connection=False)
         with self.assertRaises(SourceEraError):
             self.era.update(1.0, b"3", 3, False)
-        self.assertEqual(self.problems(), [], "the answer was on its way")
+        self.assertEqual(self.problems(), [], "the answer was sent before the era changed")
         with self.assertRaises(SourceEraError):
             self.era.update(1.0, b"4", 3, False)
 
-    @given(st.lists(st.tuples(TOLD, st.booleans(), st.booleans())))
-    def test_whatever_is_told_it_never_falls(
-        self, told: list[tuple[bytes | None, bool, bool]]
-    ) -> None:
+    @given(st.lists(st.tuples(REPORTED, st.booleans(), st.booleans())))
+    def test_the_era_never_decreases(self, reported: list[tuple[bytes | None, bool, bool]]) -> None:
         era, newest = SourceEra(NAME), 0
-        for value, fresh, late in told:
+        for value, new_connection, late in reported:
             sent_in = era.known
             if late and era.known:
                 sent_in = era.known - 1
             with contextlib.suppress(SourceEraError):
-                era.update(0.0, value, sent_in, fresh)
+                era.update(0.0, value, sent_in, new_connection)
             self.assertGreaterEqual(era.number, newest)
             newest = era.number
--- a/tests/core/test_source_mirror.py
+++ b/tests/core/test_source_mirror.py
@@ -1,4 +1,4 @@
-"""Watches of one prefix that are under way at once, answered in any order."""
+"""Concurrent watches of one prefix, answered in any order."""
 
 import unittest
 
@@ -11,16 +11,16 @@
 
 
 class Write:
-    """One write of a source that numbers them from 1 on."""
+    """One write of a source that numbers its writes from 1."""
 
-    def __init__(self, key: str, revision: int, is_gone: bool) -> None:
+    def __init__(self, key: str, revision: int, is_deletion: bool) -> None:
         self.key = key
         self.revision = revision
         self.made = revision
-        self.is_gone = is_gone
+        self.is_deletion = is_deletion
 
     def content(self) -> bytes | None:
-        return None if self.is_gone else str(self.revision).encode()
+        return None if self.is_deletion else str(self.revision).encode()
 
 
 WRITES = st.lists(st.tuples(st.sampled_from(KEYS), st.booleans()), min_size=1, max_size=12)
@@ -28,21 +28,23 @@
 
 class OverlappingWatchesTest(unittest.TestCase):
     @given(WRITES, st.data())
-    def test_they_lead_to_the_same_items_as_one_after_the_other(
+    def test_concurrent_watches_give_the_same_items_as_sequential_ones(
         self, written: list[tuple[str, bool]], data: st.DataObject
     ) -> None:
-        writes = [Write(key, number, gone) for number, (key, gone) in enumerate(written, 2)]
+        writes = [
+            Write(key, number, is_deletion) for number, (key, is_deletion) in enumerate(written, 2)
+        ]
         last = len(writes) + 1
         expected, mirror = Mirror("x/"), Mirror("x/")
         expected.watch_revision = mirror.watch_revision = 1
         expected.apply_changes(1, last, writes)
         while mirror.watch_revision < last:
             after = mirror.watch_revision
-            ends = st.lists(st.integers(after, last), min_size=1, max_size=4)
-            for at in data.draw(ends):
+            revisions = st.lists(st.integers(after, last), min_size=1, max_size=4)
+            for at in data.draw(revisions):
                 before = mirror.watch_revision
-                told = [write for write in writes if after < write.revision <= at]
-                refreshed = mirror.apply_changes(after, at, told)
+                changes = [write for write in writes if after < write.revision <= at]
+                refreshed = mirror.apply_changes(after, at, changes)
                 self.assertEqual(refreshed is RefreshResult.CHANGED, at > before)
                 self.assertEqual(mirror.watch_revision, max(before, at))
             if mirror.watch_revision == after:
@@ -53,7 +55,7 @@
             (mirror.items, mirror.change_revision), (expected.items, expected.change_revision)
         )
 
-    def test_a_list_that_was_overtaken_takes_nothing_back(self) -> None:
+    def test_a_list_older_than_the_mirror_is_ignored(self) -> None:
         mirror, listed = Mirror("x/"), Mirror("x/")
         mirror.watch_revision = listed.watch_revision = 1
         mirror.apply_changes(1, 3, [Write("x/a", 3, False)])
--- a/tests/wire/test_frames.py
+++ b/tests/wire/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames: round trip, typed refusals, nothing lost after bad input."""
+"""Frames: round trip, typed errors, recovery after invalid input, replay protection."""
 
 import unittest
 from typing import get_args
@@ -104,7 +104,7 @@
 
 
 class FrameTest(unittest.TestCase):
-    def test_every_message_survives_the_round_trip(self) -> None:
+    def test_every_message_type_round_trips(self) -> None:
         self.assertEqual({type(message) for message in EVERY_MESSAGE}, set(get_args(Message)))
         reader = FrameReader(KEY)
         for counter, message in enumerate(EVERY_MESSAGE):
@@ -112,7 +112,7 @@
                 sent = envelope(counter, message)
                 self.assertEqual(reader.read(encode_frame(sent, KEY)), sent)
 
-    def test_each_refusal_has_its_type(self) -> None:
+    def test_each_refusal_has_its_error_type(self) -> None:
         good = encode_frame(envelope(1), KEY)
         body = cbor2.loads(good[TAG_BYTES:])
         cases: dict[type[ProtocolError], tuple[bytes, ...]] = {
@@ -143,7 +143,7 @@
                 with self.subTest(kind.code, index=index), self.assertRaises(kind):
                     FrameReader(KEY).read(frame, DATAGRAM_BYTES_MAX)
 
-    def test_every_tag_but_those_of_big_integers_is_refused(self) -> None:
+    def test_all_cbor_tags_except_big_integers_are_refused(self) -> None:
         contents = (1, "2026-01-01T00:00:00Z", [1, 2], {"a": 1}, b"a" * 4, None)
         for number in (*range(2), *range(4, 1100), 43000, 55799, 2**32, 2**63):
             for content in contents:
@@ -153,7 +153,7 @@
                     FrameReader(KEY).read(tag_of(data, KEY) + data)
                 self.assertIn("tag", str(raised.exception))
 
-    def test_accepted_keys_are_tried_after_the_own_one(self) -> None:
+    def test_accepted_keys_are_tried_after_the_own_key(self) -> None:
         old, older = b"o" * 16, b"p" * 16
         reader = FrameReader(KEY, (old, older))
         for counter, key in enumerate((KEY, old, older)):
@@ -166,9 +166,9 @@
             reader.read(encode_frame(envelope(1), KEY))
         with mock.patch("pewtertack.wire.frames.tag_of", wraps=tag_of) as tagged:
             reader.read(encode_frame(envelope(10), KEY))
-        self.assertEqual(tagged.call_count, 2, "one tag made and one checked")
+        self.assertEqual(tagged.call_count, 2, "one tag computed for encoding and one for checking")
 
-    def test_a_frame_that_fits_no_stream_is_not_made(self) -> None:
+    def test_a_frame_too_long_for_a_stream_is_not_encoded(self) -> None:
         document = {"a": "x" * STREAM_BYTES_MAX}
         message = SnapshotAnswer(DocumentKind.CONFIGURATION, REVISION, document)
         with self.assertRaises(errors.OversizedFrameError):
@@ -176,7 +176,9 @@
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.binary(max_size=200), st.booleans())
-    def test_any_bytes_give_a_typed_error_and_lose_nothing(self, data: bytes, sign: bool) -> None:
+    def test_arbitrary_bytes_give_a_typed_error_and_later_frames_are_read(
+        self, data: bytes, sign: bool
+    ) -> None:
         reader = FrameReader(KEY)
         with self.assertRaises(ProtocolError):
             reader.read(tag_of(data, KEY) + data if sign else data)
@@ -186,7 +188,7 @@
     @given(
         st.integers(0, len(EVERY_MESSAGE) - 1), st.integers(0), st.binary(min_size=1, max_size=3)
     )
-    def test_an_altered_signed_body_gives_a_message_or_a_typed_error(
+    def test_a_modified_signed_body_gives_a_message_or_a_typed_error(
         self, index: int, position: int, patch: bytes
     ) -> None:
         body = encode_frame(envelope(1, EVERY_MESSAGE[index]), KEY)[TAG_BYTES:]
@@ -211,7 +213,7 @@
 
     @settings(deadline=None, derandomize=True)
     @given(st.lists(st.integers(0, WINDOW_COUNTERS - 1), max_size=60))
-    def test_within_the_window_every_counter_passes_once(self, counters: list[int]) -> None:
+    def test_each_counter_within_the_window_is_accepted_once(self, counters: list[int]) -> None:
         self.guard = ReplayGuard()
         refused = [self.refuses(counter) for counter in counters]
         seen: set[int] = set()
@@ -223,12 +225,12 @@
         self.assertTrue(self.refuses(5))
         self.assertFalse(self.refuses(6))
 
-    def test_incarnations_have_windows_of_their_own(self) -> None:
+    def test_each_incarnation_has_its_own_window(self) -> None:
         self.assertFalse(self.refuses(1, incarnation=1))
         self.assertFalse(self.refuses(1, incarnation=2))
         self.assertTrue(self.refuses(1, incarnation=1))
 
-    def test_memory_is_bounded_and_the_longest_silent_process_goes_first(self) -> None:
+    def test_the_least_recently_active_process_is_evicted(self) -> None:
         for sender in ("a", "b", "a", "c"):
             self.refuses(1, sender)
         self.assertEqual(len(self.guard), 2)
--- a/tests/wire/test_packing.py
+++ b/tests/wire/test_packing.py
@@ -1,4 +1,4 @@
-"""Compressed answers to pulls: the round trip, what is refused, and the size that they save."""
+"""Compressed answers to pulls: round trip, refusals, and compression ratio."""
 
 import unittest
 import zlib
@@ -36,7 +36,7 @@
 
 
 class PackingTest(unittest.TestCase):
-    def test_the_round_trip(self) -> None:
+    def test_round_trip(self) -> None:
         snapshot = SnapshotAnswer(
             DocumentKind.MACHINE_LIST,
             RevisionId(3, b"c" * 16),
@@ -47,20 +47,20 @@
             assert packed is not None
             self.assertEqual(unpack(packed), answer)
 
-    def test_a_large_change_shrinks_to_a_third(self) -> None:
+    def test_a_large_change_is_compressed_to_less_than_a_third(self) -> None:
         answer = deltas(1360)
         packed = pack(answer)
         assert packed is not None
         self.assertLess(3 * len(packed.content), len(msgspec.msgpack.encode(answer)))
 
-    def test_a_short_answer_goes_as_it_is(self) -> None:
+    def test_a_short_answer_is_not_compressed(self) -> None:
         self.assertIsNone(pack(deltas(1)))
 
-    def test_what_messagepack_cannot_hold_is_not_packed(self) -> None:
+    def test_an_answer_that_messagepack_cannot_encode_is_not_compressed(self) -> None:
         answer = SnapshotAnswer(DocumentKind.CONFIGURATION, RevisionId(1, b""), {"a": 2**70})
         self.assertIsNone(pack(answer))
 
-    def test_each_refusal_has_its_type(self) -> None:
+    def test_each_refusal_has_its_error_type(self) -> None:
         good = pack(deltas(20))
         assert good is not None
         whole = zlib.compress(msgspec.msgpack.encode([99, 1]))
