--- a/tests/node/crashing_backend.py
+++ b/tests/node/crashing_backend.py
@@ -1,22 +1,23 @@
-"""A back end that one request ends: all its connections are reset, for a while nobody listens."""
+"""A back end that one request crashes: its connections are reset and it stops listening for a
+while."""
 
 from __future__ import annotations
 
 import asyncio
 
 RUN_SECONDS = 0.03
-"""What each request takes."""
-AWAY_SECONDS = 1.0
-CRASHING = b"/crash"
-"""A path that holds this ends the back end when it has run."""
+"""Execution time of each request."""
+DOWNTIME_SECONDS = 1.0
+CRASH_PATH = b"/crash"
+"""A request with this in its path crashes the back end when it is done."""
 
 
 class CrashingBackend:
-    """Answers every request with 200, but for those that end it."""
+    """Answers every request with 200, except those that crash it."""
 
     def __init__(self) -> None:
         self.crashed_at: list[float] = []
-        """When it ended, by the loop's clock."""
+        """Times of the crashes, by the event loop's clock."""
         self.address = ""
         self._server: asyncio.Server
         self._writers: set[asyncio.StreamWriter] = set()
@@ -32,9 +33,9 @@
     async def stop(self) -> None:
         for task in self._tasks:
             task.cancel()
-        self._end()
+        self._close()
 
-    def _end(self) -> None:
+    def _close(self) -> None:
         self._server.close()
         for writer in tuple(self._writers):
             writer.transport.abort()
@@ -44,11 +45,11 @@
         try:
             while head := await reader.readuntil(b"\r\n\r\n"):
                 await asyncio.sleep(RUN_SECONDS)
-                if CRASHING in head.partition(b"\r\n")[0]:
+                if CRASH_PATH in head.partition(b"\r\n")[0]:
                     self._crash()
                     return
                 length = b"content-length: 2\r\n"
-                writer.write(b"HTTP/1.1 200 OK\r\n" + _id_line(head) + length + b"\r\nok")
+                writer.write(b"HTTP/1.1 200 OK\r\n" + _request_id_line(head) + length + b"\r\nok")
         except (asyncio.IncompleteReadError, ConnectionError):
             pass  # the node has closed the connection
         finally:
@@ -58,17 +59,17 @@
     def _crash(self) -> None:
         loop = asyncio.get_running_loop()
         self.crashed_at.append(loop.time())
-        self._end()
-        task = loop.create_task(self._come_back())
+        self._close()
+        task = loop.create_task(self._restart())
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _come_back(self) -> None:
-        await asyncio.sleep(AWAY_SECONDS)
+    async def _restart(self) -> None:
+        await asyncio.sleep(DOWNTIME_SECONDS)
         await self.start()
 
 
-def _id_line(head: bytes) -> bytes:
+def _request_id_line(head: bytes) -> bytes:
     for line in head.split(b"\r\n"):
         if line.lower().startswith(b"x-request-id:"):
             return line + b"\r\n"
--- a/tests/node/http/test_protocol.py
+++ b/tests/node/http/test_protocol.py
@@ -1,4 +1,4 @@
-"""What callers may not send, on a real connection."""
+"""Requests that are refused, on a real connection."""
 
 import json
 import unittest.mock
@@ -27,14 +27,14 @@
         await respond(send, body=await read_body(receive))
 
     async def assert_refused(self, raw: bytes, status: int, code: str, executions: int = 0) -> None:
-        answer = await raw_call(self.address, raw)
-        self.assertEqual((answer.status, json.loads(answer.body)["type"]), (status, code))
+        response = await raw_call(self.address, raw)
+        self.assertEqual((response.status, json.loads(response.body)["type"]), (status, code))
         self.assertEqual(self.calls, executions)
         if not executions:
-            self.assertEqual(answer.headers["x-outcome"], "not-run")
+            self.assertEqual(response.headers["x-outcome"], "not-run")
 
-    async def test_smuggling_shapes(self) -> None:
-        shapes = {
+    async def test_request_smuggling_variants(self) -> None:
+        variants = {
             "both lengths": b"content-length: 5\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n",
             "two lengths": b"content-length: 5\r\ncontent-length: 6\r\n\r\nhello!",
             "same length twice": b"content-length: 5\r\ncontent-length: 5\r\n\r\nhello",
@@ -46,15 +46,15 @@
             "folded header": b"x: 1\r\n 2\r\ncontent-length: 0\r\n\r\n",
             "second host": b"host: b\r\ncontent-length: 0\r\nconnection: close\r\n\r\n",
         }
-        for name, rest in shapes.items():
+        for name, remainder in variants.items():
             with self.subTest(name):
-                await self.assert_refused(HEAD + rest, 400, "invalid-request")
+                await self.assert_refused(HEAD + remainder, 400, "invalid-request")
 
-    async def test_a_body_that_breaks_its_framing(self) -> None:
+    async def test_a_body_with_malformed_chunks(self) -> None:
         raw = HEAD + b"transfer-encoding: chunked\r\n\r\n5\r\nhello\r\nzz\r\n"
-        answer = await raw_call(self.address, raw)
-        self.assertEqual(answer.status, 400)
-        self.assertEqual(answer.headers["x-outcome"], "unknown")
+        response = await raw_call(self.address, raw)
+        self.assertEqual(response.status, 400)
+        self.assertEqual(response.headers["x-outcome"], "unknown")
 
     async def test_oversized_heads_in_one_piece_and_in_many(self) -> None:
         many = b"".join(b"x-%d: %s\r\n" % (index, b"v" * 100) for index in range(400))
@@ -69,27 +69,27 @@
     async def test_a_slow_body(self) -> None:
         with unittest.mock.patch("pewtertack.node.proxy.body.IDLE_SECONDS", 0.1):
             raw = HEAD + b"content-length: 9\r\n\r\nhalf"
-            answer = await raw_call(self.address, raw)
-        # 408 would promise that it has not run; the back end has its head.
-        self.assertEqual((answer.status, answer.headers["x-outcome"]), (502, "unknown"))
+            response = await raw_call(self.address, raw)
+        # 408 would promise that the request has not run, but the back end has its head.
+        self.assertEqual((response.status, response.headers["x-outcome"]), (502, "unknown"))
 
     async def test_other_protocols(self) -> None:
         upgrade = request_bytes(headers=("connection: upgrade", "upgrade: h2c"))
         await self.assert_refused(upgrade, 400, "upgrade-refused")
-        old = b"GET / HTTP/1.0\r\nhost: a\r\n\r\n"
-        await self.assert_refused(old, 505, "protocol-version")
+        http_1_0 = b"GET / HTTP/1.0\r\nhost: a\r\n\r\n"
+        await self.assert_refused(http_1_0, 505, "protocol-version")
         await self.assert_refused(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", 400, "invalid-request")
         await self.assert_refused(
             b"CONNECT a:1 HTTP/1.1\r\nhost: a\r\n\r\n", 400, "invalid-request"
         )
 
-    async def test_garbage_after_a_request_never_mixes_with_its_answer(self) -> None:
+    async def test_garbage_after_a_request_does_not_mix_with_its_response(self) -> None:
         raw = b"GET / HTTP/1.1\r\nhost: a\r\n\r\n\x00garbage\r\n\r\n"
-        answer = await raw_call(self.address, raw)
-        self.assertIn(answer.status, (0, 200))
-        self.assertNotIn(b"HTTP/1.1", answer.body)
+        response = await raw_call(self.address, raw)
+        self.assertIn(response.status, (0, 200))
+        self.assertNotIn(b"HTTP/1.1", response.body)
 
-    async def test_a_refused_upload_gets_its_answer_at_once_and_the_rest_is_dropped(self) -> None:
+    async def test_a_refused_upload_is_answered_at_once_and_its_rest_is_discarded(self) -> None:
         self.proxy.set_serving(False, 2.0)
         reader, writer = await begin_call(
             self.address, HEAD + b"content-length: 1000000\r\n\r\n" + b"x" * 1000
--- a/tests/node/http/test_slow_receivers.py
+++ b/tests/node/http/test_slow_receivers.py
@@ -1,8 +1,8 @@
-"""Receivers of a long body on machines that live, and take it slowly.
+"""Long bodies sent to machines that are alive but read slowly.
 
-The story, the cause and the evidence: ``tests.node.gateway.test_slow_back_ends``. Here the
-receiver reads all the time, as the end of a full link does: at 60 and 125 kB/s bodies of 393 kB
-and of 1 MB ended after 0.8 s with ETIMEDOUT, at 250 and 625 kB/s all arrived.
+See ``tests.node.gateway.test_slow_back_ends`` for the failure and its cause. Here the receiver
+reads all the time, like the end of a saturated link: at 60 and 125 kB/s bodies of 393 kB and of 1
+MB failed after 0.8 s with ETIMEDOUT, at 250 and 625 kB/s all arrived.
 """
 
 import asyncio
@@ -31,17 +31,17 @@
 READ_SECONDS = 0.05
 PART = b"x" * 65536
 PARTS = 6
-ANSWER = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
+OK_RESPONSE = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
 
 
 SO_ATTACH_FILTER = 26
 DROP_ALL = struct.pack("HBBI", 0x06, 0, 0, 0)
-"""A packet filter of one instruction: keep nothing."""
-MOST_SECONDS = 3 * ACK_TIMEOUT_SECONDS
-MOST_SECONDS_WITHOUT_ROOM = 0.8 + 1.6 + MOST_SECONDS
-"""The system's next two probes come so far apart after a second without room."""
-LOST_PARTS = 400
-"""More than the kernels of a connection hold."""
+"""A packet filter of one instruction that drops everything."""
+MAX_DETECTION_SECONDS = 3 * ACK_TIMEOUT_SECONDS
+MAX_FULL_BUFFER_DETECTION_SECONDS = 0.8 + 1.6 + MAX_DETECTION_SECONDS
+"""After a second with a full buffer, the kernel sends its next two probes at these intervals."""
+UNREAD_PARTS = 400
+"""More than the kernel buffers of a connection hold."""
 
 
 async def body() -> AsyncIterator[bytes]:
@@ -61,7 +61,7 @@
                     return
                 received += len(data)
                 await asyncio.sleep(READ_SECONDS)
-            await loop.sock_sendall(connection, ANSWER)
+            await loop.sock_sendall(connection, OK_RESPONSE)
 
     async def test_a_body_that_is_read_slowly_arrives(self) -> None:
         length = b"%d" % (PARTS * len(PART))
@@ -73,21 +73,23 @@
             connection = await connect(f"127.0.0.1:{listener.getsockname()[1]}", 1.0)
             self.addCleanup(connection.abort)
             async with asyncio.timeout(10.0):
-                answer = await connection.exchange(OutgoingRequest(b"POST", b"/", headers, body()))
-        self.assertEqual(answer.status, 200)
+                response = await connection.exchange(
+                    OutgoingRequest(b"POST", b"/", headers, body())
+                )
+        self.assertEqual(response.status, 200)
         self.assertEqual(await connection.read_body(), b"ok")
         self.assertTrue(connection.reusable)
 
 
 def fall_silent(connection: socket.socket) -> None:
-    """Have the system drop all that comes, unacknowledged, as if the machine were gone."""
+    """Make the kernel drop all received packets unacknowledged, as if the machine were gone."""
     program = ctypes.create_string_buffer(DROP_ALL)
     filters = struct.pack("HP", 1, ctypes.addressof(program))
     connection.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER, filters)
 
 
 class SilentReceiverTest(unittest.IsolatedAsyncioTestCase):
-    """Machines that go while a long body is under way: noticed as soon as ever."""
+    """Machines that disappear while a long body is sent are detected as quickly as any other."""
 
     async def asyncSetUp(self) -> None:
         listener = socket.create_server(("127.0.0.1", 0))
@@ -102,58 +104,60 @@
         self.addCleanup(self.receiver.close)
 
     async def parts(self, pause: float) -> AsyncIterator[bytes]:
-        for _ in range(LOST_PARTS):
+        for _ in range(UNREAD_PARTS):
             yield PART
             await asyncio.sleep(pause)
 
-    async def begin(self, pause: float) -> asyncio.Task[object]:
-        headers = [(b"host", b"a"), (b"content-length", b"%d" % (LOST_PARTS * len(PART)))]
+    async def start_exchange(self, pause: float) -> asyncio.Task[object]:
+        headers = [(b"host", b"a"), (b"content-length", b"%d" % (UNREAD_PARTS * len(PART)))]
         request = OutgoingRequest(b"POST", b"/", headers, self.parts(pause))
         task = asyncio.create_task(self.connection.exchange(request))
         self.addCleanup(task.cancel)
         return task
 
     async def assert_silence_is_noticed(
-        self, task: asyncio.Task[object], seconds: float = MOST_SECONDS
+        self, task: asyncio.Task[object], seconds: float = MAX_DETECTION_SECONDS
     ) -> None:
-        fell_at = time.monotonic()
+        silent_since = time.monotonic()
         fall_silent(self.receiver)
         with self.assertRaises(ExchangeBrokenError):
             await asyncio.wait_for(task, seconds)
         self.assertTrue(self.connection.peer_silent)
-        self.assertGreater(time.monotonic() - fell_at, ACK_TIMEOUT_SECONDS / 2)
+        self.assertGreater(time.monotonic() - silent_since, ACK_TIMEOUT_SECONDS / 2)
 
-    async def test_one_that_took_what_came(self) -> None:
-        task = await self.begin(0.02)
+    async def test_a_receiver_that_was_reading(self) -> None:
+        task = await self.start_exchange(0.02)
         loop = asyncio.get_running_loop()
         for _ in range(20):
             await loop.sock_recv(self.receiver, len(PART))
         await self.assert_silence_is_noticed(task)
 
-    async def test_one_that_had_no_room(self) -> None:
-        task = await self.begin(0)
+    async def test_a_receiver_whose_buffer_was_full(self) -> None:
+        task = await self.start_exchange(0)
         await asyncio.sleep(1.0)
         self.assertFalse(task.done())
-        await self.assert_silence_is_noticed(task, MOST_SECONDS_WITHOUT_ROOM)
+        await self.assert_silence_is_noticed(task, MAX_FULL_BUFFER_DETECTION_SECONDS)
 
 
-class UntoldTest(unittest.IsolatedAsyncioTestCase):
-    async def test_where_the_system_tells_nothing_its_own_bound_holds_again(self) -> None:
+class UnreadableStateTest(unittest.IsolatedAsyncioTestCase):
+    async def test_the_kernel_timeout_is_restored_if_its_state_cannot_be_read(self) -> None:
         ends = socket.socketpair()
         for end in ends:
             self.addCleanup(end.close)
         with (
-            mock.patch.object(acknowledgement, "set_user_timeout") as bound,
+            mock.patch.object(acknowledgement, "set_user_timeout") as set_timeout,
             self.assertLogs(LOGGER_NAME, "WARNING"),
         ):
-            watch = AcknowledgementMonitor(ends[0], self.fail)
-            watch.begin()
+            monitor = AcknowledgementMonitor(ends[0], self.fail)
+            monitor.begin()
             await asyncio.sleep(2 * CHECK_INTERVAL_SECONDS)
-        self.assertEqual(bound.call_args_list, [mock.call(ends[0], NO_TIMEOUT), mock.call(ends[0])])
+        self.assertEqual(
+            set_timeout.call_args_list, [mock.call(ends[0], NO_TIMEOUT), mock.call(ends[0])]
+        )
 
 
-class SilenceJudgeTest(unittest.TestCase):
-    def test_only_what_stays_unanswered_is_silence(self) -> None:
+class SilenceDetectorTest(unittest.TestCase):
+    def test_only_lasting_lack_of_acknowledgements_is_silence(self) -> None:
         cases = (
             (AcknowledgementState(4, 0, 0.2, 1.0), True),
             (AcknowledgementState(0, 2, 1.0, 1.0), True),
@@ -163,17 +167,19 @@
             (AcknowledgementState(4, 0, 0.8, 0.8), False),
             (AcknowledgementState(4, 0, 0.0, 0.1), False),
         )
-        for seen, silent in cases:
-            judge = SilenceDetector()
-            self.assertFalse(judge.is_silent(5.0, seen))
-            self.assertEqual((seen, judge.is_silent(5.5, seen)), (seen, silent))
+        for state, silent in cases:
+            detector = SilenceDetector()
+            self.assertFalse(detector.is_silent(5.0, state))
+            self.assertEqual((state, detector.is_silent(5.5, state)), (state, silent))
 
-    def test_an_answer_begins_it_anew(self) -> None:
-        judge = SilenceDetector()
+    def test_an_acknowledgement_restarts_the_measurement(self) -> None:
+        detector = SilenceDetector()
         unanswered, answered = (
             AcknowledgementState(4, 0, 0.2, 1.0),
             AcknowledgementState(0, 0, 0.0, 0.0),
         )
-        told = [judge.is_silent(at, seen) for at, seen in ((0.0, unanswered), (0.3, answered))]
-        told += [judge.is_silent(at, unanswered) for at in (0.5, 0.8, 1.0)]
-        self.assertEqual(told, [False, False, False, False, True])
+        results = [
+            detector.is_silent(at, state) for at, state in ((0.0, unanswered), (0.3, answered))
+        ]
+        results += [detector.is_silent(at, unanswered) for at in (0.5, 0.8, 1.0)]
+        self.assertEqual(results, [False, False, False, False, True])
--- a/tests/node/peer_pair.py
+++ b/tests/node/peer_pair.py
@@ -1,4 +1,4 @@
-"""Two node processes for tests: one reads the platform, the other reaches nobody but the first."""
+"""Two node processes for tests: one reads the platform, the other can only reach the first."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from pewtertack.settings import Address
 from tests.node.processes import UNREACHABLE_ADDRESS, NodeProcess, settings_text
 
-ANY = Address("127.0.0.1", 0)
+ANY_ADDRESS = Address("127.0.0.1", 0)
 
 
 @contextlib.asynccontextmanager
@@ -21,8 +21,8 @@
     tree: Mapping[str, Any], machines: Mapping[str, Any]
 ) -> AsyncIterator[tuple[ConfigurationSource, NodeProcess, NodeProcess]]:
     """Run the platform, node a that reads it and has logged that it listens, and its peer b."""
-    source = ConfigurationSource(tree, ANY, ANY)
-    lists = MachineListService(machines, ANY, ANY)
+    source = ConfigurationSource(tree, ANY_ADDRESS, ANY_ADDRESS)
+    lists = MachineListService(machines, ANY_ADDRESS, ANY_ADDRESS)
     async with anyio.create_task_group() as tasks:
         await source.service.open(tasks)
         await lists.service.open(tasks)
--- a/tests/node/processes.py
+++ b/tests/node/processes.py
@@ -1,4 +1,4 @@
-"""Node processes for tests: started from settings, watched by their log lines."""
+"""Node processes for tests: started with given settings, observed through their log lines."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class NodeProcess:
-    """One ``pewtertack node``; ``lines`` holds what it logged so far."""
+    """One ``pewtertack node``; ``lines`` holds the lines logged so far."""
 
     def __init__(self, settings: str, *flags: str) -> None:
         self._settings = settings
@@ -68,14 +68,14 @@
         self._directory.cleanup()
 
     def command(self, path: str) -> list[str]:
-        """Return the module that runs, and its arguments."""
+        """Return the module to run and its arguments."""
         return ["pewtertack", "node", "--settings", path]
 
     def signal(self, number: signal.Signals) -> None:
         self._process.send_signal(number)
 
     async def wait_event(self, event: str, **fields: object) -> dict[str, Any]:
-        """Read lines until one of ``event`` has ``fields``."""
+        """Read lines until one of ``event`` has these ``fields``."""
         with anyio.fail_after(TIMEOUT_SECONDS):
             while True:
                 line = json.loads(await self._output.receive_until(b"\n", 1 << 20))
@@ -102,15 +102,15 @@
 async def get(
     address: str, path: str, headers: dict[str, str] | None = None
 ) -> tuple[int, dict[bytes, bytes], bytes]:
-    """Return status, headers and body of one request."""
+    """Return status, headers and body of the response to one request."""
     with anyio.fail_after(TIMEOUT_SECONDS):
         async with httpcore.AsyncConnectionPool() as pool:
-            answer = await pool.request("GET", f"http://{address}{path}", headers=headers)
-            return answer.status, dict(answer.headers), answer.content
+            response = await pool.request("GET", f"http://{address}{path}", headers=headers)
+            return response.status, dict(response.headers), response.content
 
 
 async def get_until(address: str, path: str, condition: Callable[[Any], bool]) -> Any:
-    """Ask for a JSON page until ``condition`` holds for it, and return it."""
+    """Poll a JSON page until ``condition`` holds for it, and return it."""
     with anyio.fail_after(TIMEOUT_SECONDS):
         while True:
             page = json.loads((await get(address, path))[2])
--- a/tests/node/stopping_fleet.py
+++ b/tests/node/stopping_fleet.py
@@ -1,4 +1,4 @@
-"""Real nodes: gateways on narrow links, each beside its back end; the others have callers."""
+"""Real nodes: gateways on slow links, each with a local back end, and nodes with callers only."""
 
 from __future__ import annotations
 
@@ -14,32 +14,32 @@
 from pewtertack.settings import Address
 from tests.node.processes import NodeProcess, get_until, settings_text
 
-ANY = Address("127.0.0.1", 0)
+ANY_ADDRESS = Address("127.0.0.1", 0)
 ZONE = "yaba"
-GATEWAY = "b"
+GATEWAY_NAME = "b"
 
 
 @contextlib.asynccontextmanager
-async def fleet_on_a_narrow_link(
+async def fleet_with_slow_link(
     tree: dict[str, Any], backend: str, slots: int, megabits: float, limits: str, *callers: str
 ) -> AsyncIterator[list[NodeProcess]]:
-    """Run the gateway beside ``backend`` and a node of each name in ``callers``; yield them.
+    """Run a gateway for ``backend`` and a node for each name in ``callers``; yield them.
 
     Args:
         tree: the configuration.
         backend: ``ip:port``.
         slots: of the back end.
-        megabits: a second, of the gateway's link; long answers take turns on it.
-        limits: the settings' table of that name, for all nodes.
+        megabits: rate of the gateway's link in Mbit/s; long responses are queued on it.
+        limits: the settings' ``limits`` table, for all nodes.
         callers: names of the other nodes.
     """
-    backends = {GATEWAY: backend}
-    async with fleet_on_narrow_links(tree, backends, slots, megabits, limits, *callers) as nodes:
+    backends = {GATEWAY_NAME: backend}
+    async with fleet_with_slow_links(tree, backends, slots, megabits, limits, *callers) as nodes:
         yield nodes
 
 
 @contextlib.asynccontextmanager
-async def fleet_on_narrow_links(
+async def fleet_with_slow_links(
     tree: dict[str, Any],
     backends: Mapping[str, str],
     slots: int,
@@ -47,10 +47,10 @@
     limits: str,
     *callers: str,
 ) -> AsyncIterator[list[NodeProcess]]:
-    """Run a gateway beside each of several back ends; see ``fleet_on_a_narrow_link``.
+    """Run a gateway for each of several back ends; see ``fleet_with_slow_link``.
 
     Args:
-        backends: ``ip:port`` by the name of the node beside it; all of one service.
+        backends: ``ip:port`` by the name of the node with that local back end; all of one service.
     """
     ports = PortAllocator()
     gateways = {name: str(ports.allocate("127.0.0.1")) for name in backends}
@@ -65,8 +65,8 @@
         }
         for name, backend in backends.items()
     }
-    source = ConfigurationSource(tree, ANY, ANY).service
-    machines = MachineListService(listed, ANY, ANY).service
+    source = ConfigurationSource(tree, ANY_ADDRESS, ANY_ADDRESS).service
+    machines = MachineListService(listed, ANY_ADDRESS, ANY_ADDRESS).service
     async with anyio.create_task_group() as tasks, contextlib.AsyncExitStack() as stack:
         for service in (source, machines):
             await service.open(tasks)
@@ -93,5 +93,5 @@
     text = settings_text(name, ZONE, *platform)
     text = text.replace('region = "r"', f'region = "r", link_mbps = {megabits}')
     text = text.replace("listen = {", f'listen = {{gateway = "{gateway}", ')
-    beside = f'\n        backend = {{address = "{backend}"}}\n'
-    return text + beside + '        policies = {long_bodies = "in-turns"}\n'
+    backend_section = f'\n        backend = {{address = "{backend}"}}\n'
+    return text + backend_section + '        policies = {long_bodies = "in-turns"}\n'
--- a/tests/node/test_collector.py
+++ b/tests/node/test_collector.py
@@ -1,4 +1,4 @@
-"""Cyclic garbage collection is off during a node's start and skips objects made by the start."""
+"""Cyclic garbage collection is off during a node's start and skips objects created by the start."""
 
 import gc
 import unittest
@@ -17,13 +17,13 @@
         collector.pause()
         self.assertFalse(gc.isenabled())
 
-    def test_what_the_start_made_is_looked_at_no_more(self) -> None:
+    def test_objects_of_the_start_are_frozen(self) -> None:
         collector.pause()
         collector.resume()
         self.assertTrue(gc.isenabled())
         self.assertGreater(gc.get_freeze_count(), 0)
 
-    def test_cycles_made_later_are_collected(self) -> None:
+    def test_later_cycles_are_collected(self) -> None:
         collector.pause()
         collector.resume()
         cycle: list[object] = []
--- a/tests/node/test_crashing_request.py
+++ b/tests/node/test_crashing_request.py
@@ -1,4 +1,4 @@
-"""Real node processes, each beside a back end that one request of one caller ends."""
+"""Real node processes, each with a local back end that one request of one caller crashes."""
 
 import asyncio
 import contextlib
@@ -16,7 +16,7 @@
 from tests.node.processes import NodeProcess, get_until, settings_text
 from tests.node.proxy.harness import Answer, ProxyTestCase, raw_call, request_bytes
 
-ANY = Address("127.0.0.1", 0)
+ANY_ADDRESS = Address("127.0.0.1", 0)
 NODES = ("a", "b", "c")
 TREE: dict[str, Any] = {
     "services": {"archive": {}},
@@ -32,13 +32,13 @@
     },
 }
 LONG_BODY = b"b" * 100_000
-"""Longer than what is kept of a body to tell requests apart."""
-REPEAT_SECONDS = 0.2
-ORDINARY_SECONDS = 0.05
-LASTS_SECONDS = 10.0
-ENDED_THE_THIRD = 3
-MORE_ALLOWED = 3
-"""Ends after the third, by attempts that were on their way."""
+"""Longer than the part of a body that is kept to distinguish requests."""
+REPEAT_INTERVAL_SECONDS = 0.2
+ORDINARY_INTERVAL_SECONDS = 0.05
+TEST_SECONDS = 10.0
+CRASHES_BEFORE_REFUSAL = 3
+ADDITIONAL_CRASHES = 3
+"""Crashes after the third, by attempts already in flight."""
 
 
 class CrashingRequestTest(ProxyTestCase):
@@ -68,8 +68,8 @@
             }
             for name in NODES
         }
-        source = ConfigurationSource(TREE, ANY, ANY).service
-        listed = MachineListService(machines, ANY, ANY).service
+        source = ConfigurationSource(TREE, ANY_ADDRESS, ANY_ADDRESS).service
+        listed = MachineListService(machines, ANY_ADDRESS, ANY_ADDRESS).service
         async with anyio.create_task_group() as tasks:
             await source.open(tasks)
             await listed.open(tasks)
@@ -94,8 +94,8 @@
                 'peer = "127.0.0.1:0"',
                 f'peer = "{peers[name]}", gateway = "{gateways[name]}"',
             )
-            beside = f'\n        backend = {{address = "{self.backends[name].address}"}}\n'
-            nodes.append(await stack.enter_async_context(NodeProcess(text + beside)))
+            backend_section = f'\n        backend = {{address = "{self.backends[name].address}"}}\n'
+            nodes.append(await stack.enter_async_context(NodeProcess(text + backend_section)))
         for node in nodes:
             await node.wait_event("NODE_SERVING")
             admin = node.lines[0]["admin"]
@@ -109,43 +109,47 @@
     async def repeat(
         self, nodes: list[NodeProcess], until: float, path: str = "/read/crash", body: bytes = b""
     ) -> list[Answer]:
-        """One caller sends the request that ends back ends again and again, at any machine."""
-        answers = []
+        """Send the crashing request repeatedly, to one node after another."""
+        responses = []
         loop = asyncio.get_running_loop()
         while loop.time() < until:
-            answers.append(await self.call(nodes[len(answers) % len(nodes)], path, body))
-            await anyio.sleep(REPEAT_SECONDS)
-        return answers
+            responses.append(await self.call(nodes[len(responses) % len(nodes)], path, body))
+            await anyio.sleep(REPEAT_INTERVAL_SECONDS)
+        return responses
 
-    async def test_a_request_that_ends_back_ends_is_not_sent_on_without_end(self) -> None:
+    async def test_a_request_that_crashes_back_ends_is_eventually_refused(self) -> None:
         async with self.fleet() as nodes:
-            until = asyncio.get_running_loop().time() + LASTS_SECONDS
-            answers = await self.repeat(nodes, until)
-        self.assertLessEqual(len(self.crashes), ENDED_THE_THIRD + MORE_ALLOWED)
-        self.assertEqual((answers[-1].status, answers[-1].headers["x-outcome"]), (503, "not-run"))
+            until = asyncio.get_running_loop().time() + TEST_SECONDS
+            responses = await self.repeat(nodes, until)
+        self.assertLessEqual(len(self.crashes), CRASHES_BEFORE_REFUSAL + ADDITIONAL_CRASHES)
+        self.assertEqual(
+            (responses[-1].status, responses[-1].headers["x-outcome"]), (503, "not-run")
+        )
 
-    async def test_its_body_tells_it_from_others_of_the_same_path(self) -> None:
+    async def test_requests_to_the_same_path_are_distinguished_by_their_bodies(self) -> None:
         async with self.fleet() as nodes:
-            until = asyncio.get_running_loop().time() + LASTS_SECONDS / 2
-            answers = await self.repeat(nodes, until, "/write/crash", LONG_BODY)
-            self.assertLessEqual(len(self.crashes), ENDED_THE_THIRD)
-            self.assertEqual(answers[0].status, 502)
-            self.assertEqual(answers[-1].headers["x-outcome"], "not-run")
-            self.assertEqual(json.loads(answers[-1].body)["type"], "request-ends-back-ends")
-            ends = len(self.crashes)
+            until = asyncio.get_running_loop().time() + TEST_SECONDS / 2
+            responses = await self.repeat(nodes, until, "/write/crash", LONG_BODY)
+            self.assertLessEqual(len(self.crashes), CRASHES_BEFORE_REFUSAL)
+            self.assertEqual(responses[0].status, 502)
+            self.assertEqual(responses[-1].headers["x-outcome"], "not-run")
+            self.assertEqual(json.loads(responses[-1].body)["type"], "request-ends-back-ends")
+            crashes_before = len(self.crashes)
             await self.call(nodes[0], "/write/crash", LONG_BODY.upper())
-            self.assertEqual(len(self.crashes), ends + 1)
+            self.assertEqual(len(self.crashes), crashes_before + 1)
 
-    async def test_nor_where_every_node_reaches_every_back_end_itself(self) -> None:
+    async def test_a_crashing_request_is_refused_without_gateways(self) -> None:
         async with self.fleet(with_gateways=False) as nodes:
-            until = asyncio.get_running_loop().time() + LASTS_SECONDS
-            answers = await self.repeat(nodes, until)
-        self.assertLessEqual(len(self.crashes), ENDED_THE_THIRD + MORE_ALLOWED)
-        self.assertEqual((answers[-1].status, answers[-1].headers["x-outcome"]), (503, "not-run"))
+            until = asyncio.get_running_loop().time() + TEST_SECONDS
+            responses = await self.repeat(nodes, until)
+        self.assertLessEqual(len(self.crashes), CRASHES_BEFORE_REFUSAL + ADDITIONAL_CRASHES)
+        self.assertEqual(
+            (responses[-1].status, responses[-1].headers["x-outcome"]), (503, "not-run")
+        )
 
-    async def test_others_are_served_meanwhile(self) -> None:
+    async def test_other_requests_are_served_in_the_meantime(self) -> None:
         async with self.fleet() as nodes:
-            until = asyncio.get_running_loop().time() + LASTS_SECONDS
+            until = asyncio.get_running_loop().time() + TEST_SECONDS
             repeating = asyncio.ensure_future(self.repeat(nodes, until))
             others = []
             sent = 0
@@ -153,8 +157,8 @@
                 sent += 1
                 ordinary = self.call(nodes[sent % len(nodes)], f"/read/{sent}")
                 others.append(asyncio.ensure_future(ordinary))
-                await anyio.sleep(ORDINARY_SECONDS)
-            answers = await asyncio.gather(*others)
+                await anyio.sleep(ORDINARY_INTERVAL_SECONDS)
+            responses = await asyncio.gather(*others)
             await repeating
-        served = sum(answer.status == 200 for answer in answers)
-        self.assertGreaterEqual(served / len(answers), 0.85)
+        served = sum(response.status == 200 for response in responses)
+        self.assertGreaterEqual(served / len(responses), 0.85)
--- a/tests/node/test_early_signals.py
+++ b/tests/node/test_early_signals.py
@@ -1,9 +1,9 @@
-"""A node that is told something while it starts, with a caller who waits at its socket.
+"""A node that receives a signal while it starts, with a caller waiting at its socket.
 
-What callers saw: the connection reset. Order of events: the node's sockets listen; a caller
-connects and sends its request; SIGHUP or SIGTERM comes before the rest of the node is loaded; the
-process ends by the signal. Cause: nothing handled signals until then. Evidence: exit code -1 or
--15, no line of output, on each of nine signals that came within 0.15 s of the first connection.
+Guards against connections reset in this order of events: the node's sockets listen; a caller
+connects and sends its request; SIGHUP or SIGTERM arrives before the rest of the node is loaded; the
+signal ends the process, since nothing handled it yet. This gave exit code -1 or -15 and no output
+for each of nine signals sent within 0.15 s of the first connection.
 """
 
 import signal
@@ -24,8 +24,8 @@
 
 
 class EarlySignalsTest(unittest.IsolatedAsyncioTestCase):
-    async def first_answer(self, node: NodeProcess, port: int, number: signal.Signals) -> bytes:
-        """Send a request as soon as the node listens, then the signal; return the answer."""
+    async def first_response(self, node: NodeProcess, port: int, number: signal.Signals) -> bytes:
+        """Send a request as soon as the node listens, then the signal; return the response."""
         with anyio.fail_after(TIMEOUT_SECONDS):
             while True:
                 try:
@@ -44,16 +44,16 @@
         text = settings_text("a", "yaba", UNREACHABLE_ADDRESS, UNREACHABLE_ADDRESS)
         self.text = text.replace(f'proxy = "{LOOPBACK}"', f'proxy = "{address}"')
 
-    async def test_told_to_stop_it_answers_who_waits(self) -> None:
+    async def test_sigterm_during_the_start_answers_waiting_callers(self) -> None:
         async with NodeProcess(self.text) as node:
-            answer = await self.first_answer(node, self.port, signal.SIGTERM)
-            self.assertTrue(answer.startswith(b"HTTP/1.1 503 "), answer)
+            response = await self.first_response(node, self.port, signal.SIGTERM)
+            self.assertTrue(response.startswith(b"HTTP/1.1 503 "), response)
             self.assertEqual(await node.wait_exit(), 0)
 
-    async def test_told_to_read_its_settings_again_it_goes_on(self) -> None:
+    async def test_sighup_during_the_start_reloads_the_settings(self) -> None:
         async with NodeProcess(self.text) as node:
-            answer = await self.first_answer(node, self.port, signal.SIGHUP)
-            self.assertTrue(answer.startswith(b"HTTP/1.1 503 "), answer)
+            response = await self.first_response(node, self.port, signal.SIGHUP)
+            self.assertTrue(response.startswith(b"HTTP/1.1 503 "), response)
             await node.wait_event("SETTINGS_RELOADED")
             node.signal(signal.SIGTERM)
             self.assertEqual(await node.wait_exit(), 0)
--- a/tests/node/test_gateway_stop_and_long_answers.py
+++ b/tests/node/test_gateway_stop_and_long_answers.py
@@ -1,13 +1,11 @@
-"""A gateway's node that stops while long answers stand in the line of its own link.
+"""A gateway's node that shuts down while long responses wait in the queue of its own link.
 
-What callers saw: a download was cut in the middle, after more than 64 KiB, at the end of the
-stop of the node beside the back end; another gateway could have given it in time. Order of
-events: answers for several callers stand in the line; the node is told to stop; one answer
-after the other goes on leaving, the last one begins shortly before the end and is broken off
-there. Cause: the line knew of no end. A caller's node passes an answer on once it has 64 KiB
-of it, so that what began too late could not be had elsewhere any more.
-Evidence: the gateway's log has the back end's end within 0.1 s, the caller's node logs the cut
-at the end of the gateway's stop.
+Guards against a download cut after more than 64 KiB at the end of the shutdown of the back end's
+node, although another gateway could have sent it in time. Responses for several callers used to
+leave the link queue one after another without regard for the end of the shutdown, so the last one
+started shortly before it and was cut. A caller's node relays a response once it has 64 KiB of it,
+and then cannot get it from another gateway any more. The gateway's log shows the end of the back
+end's response within 0.1 s; the caller's node logs the cut at the end of the gateway's shutdown.
 """
 
 import signal
@@ -16,65 +14,71 @@
 import anyio
 
 from tests.node.processes import TIMEOUT_SECONDS
-from tests.node.stopping_fleet import fleet_on_narrow_links
+from tests.node.stopping_fleet import fleet_with_slow_links
 from tests.node.test_stop_and_long_answers import LIMITS, MEGABITS, SLOTS, TREE, DownloadTestCase
 
-SIZE = 220_000
-"""The link takes 2.2 s: the second in line has begun when the gateway's stop ends, not left."""
-DOWNLOADS = 8
+RESPONSE_BYTES = 220_000
+"""The link needs 2.2 s for it: the second in the queue has started, but is not complete, when the
+gateway's shutdown ends."""
+DOWNLOAD_COUNT = 8
 
 
 class GatewayStopTest(DownloadTestCase):
-    """Callers are at c; the nodes b, which stops, and d are each beside a back end."""
+    """Callers are at c; the nodes b, which shuts down, and d each have a local back end."""
 
-    async def test_what_the_link_can_not_carry_before_the_stop_is_had_from_another_gateway(
+    async def test_responses_that_the_link_cannot_carry_before_the_stop_come_from_another_gateway(
         self,
     ) -> None:
-        self.size = SIZE
+        self.size = RESPONSE_BYTES
         backends = {name: await self.serve(self.backend) for name in ("b", "d")}
-        fleet = fleet_on_narrow_links(TREE, backends, SLOTS, MEGABITS, LIMITS, "c")
-        async with fleet as (b, _, c), self.calls_ended():
-            names = [f"own-{number}" for number in range(DOWNLOADS)]
-            await self.begin_until_running(c, *names)
+        fleet = fleet_with_slow_links(TREE, backends, SLOTS, MEGABITS, LIMITS, "c")
+        async with fleet as (b, _, c), self.cancelled_calls():
+            names = [f"own-{index}" for index in range(DOWNLOAD_COUNT)]
+            await self.start_downloads(c, *names)
             await anyio.sleep(0.3)
             b.signal(signal.SIGTERM)
             with anyio.fail_after(TIMEOUT_SECONDS):
-                answers = [await task for task in self.tasks]
-            ended = [(answer.status, len(answer.body)) for answer in answers]
-            self.assertEqual(ended, [(200, SIZE)] * DOWNLOADS)
+                responses = [await task for task in self.tasks]
+            results = [(response.status, len(response.body)) for response in responses]
+            self.assertEqual(results, [(200, RESPONSE_BYTES)] * DOWNLOAD_COUNT)
             self.assertEqual(await b.wait_exit(), 0)
-            self.assertGreater(len(self.ran), DOWNLOADS)  # it was put to the test
+            # Some downloads were repeated at the other gateway.
+            self.assertGreater(len(self.ran), DOWNLOAD_COUNT)
 
-    async def test_what_may_not_be_had_elsewhere_is_given_to_the_system_before_the_end(
+    async def test_responses_to_requests_that_are_not_repeatable_are_handed_to_the_kernel(
         self,
     ) -> None:
-        """Found by reading, brought about here: answers of requests that may not be repeated were
-        cut, of which the gateway held the whole: it let them go at its link's pace until its
-        process ended, while the system goes on sending what a process that ends has given it.
+        """Guards against cut responses to requests that are not repeatable.
+
+        The gateway held them completely but sent them at its link's pace until its process ended,
+        while the kernel goes on sending what an exiting process has handed to it. Found by reading
+        the code.
         """
-        await self.assert_whole_from_one_gateway(repeatable=False)
+        await self.assert_complete_from_one_gateway(repeatable=False)
+
+    async def test_responses_without_another_gateway_are_handed_to_the_kernel(self) -> None:
+        """Guards against 502 for downloads that the only gateway of their service held completely.
 
-    async def test_what_another_gateway_could_not_give_either_is_given_to_the_system(self) -> None:
-        """What callers saw: 502 for downloads of which the stopping gateway held the whole, the
-        only one of their service: five of eight, while none failed of those that may not be
-        repeated. Cause: the gateway gave back what its link would not carry before the stop as
-        soon as the caller's node had passed nothing on, also where that had no other to ask.
+        Five of eight repeatable downloads failed, but none that was not repeatable: the gateway
+        handed back what its link would not carry before the shutdown whenever the caller's node had
+        relayed nothing, even if that node had no other gateway to try.
         """
-        await self.assert_whole_from_one_gateway(repeatable=True)
+        await self.assert_complete_from_one_gateway(repeatable=True)
 
-    async def assert_whole_from_one_gateway(self, repeatable: bool) -> None:
-        """Stop the only gateway while answers stand in its line; all must come whole."""
+    async def assert_complete_from_one_gateway(self, repeatable: bool) -> None:
+        """Shut down the only gateway while responses wait in its link queue; all must arrive
+        complete."""
         route = TREE["routes"]["export"] | {"repeatable": repeatable}
         tree = TREE | {"routes": {"export": route}}
         backends = {"b": await self.serve(self.backend)}
-        fleet = fleet_on_narrow_links(tree, backends, SLOTS, MEGABITS, LIMITS, "c")
-        async with fleet as (b, c), self.calls_ended():
-            await self.begin_until_running(c, *(f"own-{number}" for number in range(DOWNLOADS)))
+        fleet = fleet_with_slow_links(tree, backends, SLOTS, MEGABITS, LIMITS, "c")
+        async with fleet as (b, c), self.cancelled_calls():
+            await self.start_downloads(c, *(f"own-{index}" for index in range(DOWNLOAD_COUNT)))
             b.signal(signal.SIGTERM)
             with anyio.fail_after(TIMEOUT_SECONDS):
-                answers = [await task for task in self.tasks]
-            ended = [(answer.status, len(answer.body)) for answer in answers]
-            self.assertEqual(ended, [(200, self.size)] * DOWNLOADS)
+                responses = [await task for task in self.tasks]
+            results = [(response.status, len(response.body)) for response in responses]
+            self.assertEqual(results, [(200, self.size)] * DOWNLOAD_COUNT)
             self.assertEqual(await b.wait_exit(), 0)
 
 
--- a/tests/node/test_import_stubs.py
+++ b/tests/node/test_import_stubs.py
@@ -1,4 +1,4 @@
-"""A node's start does without libraries that it never uses."""
+"""A node's start does not import libraries that it never uses."""
 
 import subprocess
 import sys
@@ -6,7 +6,7 @@
 
 from tests.node.processes import SOURCE_DIRECTORY
 
-LOADING = """
+IMPORT_PROGRAM = """
 import sys
 from pewtertack.node import import_stubs
 import_stubs.install_stubs()
@@ -29,50 +29,52 @@
         "msgspec.inspect",
     }
 )
-PRIVATE_KIB_MAX = 17_700
-"""Of a process that has loaded all of a node and nothing else. Measured in four alternating
-runs: 17,224 to 17,232, and 19,056 to 19,060 with ssl, subprocess, argparse and digests. Without
-typing_extensions 17,404 to 17,408 on a later node, which took 17,736 to 17,760 with it."""
+MAX_PRIVATE_KIB = 17_700
+"""Limit for a process that has imported all of a node and nothing else. Measured in four
+alternating runs: 17,224 to 17,232, and 19,056 to 19,060 with ssl, subprocess, argparse and digests.
+Without typing_extensions 17,404 to 17,408 on a later node, which took 17,736 to 17,760 with it."""
 
 
 def run(program: str) -> str:
-    """Run a program in a process of its own and return what it prints."""
-    ended = subprocess.run(
+    """Run a program in a process of its own and return its output."""
+    completed = subprocess.run(
         [sys.executable, "-c", program],
         env={"PYTHONPATH": str(SOURCE_DIRECTORY)},
         capture_output=True,
         text=True,
         check=True,
     )
-    return ended.stdout.strip()
+    return completed.stdout.strip()
 
 
-class LeanImportsTest(unittest.TestCase):
-    def test_a_node_does_not_load_what_it_never_uses(self) -> None:
-        loaded = run(LOADING + "print(*[name for name, module in sys.modules.items() if module])")
+class ImportStubsTest(unittest.TestCase):
+    def test_a_node_does_not_import_unused_libraries(self) -> None:
+        loaded = run(
+            IMPORT_PROGRAM + "print(*[name for name, module in sys.modules.items() if module])"
+        )
         self.assertIn("pewtertack.node.daemon", loaded.split())
         self.assertEqual(NEVER_LOADED.intersection(loaded.split()), frozenset())
 
-    def test_after_the_start_the_modules_themselves_are_found(self) -> None:
-        program = LOADING + "import ssl, subprocess; print(ssl.SSLContext, subprocess.PIPE)"
+    def test_after_the_start_real_modules_are_imported(self) -> None:
+        program = IMPORT_PROGRAM + "import ssl, subprocess; print(ssl.SSLContext, subprocess.PIPE)"
         self.assertEqual(run(program), "<class 'ssl.SSLContext'> -1")
 
-    def test_after_the_start_a_library_that_was_declined_while_loading_is_found(self) -> None:
-        program = LOADING + "import typing_extensions; print(typing_extensions.TypeIs)"
+    def test_after_the_start_a_blocked_library_is_imported(self) -> None:
+        program = IMPORT_PROGRAM + "import typing_extensions; print(typing_extensions.TypeIs)"
         self.assertIn("TypeIs", run(program))
 
-    def test_after_the_start_types_can_be_described(self) -> None:
-        program = LOADING + (
+    def test_after_the_start_types_can_be_inspected(self) -> None:
+        program = IMPORT_PROGRAM + (
             "import msgspec\n"
             "print(msgspec.json.schema(int), msgspec.inspect.type_info(int))\n"
             "import msgspec.inspect\n"
             "print(msgspec.inspect.IntType)\n"
         )
-        shown = ["{'type': 'integer'}", "IntType("]
-        found = run(program)
-        self.assertTrue(all(text in found for text in shown), found)
+        expected = ["{'type': 'integer'}", "IntType("]
+        output = run(program)
+        self.assertTrue(all(text in output for text in expected), output)
 
-    def test_a_name_that_no_stand_in_has_loads_the_module(self) -> None:
+    def test_a_name_missing_from_a_stub_loads_the_module(self) -> None:
         program = (
             "import sys\n"
             "from pewtertack.node import import_stubs\n"
@@ -82,8 +84,8 @@
         )
         self.assertEqual(run(program), "False <class 'subprocess.Popen'> -1")
 
-    def test_metrics_are_shown_after_a_start_without_tls(self) -> None:
-        program = LOADING + (
+    def test_metrics_are_rendered_after_a_start_without_tls(self) -> None:
+        program = IMPORT_PROGRAM + (
             "from pewtertack.node.counting import MetricsRegistry\n"
             "from pewtertack.node.exposition import Exposition\n"
             "registry = MetricsRegistry()\n"
@@ -92,9 +94,9 @@
         )
         self.assertEqual(run(program), "True")
 
-    def test_the_private_memory_of_what_is_loaded_is_bounded(self) -> None:
-        program = LOADING + (
+    def test_the_private_memory_of_imported_modules_is_limited(self) -> None:
+        program = IMPORT_PROGRAM + (
             "lines = open('/proc/self/smaps_rollup').read().splitlines()\n"
             "print(next(line.split()[1] for line in lines if line.startswith('Anonymous:')))\n"
         )
-        self.assertLessEqual(int(run(program)), PRIVATE_KIB_MAX)
+        self.assertLessEqual(int(run(program)), MAX_PRIVATE_KIB)
--- a/tests/node/test_library_log.py
+++ b/tests/node/test_library_log.py
@@ -1,4 +1,4 @@
-"""Messages of the HTTP server library become numbered events."""
+"""Log messages of the HTTP server become numbered events."""
 
 import io
 import json
@@ -35,7 +35,7 @@
         self.assertEqual(line["number"], Event.HTTP_SERVER_WARNING.number)
         self.assertEqual((line["type"], line["detail"]), ("ValueError", "odd"))
 
-    def test_information_is_left_out_and_repeats_are_few(self) -> None:
+    def test_information_is_skipped_and_repeats_are_limited(self) -> None:
         self.logger.info("Started")
         for _ in range(5):
             self.logger.error("ASGI callable returned without completing response.")
--- a/tests/node/test_long_documents.py
+++ b/tests/node/test_long_documents.py
@@ -1,4 +1,4 @@
-"""A node says at its start that its source accepts configurations which it may refuse."""
+"""A node logs at its start that its source accepts configurations which it may refuse."""
 
 import io
 import json
@@ -26,11 +26,11 @@
         warn_of_long_documents(settings, EventLog("a", 1, output))
         return [json.loads(line) for line in output.getvalue().splitlines()]
 
-    def test_nothing_is_said_of_a_source_whose_documents_are_surely_taken(self) -> None:
+    def test_nothing_is_logged_if_all_documents_are_accepted(self) -> None:
         self.assertEqual(self.lines(), [])
         self.assertEqual(self.lines(document_size=f"{SURE_DOCUMENT_SIZE}B"), [])
 
-    def test_one_that_accepts_longer_ones_is_told_of(self) -> None:
+    def test_a_source_that_accepts_longer_documents_is_logged(self) -> None:
         (line,) = self.lines(document_size=f"{SURE_DOCUMENT_SIZE + 1}B")
         self.assertEqual(line["event"], "SOURCE_BOUND_WIDER")
         self.assertEqual((line["accepted"], line["sure"]), (1048577, 1048576))
--- a/tests/node/test_memory.py
+++ b/tests/node/test_memory.py
@@ -1,4 +1,4 @@
-"""What a node loads into memory."""
+"""Modules that a node imports."""
 
 import os
 import subprocess
@@ -8,17 +8,17 @@
 from tests.node.processes import SOURCE_DIRECTORY
 
 PROXY_PACKAGES = ("pewtertack.node.proxy", "pewtertack.routing")
-NEVER_LOADED = ("pewtertack.lab", "typer", "pydantic", "uvloop", "matplotlib")
+NEVER_IMPORTED = ("pewtertack.lab", "typer", "pydantic", "uvloop", "matplotlib")
 
 
 class LoadedModulesTest(unittest.TestCase):
-    def test_a_node_without_proxy_loads_nothing_of_it(self) -> None:
+    def test_a_node_without_proxy_imports_none_of_its_modules(self) -> None:
         modules = "pewtertack.cli.node, pewtertack.node.assembly, pewtertack.node.daemon"
         command = [sys.executable, "-c", f"import sys, {modules}; print(*sys.modules)"]
         environment = os.environ | {"PYTHONPATH": str(SOURCE_DIRECTORY)}
         output = subprocess.run(command, env=environment, capture_output=True, check=True).stdout
-        loaded = output.decode().split()
-        self.assertIn("pewtertack.node.assembly", loaded)
-        for name in (*PROXY_PACKAGES, *NEVER_LOADED):
+        imported = output.decode().split()
+        self.assertIn("pewtertack.node.assembly", imported)
+        for name in (*PROXY_PACKAGES, *NEVER_IMPORTED):
             with self.subTest(name):
-                self.assertEqual([module for module in loaded if module.startswith(name)], [])
+                self.assertEqual([module for module in imported if module.startswith(name)], [])
--- a/tests/node/test_metrics.py
+++ b/tests/node/test_metrics.py
@@ -1,4 +1,4 @@
-"""Gauges of a node that lags."""
+"""Gauges of a node that is behind."""
 
 import unittest
 from typing import Any
@@ -21,7 +21,7 @@
     def value(self, registry: CollectorRegistry, name: str, **labels: str) -> float | None:
         return registry.get_sample_value(f"pewtertack_{name}", labels)
 
-    def test_a_node_that_is_current(self) -> None:
+    def test_a_current_node(self) -> None:
         registry = self.registry(reads={"configuration": ReadStatus()})
         self.assertEqual(self.value(registry, "heard_revision"), 7)
         self.assertEqual(self.value(registry, "behind_seconds"), 0)
--- a/tests/node/test_part_times.py
+++ b/tests/node/test_part_times.py
@@ -1,4 +1,4 @@
-"""Processor time by part: what is counted where, and that a node logs it where asked for."""
+"""Processor time by activity: what is counted where, and that a node logs it if configured."""
 
 import asyncio
 import unittest
@@ -7,8 +7,8 @@
 from tests.node.processes import UNREACHABLE_ADDRESS, NodeProcess, settings_text
 
 
-class Steps:
-    """A clock that goes on by 1 whenever it is asked."""
+class SteppingClock:
+    """A clock that advances by 1 on each call."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -19,15 +19,15 @@
 
 
 class PartTimesTest(unittest.TestCase):
-    def test_what_is_within_counts_apart(self) -> None:
-        times = PartTimes(0.0, Steps())
+    def test_nested_calls_are_counted_separately(self) -> None:
+        times = PartTimes(0.0, SteppingClock())
         times.end_start()
         times.run("outer", times.run, "inner", int)
         self.assertEqual(times.seconds, {START: 1.0, LOOP: 1.0, "outer": 2.0, "inner": 1.0})
         self.assertEqual(times.counts, {START: 1, "outer": 1, "inner": 1})
 
-    def test_what_fails_is_counted_and_its_error_goes_on(self) -> None:
-        times = PartTimes(0.0, Steps())
+    def test_a_failing_call_is_counted_and_its_error_propagates(self) -> None:
+        times = PartTimes(0.0, SteppingClock())
         with self.assertRaises(ZeroDivisionError):
             times.run("fails", divmod, 1, 0)
         times.run("next", int)
@@ -35,20 +35,20 @@
 
 
 class TimedLoopTest(unittest.TestCase):
-    def test_callbacks_count_under_their_names_and_tasks_under_their_function_s(self) -> None:
+    def test_callbacks_are_counted_by_name_and_tasks_by_function(self) -> None:
         times = PartTimes(0.0)
 
         async def work() -> None:
             loop = asyncio.get_running_loop()
-            loop.call_soon(Steps().__call__)
-            loop.call_later(0.001, Steps().__call__)
+            loop.call_soon(SteppingClock().__call__)
+            loop.call_later(0.001, SteppingClock().__call__)
             named = loop.create_task(asyncio.sleep(0), name="somewhere.Named.run")
             await asyncio.sleep(0.01)
             await named
 
         with asyncio.Runner(loop_factory=lambda: TimedLoop(times)) as runner:
             runner.run(work())
-        self.assertEqual(times.counts["Steps.__call__"], 2)
+        self.assertEqual(times.counts["SteppingClock.__call__"], 2)
         self.assertGreaterEqual(times.counts["somewhere.Named.run"], 1)
         name = "TimedLoopTest." + self._testMethodName + ".<locals>.work"
         self.assertGreaterEqual(times.counts[name], 2)
@@ -56,7 +56,7 @@
 
 
 class NodePartsTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_node_that_is_asked_to_logs_its_parts(self) -> None:
+    async def test_a_node_with_the_setting_logs_its_parts(self) -> None:
         text = (
             settings_text("n1", "yaba", UNREACHABLE_ADDRESS, UNREACHABLE_ADDRESS)
             + 'log = {parts_every = "100ms"}\n'
@@ -64,13 +64,13 @@
         async with NodeProcess(text) as node:
             await node.wait_event("NODE_READY")
             for _ in range(3):
-                told = await node.wait_event("NODE_PARTS")
-        self.assertGreater(told["seconds"][START], 0.0)
-        self.assertEqual(told["counts"][START], 1)
-        self.assertGreater(told["counts"]["Runtime.feed Ticked"], 0)
-        self.assertEqual(told["counts"]["event NODE_READY"], 1)
+                record = await node.wait_event("NODE_PARTS")
+        self.assertGreater(record["seconds"][START], 0.0)
+        self.assertEqual(record["counts"][START], 1)
+        self.assertGreater(record["counts"]["Runtime.feed Ticked"], 0)
+        self.assertEqual(record["counts"]["event NODE_READY"], 1)
 
-    async def test_one_that_is_not_logs_none(self) -> None:
+    async def test_a_node_without_the_setting_logs_no_parts(self) -> None:
         async with NodeProcess(
             settings_text("n1", "yaba", UNREACHABLE_ADDRESS, UNREACHABLE_ADDRESS)
         ) as node:
--- a/tests/node/test_platform.py
+++ b/tests/node/test_platform.py
@@ -1,4 +1,4 @@
-"""Reads of the platform: answers, failures by type, bounds."""
+"""Reads of the platform: responses, failures by type, limits."""
 
 import json
 from typing import Any
@@ -11,7 +11,7 @@
 from pewtertack.wire.messages import DocumentKind
 from tests.node.proxy.harness import ProxyTestCase
 
-TREE = DocumentKind.CONFIGURATION
+CONFIGURATION = DocumentKind.CONFIGURATION
 
 
 class PlatformReaderTest(ProxyTestCase):
@@ -20,10 +20,10 @@
         status: int,
         body: bytes = b"",
         headers: tuple[tuple[bytes, bytes], ...] = (),
-        kind: DocumentKind = TREE,
+        kind: DocumentKind = CONFIGURATION,
     ) -> DocumentRead | DocumentUnchanged | DocumentReadFailed:
         async def application(scope: Any, receive: Any, send: Any) -> None:
-            self.asked = (scope["path"], scope["query_string"], dict(scope["headers"]))
+            self.request = (scope["path"], scope["query_string"], dict(scope["headers"]))
             start = {"type": "http.response.start", "status": status, "headers": headers}
             await send(start)
             await send({"type": "http.response.body", "body": body})
@@ -34,27 +34,27 @@
         return await reader.read(ReadDocument(kind, 6, 1.5))
 
     async def test_a_tree_and_a_machine_list(self) -> None:
-        answer = await self.read(200, b'{"number": 7, "tree": {"a": 1}}')
-        self.assertEqual(answer, DocumentRead(TREE, 7, {"a": 1}))
-        path, query, headers = self.asked
+        response = await self.read(200, b'{"number": 7, "tree": {"a": 1}}')
+        self.assertEqual(response, DocumentRead(CONFIGURATION, 7, {"a": 1}))
+        path, query, headers = self.request
         self.assertEqual((path, query), ("/v1/tree", b"after=6&wait=1.5"))
         self.assertEqual(headers[b"if-none-match"], b'"6"')
         kind = DocumentKind.MACHINE_LIST
-        answer = await self.read(200, b'{"number": 8, "machines": {"m": {}}}', kind=kind)
-        self.assertEqual(answer, DocumentRead(kind, 8, {"m": {}}))
-        self.assertEqual(self.asked[0], "/v1/machines")
+        response = await self.read(200, b'{"number": 8, "machines": {"m": {}}}', kind=kind)
+        self.assertEqual(response, DocumentRead(kind, 8, {"m": {}}))
+        self.assertEqual(self.request[0], "/v1/machines")
 
     async def test_not_modified(self) -> None:
-        self.assertEqual(await self.read(304), DocumentUnchanged(TREE))
+        self.assertEqual(await self.read(304), DocumentUnchanged(CONFIGURATION))
 
-    async def test_a_busy_source_says_when_to_come_back(self) -> None:
+    async def test_a_busy_source_reports_when_to_retry(self) -> None:
         for value, expected in ((b"2", 2.0), (b"nan", None), (b"Wed", None), (b"1e9", 300.0)):
-            answer = await self.read(503, headers=((b"retry-after", value),))
+            response = await self.read(503, headers=((b"retry-after", value),))
             refused = ReadFailure.REFUSED
-            failed = DocumentReadFailed(TREE, "platform-busy", expected, failure=refused)
-            self.assertEqual(answer, failed)
+            failed = DocumentReadFailed(CONFIGURATION, "platform-busy", expected, failure=refused)
+            self.assertEqual(response, failed)
 
-    async def test_each_failure_has_its_type(self) -> None:
+    async def test_each_failure_is_reported_with_its_type(self) -> None:
         deep = b'{"number": 1, "tree": ' + b'{"a":' * 300 + b"1" + b"}" * 301
         cases = {
             "platform-status": ((500, b""), (404, b"")),
@@ -68,17 +68,17 @@
             ),
             "platform-body-too-large": ((200, bytes(1001)), (200, deep)),
         }
-        for code, answers in cases.items():
-            for status, body in answers:
+        for code, responses in cases.items():
+            for status, body in responses:
                 with self.subTest(code, body=body[:30]):
-                    answer = await self.read(status, body)
-                    assert isinstance(answer, DocumentReadFailed)
-                    self.assertTrue(answer.reason.startswith(f"{code}:"), answer.reason)
+                    response = await self.read(status, body)
+                    assert isinstance(response, DocumentReadFailed)
+                    self.assertTrue(response.reason.startswith(f"{code}:"), response.reason)
                     refused = code == "platform-status"
                     failure = ReadFailure.REFUSED if refused else ReadFailure.UNUSABLE
-                    self.assertIs(answer.failure, failure)
+                    self.assertIs(response.failure, failure)
 
-    async def test_a_service_that_is_down_or_hangs_up_or_is_silent(self) -> None:
+    async def test_a_service_that_is_down_or_silent_or_hangs_up(self) -> None:
         async def silent(scope: Any, receive: Any, send: Any) -> None:
             await receive()
 
@@ -89,7 +89,7 @@
         for address in (down, await self.serve(silent), await self.serve(broken)):
             url = Url.parse(f"http://{address}")
             reader = PlatformReader(url, url, "127.0.0.1", PlatformLimits(0.2, 1000))
-            answer = await reader.read(ReadDocument(TREE, 0, 0.0))
+            response = await reader.read(ReadDocument(CONFIGURATION, 0, 0.0))
             await reader.close()
-            assert isinstance(answer, DocumentReadFailed)
-            self.assertRegex(answer.reason, "^platform-(unreachable|status)")
+            assert isinstance(response, DocumentReadFailed)
+            self.assertRegex(response.reason, "^platform-(unreachable|status)")
--- a/tests/node/test_process.py
+++ b/tests/node/test_process.py
@@ -1,4 +1,4 @@
-"""Real node processes: the whole path, drain, wrong settings."""
+"""Real node processes: request path, drain, invalid settings."""
 
 import contextlib
 import copy
@@ -35,8 +35,8 @@
 }
 
 
-def since_of(page: Any) -> Any:
-    """Return since when a status page says that revisions are refused."""
+def rejected_since(page: Any) -> Any:
+    """Return since when a status page reports that revisions are refused."""
     rejection = page["last_rejection"]
     return rejection and rejection["since"]
 
@@ -44,12 +44,12 @@
 class NodeProcessTest(ProxyTestCase):
     async def asyncSetUp(self) -> None:
         self.release = anyio.Event()
-        self.asked = anyio.Event()
+        self.request_received = anyio.Event()
         self.token = b""
 
         async def backend(scope: Any, receive: Any, send: Any) -> None:
             self.token = dict(scope["headers"]).get(b"x-token", b"")
-            self.asked.set()
+            self.request_received.set()
             if scope["path"] == "/slow":
                 await self.release.wait()
             headers = [(b"content-length", b"2")]
@@ -64,13 +64,13 @@
 
     @contextlib.asynccontextmanager
     async def fleet(self) -> AsyncIterator[tuple[NodeProcess, NodeProcess]]:
-        """Node a reads the platform; node b can reach nobody but a."""
+        """Node a reads the platform; node b can reach only a."""
         async with reader_and_peer(TREE, self.machines) as (source, a, b):
             self.source = source.service
             await a.wait_event("NODE_SERVING")
             yield a, b
 
-    async def test_an_edit_reaches_a_node_that_knows_only_a_peer(self) -> None:
+    async def test_an_edit_reaches_a_node_that_only_knows_a_peer(self) -> None:
         async with self.fleet() as (a, b):
             ready = await b.wait_event("NODE_READY")
             await b.wait_event("REVISION_IN_FORCE", revision=1)
@@ -85,7 +85,7 @@
             self.assertEqual(self.token, b"hush2")
             await self.check_admin(ready["admin"])
 
-    async def test_a_node_hears_from_its_peer_that_a_back_end_leaves(self) -> None:
+    async def test_a_node_learns_from_its_peer_that_a_back_end_leaves(self) -> None:
         async with self.fleet() as (a, b):
             ready_a, ready_b = a.lines[0], await b.wait_event("NODE_READY")
             await b.wait_event("NODE_SERVING")
@@ -97,7 +97,7 @@
                 while (await get(ready_b["proxy"], "/contacts"))[0] != 503:
                     await anyio.sleep(0.02)
 
-    async def test_a_refused_revision_shows_in_metrics_and_status_until_a_newer_one_holds(
+    async def test_a_refused_revision_is_shown_until_a_newer_one_is_in_force(
         self,
     ) -> None:
         async with self.fleet() as (a, _):
@@ -105,11 +105,11 @@
             metrics = (await get(admin, "/metrics"))[2]
             self.assertIn(b"\npewtertack_revision_refused 0.0\n", metrics)
             self.assertIn(b"\npewtertack_revision_refused_since_seconds 0.0\n", metrics)
-            begun = time.time()
+            started_at = time.time()
             await self.edit({**TREE, "services": {"archive": {}}})
             await a.wait_event("REVISION_REJECTED", revision=2)
-            page = await get_until(admin, "/status", lambda page: since_of(page) is not None)
-            self.assertTrue(begun - 1.0 < since_of(page) < time.time() + 1.0)
+            page = await get_until(admin, "/status", lambda page: rejected_since(page) is not None)
+            self.assertTrue(started_at - 1.0 < rejected_since(page) < time.time() + 1.0)
             metrics = (await get(admin, "/metrics"))[2]
             self.assertIn(b"\npewtertack_revision_refused 2.0\n", metrics)
             self.assertNotIn(b"pewtertack_revision_refused_since_seconds 0.0", metrics)
@@ -119,7 +119,7 @@
             )
             await self.edit()
             await get_until(admin, "/status", lambda page: page["in_force"]["number"] == 3)
-            await get_until(admin, "/status", lambda page: since_of(page) is None)
+            await get_until(admin, "/status", lambda page: rejected_since(page) is None)
             metrics = (await get(admin, "/metrics"))[2]
             self.assertIn(b"\npewtertack_revision_refused 0.0\n", metrics)
 
@@ -129,8 +129,8 @@
             tree["secrets"]["token"] = "hush2"
         async with httpcore.AsyncConnectionPool() as pool:
             url = f"http://{self.source.control.address}/tree"
-            answer = await pool.request("PUT", url, content=json.dumps(tree).encode())
-        self.assertEqual(answer.status, 200)
+            response = await pool.request("PUT", url, content=json.dumps(tree).encode())
+        self.assertEqual(response.status, 200)
 
     async def check_admin(self, admin: str) -> None:
         for path, expected in (("/ready", 200), ("/members", 200), ("/nothing", 404)):
@@ -150,17 +150,17 @@
         with self.assertRaises(AdminUrlError):
             await read_reports(("localhost",), 1.0)
 
-    async def test_a_planned_stop_cuts_no_request_in_flight(self) -> None:
+    async def test_a_graceful_shutdown_finishes_requests_in_flight(self) -> None:
         async with self.fleet() as (a, _), anyio.create_task_group() as tasks:
             ready = a.lines[0]
             await get_until(ready["admin"], "/status", lambda page: page["machine_list_number"])
-            answers: list[Any] = []
+            responses: list[Any] = []
 
             async def slow_request() -> None:
-                answers.append(await get(ready["proxy"], "/slow"))
+                responses.append(await get(ready["proxy"], "/slow"))
 
             tasks.start_soon(slow_request)
-            await self.asked.wait()
+            await self.request_received.wait()
             a.signal(signal.SIGTERM)
             await a.wait_event("NODE_DRAINING")
             status, headers, _ = await get(ready["proxy"], "/contacts")
@@ -168,9 +168,9 @@
             self.release.set()
             self.assertEqual(await a.wait_exit(), 0)
             await a.wait_event("NODE_STOPPED")
-        self.assertEqual([(status, body) for status, _, body in answers], [(200, b"ok")])
+        self.assertEqual([(status, body) for status, _, body in responses], [(200, b"ok")])
 
-    async def test_a_node_that_knows_nothing_refuses_and_stops_cleanly(self) -> None:
+    async def test_a_node_without_configuration_refuses_and_stops_cleanly(self) -> None:
         async with NodeProcess(
             settings_text("a", "yaba", UNREACHABLE_ADDRESS, UNREACHABLE_ADDRESS)
         ) as node:
@@ -196,27 +196,27 @@
             await a.wait_event("NODE_SERVING")
 
 
-class WrongStartTest(unittest.IsolatedAsyncioTestCase):
-    async def refused(self, settings: str, *flags: str) -> str:
+class InvalidStartTest(unittest.IsolatedAsyncioTestCase):
+    async def start_error(self, settings: str, *flags: str) -> str:
         async with NodeProcess(settings, *flags) as node:
             self.assertEqual(await node.wait_exit(), 2)
             self.assertNotIn("Traceback", node.errors)
             return node.errors
 
-    async def test_each_mistake_is_one_line_and_exit_code_2(self) -> None:
-        good = settings_text("a", "yaba", UNREACHABLE_ADDRESS, UNREACHABLE_ADDRESS)
-        taken = socket.create_server(("127.0.0.1", 0))
-        self.addCleanup(taken.close)
-        in_use = f"127.0.0.1:{taken.getsockname()[1]}"
+    async def test_each_error_gives_one_line_and_exit_code_2(self) -> None:
+        valid_settings = settings_text("a", "yaba", UNREACHABLE_ADDRESS, UNREACHABLE_ADDRESS)
+        occupied = socket.create_server(("127.0.0.1", 0))
+        self.addCleanup(occupied.close)
+        in_use = f"127.0.0.1:{occupied.getsockname()[1]}"
         cases = (
             ("settings-file-syntax", "[", ()),
-            ("flag-format", good, ("--zome", "x")),
-            ("profile-unknown", good, ("--profile", "slow")),
-            ("address-in-use", good, ("--listen-admin", in_use)),
-            ("address-in-use", good, ("--listen-peer", in_use)),
-            ("address-unavailable", good, ("--listen-proxy", "192.0.2.1:1")),
+            ("flag-format", valid_settings, ("--zome", "x")),
+            ("profile-unknown", valid_settings, ("--profile", "slow")),
+            ("address-in-use", valid_settings, ("--listen-admin", in_use)),
+            ("address-in-use", valid_settings, ("--listen-peer", in_use)),
+            ("address-unavailable", valid_settings, ("--listen-proxy", "192.0.2.1:1")),
         )
         for code, settings, flags in cases:
             with self.subTest(code, flags=flags):
-                errors = await self.refused(settings, *flags)
+                errors = await self.start_error(settings, *flags)
                 self.assertRegex(errors, rf"^pewtertack: {code}: .*; accepted: .+\n$")
--- a/tests/node/test_returned_store.py
+++ b/tests/node/test_returned_store.py
@@ -1,8 +1,8 @@
-"""Real nodes around a store that comes back from a copy some seconds old.
+"""Real nodes using a store that is restored from a copy some seconds old.
 
-A back end came and another left after the copy was taken, and an edit was acknowledged. Callers
-must see neither: who left gets nothing, who came goes on, the edit stays in force. A node
-that starts after the return is told so by its peers.
+After the copy was taken, one back end joined, another left, and an edit was acknowledged. The
+restore must not undo this for callers: the back end that left gets no requests, the new one keeps
+serving, and the edit stays in force. A node that starts after the restore is informed by its peers.
 """
 
 import asyncio
@@ -19,20 +19,20 @@
 from tests.platform.test_documents import CONFIGURATION, ENTRY, encoded
 
 HOSTS = ("127.0.0.21", "127.0.0.22", "127.0.0.23", "127.0.0.24")
-CALLER = {"host": "desk.example"}
-AWAY_SECONDS = 0.7
-HOLD = "20s"
+CALLER_HEADERS = {"host": "desk.example"}
+DOWNTIME_SECONDS = 0.7
+HOLD_AFTER_RETURN = "20s"
 """Longer than the late node takes to start on a busy machine."""
-BOUND = 2.0
-"""Seconds within which an edit is in force everywhere."""
+EDIT_SECONDS = 2.0
+"""Seconds within which an edit must be in force everywhere."""
 
 
 def configuration(version: int) -> bytes:
     return encoded({**CONFIGURATION, "Version": f"r{version}"})
 
 
-class ReturnedStoreTest(ProxyTestCase):
-    """Nodes with a back end beside each; callers ask the first node, the last one starts late."""
+class RestoredStoreTest(ProxyTestCase):
+    """Nodes with a local back end each; callers use the first node, the last one starts late."""
 
     async def asyncSetUp(self) -> None:
         self.store = MetadataStore(0)
@@ -66,7 +66,7 @@
         url = f"http://{self.store_address}"
         return f"""
             node = {{name = "{host}", zone = "garia", region = "r"}}
-            source = {{url = "{url}", durable = true, hold_after_return = "{HOLD}"}}
+            source = {{url = "{url}", durable = true, hold_after_return = "{HOLD_AFTER_RETURN}"}}
             machines = {{url = "{url}"}}
             peers = {{key = "{"ab" * 16}", seeds = ["{HOSTS[seed]}:{peer}"]}}
             profile = {{name = "leased"}}
@@ -78,25 +78,25 @@
             gateway = "{host}:{gateway}"
         """
 
-    async def status_until(self, nodes: list[StoreNodeProcess], **wanted: Any) -> None:
+    async def wait_for_status(self, nodes: list[StoreNodeProcess], **expected: Any) -> None:
         def holds(page: Any) -> bool:
-            shown = {**page, "version": page["in_force"]["number"] // TREE_NUMBERS_PER_VERSION}
-            return all(shown[key] == value for key, value in wanted.items())
+            actual = {**page, "version": page["in_force"]["number"] // TREE_NUMBERS_PER_VERSION}
+            return all(actual[key] == value for key, value in expected.items())
 
         for node in nodes:
             await get_until(node.lines[0]["admin"], "/status", holds)
 
     async def call(self, node: StoreNodeProcess, seconds: float) -> list[int]:
-        """Return the statuses of requests that a caller makes for so long."""
+        """Return the statuses of requests that a caller sends for ``seconds``."""
         statuses = []
         with anyio.move_on_after(seconds):
             while True:
-                status, _, _ = await get(node.lines[0]["proxy"], "/holds/1", CALLER)
+                status, _, _ = await get(node.lines[0]["proxy"], "/holds/1", CALLER_HEADERS)
                 statuses.append(status)
                 await anyio.sleep(0.02)
         return statuses
 
-    async def test_callers_see_nothing_of_the_return(self) -> None:
+    async def test_callers_do_not_notice_the_restore(self) -> None:
         async with contextlib.AsyncExitStack() as stack:
             nodes = []
             for number in range(3):
@@ -108,10 +108,10 @@
             self.put(2)
             self.store.remove("servers/i-0")
             self.store.put("op/config", configuration(13))
-            await self.status_until(nodes, version=13)
+            await self.wait_for_status(nodes, version=13)
             await self.call(nodes[0], 0.5)
             self.store.go_away()
-            await anyio.sleep(AWAY_SECONDS)
+            await anyio.sleep(DOWNTIME_SECONDS)
             self.ran.clear()
             self.store.come_back_from(copy)
             late = StoreNodeProcess(self.settings(3, 0))
@@ -123,13 +123,13 @@
             self.ran.clear()
             self.assertEqual(set(await self.call(late, 1.0)), {200})
             self.assertEqual(set(self.ran), {HOSTS[1], HOSTS[2]})
-            await self.status_until(nodes, version=13, source_era=1)
-            told = await asyncio.wait_for(nodes[0].wait_event("SOURCE_RETURNED"), TIMEOUT_SECONDS)
-            shown = {key: told[key] for key in ("old", "new", "lost", "kept", "came_back")}
+            await self.wait_for_status(nodes, version=13, source_era=1)
+            event = await asyncio.wait_for(nodes[0].wait_event("SOURCE_RETURNED"), TIMEOUT_SECONDS)
+            actual = {key: event[key] for key in ("old", "new", "lost", "kept", "came_back")}
             expected = {"old": 0, "new": 1, "lost": 1, "kept": 1, "came_back": 1}
-            self.assertEqual(shown, expected)
+            self.assertEqual(actual, expected)
             self.put(2)
             self.store.remove("servers/i-0")
             self.store.put("op/config", configuration(14))
-            with anyio.fail_after(BOUND):
-                await self.status_until(nodes, version=14)
+            with anyio.fail_after(EDIT_SECONDS):
+                await self.wait_for_status(nodes, version=14)
--- a/tests/node/test_runtime.py
+++ b/tests/node/test_runtime.py
@@ -1,4 +1,4 @@
-"""The runtime around a scripted core, and the serving gate."""
+"""The runtime with a scripted core, and the serving gate."""
 
 import io
 import json
@@ -51,21 +51,21 @@
 
 
 class ScriptedCore:
-    def __init__(self, answers: dict[type, list[Effect]]) -> None:
-        self.answers = answers
+    def __init__(self, effects_by_input: dict[type, list[Effect]]) -> None:
+        self.effects_by_input = effects_by_input
         self.inputs: list[Input] = []
 
     def handle(self, now: float, event: Input) -> list[Effect]:
         self.inputs.append(event)
         if isinstance(event, MessageReceived):
             raise KeyError("a fault in the core")
-        return self.answers.pop(type(event), [])
+        return self.effects_by_input.pop(type(event), [])
 
 
 Handle = Callable[[float, Input], list[Effect]]
 
 
-def _fail_at_work(handle: Handle) -> Handle:
+def _fail_on_continued_work(handle: Handle) -> Handle:
     def fail(now: float, event: Input) -> list[Effect]:
         if isinstance(event, WorkContinued):
             raise KeyError("a fault in the core")
@@ -80,26 +80,28 @@
         self.transport, self.reader, self.proxy = mock.Mock(), mock.AsyncMock(), mock.Mock()
         self.gate = ServingGate(30.0)
 
-    def runtime(self, **answers: list[Effect]) -> Runtime:
-        kinds: dict[str, type] = {
+    def runtime(self, **effects_by_input: list[Effect]) -> Runtime:
+        input_types: dict[str, type] = {
             "ticked": Ticked,
             "drained": DrainRequested,
             "continued": WorkContinued,
         }
-        self.core = ScriptedCore({kinds[name]: effects for name, effects in answers.items()})
+        self.core = ScriptedCore(
+            {input_types[name]: effects for name, effects in effects_by_input.items()}
+        )
         log = EventLog("n", 5, self.output)
         return Runtime(self.core, 0.001, self.gate, self.transport, self.reader, self.proxy, log)
 
     def lines(self) -> list[dict[str, Any]]:
         return [json.loads(line) for line in self.output.getvalue().splitlines()]
 
-    async def test_long_work_goes_on_after_other_tasks(self) -> None:
+    async def test_long_work_continues_after_other_tasks(self) -> None:
         runtime = self.runtime(ticked=[ContinueWork()], continued=[])
-        turns: list[int] = []
+        inputs_seen: list[int] = []
 
         async def count() -> None:
             while True:
-                turns.append(len(self.core.inputs))
+                inputs_seen.append(len(self.core.inputs))
                 await anyio.lowlevel.checkpoint()
 
         async with anyio.create_task_group() as tasks:
@@ -109,11 +111,11 @@
                 while not any(isinstance(item, WorkContinued) for item in self.core.inputs):
                     await anyio.lowlevel.checkpoint()
             tasks.cancel_scope.cancel()
-        self.assertGreaterEqual(turns.count(1), YIELDS_BETWEEN_SLICES)
+        self.assertGreaterEqual(inputs_seen.count(1), YIELDS_BETWEEN_SLICES)
 
-    async def test_work_that_fails_is_counted_and_ends_nobody(self) -> None:
+    async def test_failing_work_is_counted_and_does_not_stop_the_runtime(self) -> None:
         runtime = self.runtime(ticked=[ContinueWork()])
-        self.core.handle = _fail_at_work(self.core.handle)  # type: ignore[method-assign]
+        self.core.handle = _fail_on_continued_work(self.core.handle)  # type: ignore[method-assign]
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(runtime.run)
             with anyio.fail_after(10):
@@ -123,15 +125,16 @@
         self.assertEqual(dict(runtime.failed_messages), {"KeyError": 1})
 
     async def test_the_stages_of_revisions_are_observed(self) -> None:
-        seen = Histogram("h", "", ("stage", "way"), (1.0, 2.0))
+        histogram = Histogram("h", "", ("stage", "way"), (1.0, 2.0))
         core = ScriptedCore({Ticked: [StageReached(Stage.HELD, DeliveryChannel.DELTA, 1.5)]})
         log = EventLog("n", 5, self.output)
         parts = (self.gate, self.transport, self.reader, self.proxy, log)
-        Runtime(core, 0.001, *parts, stages=seen).feed(Ticked())
-        self.assertEqual(seen.values[("held", "delta")].counts, [0, 1, 0])
+        Runtime(core, 0.001, *parts, stages=histogram).feed(Ticked())
+        self.assertEqual(histogram.values[("held", "delta")].counts, [0, 1, 0])
 
-    async def test_a_start_far_in_the_future_hides_no_back_end(self) -> None:
-        """Another wrote an entry under a living back end's name; then that one says its own."""
+    async def test_a_start_time_far_in_the_future_hides_no_back_end(self) -> None:
+        """An entry with a start time in the future was written under a live back end's name; later
+        that back end reports its own."""
         now = int(time.time() * 1000)
         registry, gateway = BackendRegistry(), Incarnations(lambda: 0.0)
 
@@ -149,7 +152,7 @@
         self.assertEqual(gateway.get("b1").started_at, now)
         self.assertEqual(gateway.get("b1").admission.slots, 4)
 
-    async def test_a_start_by_a_clock_that_is_ahead_is_believed(self) -> None:
+    async def test_a_start_time_slightly_in_the_future_is_accepted(self) -> None:
         start = int(time.time() * 1000) + 600_000
         machines = MachineList(1, (msgspec.structs.replace(backend("b1"), started_at=start),))
         self.runtime()._carry_out(UseMachineList(machines))
@@ -187,7 +190,7 @@
         expected = {"number": 102, "event": "NODE_SERVING", "node": "n", "incarnation": 5, "x": 1}
         self.assertEqual(line, expected)
 
-    async def test_a_message_that_the_core_cannot_handle_ends_nothing(self) -> None:
+    async def test_a_message_that_the_core_cannot_handle_does_not_stop_the_runtime(self) -> None:
         runtime = self.runtime()
         for _ in range(3):
             runtime.receive(Envelope("b", "127.0.0.1:1", 1, 1, BUSY))
@@ -196,7 +199,7 @@
         logged = [(line["number"], line["type"]) for line in self.lines()]
         self.assertEqual(logged, [(501, "KeyError"), (501, "frame-stranger")])
 
-    async def test_draining_shuts_the_gate(self) -> None:
+    async def test_draining_closes_the_gate(self) -> None:
         runtime = self.runtime(ticked=[SetServing(True)])
         runtime.feed(Ticked())
         self.assertTrue(self.gate.may_serve())
@@ -209,7 +212,7 @@
 
 
 class ServingGateTest(unittest.TestCase):
-    def test_a_process_that_was_paused_refuses_until_its_next_tick(self) -> None:
+    def test_a_paused_process_refuses_until_its_next_tick(self) -> None:
         with mock.patch("pewtertack.node.clock.now", return_value=100.0) as now:
             gate = ServingGate(2.0)
             self.assertFalse(gate.may_serve())
--- a/tests/node/test_socket_options.py
+++ b/tests/node/test_socket_options.py
@@ -1,4 +1,4 @@
-"""Options of the sockets that a node listens on."""
+"""Options of a node's listening sockets."""
 
 import socket
 import tempfile
@@ -34,13 +34,13 @@
         self.sockets = bind_sockets(load_settings(path, {}), str(path))
         self.addCleanup(self.sockets.close)
 
-    def test_accepted_connections_send_at_once(self) -> None:
-        """Without the option an answer in two writes waits for a delayed acknowledgement."""
-        for listening in (self.sockets.proxy, self.sockets.admin, self.sockets.peer_streams):
-            assert listening is not None
-            listening.setblocking(True)
-            with socket.create_connection(listening.getsockname()):
-                accepted, _ = listening.accept()
+    def test_accepted_connections_have_tcp_nodelay(self) -> None:
+        """Without TCP_NODELAY a response in two writes waits for a delayed acknowledgement."""
+        for listener in (self.sockets.proxy, self.sockets.admin, self.sockets.peer_streams):
+            assert listener is not None
+            listener.setblocking(True)
+            with socket.create_connection(listener.getsockname()):
+                accepted, _ = listener.accept()
                 with accepted:
                     option = accepted.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
                     self.assertTrue(option)
--- a/tests/node/test_stop_and_long_answers.py
+++ b/tests/node/test_stop_and_long_answers.py
@@ -1,12 +1,11 @@
-"""A node that stops while long answers for its callers wait on another node's link.
-
-What callers saw: a download was cut in the middle though its back end had answered within a
-tenth of a second. Order of events: the node that had taken the request was told to stop; the
-answer lay in the line of the link of the back end's node, behind answers for other nodes; at
-the end of its time to stop the caller's node closed the connection, or answered that nothing
-was known. Cause: the end of a stop is known from its first moment, to the stopping node alone.
-Evidence: the gateway's log has the back end's end long before, then nothing until the request
-is cancelled at that end; told of it, the gateway sends the same answer in time.
+"""A node that shuts down while long responses for its callers wait on another node's link.
+
+Guards against a download cut in the middle although its back end had answered within 0.1 s. The
+response waited in the link queue of the back end's node, behind responses for other nodes; at the
+end of its shutdown the caller's node closed the connection, or answered with an unknown outcome.
+Only the node that shut down knew when that would end. The gateway's log shows the end of the back
+end's response long before, then nothing until the request is cancelled at that time; once the
+gateway is informed of it, it sends the same response in time.
 """
 
 import asyncio
@@ -20,7 +19,7 @@
 
 from tests.node.processes import TIMEOUT_SECONDS, NodeProcess
 from tests.node.proxy.harness import Answer, ProxyTestCase, begin_call
-from tests.node.stopping_fleet import fleet_on_a_narrow_link
+from tests.node.stopping_fleet import fleet_with_slow_link
 
 TREE: dict[str, Any] = {
     "services": {"desk": {}},
@@ -42,8 +41,8 @@
         drain_timeout = "{DRAIN_SECONDS}s"
 """
 MEGABITS = 1.0
-"""Of the gateway's link, of which long answers get 100 kB a second."""
-DOWNLOAD = 100_000
+"""Rate of the gateway's link; long responses get 100 kB/s of it."""
+RESPONSE_BYTES = 100_000
 SLOTS = 20
 
 
@@ -53,10 +52,10 @@
 
 
 class DownloadTestCase(ProxyTestCase):
-    """Callers who ask for long answers; ``ran`` has the requests that back ends were given."""
+    """Callers that request long responses; ``ran`` lists the requests that back ends received."""
 
     async def asyncSetUp(self) -> None:
-        self.size = DOWNLOAD
+        self.size = RESPONSE_BYTES
         self.ran: list[str] = []
         self.tasks: list[asyncio.Task[Answer]] = []
 
@@ -67,7 +66,7 @@
         await send({"type": "http.response.body", "body": b"e" * self.size})
 
     @contextlib.asynccontextmanager
-    async def calls_ended(self) -> AsyncIterator[None]:
+    async def cancelled_calls(self) -> AsyncIterator[None]:
         try:
             yield
         finally:
@@ -81,31 +80,31 @@
         return await begin_call(node.lines[0]["proxy"], download(name))
 
     async def read(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> Answer:
-        """Read one answer; one that is cut has status 0."""
+        """Read one response; an incomplete one has status 0."""
         try:
-            answer = Answer(await reader.readuntil(b"\r\n\r\n"))
-            answer.body = await reader.readexactly(int(answer.headers["content-length"]))
-            return answer
+            response = Answer(await reader.readuntil(b"\r\n\r\n"))
+            response.body = await reader.readexactly(int(response.headers["content-length"]))
+            return response
         except (asyncio.IncompleteReadError, ConnectionError):
             return Answer(b"")
         finally:
             writer.close()
 
-    async def begin(self, node: NodeProcess, name: str) -> asyncio.Task[Answer]:
+    async def start_download(self, node: NodeProcess, name: str) -> asyncio.Task[Answer]:
         task = asyncio.create_task(self.read(*await self.send(node, name)))
         self.tasks.append(task)
         return task
 
-    async def begin_until_running(self, node: NodeProcess, *names: str) -> None:
+    async def start_downloads(self, node: NodeProcess, *names: str) -> None:
         for name in names:
-            await self.begin(node, name)
+            await self.start_download(node, name)
         with anyio.fail_after(TIMEOUT_SECONDS):
             while not {f"/{name}" for name in names} <= set(self.ran):
                 await anyio.sleep(0.01)
 
 
 class LongAnswersTest(DownloadTestCase):
-    """Callers are at the nodes a, which stops, and c; the only back end is beside b."""
+    """Callers are at the nodes a, which shuts down, and c; the only back end is local to b."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
@@ -113,42 +112,44 @@
 
     @contextlib.asynccontextmanager
     async def fleet(self) -> Any:
-        fleet = fleet_on_a_narrow_link(TREE, self.address, SLOTS, MEGABITS, LIMITS, "a", "c")
-        async with fleet as (b, a, c), self.calls_ended():
-            # The gateway learns how long the route's answers are.
+        fleet = fleet_with_slow_link(TREE, self.address, SLOTS, MEGABITS, LIMITS, "a", "c")
+        async with fleet as (b, a, c), self.cancelled_calls():
+            # The gateway learns the length of the route's responses.
             self.assertEqual((await self.read(*await self.send(c, "first"))).status, 200)
             yield a, b, c
 
-    async def assert_own_answer_is_whole(self) -> None:
-        """Stop node a while its answer stands behind others in the line of b's link."""
+    async def assert_own_response_is_complete(self) -> None:
+        """Shut down node a while its response waits behind others in the queue of b's link."""
         async with self.fleet() as (a, _, c):
-            await self.begin_until_running(c, *(f"other-{number}" for number in range(6)))
-            own = await self.begin(a, "own")
+            await self.start_downloads(c, *(f"other-{index}" for index in range(6)))
+            own_download = await self.start_download(a, "own")
             await anyio.sleep(0.3)
             a.signal(signal.SIGTERM)
-            answer = await asyncio.wait_for(own, TIMEOUT_SECONDS)
-            self.assertEqual((answer.status, len(answer.body)), (200, self.size))
+            response = await asyncio.wait_for(own_download, TIMEOUT_SECONDS)
+            self.assertEqual((response.status, len(response.body)), (200, self.size))
             self.assertEqual(await a.wait_exit(), 0)
 
-    async def test_what_waits_on_the_link_for_a_node_that_stops_goes_before_the_others(
+    async def test_responses_for_a_node_that_shuts_down_overtake_others(
         self,
     ) -> None:
-        await self.assert_own_answer_is_whole()
+        await self.assert_own_response_is_complete()
 
-    async def test_an_answer_that_is_too_long_to_be_held_back_is_not_cut_either(self) -> None:
+    async def test_a_response_too_long_to_be_held_is_not_cut(self) -> None:
         self.size = 150_000
-        await self.assert_own_answer_is_whole()
+        await self.assert_own_response_is_complete()
 
-    async def test_what_comes_during_the_notice_is_answered_whole_or_refused(self) -> None:
+    async def test_requests_during_the_notice_are_answered_completely_or_refused(self) -> None:
         async with self.fleet() as (a, _, c):
-            await self.begin_until_running(c, *(f"other-{number}" for number in range(6)))
+            await self.start_downloads(c, *(f"other-{index}" for index in range(6)))
             a.signal(signal.SIGTERM)
             await a.wait_event("NODE_DRAINING")
-            own = [await self.begin(a, f"own-{number}") for number in range(6)]
-            answers = [await asyncio.wait_for(task, TIMEOUT_SECONDS) for task in own]
-            ended = [(answer.status, len(answer.body) == DOWNLOAD) for answer in answers]
-            self.assertLessEqual(set(ended), {(200, True), (503, False)})
-            self.assertIn((200, True), ended)
+            own_download = [await self.start_download(a, f"own-{index}") for index in range(6)]
+            responses = [await asyncio.wait_for(task, TIMEOUT_SECONDS) for task in own_download]
+            results = [
+                (response.status, len(response.body) == RESPONSE_BYTES) for response in responses
+            ]
+            self.assertLessEqual(set(results), {(200, True), (503, False)})
+            self.assertIn((200, True), results)
 
 
 if __name__ == "__main__":
--- a/tests/node/test_suspension.py
+++ b/tests/node/test_suspension.py
@@ -1,4 +1,4 @@
-"""A machine that is suspended: its steady clock stands still, the node's goes on."""
+"""A suspended machine: its monotonic clock stands still, the node's clock goes on."""
 
 import asyncio
 import io
@@ -18,16 +18,16 @@
 from pewtertack.node.runtime import Runtime
 
 TICK = 0.02
-SUSPENDED = 60.0
-OK = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
+SUSPENSION_SECONDS = 60.0
+OK_RESPONSE = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
 
 
 class SuspensionTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.slept = 0.0
+        self.suspended_seconds = 0.0
         for name, replacement in (
-            ("now", lambda: time.monotonic() + self.slept),
-            ("suspended_seconds", lambda: self.slept),
+            ("now", lambda: time.monotonic() + self.suspended_seconds),
+            ("suspended_seconds", lambda: self.suspended_seconds),
         ):
             patch = mock.patch.object(clock, name, replacement)
             patch.start()
@@ -37,14 +37,14 @@
         while True:
             await anyio.sleep(TICK)
 
-    def wake_late(self, loop_factory: type[asyncio.AbstractEventLoop]) -> float:
-        """Return for how long a deadline of half of the suspension holds after the wake."""
+    def seconds_after_wake(self, loop_factory: type[asyncio.AbstractEventLoop]) -> float:
+        """Return how long a deadline of half of the suspension remains after the wake-up."""
 
         async def run() -> float:
             ticking = asyncio.ensure_future(self.tick())
-            with anyio.move_on_after(SUSPENDED / 2):
+            with anyio.move_on_after(SUSPENSION_SECONDS / 2):
                 asyncio.get_running_loop().call_soon(self.suspend)
-                with anyio.move_on_after(SUSPENDED * 2):
+                with anyio.move_on_after(SUSPENSION_SECONDS * 2):
                     started = time.monotonic()
                     await asyncio.wait([ticking], timeout=1.0)
             ticking.cancel()
@@ -53,21 +53,21 @@
         return anyio.run(run, backend_options={"loop_factory": loop_factory})
 
     def suspend(self) -> None:
-        self.slept += SUSPENDED
+        self.suspended_seconds += SUSPENSION_SECONDS
 
-    def test_what_ran_out_meanwhile_ends_with_the_first_tick_after_the_wake(self) -> None:
-        self.assertLess(self.wake_late(BoottimeEventLoop), 0.5)
-        # The usual loop holds it for the rest of its time, here until this test gives up.
-        self.assertGreater(self.wake_late(asyncio.SelectorEventLoop), 0.9)
+    def test_expired_timers_fire_with_the_first_tick_after_the_wake_up(self) -> None:
+        self.assertLess(self.seconds_after_wake(BoottimeEventLoop), 0.5)
+        # The default loop waits for the rest of its time, here until this test gives up.
+        self.assertGreater(self.seconds_after_wake(asyncio.SelectorEventLoop), 0.9)
 
-    def test_a_connection_that_stood_meanwhile_carries_no_further_request(self) -> None:
+    def test_a_connection_open_during_a_suspension_is_not_reused(self) -> None:
         async def run() -> tuple[bool, bool]:
             connection = BackendConnection("10.0.0.1:80")
             connection.connection_made(mock.Mock(spec=asyncio.Transport))
             request = OutgoingRequest(b"GET", b"/", [(b"host", b"a")])
             waiting = asyncio.ensure_future(connection.exchange(request))
             await asyncio.sleep(0)
-            connection.data_received(OK)
+            connection.data_received(OK_RESPONSE)
             await waiting
             await connection.read_body()
             before = connection.reusable
@@ -76,7 +76,7 @@
 
         self.assertEqual(asyncio.run(run()), (True, False))
 
-    def test_the_node_notices_it_once(self) -> None:
+    def test_the_node_reports_a_suspension_once(self) -> None:
         output = io.StringIO()
         log = EventLog("n", 1, output)
         core, idle = mock.Mock(), mock.Mock()
@@ -93,6 +93,7 @@
         anyio.run(run)
         lines = [json.loads(line) for line in output.getvalue().splitlines()]
         self.assertEqual(
-            [(line["event"], line["seconds"]) for line in lines], [("NODE_SUSPENDED", SUSPENDED)]
+            [(line["event"], line["seconds"]) for line in lines],
+            [("NODE_SUSPENDED", SUSPENSION_SECONDS)],
         )
-        self.assertEqual(runtime.suspended_seconds, SUSPENDED)
+        self.assertEqual(runtime.suspended_seconds, SUSPENSION_SECONDS)
--- a/tests/node/test_transport.py
+++ b/tests/node/test_transport.py
@@ -1,4 +1,4 @@
-"""Peer traffic over loopback sockets: both channels, counts, refusals, bounds."""
+"""Peer traffic over loopback sockets: datagrams, streams, counts, refusals, limits."""
 
 import contextlib
 import socket
@@ -23,7 +23,7 @@
 
 
 class Peer:
-    """One transport with what it received and refused."""
+    """One transport with the frames it received and refused."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         await self.transport.run(self.received.append, self.refused.append, self.arriving.append)
 
 
-async def until(condition: Callable[[], object]) -> None:
+async def wait_until(condition: Callable[[], object]) -> None:
     with anyio.fail_after(30):
         while not condition():
             await anyio.sleep(0.005)
@@ -72,7 +72,7 @@
 
 
 class TransportTest(unittest.IsolatedAsyncioTestCase):
-    async def test_the_key_changes_in_three_steps_and_no_message_is_refused(self) -> None:
+    async def test_a_key_rotation_in_three_steps_refuses_no_message(self) -> None:
         old, new = KEY, b"n" * 16
         steps = (
             ((old, ()), (old, (new,))),
@@ -86,17 +86,17 @@
                 async with running(a, b):
                     a.transport.send(str(b.address), SMALL)
                     b.transport.send(str(a.address), SMALL)
-                    await until(lambda a=a, b=b: a.received and b.received)
+                    await wait_until(lambda a=a, b=b: a.received and b.received)
                 self.assertEqual((a.refused, b.refused), ([], []))
                 foreign = int(before[0] != after[0])
                 self.assertEqual(b.transport.frames_by_accepted_keys, foreign)
 
-    async def test_small_messages_go_by_datagram_and_large_ones_by_stream(self) -> None:
+    async def test_small_messages_are_sent_as_datagrams_and_large_ones_as_streams(self) -> None:
         a, b = Peer("a"), Peer("b")
         async with running(a, b):
             for message in (SMALL, LARGE):
                 a.transport.send(str(b.address), message)
-                await until(lambda: b.received)
+                await wait_until(lambda: b.received)
                 envelope = b.received.pop()
                 self.assertEqual((envelope.sender, envelope.message), ("a", message))
                 self.assertEqual(envelope.address, str(a.address))
@@ -121,9 +121,9 @@
             ):
                 async with await connect("127.0.0.1", b.address) as stream:
                     await stream.send(stream_bytes)
-            await until(lambda: len(b.refused) == 8)
+            await wait_until(lambda: len(b.refused) == 8)
             a.transport.send(str(b.address), LARGE)
-            await until(lambda: len(b.received) == 2)
+            await wait_until(lambda: len(b.received) == 2)
         expected = {
             "frame-truncated": 3,
             "frame-stranger": 2,
@@ -132,41 +132,41 @@
         }
         self.assertEqual(dict(b.traffic.refused), expected)
 
-    async def test_a_frame_that_comes_slowly_is_told_of_while_it_arrives(self) -> None:
+    async def test_a_slow_frame_is_reported_while_it_arrives(self) -> None:
         b = Peer("b")
         frame = encode_frame(Envelope("x", "127.0.0.1:1", 1, 1, LARGE), KEY)
         data = len(frame).to_bytes(LENGTH_BYTES, "big") + frame
         async with running(b), await connect("127.0.0.1", b.address) as stream:
             for count, part in enumerate((data[:50_000], data[50_000:100_000]), 1):
                 await stream.send(part)
-                await until(lambda count=count: len(b.arriving) >= count)
+                await wait_until(lambda count=count: len(b.arriving) >= count)
                 await anyio.sleep(2 * ARRIVAL_INTERVAL_SECONDS)
             self.assertEqual(b.received, [])
             await stream.send(data[100_000:])
-            await until(lambda: b.received)
+            await wait_until(lambda: b.received)
         self.assertEqual(b.received[0].message, LARGE)
         self.assertEqual(set(b.arriving), {"127.0.0.1"})
 
-    async def test_streams_are_bounded_and_silent_ones_time_out(self) -> None:
+    async def test_streams_are_limited_and_silent_ones_time_out(self) -> None:
         b = Peer("b", streams=1, timeout=0.2)
         async with running(b):
             async with await connect("127.0.0.1", b.address):
                 async with await connect("127.0.0.1", b.address):
-                    await until(lambda: b.traffic.refused["streams-busy"] == 1)
-                await until(lambda: b.traffic.refused["frame-truncated"] == 1)
+                    await wait_until(lambda: b.traffic.refused["streams-busy"] == 1)
+                await wait_until(lambda: b.traffic.refused["frame-truncated"] == 1)
             for _ in range(3):
                 b.transport.send(str(b.address), LARGE)
             self.assertEqual(b.traffic.unsent["streams-busy"], 2)
 
-    async def test_what_cannot_be_sent_is_counted(self) -> None:
+    async def test_unsent_messages_are_counted(self) -> None:
         a = Peer("a")
         closed = socket.create_server(("127.0.0.1", 0))
-        nobody = Address(*closed.getsockname())
+        unreachable = Address(*closed.getsockname())
         closed.close()
         huge = SnapshotAnswer(LARGE.kind, LARGE.revision, {"a": "x" * STREAM_BYTES_MAX})
         async with running(a):
             a.transport.send("host:1", SMALL)
-            a.transport.send(str(nobody), LARGE)
-            a.transport.send(str(nobody), huge)
-            await until(lambda: a.traffic.unsent["stream"])
+            a.transport.send(str(unreachable), LARGE)
+            a.transport.send(str(unreachable), huge)
+            await wait_until(lambda: a.traffic.unsent["stream"])
         self.assertEqual(dict(a.traffic.unsent), {"bad-address": 1, "oversized": 1, "stream": 1})
--- a/tests/node/test_view.py
+++ b/tests/node/test_view.py
@@ -1,4 +1,4 @@
-"""What operators are told of a node's revisions and reads."""
+"""Status of a node's revisions and reads for operators."""
 
 import unittest
 from random import Random
@@ -19,8 +19,8 @@
 from tests.core.test_durable_source import DURABLE, MACHINES, PEER, tree
 from tests.core.test_node import TREE
 
-UNIX = 1_000_000.0
-"""Unix time when the clock of the node stands at 0."""
+UNIX_START = 1_000_000.0
+"""Unix time when the node's clock is 0."""
 
 
 class NodeViewTest(unittest.TestCase):
@@ -44,11 +44,11 @@
         )
         for name, function in (
             ("now", lambda: self.now),
-            ("unix_time", lambda: UNIX + self.now),
+            ("unix_time", lambda: UNIX_START + self.now),
         ):
-            patched = mock.patch.object(clock, name, function)
-            patched.start()
-            self.addCleanup(patched.stop)
+            patch = mock.patch.object(clock, name, function)
+            patch.start()
+            self.addCleanup(patch.stop)
 
     def status(self) -> NodeStatus:
         return self.view.status()
@@ -62,26 +62,26 @@
         self.assertIsNone(self.status().behind_for)
         self.now = 0.25
         newest = revision_id_of(9, tree("new"))
-        word = Announce(VersionState.of(newest, newest, 1, True))
-        self.core.handle(self.now, MessageReceived(PEER.name, PEER.address, 500, word))
+        announcement = Announce(VersionState.of(newest, newest, 1, True))
+        self.core.handle(self.now, MessageReceived(PEER.name, PEER.address, 500, announcement))
         self.now = 1.0
         status = self.status()
         self.assertEqual((status.newest_heard, status.behind_for), (9, 0.75))
         newer, older = status.stages
-        self.assertEqual((newer.number, newer.heard, newer.held), (9, UNIX + 0.25, None))
-        self.assertEqual((older.number, older.way, older.in_force), (7, "source", UNIX))
+        self.assertEqual((newer.number, newer.heard, newer.held), (9, UNIX_START + 0.25, None))
+        self.assertEqual((older.number, older.way, older.in_force), (7, "source", UNIX_START))
 
-    def test_reads_are_told_of_by_a_node_that_reads(self) -> None:
+    def test_reads_are_shown_by_a_node_that_reads(self) -> None:
         self.core.handle(self.now, Ticked())
         self.now = 0.5
-        opened = self.status().reads["configuration"]
-        self.assertEqual((opened.open_for, opened.open_reads), (0.5, 1))
+        open_read = self.status().reads["configuration"]
+        self.assertEqual((open_read.open_for, open_read.open_reads), (0.5, 1))
         kind = DocumentKind.CONFIGURATION
         self.core.handle(self.now, DocumentReadFailed(kind, "", failure=ReadFailure.SILENT))
         failed = self.status().reads["configuration"]
         self.assertEqual((failed.open_for, failed.failures, failed.failure), (None, 1, "silent"))
 
-    def test_failures_of_a_node_that_reads_no_more_are_past(self) -> None:
+    def test_failures_of_a_node_that_no_longer_reads_are_omitted(self) -> None:
         kind = DocumentKind.CONFIGURATION
         self.core.handle(self.now, DocumentReadFailed(kind, "", failure=ReadFailure.SILENT))
         self.serve()
