--- a/src/pewtertack/core/replication/reader.py
+++ b/src/pewtertack/core/replication/reader.py
@@ -1,4 +1,4 @@
-"""Reading the platform: when reads are due, and what their answers say."""
+"""Reads of the platform: when they are due, and which of their answers confirm held documents."""
 
 from __future__ import annotations
 
@@ -22,36 +22,37 @@
 
 BACKOFF_FACTOR = 2.0
 MIN_WAIT_SHARE = 0.2
-"""Of its usual wait, for the read after a change."""
+"""Lower bound of the random share of its usual wait that the read after a change gets."""
 OVERDUE_SECONDS = 2.0
-"""Seconds beyond its wait after which a read that is still open confirms nothing."""
+"""Time after the end of its wait from which a read that is still open confirms nothing."""
 
 
 class ReadContext(msgspec.Struct, frozen=True):
-    """What a read needs to know of what this node holds, beside the numbers."""
+    """The state of this node that a read needs, in addition to the numbers of held documents."""
 
     era: int = 0
-    """The latest era of the source that the node has heard of."""
+    """The latest era of the source that is known to this node."""
     era_since: float = 0.0
-    """When the node heard of it, in monotonic seconds."""
-    evacuated: tuple[str, ...] = ()
+    """When this node learned of the era, in monotonic seconds."""
+    evacuated_zones: tuple[str, ...] = ()
     """The zones that the held tree names as evacuated."""
-    ended: Mapping[str, int] = {}
-    """Those that it names no longer (`core.ended_evacuations`)."""
+    ended_evacuations: Mapping[str, int] = {}
+    """The zones that the tree no longer names as evacuated (``core.ended_evacuations``)."""
     doubts_copy: bool = False
-    """Whether the node cannot know which evacuations a copy shows have ended."""
-    held: RevisionId = NO_REVISION
-    """Of the held tree."""
-    tree: Document | None = None
+    """Whether an old copy of the source may show evacuations whose end this node did not see."""
+    held_revision: RevisionId = NO_REVISION
+    """The revision of the held tree."""
+    held_tree: Document | None = None
+    """The held tree."""
 
 
 EMPTY_READ_CONTEXT = ReadContext()
 
 
 class PlatformReader:
-    """Issues reads of both documents while its readership tells this node to.
+    """Issues reads of both documents while its readership policy selects this node as a reader.
 
-    What the platform has confirmed goes into ``freshness``.
+    Confirmations of the platform are recorded in ``freshness``.
     """
 
     def __init__(
@@ -75,11 +76,13 @@
         self.answer_times = AnswerTimes(profile.read_patience)
         self.last_answer_at: dict[DocumentKind, float] = {}
         self._paused: set[DocumentKind] = set()
-        """Documents of which no answer has come since a pause of this process."""
+        """Documents for which no answer has arrived since a pause of this process."""
         self._last_numbers: dict[DocumentKind, int] = {}
+        """The number of the last answer."""
         self._stale_numbers: dict[DocumentKind, int] = {}
+        """The number of the last answer if it was older than the held document."""
         self._changed: set[DocumentKind] = set()
-        """Documents of which the last answer was a change, which ended the reads of all nodes."""
+        """Documents whose last answer was a change, which ended the reads of all nodes."""
         self.reading = False
         self._context = EMPTY_READ_CONTEXT
 
@@ -89,18 +92,23 @@
         allowed: bool,
         numbers: dict[DocumentKind, int],
         joining: bool = False,
-        held: ReadContext = EMPTY_READ_CONTEXT,
+        context: ReadContext = EMPTY_READ_CONTEXT,
     ) -> list[Effect]:
-        """Return the reads that are due; ``numbers`` are those already held.
-
-        ``joining`` tells that the node joins a fleet whose source is durable.
+        """Return the reads that are due.
+
+        Args:
+            now: monotonic seconds.
+            allowed: whether the phase of the node lets it read for others.
+            numbers: the numbers of the held documents.
+            joining: whether the node joins a fleet whose source is durable.
+            context: further state of the node.
         """
-        self._context = held
+        self._context = context
         effects = self._set_reading(self.readership.should_read(now, allowed, joining))
         self._confirm_by_open_reads(now)
-        looking = self.readership.starts_with_stale_read and (allowed or joining)
+        may_read_stale = self.readership.starts_with_stale_read and (allowed or joining)
         for kind in DocumentKind:
-            if looking and numbers[kind] == 0:
+            if may_read_stale and numbers[kind] == 0:
                 effects += self._read_if_due(now, kind, 0, may_be_stale=True)
             elif self.reading:
                 effects += self._read_if_due(now, kind, numbers[kind], may_be_stale=False)
@@ -113,26 +121,26 @@
         return [Log(Event.READER_STARTED if reading else Event.READER_STOPPED, {})]
 
     def _confirm_by_open_reads(self, now: float) -> None:
-        """While the platform holds a read open, it has nothing newer.
+        """Confirm documents with open reads: while the platform holds one open, nothing is newer.
 
-        A connection that has silently gone is noticed by the platform adapter.
+        The platform adapter detects connections that were lost without notice.
         """
-        overdue = max(OVERDUE_SECONDS, self.answer_times.timeout_seconds)
+        timeout_seconds = max(OVERDUE_SECONDS, self.answer_times.timeout_seconds)
         for kind, reads in self.open_reads.items():
             answered_at = self.last_answer_at.get(kind)
             if answered_at is None or not any(self._confirms(read) for read in reads):
                 continue
             if reads.failure_count or kind in self._stale_numbers or kind in self._paused:
                 continue
-            if now - answered_at <= self._profile.read_wait + overdue:
+            if now - answered_at <= self._profile.read_wait + timeout_seconds:
                 self._freshness.confirm(kind, now)
 
     def _confirms(self, read: OpenRead) -> bool:
-        """Tell whether an open read shows that nothing has changed: its cursor is of this era."""
+        """Tell whether an open read proves that nothing has changed: it was issued in this era."""
         return read.confirms and read.effect.era >= self._context.era
 
     def after_pause(self) -> None:
-        """What is open since before a pause of this process confirms nothing."""
+        """Ignore confirmations by open reads, which were issued before a pause of the process."""
         self._paused.update(DocumentKind)
         for reads in self.open_reads.values():
             reads.after_pause()
@@ -143,29 +151,29 @@
         if now < self._not_before[kind] or not self._may_open(now, kind):
             return []
         self._last_read_id += 1
-        of_source = self._context
+        context = self._context
         read = ReadDocument(
             kind,
             self._known_number(kind, held),
             self._wait(now, kind, may_be_stale),
             may_be_stale,
-            of_source.era,
-            of_source.era_since,
-            of_source.evacuated,
-            of_source.ended,
-            of_source.doubts_copy,
-            of_source.held,
-            of_source.tree,
+            context.era,
+            context.era_since,
+            context.evacuated_zones,
+            context.ended_evacuations,
+            context.doubts_copy,
+            context.held_revision,
+            context.held_tree,
             self._last_read_id,
         )
         self.open_reads[kind].open(read, now, self.answer_times.timeout_seconds)
         return [read]
 
     def _may_open(self, now: float, kind: DocumentKind) -> bool:
-        """Tell whether a read may be opened beside those that are open.
+        """Tell whether a read may be opened in addition to those that are open.
 
-        It may beside overdue ones, beside one whose wait has passed, and beside those of a slow
-        source: an answer that has begun does not contain what changes meanwhile.
+        This is allowed if all open reads are overdue, if the wait of the newest has ended, or if
+        the source is slow. An answer that has begun does not contain changes that happen meanwhile.
         """
         reads = self.open_reads[kind]
         newest = reads.newest
@@ -181,36 +189,38 @@
         return self.answer_times.is_slow and kind in self.last_answer_at
 
     def _wait(self, now: float, kind: DocumentKind, may_be_stale: bool) -> float:
-        """Return for how long the platform may hold a read open, in seconds.
+        """Return for how many seconds the platform may hold a read open.
 
-        A read of a slow source is held until the next one begins. A change ends the reads of all
-        nodes at once, so the next ones are held for different times: then one of them begins soon
-        after any change, and is told of it while answers to earlier reads are still on their way.
+        A read of a slow source is held open until the next one starts. A change ends the reads of
+        all nodes at the same time, so the next reads get different waits. After any further change,
+        one of them then starts soon and receives the change while answers to earlier reads are
+        still being transferred.
         """
         if may_be_stale or self._must_confirm(kind) or self.open_reads[kind].is_any_overdue(now):
             return 0.0
-        longest = self._profile.read_wait
+        wait = self._profile.read_wait
         if kind in self._changed:
             self._changed.discard(kind)
-            longest *= self._random.uniform(MIN_WAIT_SHARE, 1.0)
+            wait *= self._random.uniform(MIN_WAIT_SHARE, 1.0)
         if self._overlaps(kind):
-            longest = min(longest, self._profile.read_overlap)
+            wait = min(wait, self._profile.read_overlap)
         if self._context.era and self._context.doubts_copy:
-            longest = min(longest, NEW_ENTRY_WAIT_SECONDS)
-        return longest
+            wait = min(wait, NEW_ENTRY_WAIT_SECONDS)
+        return wait
 
     def _must_confirm(self, kind: DocumentKind) -> bool:
-        """Tell whether a read is to confirm what is held, and not to wait for a change."""
+        """Tell whether a read must confirm the held document instead of waiting for a change."""
         if kind in self._paused:
             return True
         unconfirmed = kind not in self.last_answer_at or self.open_reads[kind].failure_count > 0
         return unconfirmed and self.readership.starts_with_stale_read
 
     def _known_number(self, kind: DocumentKind, held: int) -> int:
-        """Return the number to wait for a change of.
+        """Return the number of the document whose change the read waits for.
 
-        A stale platform is asked for a change of its own stale number, and a
-        rejected revision is not read again: either would be answered at once.
+        For a platform that returns stale documents this is its own stale number. For a rejected
+        revision it is the number of that revision. With the held number, either read would be
+        answered immediately.
         """
         return self._stale_numbers.get(kind) or max(held, self._last_numbers.get(kind, 0))
 
@@ -219,7 +229,7 @@
         return self.open_reads[kind].failure_count > 0
 
     def on_document(self, now: float, answer: DocumentRead, held: int) -> None:
-        """The platform answered with a document while the number ``held`` was held."""
+        """Process an answer that contains a document; ``held`` is the number of the held one."""
         kind, number = answer.kind, answer.number
         self._last_numbers[kind] = number
         self._changed.add(kind)
@@ -231,44 +241,45 @@
             self.on_answer(now, answer)
 
     def on_answer(self, now: float, answer: DocumentRead | DocumentUnchanged) -> None:
-        """The platform gave a usable answer that is no older than what is held."""
+        """Process an answer that is usable and no older than the held document."""
         if self._record_answer(now, answer):
             self._freshness.confirm(answer.kind, now)
 
     def _record_answer(self, now: float, answer: DocumentRead | DocumentUnchanged) -> bool:
-        """Note an answer; return whether it is no older than the last pause of this process."""
+        """Record an answer; return false if its read was opened before the last pause."""
         kind = answer.kind
-        recent = self._close_read(answer)
-        if not recent:
+        is_recent = self._close_read(answer)
+        if not is_recent:
             self._not_before[kind] = now
             return False
         self._paused.discard(kind)
-        few_read = self.readership.sends_heartbeats
-        gap = self._profile.few_readers_gap if few_read else self._profile.read_gap
+        has_few_readers = self.readership.sends_heartbeats
+        gap = self._profile.few_readers_gap if has_few_readers else self._profile.read_gap
         self._not_before[kind] = now + gap
         self.last_answer_at[kind] = now
         return True
 
     def _close_read(self, answer: DocumentRead | DocumentUnchanged) -> bool:
-        recent = self.open_reads[answer.kind].answered(answer.read_id)
-        if recent:
+        is_recent = self.open_reads[answer.kind].answered(answer.read_id)
+        if is_recent:
             self._record_time(answer.answer_seconds)
-        return recent
+        return is_recent
 
     def _record_time(self, seconds: float | None) -> None:
         if seconds is not None:
             self.answer_times.record(seconds)
 
     def on_stale_document(self, now: float, answer: DocumentRead) -> None:
-        """The platform gave an answer that may be old."""
+        """Process an answer that may be stale."""
         kind = answer.kind
         self._close_read(answer)
         self._not_before[kind] = now
 
     def on_failure(self, now: float, failed: DocumentReadFailed) -> dict[str, Any]:
-        """Wait before the next read: what the platform asked for, or longer each time.
+        """Delay the next read, by exponential backoff or longer if the platform asked for it.
 
-        Returns what the log tells of the failure.
+        Returns:
+            The fields for the log event of the failure.
         """
         kind, retry_after = failed.kind, failed.retry_after
         reads = self.open_reads[kind]
--- a/src/pewtertack/core/replication/rejections.py
+++ b/src/pewtertack/core/replication/rejections.py
@@ -1,4 +1,4 @@
-"""Since when a replica has refused the revisions of its source, for alerts."""
+"""Monitoring of how long a replica has been rejecting the revisions of its source, for alerts."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from pewtertack.core.replication.replica import ConfigurationReplica
 
 REPEAT_LOG_SECONDS = 60.0
-"""Between two log events of a refusal that lasts."""
+"""Interval between log events of a rejection that persists."""
 
 
 class RejectionMonitor:
-    """Notices that a revision newer than the held one is refused, and logs it while that lasts."""
+    """Detects that a revision newer than the held one is rejected, and logs it repeatedly."""
 
     __slots__ = ("_logged_at", "_replica", "since")
 
@@ -18,12 +18,12 @@
         self._replica = replica
         self._logged_at = 0.0
         self.since: float | None = None
-        """Monotonic seconds of the first refusal since the held revision; ``None`` without one."""
+        """Monotonic time of the first rejection since the held revision; ``None`` without one."""
 
     def tick(self, now: float) -> list[Effect]:
         """Return the log event that is due."""
-        refused = self._replica.current_rejection
-        if refused is None:
+        rejection = self._replica.current_rejection
+        if rejection is None:
             self.since = None
             return []
         if self.since is None:
@@ -32,4 +32,4 @@
         if now - self._logged_at < REPEAT_LOG_SECONDS:
             return []
         self._logged_at = now
-        return [self._replica.rejection_log(refused, lasting=now - self.since)]
+        return [self._replica.rejection_log(rejection, lasting_seconds=now - self.since)]
--- a/src/pewtertack/core/replication/replica.py
+++ b/src/pewtertack/core/replication/replica.py
@@ -1,4 +1,4 @@
-"""One replica of the configuration: held, committed and in-force revisions."""
+"""One replica of the configuration, with its held, committed and in-force revisions."""
 
 from __future__ import annotations
 
@@ -29,32 +29,32 @@
 MAX_REPORTED_FINDINGS = 5
 WRONG_DIGEST = "snapshot digest"
 DIGESTED_ENTRIES_PER_UNIT = 30
-"""Entries whose digest is computed in one unit."""
+"""Number of entries whose digest is computed in one unit of sliced work."""
 
 
 class Lag(Enum):
-    """What is known of a revision newer than the one in force."""
+    """Whether a revision newer than the one in force is known, and its state."""
 
     NONE = "none"
-    """There is none."""
+    """No newer revision is known."""
     COMING = "coming"
-    """It is committed, and will be in force as soon as it is here."""
+    """It is committed and comes into force as soon as it has arrived."""
     REFUSED = "refused"
-    """It was found invalid here."""
+    """It was rejected by this node as invalid."""
 
 
 class Rejection(msgspec.Struct, frozen=True):
-    """A refused revision and why."""
+    """A rejected revision and the findings that made it invalid."""
 
     revision: RevisionId
     findings: tuple[Finding, ...]
 
 
 class ConfigurationReplica:
-    """Decides what to hold and what to bring into force.
+    """Decides which revision to hold and which to bring into force.
 
-    Invariants: the numbers of ``held``, ``committed`` and ``in_force`` never
-    decrease; ``in_force`` was committed and is valid, whole and resolved.
+    Invariants: the numbers of ``held``, ``committed`` and ``in_force`` never decrease; ``in_force``
+    was committed and is valid, complete and resolved.
     """
 
     def __init__(self, zone: str, mechanisms: Mechanisms) -> None:
@@ -72,28 +72,28 @@
 
     @property
     def held(self) -> RevisionId:
-        """The newest valid revision stored whole."""
+        """The newest valid revision that is stored completely."""
         return self.store.revision
 
     @property
     def in_force_number(self) -> int:
-        """The number of the revision in force; 0 for none."""
+        """The number of the revision in force, or 0 if there is none."""
         return self.in_force.revision.number if self.in_force is not None else 0
 
     @property
     def lag(self) -> Lag:
-        """Whether the revision in force is the newest that is known."""
-        refused = (
+        """Whether the revision in force is older than the newest known revision, and why."""
+        rejected_number = (
             self.current_rejection.revision.number if self.current_rejection is not None else 0
         )
-        newest = max(self.committed.number, refused)
-        if newest <= self.in_force_number:
+        newest_number = max(self.committed.number, rejected_number)
+        if newest_number <= self.in_force_number:
             return Lag.NONE
-        return Lag.REFUSED if newest == refused else Lag.COMING
+        return Lag.REFUSED if newest_number == rejected_number else Lag.COMING
 
     @property
     def current_rejection(self) -> Rejection | None:
-        """The last refused revision while nothing as new is held."""
+        """The last rejected revision, unless one at least as new is held."""
         rejection = self.last_rejection
         if rejection is None or rejection.revision.number <= self.held.number:
             return None
@@ -107,7 +107,7 @@
 
     @property
     def missing_committed(self) -> RevisionId | None:
-        """The committed revision, if this replica went past it without holding it."""
+        """The committed revision if it is not stored here although one at least as new is held."""
         if self.held.number < self.committed.number or self.committed.number == 0:
             return None
         if self.committed.number <= self.in_force_number:
@@ -115,11 +115,11 @@
         return self.committed if self.store.recent_document(self.committed) is None else None
 
     def offer_document(self, number: int, document: Document) -> list[Effect]:
-        """Take in the source's answer."""
+        """Hold the document that the source returned if it is newer and valid."""
         return run_to_completion(self.offer_document_in_slices(number, document))
 
     def offer_document_in_slices(self, number: int, document: Document) -> Work[list[Effect]]:
-        """Do what ``offer_document`` does, in slices."""
+        """Like ``offer_document``, in slices."""
         yield _digest_cost(document)
         revision = revision_id_of(number, document)
         yield _digest_cost(document)
@@ -128,7 +128,7 @@
     def offer_snapshot_in_slices(
         self, revision: RevisionId, document: Document
     ) -> Work[list[Effect]]:
-        """Take in a peer's whole document, in slices, if its digest is right."""
+        """Hold a peer's snapshot if its digest matches and it is newer and valid, in slices."""
         yield _digest_cost(document)
         if revision_id_of(revision.number, document) != revision:
             return [Log(Event.FRAME_REFUSED, {"reason": WRONG_DIGEST})]
@@ -140,14 +140,14 @@
         return run_to_completion(self.offer_in_slices(revision, document))
 
     def offer_in_slices(self, revision: RevisionId, document: Document) -> Work[list[Effect]]:
-        """Do what ``offer`` does, in slices."""
-        refused = self._refuse_by_order(revision)
-        if refused is not None:
-            return refused
+        """Like ``offer``, in slices."""
+        refusal = self._refuse_by_order(revision)
+        if refusal is not None:
+            return refusal
         document = yield from self._share_in_slices(document)
-        rejected = yield from self._check_in_slices(revision, document)
-        if rejected is not None:
-            return rejected
+        rejection = yield from self._check_in_slices(revision, document)
+        if rejection is not None:
+            return rejection
         if revision.number < self.held.number and revision == self.missing_committed:
             self.store.keep_recent(revision, document)
             return []
@@ -156,37 +156,38 @@
         return [self._held_log()]
 
     def offer_deltas(self, deltas: tuple[Delta, ...]) -> list[Effect]:
-        """Hold the end of a chain of deltas if it is newer and valid.
+        """Hold the target of a chain of deltas if it is newer and valid.
 
-        A chain that does not fit, or whose end is invalid, changes nothing.
+        A chain that does not fit, or whose target is invalid, changes nothing.
 
         Raises:
-            DeltaMismatchError: the chain starts at the held revision but an edit
-                does not fit or the result has another digest.
+            DeltaMismatchError: the chain starts at the held revision, but an edit does not apply or
+                the digest of the result differs.
         """
         return run_to_completion(self.offer_deltas_in_slices(deltas))
 
     def offer_deltas_in_slices(self, deltas: tuple[Delta, ...]) -> Work[list[Effect]]:
-        """Do what ``offer_deltas`` does, in slices; it raises the same."""
+        """Like ``offer_deltas``, in slices; raises the same errors."""
         yield _digest_cost(self.store.document)
         steps = self.store.resolve_chain(deltas)
         if not steps:
             return []
         revision, document = steps[-1].delta.target, steps[-1].document
-        refused = self._refuse_by_order(revision)
-        if refused is not None:
-            return refused
+        refusal = self._refuse_by_order(revision)
+        if refusal is not None:
+            return refusal
         yield _digest_cost(document)
-        rejected = yield from self._check_in_slices(revision, document)
-        if rejected is not None:
-            return rejected
+        rejection = yield from self._check_in_slices(revision, document)
+        if rejection is not None:
+            return rejection
         self.store.put_steps(steps)
         return [self._held_log()]
 
     def _share_in_slices(self, document: Document) -> Work[Document]:
-        """Return the document with the tables of the held one that it leaves alone.
+        """Return an equal document that shares unchanged tables with the held one.
 
-        A source may answer with anything; what is no tree is left to validation.
+        A source may return anything; a value that is no tree is returned as is, for validation to
+        reject.
         """
         try:
             return (yield from self.store.share_in_slices(document))
@@ -194,17 +195,20 @@
             return document
 
     def _refuse_by_order(self, revision: RevisionId) -> list[Effect] | None:
-        """Refuse what is neither newer nor the committed revision we lack."""
+        """Return the effects of refusing a revision because of its number, or ``None``.
+
+        Accepted are newer revisions and the committed revision that is missing here.
+        """
         if revision == self.held:
             return []
         if revision == self.missing_committed:
             return None
         try:
-            newer = revision.is_newer_than(self.held)
+            is_newer = revision.is_newer_than(self.held)
         except RevisionConflictError:
             self.conflicts += 1
             return [self._revision_log(Event.REVISION_CONFLICT, revision)]
-        if newer or not self._mechanisms.monotonic_numbers:
+        if is_newer or not self._mechanisms.monotonic_numbers:
             return None
         self.stale_answers += 1
         return [self._revision_log(Event.REVISION_STALE, revision)]
@@ -212,7 +216,7 @@
     def _check_in_slices(
         self, revision: RevisionId, document: Document
     ) -> Work[list[Effect] | None]:
-        """Return what refuses the document; nothing if it is valid."""
+        """Return the effects of rejecting the document, or ``None`` if it is valid."""
         if self.last_rejection is not None and self.last_rejection.revision == revision:
             return []
         if not self._mechanisms.validation:
@@ -224,14 +228,14 @@
         return [self.rejection_log(self.last_rejection)]
 
     def mark_committed(self, revision: RevisionId) -> bool:
-        """Take in a commit mark; return whether it was news."""
+        """Record that ``revision`` is committed; return whether that was new."""
         if revision.number <= self.committed.number:
             return False
         self.committed = revision
         return True
 
     def next_in_force(self) -> ResolvedConfiguration | None:
-        """Return the configuration to swap in now, if the committed one is held."""
+        """Bring the committed revision into force if it is held, and return its configuration."""
         return self.advance_in_force(Budget())
 
     @property
@@ -240,9 +244,9 @@
         return self._resolving is not None
 
     def advance_in_force(self, budget: Budget) -> ResolvedConfiguration | None:
-        """Do what ``next_in_force`` does as far as the budget allows; go on at the next call.
+        """Like ``next_in_force``, as far as ``budget`` allows; the next call continues.
 
-        One that has been begun comes into force before a newer one is begun.
+        A configuration whose resolution has started comes into force before a newer one is started.
         """
         if self._resolving is None:
             self._resolving = self._next_to_resolve()
@@ -270,12 +274,12 @@
             return None
         return SlicedWork(resolving_checked(document, target, self._zone, self._resolved_routes))
 
-    def rejection_log(self, rejection: Rejection, lasting: float | None = None) -> Log:
-        """Return the event of a refusal; ``lasting`` is its age in seconds."""
+    def rejection_log(self, rejection: Rejection, lasting_seconds: float | None = None) -> Log:
+        """Return the log event of a rejection; ``lasting_seconds`` is how long it has persisted."""
         log = self._revision_log(Event.REVISION_REJECTED, rejection.revision)
         log.fields["findings"] = list(map(str, rejection.findings[:MAX_REPORTED_FINDINGS]))
-        if lasting is not None:
-            log.fields["lasting"] = round(lasting, 3)
+        if lasting_seconds is not None:
+            log.fields["lasting"] = round(lasting_seconds, 3)
         return log
 
     def _held_log(self) -> Log:
--- a/src/pewtertack/core/replication/service.py
+++ b/src/pewtertack/core/replication/service.py
@@ -1,4 +1,4 @@
-"""Replication for one node: read, hold, announce, pull, report and commit."""
+"""Replication service of one node: reads, holds, announces, pulls, reports and commits."""
 
 from __future__ import annotations
 
@@ -57,7 +57,8 @@
 
 MILLISECONDS_PER_SECOND = 1000.0
 FIRST_START_SPREAD = 1.25
-"""Nodes that wait for the list do not all read at one moment."""
+"""Upper bound of the random factor of the first read's delay, so that nodes that wait for the
+machine list do not all read at the same time."""
 FAILURE_EVENTS = {
     DocumentKind.CONFIGURATION: Event.SOURCE_FAILED,
     DocumentKind.MACHINE_LIST: Event.MACHINE_LIST_FAILED,
@@ -65,7 +66,7 @@
 
 
 class Replication:
-    """Spreads both documents and decides when a configuration is committed."""
+    """Replicates both documents and decides when a configuration is committed."""
 
     def __init__(
         self,
@@ -86,14 +87,14 @@
         self.rejections = RejectionMonitor(self.replica)
         self.machine_list = MachineListReplica(self._source.hold_after_return, now)
         self.era = 0
-        """The latest era of the source that this node has heard of."""
+        """The latest era of the source that is known to this node."""
         self._era_since = now
         self.restore_inquiry = RestoreInquiry(
             profile, membership.table, random, self._source.hold_after_return, now
         )
         self._ended_evacuations = EndedEvacuations()
         self._source_silence_seconds = math.inf
-        """Seconds between the source's last word and the first of this era."""
+        """Time between the source's last confirmation and the beginning of this era."""
         stores = {
             DocumentKind.CONFIGURATION: self.replica.store,
             DocumentKind.MACHINE_LIST: self.machine_list.store,
@@ -106,7 +107,7 @@
         self.quorum = QuorumCommit(identity, profile, membership, now)
         self.freshness = SourceFreshness()
         first_read_at = now + self._first_read_delay()
-        parts = ReadershipInputs(
+        inputs = ReadershipInputs(
             identity,
             profile,
             membership.table,
@@ -115,7 +116,7 @@
             first_read_at,
             self._source.wide_link,
         )
-        readership = READERSHIPS[profile.readership](parts)
+        readership = READERSHIPS[profile.readership](inputs)
         self.reader = PlatformReader(
             profile,
             readership,
@@ -130,18 +131,18 @@
         )
         self.skipped_items = SkippedItems()
         self.budget = Budget()
-        """What may be done of long work in the present turn."""
+        """The amount of sliced work that may be done in the current turn."""
         self.stages = StageReports()
         self.serving = False
 
     def _first_read_delay(self) -> float:
-        """Return how long a fleet that starts for the first time waits for its machine list."""
+        """Return the seconds for which a new fleet waits for its machine list before it reads."""
         if not self._source.first_start:
             return 0.0
         return self._profile.first_start_delay * self._random.uniform(1.0, FIRST_START_SPREAD)
 
     def state(self) -> VersionState:
-        """Return the versions to tell peers."""
+        """Return the versions to advertise to peers."""
         return VersionState.of(
             self.replica.held,
             self.replica.committed,
@@ -149,15 +150,15 @@
             self.serving,
         )
 
-    def after_pause(self, now: float, deaf_for: float) -> None:
-        """Trust nothing that the source said before, nor peers' words of meanwhile."""
-        self.freshness.reset(now, deaf_for)
+    def after_pause(self, now: float, ignore_reports_seconds: float) -> None:
+        """Discard confirmations from before a pause; ignore reports that arrived during it."""
+        self.freshness.reset(now, ignore_reports_seconds)
         self.reader.after_pause()
         self.restore_inquiry.restart(now)
         self.machine_list.overrides.new_entries.began_at = now
 
     def held_number(self, kind: DocumentKind) -> int:
-        """Return the number of the newest held revision of a document."""
+        """Return the number of the held revision of a document."""
         if kind is DocumentKind.CONFIGURATION:
             return self.replica.held.number
         return self.machine_list.revision.number
@@ -165,7 +166,7 @@
     def tick(self, now: float, may_read: bool, joining: bool = False) -> list[Effect]:
         """Return the reads, pulls and reports that are due.
 
-        A joiner reads a durable source itself, since that alone lets it serve.
+        A joiner reads a durable source itself, because that is sufficient for it to serve.
         """
         numbers = {kind: self.held_number(kind) for kind in DocumentKind}
         effects = self.machine_list.tick(now) + self.rejections.tick(now) + self._due_inquiries(now)
@@ -179,7 +180,7 @@
         return effects
 
     def _due_inquiries(self, now: float) -> list[Effect]:
-        """Ask peers what they hold against lists of a new era."""
+        """Return the requests for peers' overrides of the lists of a new era."""
         request = JoinRequest(self._membership.own_update)
         names = self.restore_inquiry.peers_to_ask(now)
         return [effect for name in names for effect in self._membership.send(name, request)]
@@ -187,7 +188,7 @@
     def on_join_answer(
         self, now: float, sender: str, address: str, state: VersionState
     ) -> list[Effect]:
-        """Take in a peer's versions; one that does not know of the era is told of it."""
+        """Process a peer's versions; inform it of the era if it does not know it."""
         effects = self.on_peer_state(now, sender, address, state)
         if self.restore_inquiry.on_join_answer(sender, state):
             effects.append(Send(sender, address, Announce(self.state())))
@@ -196,22 +197,22 @@
         return effects
 
     def _read_context(self, now: float) -> ReadContext:
-        """Return what a read is told, in era 0 too: the read may be the first of a new one."""
-        held, doubts = self.replica.held, self.restore_inquiry.doubts_copy(now)
+        """Return the context of a read, also in era 0: the read may be the first of a new era."""
+        held, doubts_copy = self.replica.held, self.restore_inquiry.doubts_copy(now)
         if held.number == 0:
-            return ReadContext(self.era, self._era_since, doubts_copy=doubts)
+            return ReadContext(self.era, self._era_since, doubts_copy=doubts_copy)
         tree, ended = self.replica.store.document, dict(self._ended_evacuations.ended)
         evacuated = self._evacuated_zones()
-        return ReadContext(self.era, self._era_since, evacuated, ended, doubts, held, tree)
+        return ReadContext(self.era, self._era_since, evacuated, ended, doubts_copy, held, tree)
 
     def _evacuated_zones(self) -> tuple[str, ...]:
-        """Return the zones that the held tree names."""
+        """Return the zones that the held tree names as evacuated."""
         return tuple(self.replica.store.document.get(RootSection.EVACUATED_ZONES.value, ()))
 
-    # The platform's answers.
+    # Answers of the platform.
 
     def on_document_read(self, now: float, read: DocumentRead) -> list[Effect]:
-        """Take in a document that this node read."""
+        """Process a document that this node read."""
         kind, number, document = read.kind, read.number, read.document
         if kind is DocumentKind.MACHINE_LIST:
             self._observe_era(now, number)
@@ -227,11 +228,11 @@
             offered = self.machine_list.offer(now, revision_id_of(number, document), document)
             return effects + self._after_machine_list(now, offered)
         self.stages.log.record_reported(now, number)
-        make = partial(self.replica.offer_document_in_slices, number, document)
-        return effects + self._offer(now, Offer(number, DeliveryChannel.SOURCE, make))
+        make_work = partial(self.replica.offer_document_in_slices, number, document)
+        return effects + self._offer(now, Offer(number, DeliveryChannel.SOURCE, make_work))
 
     def on_document_unchanged(self, now: float, answer: DocumentUnchanged) -> list[Effect]:
-        """The source answered that the document has not changed."""
+        """Process the source's answer that a document has not changed."""
         kind = answer.kind
         effects = self._log_regained(kind)
         effects += self.skipped_items.record_answer(kind, answer.answer_findings)
@@ -244,7 +245,7 @@
         return [Log(Event.SOURCE_REGAINED, {"document": kind.name})]
 
     def on_read_failed(self, now: float, failed: DocumentReadFailed) -> list[Effect]:
-        """Back off from the platform."""
+        """Record a failed read and delay the next one."""
         kind = failed.kind
         was_failing = self.reader.is_failing(kind)
         fields = self.reader.on_failure(now, failed)
@@ -255,12 +256,12 @@
             effects.append(Log(Event.SOURCE_LOST, {"document": kind.name}))
         return effects
 
-    # What peers say of their versions.
+    # Versions that peers report.
 
     def on_peer_state(
         self, now: float, sender: str, address: str, state: VersionState
     ) -> list[Effect]:
-        """Take in a peer's versions: adopt its commit mark, pull what is newer."""
+        """Process a peer's versions: adopt its commit mark and pull newer documents."""
         effects = self.stages.on_reported(now, sender, state.newest)
         effects += self._adopt_commit(now, state.committed)
         self._observe_era(now, state.machine_list)
@@ -271,27 +272,27 @@
     def on_heartbeat(
         self, now: float, sender: str, address: str, heartbeat: ReaderHeartbeat
     ) -> list[Effect]:
-        """Take in what a reader tells: its changes, its versions, how old the source's word is."""
+        """Process a reader's heartbeat: its changes, its versions and the ages of confirmations."""
         effects: list[Effect] = []
         for answer in heartbeat.deltas:
             effects += self._offer_delta_answer(now, answer, DeliveryChannel.HEARTBEAT)
-        listed = RevisionId(heartbeat.state.machine_list, heartbeat.list_digest)
-        self._observe_era(now, listed.number)
-        effects += self._after_machine_list(now, self.machine_list.renumber(now, listed))
+        list_revision = RevisionId(heartbeat.state.machine_list, heartbeat.list_digest)
+        self._observe_era(now, list_revision.number)
+        effects += self._after_machine_list(now, self.machine_list.renumber(now, list_revision))
         effects += self.on_peer_state(now, sender, address, heartbeat.state)
-        if era_of(listed.number) < self.era:
-            return effects  # the word of a source that has come back since confirms nothing
+        if era_of(list_revision.number) < self.era:
+            return effects  # confirmations from before the restore of the source are void
         self._record_peer_ages(now, heartbeat)
         lease = self._profile.reader_lease
         ages = (heartbeat.ages.of(kind) for kind in DocumentKind)
         if all(age is not None and age <= lease * MILLISECONDS_PER_SECOND for age in ages):
             member = self._membership.table.get(sender)
-            near = member is not None and member.update.zone == self._identity.zone
-            self.reader.readership.on_heartbeat(now, sender, near, heartbeat.wide_link)
+            in_own_zone = member is not None and member.update.zone == self._identity.zone
+            self.reader.readership.on_heartbeat(now, sender, in_own_zone, heartbeat.wide_link)
         return effects
 
     def _observe_era(self, now: float, number: int) -> None:
-        """A machine list of this number exists: its era has begun."""
+        """Start the era of a machine list number that is known to exist, if it is a new era."""
         if era_of(number) > self.era:
             self.era = era_of(number)
             self._era_since = now
@@ -299,39 +300,42 @@
             self._source_silence_seconds = self.freshness.age(now, DocumentKind.MACHINE_LIST)
 
     def _record_peer_ages(self, now: float, heartbeat: ReaderHeartbeat) -> None:
-        """A peer's word covers what is held here if that is no older than what the peer holds."""
-        told = {
+        """Apply a peer's confirmations to documents that are at least as new as the peer's."""
+        peer_numbers = {
             DocumentKind.CONFIGURATION: heartbeat.state.held.number,
             DocumentKind.MACHINE_LIST: heartbeat.state.machine_list,
         }
-        for kind, number in told.items():
+        for kind, number in peer_numbers.items():
             age = heartbeat.ages.of(kind)
             if age is not None and self.held_number(kind) >= number:
                 self.freshness.record_peer_age(now, kind, age)
 
     def due_heartbeats(self, now: float) -> list[Effect]:
-        """Return the heartbeats that a reader has to send now."""
+        """Return the heartbeats to send now, if this node is a reader."""
         if not (self.reader.reading and self.reader.readership.sends_heartbeats):
             return []
         return self._heartbeats.due_heartbeats(now, self.state())
 
     def messages_for_joiner(self, now: float, name: str, address: str) -> list[Effect]:
-        """Return what only a serving peer knows: the source's word, if it is recent here, and
-        what is held against lists of a new era."""
+        """Return the messages with knowledge that only serving peers have.
+
+        These are the overrides of the machine list, the ended evacuations and a heartbeat if the
+        source's last confirmation is recent.
+        """
         effects: list[Effect] = [
-            Send(name, address, told) for told in self.machine_list.override_messages(now)
+            Send(name, address, message) for message in self.machine_list.override_messages(now)
         ]
         age = now - self._era_since
         if self.era and self._ended_evacuations.ended and age < self._source.hold_after_return:
             zones = starmap(EndedEvacuation, self._ended_evacuations.ended.items())
-            told = EvacuationsEnded(self.era, round(age * MILLISECONDS_PER_SECOND), tuple(zones))
-            effects.append(Send(name, address, told))
+            message = EvacuationsEnded(self.era, round(age * MILLISECONDS_PER_SECOND), tuple(zones))
+            effects.append(Send(name, address, message))
         if self.reader.readership.sends_heartbeats:
             effects += self._heartbeats.for_joiner(now, name, address, self.state())
         return effects
 
     def on_announce(self, now: float, sender: str, address: str, message: Announce) -> list[Effect]:
-        """Take in an eager notice, with its inline delta if it fits."""
+        """Process an announcement; apply its inline delta if it fits the held revision."""
         effects: list[Effect] = []
         delta = message.delta
         if delta is not None and delta.base == self.replica.held:
@@ -344,7 +348,7 @@
     # Answers to pulls.
 
     def on_pull(self, now: float, sender: str, address: str, pull: Pull) -> list[Effect]:
-        """Serve a peer that lags."""
+        """Answer the pull of a peer."""
         answer = self._pull_server.answer(now, pull)
         if answer is None:
             return []
@@ -354,7 +358,7 @@
         return effects
 
     def on_frame_arriving(self, now: float, host: str) -> None:
-        """What a peer at ``host`` was asked for may be on its way."""
+        """Extend the timeouts of pulls from ``host``: an answer may be arriving."""
         self._pull_scheduler.on_frame_arriving(now, host)
 
     def on_deltas(self, now: float, answer: DeltaAnswer) -> list[Effect]:
@@ -363,50 +367,50 @@
         return self._offer_delta_answer(now, answer, DeliveryChannel.DELTA)
 
     def _offer_delta_answer(
-        self, now: float, answer: DeltaAnswer, way: DeliveryChannel
+        self, now: float, answer: DeltaAnswer, channel: DeliveryChannel
     ) -> list[Effect]:
         if answer.kind is DocumentKind.CONFIGURATION:
-            return self._offer_deltas(now, answer.deltas, way)
+            return self._offer_deltas(now, answer.deltas, channel)
         return self._after_machine_list(now, self.machine_list.offer_deltas(now, answer.deltas))
 
     def on_snapshot(self, now: float, answer: SnapshotAnswer) -> list[Effect]:
-        """Take in a whole document, if its digest is right."""
+        """Process a snapshot if its digest matches."""
         self._pull_scheduler.on_answer(answer.kind)
         revision, document = answer.revision, answer.document
         if answer.kind is DocumentKind.CONFIGURATION:
-            make = partial(self.replica.offer_snapshot_in_slices, revision, document)
-            return self._offer(now, Offer(revision.number, DeliveryChannel.SNAPSHOT, make))
+            make_work = partial(self.replica.offer_snapshot_in_slices, revision, document)
+            return self._offer(now, Offer(revision.number, DeliveryChannel.SNAPSHOT, make_work))
         if revision_id_of(revision.number, document) != revision:
             return [Log(Event.FRAME_REFUSED, {"reason": WRONG_DIGEST})]
         return self._after_machine_list(now, self.machine_list.offer(now, revision, document))
 
     def on_busy(self, now: float, busy: Busy) -> None:
-        """Come back later, or to another peer."""
+        """Retry after the delay that the busy peer asked for, possibly with another peer."""
         self._pull_scheduler.on_busy(now, busy)
 
     def _offer_deltas(
-        self, now: float, deltas: tuple[Delta, ...], way: DeliveryChannel
+        self, now: float, deltas: tuple[Delta, ...], channel: DeliveryChannel
     ) -> list[Effect]:
         if not deltas:
             return []
-        make = partial(self.replica.offer_deltas_in_slices, deltas)
-        return self._offer(now, Offer(deltas[-1].target.number, way, make))
+        make_work = partial(self.replica.offer_deltas_in_slices, deltas)
+        return self._offer(now, Offer(deltas[-1].target.number, channel, make_work))
 
     # Holding and committing.
 
     @property
     def is_working(self) -> bool:
-        """Whether an offered configuration is under work: ``go_on`` is to be called."""
+        """Whether an offered configuration is being processed; ``continue_work`` must be called."""
         return self._offer_queue.is_working
 
     def _offer(self, now: float, offered: Offer) -> list[Effect]:
-        """Offer a configuration to the replica, as far as this turn allows."""
-        idle = not self._offer_queue.is_working
+        """Queue an offered configuration; process it within this turn if the queue was idle."""
+        was_idle = not self._offer_queue.is_working
         self._offer_queue.add(offered)
-        return self.continue_work(now) if idle else []
+        return self.continue_work(now) if was_idle else []
 
     def continue_work(self, now: float) -> list[Effect]:
-        """Go on with offered configurations until none is left or the budget is spent."""
+        """Process offered configurations until none is left or the budget is spent."""
         try:
             return self._advance_offers(now)
         finally:
@@ -430,11 +434,11 @@
         return effects
 
     def _after_offer(self, now: float, before: RevisionId, done: Offer) -> list[Effect]:
-        """Tell others if the replica now holds something new."""
+        """Report and announce the held revision if the completed offer changed it."""
         effects = list(done.effects)
-        held, refused = self.replica.held, self.replica.current_rejection
-        ended = held if refused is None else refused.revision
-        self._pull_scheduler.forget_up_to(DocumentKind.CONFIGURATION, ended.number)
+        held, rejection = self.replica.held, self.replica.current_rejection
+        newest = held if rejection is None else rejection.revision
+        self._pull_scheduler.forget_up_to(DocumentKind.CONFIGURATION, newest.number)
         if held == before:
             return effects
         effects += self.stages.on_held(now, held.number, done.channel, effects)
@@ -451,13 +455,13 @@
         return self.replica.held.number > self.replica.committed.number
 
     def on_held_report(
-        self, now: float, sender: str, process: int, report: HeldReport
+        self, now: float, sender: str, incarnation: int, report: HeldReport
     ) -> list[Effect]:
-        """Count a holder; commit when a quorum holds the revision."""
+        """Record a holder; commit the revision if a quorum holds it."""
         if report.revision.number <= self.replica.committed.number:
             return self._membership.send(sender, Announce(self.state()))
         effects = self.stages.on_reported(now, sender, report.revision)
-        self.quorum.record_holder(sender, process, report.revision)
+        self.quorum.record_holder(sender, incarnation, report.revision)
         return effects + self._commit_if_held_by_quorum(now, report.revision)
 
     def _commit_if_held_by_quorum(self, now: float, revision: RevisionId) -> list[Effect]:
@@ -473,10 +477,10 @@
         self.quorum.on_commit(revision)
         return [*self.stages.on_committed(now, revision), *self._announce(None)]
 
-    # Spreading.
+    # Announcements.
 
     def _announce(self, delta: Delta | None) -> list[Effect]:
-        """Tell peers of something new; readers that send heartbeats tell by these."""
+        """Announce new versions to peers, unless readers send them with heartbeats."""
         if self.reader.readership.sends_heartbeats:
             return []
         return self._announcer.send(Announce(self.state(), delta))
@@ -484,7 +488,7 @@
     # The machine list.
 
     def _after_machine_list(self, now: float, effects: list[Effect]) -> list[Effect]:
-        """Seed the members from a list that came into use, and announce it."""
+        """If a new list came into use, add its nodes to the members and announce it."""
         if not any(isinstance(effect, UseMachineList) for effect in effects):
             return effects
         number = self.machine_list.revision.number
@@ -503,22 +507,22 @@
         return [Log(Event.SOURCE_RETURNED, fields)]
 
     def on_backends_leaving(self, notices: tuple[LeavingBackend, ...]) -> list[Effect]:
-        """Take back ends out of use before the list says so, and pass it on once."""
-        news = self.machine_list.mark_leaving(notices)
-        if not news:
+        """Mark back ends as leaving before the list does; forward new notices once."""
+        new_notices = self.machine_list.mark_leaving(notices)
+        if not new_notices:
             return []
         machines = self.machine_list.machines
-        return [UseMachineList(machines), *self._announcer.send(BackendsLeaving(news))]
+        return [UseMachineList(machines), *self._announcer.send(BackendsLeaving(new_notices))]
 
-    def on_list_overrides(self, now: float, told: ListOverrides) -> list[Effect]:
-        """Hold against lists of a new era what a peer holds."""
-        self._observe_era(now, told.number)
-        return self.machine_list.on_overrides(now, told)
+    def on_list_overrides(self, now: float, report: ListOverrides) -> list[Effect]:
+        """Apply a peer's overrides of the lists of a new era."""
+        self._observe_era(now, report.number)
+        return self.machine_list.on_overrides(now, report)
 
-    def on_evacuations_ended(self, now: float, told: EvacuationsEnded) -> None:
-        """Hold against a copy which evacuations a peer has seen to end."""
-        if told.era != self.era:
+    def on_evacuations_ended(self, now: float, report: EvacuationsEnded) -> None:
+        """Record evacuations that a peer has seen end, which override an old copy of the source."""
+        if report.era != self.era:
             return
-        self._era_since = min(self._era_since, now - told.age_ms / MILLISECONDS_PER_SECOND)
-        for ended in told.zones:
+        self._era_since = min(self._era_since, now - report.age_ms / MILLISECONDS_PER_SECOND)
+        for ended in report.zones:
             self._ended_evacuations.record_report(ended.zone, ended.created_until_revision)
--- a/src/pewtertack/core/replication/stage_reports.py
+++ b/src/pewtertack/core/replication/stage_reports.py
@@ -1,4 +1,4 @@
-"""Reports the stages that revisions reach, as log events and for the metrics."""
+"""Reports of the stages that revisions reach, as log events and metrics."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class StageReports:
-    """Keeps the log of stages and returns the effects that report each."""
+    """Maintains the log of stages and returns the effects that report them."""
 
     __slots__ = ("log",)
 
@@ -21,29 +21,29 @@
         self.log = StageLog()
 
     def on_reported(self, now: float, peer: str, revision: RevisionId) -> list[Effect]:
-        """A peer has told of a revision."""
+        """Record that a peer reported a revision."""
         if not self.log.record_reported(now, revision.number):
             return []
         return [Log(Event.REVISION_HEARD, {**_fields_of(revision), "peer": peer})]
 
     def on_held(
-        self, now: float, number: int, way: DeliveryChannel, logged: list[Effect]
+        self, now: float, number: int, channel: DeliveryChannel, logged: list[Effect]
     ) -> list[Effect]:
-        """A revision is held; what is ``logged`` of that is completed."""
-        stages = self.log.record_held(now, number, way)
+        """Record that a revision is held, and add stage fields to its ``logged`` event."""
+        stages = self.log.record_held(now, number, channel)
         for effect in logged:
             if isinstance(effect, Log) and effect.event is Event.REVISION_HELD:
                 effect.fields.update(_stage_fields(stages, Stage.HELD))
         return [_reached(stages, Stage.HELD)]
 
     def on_committed(self, now: float, revision: RevisionId) -> list[Effect]:
-        """A revision is committed."""
+        """Record that a revision is committed."""
         stages = self.log.record_committed(now, revision.number)
         fields = {**_fields_of(revision), **_stage_fields(stages, Stage.COMMITTED)}
         return [Log(Event.REVISION_COMMITTED, fields), _reached(stages, Stage.COMMITTED)]
 
     def on_in_force(self, now: float, configuration: ResolvedConfiguration) -> list[Effect]:
-        """The node serves by a configuration from now on."""
+        """Record that a configuration came into force."""
         stages = self.log.record_in_force(now, configuration.revision.number)
         fields = {**in_force_fields(configuration), **_stage_fields(stages, Stage.IN_FORCE)}
         return [Log(Event.REVISION_IN_FORCE, fields), _reached(stages, Stage.IN_FORCE)]
--- a/src/pewtertack/core/replication/stages.py
+++ b/src/pewtertack/core/replication/stages.py
@@ -1,4 +1,4 @@
-"""How far each recent revision has come at this node, and when."""
+"""Stages that recent revisions have reached at this node, with their times."""
 
 from __future__ import annotations
 
@@ -8,64 +8,64 @@
 
 
 class Stage(StrEnum):
-    """What a revision reaches at a node, in this order."""
+    """The stages of a revision at a node, in their order."""
 
     REPORTED = "heard"
-    """The source or a peer has told of its number."""
+    """The source or a peer has reported its number."""
     HELD = "held"
     COMMITTED = "committed"
     IN_FORCE = "in_force"
 
 
 class DeliveryChannel(StrEnum):
-    """How a revision came to be held."""
+    """The channel by which a node received a revision that it holds."""
 
     SOURCE = "source"
-    """This node read it."""
+    """This node read it from the source."""
     HEARTBEAT = "heartbeat"
-    """It came along with a reader's heartbeat."""
+    """It was contained in a reader's heartbeat."""
     DELTA = "delta"
-    """A peer sent what had changed."""
+    """A peer sent its changes."""
     SNAPSHOT = "snapshot"
     """A peer sent the whole tree."""
     UNKNOWN = "unknown"
 
 
 class RevisionStages:
-    """The moments of one revision; a stage that it has not reached is missing."""
+    """The times at which one revision reached its stages; stages not reached are absent."""
 
     __slots__ = ("number", "reached_at", "channel")
 
-    def __init__(self, number: int, heard_at: float) -> None:
+    def __init__(self, number: int, reported_at: float) -> None:
         self.number = number
         self.channel = DeliveryChannel.UNKNOWN
-        self.reached_at = {Stage.REPORTED: heard_at}
-        """In monotonic seconds."""
+        self.reached_at = {Stage.REPORTED: reported_at}
+        """Monotonic seconds by stage."""
 
     def seconds_to(self, stage: Stage) -> float:
-        """Return the seconds from hearing of the revision to a stage that it has reached."""
+        """Return the seconds from the first report of the revision to a stage that it reached."""
         return self.reached_at[stage] - self.reached_at[Stage.REPORTED]
 
 
 class StageLog:
-    """The stages of the latest revisions, ``MAX_TRACKED_REVISIONS`` at most."""
+    """The stages of the latest revisions, at most ``MAX_TRACKED_REVISIONS``."""
 
     __slots__ = ("_by_number", "behind_since", "in_force", "newest_reported")
 
     def __init__(self) -> None:
         self.newest_reported = 0
-        """The highest number that anybody has told of."""
+        """The highest number that the source or a peer reported."""
         self.in_force = 0
         self.behind_since: float | None = None
-        """Since when a newer number is known than is in force, in monotonic seconds."""
+        """Since when a number newer than the one in force is known, in monotonic seconds."""
         self._by_number: dict[int, RevisionStages] = {}
 
     def recent(self) -> tuple[RevisionStages, ...]:
-        """Return the revisions that are kept, the newest first."""
+        """Return the tracked revisions, newest first."""
         return tuple(self._by_number[number] for number in sorted(self._by_number, reverse=True))
 
     def record_reported(self, now: float, number: int) -> bool:
-        """Note that a revision exists; return whether none so new was known."""
+        """Record that a revision exists; return whether it is the newest known so far."""
         if number <= self.newest_reported:
             return False
         self.newest_reported = number
@@ -74,19 +74,19 @@
             self.behind_since = now
         return True
 
-    def record_held(self, now: float, number: int, way: DeliveryChannel) -> RevisionStages:
-        """Note that a revision is held, and how it came."""
+    def record_held(self, now: float, number: int, channel: DeliveryChannel) -> RevisionStages:
+        """Record that a revision is held and by which channel it was received."""
         stages = self._record(now, number, Stage.HELD)
         if stages.channel is DeliveryChannel.UNKNOWN:
-            stages.channel = way
+            stages.channel = channel
         return stages
 
     def record_committed(self, now: float, number: int) -> RevisionStages:
-        """Note that a revision is committed."""
+        """Record that a revision is committed."""
         return self._record(now, number, Stage.COMMITTED)
 
     def record_in_force(self, now: float, number: int) -> RevisionStages:
-        """Note that the node serves by a revision."""
+        """Record that a revision came into force."""
         stages = self._record(now, number, Stage.IN_FORCE)
         self.in_force = number
         newer = [item for item in self._by_number.values() if item.number > number]
--- a/src/pewtertack/core/replication/store.py
+++ b/src/pewtertack/core/replication/store.py
@@ -1,4 +1,4 @@
-"""Documents that one replica holds: the newest, and a bounded log of deltas."""
+"""Store of the documents that one replica holds: the newest and a bounded log of deltas."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 MAX_DELTAS = 64
 MAX_EDITS = 2000
-"""A delta log with more edits than this, and than the document has entries, is shortened, since a
-snapshot is cheaper then."""
+"""A delta log is shortened if it has more edits than this and than the document has entries, since
+a snapshot is then cheaper."""
 MAX_RECENT_DOCUMENTS = 8
-"""Recent documents share most of their content, as edits copy only their path."""
+"""Recent documents share most of their content, because an edit copies only its path."""
 
 
 class ChainStep:
-    """A delta with the document that it leads to."""
+    """A delta and the document that results from it."""
 
     __slots__ = ("delta", "document")
 
@@ -28,7 +28,7 @@
 
 
 class DocumentStore:
-    """The newest held revision of one document, with how it came about."""
+    """The newest held revision of one document, with its recent deltas and predecessors."""
 
     def __init__(self) -> None:
         self.revision = NO_REVISION
@@ -37,26 +37,26 @@
         self._recent: OrderedDict[RevisionId, Document] = OrderedDict()
 
     def share_with_newest(self, document: Document) -> Document:
-        """Return an equal document that shares with the newest what it leaves alone."""
+        """Return an equal document that shares unchanged tables with the newest one."""
         return run_to_completion(self.share_in_slices(document))
 
     def share_in_slices(self, document: Document) -> Work[Document]:
-        """Do what ``share`` does, in slices."""
+        """Like ``share_with_newest``, in slices."""
         edits = yield from compare_in_slices(self.document, document)
         return apply_edits(self.document, edits)
 
     def put(self, revision: RevisionId, document: Document) -> None:
-        """Hold ``document``; the caller has checked it and its digest."""
+        """Hold ``document``, which the caller has validated, including its digest."""
         delta = Delta(self.revision, revision, compare(self.document, document))
         self._append(delta, document)
 
     def resolve_chain(self, deltas: Iterable[Delta]) -> tuple[ChainStep, ...]:
-        """Return where a chain leads from the held revision, changing nothing.
+        """Return the steps of a chain of deltas from the held revision, without storing them.
 
-        What comes before the held revision is left out.
+        Deltas that precede the held revision are skipped.
 
         Raises:
-            DeltaMismatchError: an edit does not fit or yields another digest.
+            DeltaMismatchError: an edit does not apply or the digest of its result differs.
         """
         steps: list[ChainStep] = []
         revision, document = self.revision, self.document
@@ -67,7 +67,7 @@
         return tuple(steps)
 
     def put_steps(self, steps: Iterable[ChainStep]) -> None:
-        """Hold the end of a chain that ``follow`` returned."""
+        """Hold the last document of a chain that ``resolve_chain`` returned."""
         for step in steps:
             self._append(step.delta, step.document)
 
@@ -80,7 +80,7 @@
         self.keep_recent(delta.target, document)
 
     def keep_recent(self, revision: RevisionId, document: Document) -> None:
-        """Keep a document among the recent ones without making it the newest."""
+        """Add a document to the recent ones without making it the newest."""
         self._recent[revision] = document
         while len(self._recent) > MAX_RECENT_DOCUMENTS:
             self._recent.popitem(last=False)
@@ -92,11 +92,11 @@
             edits -= len(self._deltas.popleft().edits)
 
     def recent_document(self, revision: RevisionId) -> Document | None:
-        """Return the document of a recent revision, if still kept."""
+        """Return the document of a recent revision, or ``None`` if it is no longer kept."""
         return self._recent.get(revision)
 
     def deltas_since(self, revision: RevisionId) -> tuple[Delta, ...] | None:
-        """Return the chain from ``revision`` to the newest, or nothing if unknown."""
+        """Return the deltas from ``revision`` to the newest, or ``None`` if the log lacks them."""
         deltas = list(self._deltas)
         for index, delta in enumerate(deltas):
             if delta.base == revision:
@@ -105,10 +105,10 @@
 
     @property
     def last_delta(self) -> Delta | None:
-        """The newest edit, if the log has it."""
+        """The newest delta, if the log contains it."""
         return self._deltas[-1] if self._deltas else None
 
 
 def entry_count(document: Document) -> int:
-    """Return how many entries the tables of a document have."""
+    """Return the total number of entries in the tables of a document."""
     return sum(len(table) for table in document.values() if isinstance(table, dict))
