--- a/src/pewtertack/node/assembly.py
+++ b/src/pewtertack/node/assembly.py
@@ -35,7 +35,7 @@
     from pewtertack.node.platform import PlatformReader
     from pewtertack.node.proxy.application import ProxyApplication
     from pewtertack.node.proxy.edge import EdgeHeaders
-    from pewtertack.routing.runs import RunsBeside
+    from pewtertack.routing.executions import LocalExecutions
 
 
 STAGE_BUCKETS_SECONDS = (0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0)
@@ -136,13 +136,13 @@
     return CoordinationCollector(view.status, traffic)
 
 
-def _local_runs(settings: Settings) -> RunsBeside | None:
+def _local_runs(settings: Settings) -> LocalExecutions | None:
     """Return the state shared by proxy and gateway; it is imported only where a node has both."""
     if settings.listen.proxy is None or settings.listen.gateway is None:
         return None
-    from pewtertack.routing.runs import RunsBeside
+    from pewtertack.routing.executions import LocalExecutions
 
-    return RunsBeside()
+    return LocalExecutions()
 
 
 def _create_proxy(
@@ -151,7 +151,7 @@
     registry: MetricsRegistry,
     log: EventLog,
     reporter: CrashReporter,
-    local_runs: RunsBeside | None,
+    local_runs: LocalExecutions | None,
 ) -> ProxyApplication | None:
     """Return the proxy; its modules are imported only where a node has one."""
     if settings.listen.proxy is None:
@@ -183,7 +183,7 @@
     log: EventLog,
     registry: MetricsRegistry,
     reporter: CrashReporter,
-    local_runs: RunsBeside | None,
+    local_runs: LocalExecutions | None,
 ) -> GatewayApplication | None:
     """Return the gateway if the node has a local back end."""
     if settings.listen.gateway is None or settings.backend.address is None:
