--- a/src/pewtertack/core/replication/list_overrides.py
+++ b/src/pewtertack/core/replication/list_overrides.py
@@ -1,7 +1,7 @@
 """Encoding of a node's machine list overrides as messages for starting peers.
 
 Overrides are held against lists of a new era, after the source was restored from an old copy
-(``core.machine_list_overrides``).
+(``core.returned_lists``).
 """
 
 from __future__ import annotations
