--- a/src/pewtertack/core/address_owners.py
+++ b/src/pewtertack/core/address_owners.py
@@ -1,4 +1,4 @@
-"""The latest start known of a back end at each address, over a return of the source."""
+"""Latest known start time of a back end at each address, kept across a restore of the source."""
 
 from __future__ import annotations
 
@@ -8,49 +8,53 @@
 
 
 class AddressOwners:
-    """The latest start known of a back end at each address: no life before it comes back.
+    """Records the latest known start time per address, so that older incarnations are ignored.
 
-    A node that began after a life had ended knows only that another has followed.
+    A restored copy of the source may list a back end whose address has since been taken over by
+    another one. A node that started after the old back end stopped never saw its entry removed;
+    all it can know is that a later incarnation has had the address.
     """
 
-    __slots__ = ("_until", "known")
+    __slots__ = ("_expires_at", "started_at_by_address")
 
     def __init__(self) -> None:
-        self.known: dict[str, int] = {}
-        """Starts, as back ends tell them, by address; empty once the time is over."""
-        self._until = 0.0
-
-    def begin(self, until: float, machines: Iterable[Machine]) -> None:
-        """Begin anew with what was known before an era; it holds ``until``."""
-        self.known = {}
-        self._until = until
-        self._take(machines)
-
-    def hear(self, until: float, machines: Iterable[Machine]) -> None:
-        """Take in what a peer knew before the era; the time is not extended."""
-        if not self.known:
-            self._until = until
-        self._take(machines)
-
-    def note(self, machines: Iterable[Machine]) -> None:
-        """Take in what the present era lists."""
-        if self.known:
-            self._take(machines)
-
-    def have_followed(self, machine: Machine) -> bool:
-        """Tell whether a later life than the machine's has had its address."""
-        started_at = self.known.get(machine.address, 0)
+        self.started_at_by_address: dict[str, int] = {}
+        """Start times as reported by the back ends, by address; empty after expiry."""
+        self._expires_at = 0.0
+
+    def start_era(self, expires_at: float, machines: Iterable[Machine]) -> None:
+        """Replace the contents with what was known before a new era, valid until ``expires_at``."""
+        self.started_at_by_address = {}
+        self._expires_at = expires_at
+        self._record(machines)
+
+    def add_reported(self, expires_at: float, machines: Iterable[Machine]) -> None:
+        """Add what a peer knew before the era; this does not extend the validity."""
+        if not self.started_at_by_address:
+            self._expires_at = expires_at
+        self._record(machines)
+
+    def add_listed(self, machines: Iterable[Machine]) -> None:
+        """Add what a machine list of the present era contains."""
+        if self.started_at_by_address:
+            self._record(machines)
+
+    def is_superseded(self, machine: Machine) -> bool:
+        """Tell whether a later incarnation than the machine's has used its address."""
+        started_at = self.started_at_by_address.get(machine.address, 0)
         return machine.is_backend and machine.is_before_incarnation(started_at)
 
-    def is_due(self, now: float) -> bool:
-        """Tell whether the time is over."""
-        return bool(self.known) and self._until <= now
+    def has_expired(self, now: float) -> bool:
+        """Tell whether there are start times whose validity is over."""
+        return bool(self.started_at_by_address) and self._expires_at <= now
 
-    def forget(self) -> None:
-        """Forget the starts."""
-        self.known = {}
+    def clear(self) -> None:
+        """Discard all start times."""
+        self.started_at_by_address = {}
 
-    def _take(self, machines: Iterable[Machine]) -> None:
+    def _record(self, machines: Iterable[Machine]) -> None:
         for machine in machines:
-            if machine.is_backend and machine.started_at > self.known.get(machine.address, 0):
-                self.known[machine.address] = machine.started_at
+            if machine.is_backend and machine.started_at > self.started_at_by_address.get(
+                machine.address, 0
+            ):
+                self.started_at_by_address[machine.address] = machine.started_at
