--- a/src/pewtertack/node/crash_reporter.py
+++ b/src/pewtertack/node/crash_reporter.py
@@ -43,8 +43,7 @@
         self._feed(BackendCrashed(fingerprints))
 
     def report_remote_crash(self, backend: str, fingerprints: tuple[bytes, ...]) -> None:
-        """Report that a back end crashed while it ran these requests; other nodes may report it
-        too."""
+        """Report a back end's crash under these requests, which other nodes may report too."""
         self._feed(BackendCrashed(fingerprints, _crash_number(backend, clock.unix_time())))
 
     def report_suspect_answered(self, fingerprint: bytes) -> None:
--- a/src/pewtertack/node/gateway/application.py
+++ b/src/pewtertack/node/gateway/application.py
@@ -226,12 +226,12 @@
         self.requests.leaving = True
         self._stops_at = self._clock() + seconds
         if self._context.pacer is not None:
-            self._context.pacer.end_at(self._stops_at)
+            self._context.pacer.stop_at(self._stops_at)
 
     def flush_responses(self) -> None:
         """Send all responses that wait for their turn on the link at once."""
         if self._context.pacer is not None:
-            self._context.pacer.share.send_all_now()
+            self._context.pacer.scheduler.send_all_now()
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve one request (ASGI entry point)."""
@@ -379,7 +379,7 @@
         """Tell whether the request will probably end before the node stops."""
         needed = incarnation.admission.expected_time(request.route) or request.objective
         if self._context.pacer is not None:
-            needed += self._context.pacer.answer_time(request.route, request.rank)
+            needed += self._context.pacer.delivery_time(request.route, request.rank)
         return self._clock() + needed * STOP_TIME_FACTOR < self._stops_at
 
 
--- a/src/pewtertack/node/gateway/link_check.py
+++ b/src/pewtertack/node/gateway/link_check.py
@@ -57,7 +57,9 @@
     def _transfer_seconds(self) -> float:
         """Seconds that the response takes on an idle link; 0 if it is short or unknown."""
         return (
-            self._pacer.share.transfer_time(self._ticket.route) if self._pacer is not None else 0.0
+            self._pacer.scheduler.transfer_time(self._ticket.route)
+            if self._pacer is not None
+            else 0.0
         )
 
     def check(self, now: float) -> None:
@@ -75,7 +77,7 @@
             return
         transfer, queued = self._transfer_seconds, 0.0
         if transfer and self._pacer is not None:
-            queued = self._pacer.share.queue_time(self.rank, now)
+            queued = self._pacer.scheduler.queue_time(self.rank, now)
             if not (self._fits(now, transfer, queued) or self._may_probe(queued, now)):
                 raise DeadlineUnmeetableError(
                     "the link is occupied for too long", queued + transfer
@@ -99,7 +101,7 @@
         """Tell whether to let a response through to learn the length of its route's responses."""
         if self._pacer is None or queued > 0 or self.sender_stopping:
             return False
-        return self._pacer.share.may_probe(self._ticket.route, now)
+        return self._pacer.scheduler.may_probe(self._ticket.route, now)
 
     def _limit_deadline(self, moment: float) -> None:
         """Bring the deadline forward, if it is known how long the back end takes."""
@@ -121,7 +123,7 @@
             return
         route = self._ticket.route
         run_seconds = self._admission.expected_time(route)
-        if self._pacer.ends_before(route, self.rank, run_seconds):
+        if self._pacer.stops_before(route, self.rank, run_seconds):
             error = DrainingError("the node of the back end is shutting down")
             error.reached_backend = False
             raise error
--- a/src/pewtertack/node/gateway/sending.py
+++ b/src/pewtertack/node/gateway/sending.py
@@ -111,10 +111,10 @@
 
     def reserve(self) -> None:
         """Reserve link capacity for the response of a request that is about to be admitted."""
-        self._reserved_bytes = self._pacer.share.reserve(self._ticket.route, self._rank)
+        self._reserved_bytes = self._pacer.scheduler.reserve(self._ticket.route, self._rank)
 
     def _release_reservation(self) -> None:
-        self._pacer.share.release(self._rank, self._reserved_bytes)
+        self._pacer.scheduler.release(self._rank, self._reserved_bytes)
         self._reserved_bytes = 0
 
     def finish_by(self, moment: float) -> None:
@@ -130,7 +130,7 @@
         if had_reservation:
             self.reserve()
         if self._queued_body is not None:
-            self._queued_body.hasten(self._rank, self._objective, self._deadline)
+            self._queued_body.expedite(self._rank, self._objective, self._deadline)
 
     async def __call__(self, message: Message) -> None:
         """Send an ASGI message of the response, or buffer its data until its turn."""
@@ -151,7 +151,7 @@
             await self._send(head)
         elif len(body) <= LONG_BYTES:
             self._pacer.note_sent(len(body))
-            self._pacer.share.note_answer_size(self._ticket.route, len(body))
+            self._pacer.scheduler.note_answer_size(self._ticket.route, len(body))
             await self._send(head)
         else:
             del head[WHOLE_BODY]
@@ -174,8 +174,8 @@
     def _record_length(self) -> None:
         """Record the length for the route, unless the back end was slower than the link."""
         seconds = self._pacer.now() - self._started_at
-        if seconds * self._pacer.share.bytes_per_second <= self._body_bytes:
-            self._pacer.share.note_answer_size(self._ticket.route, self._body_bytes)
+        if seconds * self._pacer.scheduler.bytes_per_second <= self._body_bytes:
+            self._pacer.scheduler.note_answer_size(self._ticket.route, self._body_bytes)
 
     async def _buffer(self, data: bytes) -> None:
         self._chunks.append(data)
--- a/src/pewtertack/node/http/protocol.py
+++ b/src/pewtertack/node/http/protocol.py
@@ -306,8 +306,7 @@
         return self._pipeline.closed or (self._last_request and cycle is self._newest)
 
     def _continue_after(self, cycle: RequestCycle) -> None:
-        """Start requests that waited for ``cycle``; else limit the wait for its body or a next
-        request."""
+        """Start requests that waited for ``cycle``, or limit the wait for the next data."""
         waiting = self._pipeline.first
         if waiting is not None:
             waiting.first = True
--- a/src/pewtertack/node/http/server.py
+++ b/src/pewtertack/node/http/server.py
@@ -111,8 +111,7 @@
                 return
 
     def _accept_remaining(self, loop: asyncio.AbstractEventLoop, listener: socket) -> None:
-        """Accept all waiting connections, which closing the listener would reset with the data they
-        sent."""
+        """Accept all waiting connections: closing the listener would reset them with their data."""
         if listener.fileno() < 0 or not loop.remove_reader(listener):
             return  # accepting is paused for want of resources
         for _ in range(BACKLOG):
--- a/src/pewtertack/node/metrics.py
+++ b/src/pewtertack/node/metrics.py
@@ -125,8 +125,7 @@
 
 
 def _rejection_metrics(status: NodeStatus) -> Iterator[Metric]:
-    """Yield the gauges of a refused revision, above 0 while the source's newest revision is
-    refused."""
+    """Yield the gauges of the refused revision; they are 0 while none is refused."""
     rejection = status.last_rejection
     revision, since = 0, 0.0
     if rejection is not None and rejection.since is not None:
--- a/src/pewtertack/node/pacing.py
+++ b/src/pewtertack/node/pacing.py
@@ -22,14 +22,14 @@
 
     Args:
         clock: monotonic time in seconds.
-        share: decides which body may be sent when.
+        scheduler: decides which body may be sent when.
     """
 
-    __slots__ = ("_clock", "share")
+    __slots__ = ("_clock", "scheduler")
 
-    def __init__(self, clock: Callable[[], float], share: LinkScheduler) -> None:
+    def __init__(self, clock: Callable[[], float], scheduler: LinkScheduler) -> None:
         self._clock = clock
-        self.share = share
+        self.scheduler = scheduler
 
     def now(self) -> float:
         """Return monotonic seconds."""
@@ -37,60 +37,62 @@
 
     def note_sent(self, size: int) -> None:
         """Note a short message that was sent without waiting."""
-        self.share.note_sent(size, self._clock())
+        self.scheduler.note_sent(size, self._clock())
 
-    def end_at(self, moment: float) -> None:
+    def stop_at(self, moment: float) -> None:
         """See ``LinkScheduler.stop_at``."""
-        self.share.stop_at(moment, self._clock())
+        self.scheduler.stop_at(moment, self._clock())
 
-    def ends_before(self, route: str, rank: Rank, run_seconds: float) -> bool:
+    def stops_before(self, route: str, rank: Rank, run_seconds: float) -> bool:
         """See ``LinkScheduler.stops_before``."""
-        return self.share.stops_before(route, rank, self._clock(), run_seconds)
+        return self.scheduler.stops_before(route, rank, self._clock(), run_seconds)
 
-    def answer_time(self, route: str, rank: Rank) -> float:
+    def delivery_time(self, route: str, rank: Rank) -> float:
         """See ``LinkScheduler.delivery_time``."""
-        return self.share.delivery_time(route, rank, self._clock())
+        return self.scheduler.delivery_time(route, rank, self._clock())
 
     def link_report(self, route: str) -> str | None:
         """Return the report on the link for senders of requests of this route, if there is one."""
         return format_link_report(
-            self.share.total_queue_time(self._clock()), self.share.transfer_time(route)
+            self.scheduler.total_queue_time(self._clock()), self.scheduler.transfer_time(route)
         )
 
     def queue_body(
         self,
         rank: Rank,
         size: int,
-        wanted: float,
-        begun: bool = False,
-        latest: float = math.inf,
-        returnable: int = 0,
-        only_here: bool = False,
+        target_time: float,
+        started: bool = False,
+        expires_at: float = math.inf,
+        uncommitted_bytes: int = 0,
+        only_source: bool = False,
     ) -> QueuedBody:
         """Queue one long body; the result is a context manager. See ``LinkScheduler.enqueue``."""
-        enter = self.share.enqueue
+        enqueue = self.scheduler.enqueue
         return QueuedBody(
             self._clock,
-            self.share,
-            lambda wake: enter(rank, size, wanted, wake, begun, latest, returnable, only_here),
+            self.scheduler,
+            lambda wake: enqueue(
+                rank, size, target_time, wake, started, expires_at, uncommitted_bytes, only_source
+            ),
         )
 
 
 class QueuedBody:
     """A long body in the link queue, from its entry to its end."""
 
-    __slots__ = ("_body", "_changed", "_clock", "_share")
+    __slots__ = ("_body", "_changed", "_clock", "_scheduler")
 
     def __init__(
         self,
         clock: Callable[[], float],
-        share: LinkScheduler,
-        enter: Callable[[Callable[[], None]], LongBody],
+        scheduler: LinkScheduler,
+        enqueue: Callable[[Callable[[], None]], LongBody],
     ) -> None:
         self._clock = clock
-        self._share = share
+        self._scheduler = scheduler
         self._changed = asyncio.Event()
-        self._body = enter(self._changed.set)
+        self._body = enqueue(self._changed.set)
 
     def __enter__(self) -> QueuedBody:
         return self
@@ -101,11 +103,11 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        self._share.remove(self._body, self._clock())
+        self._scheduler.remove(self._body, self._clock())
 
-    def hasten(self, rank: Rank, wanted: float, latest: float) -> None:
+    def expedite(self, rank: Rank, target_time: float, expires_at: float) -> None:
         """Move the body in the queue (``LinkScheduler.expedite``)."""
-        self._share.expedite(self._body, rank, wanted, latest, self._clock())
+        self._scheduler.expedite(self._body, rank, target_time, expires_at, self._clock())
 
     async def parts(self, data: bytes) -> AsyncIterator[bytes]:
         """Yield the data in parts, each when it may be sent.
@@ -116,12 +118,12 @@
         for start in range(0, len(data), PART_BYTES):
             await self._wait()
             part = data[start : start + PART_BYTES]
-            self._share.note_part(self._body, len(part), self._clock())
+            self._scheduler.note_part(self._body, len(part), self._clock())
             yield part
 
     async def _wait(self) -> None:
         while True:
-            wait = self._share.send_delay(self._body, self._clock())
+            wait = self._scheduler.send_delay(self._body, self._clock())
             if self._body.handed_back:
                 raise LinkEndsError("a node shuts down before the body could be sent")
             if wait is None:
--- a/src/pewtertack/node/platform.py
+++ b/src/pewtertack/node/platform.py
@@ -39,7 +39,7 @@
 
 
 class PlatformBusyError(PlatformError):
-    """The service has too many readers; ``after`` in seconds if it gave one."""
+    """The service has too many readers; ``retry_after`` in seconds if it gave one."""
 
     code: ClassVar[str] = "platform-busy"
     failure = ReadFailure.REFUSED
--- a/src/pewtertack/node/runtime.py
+++ b/src/pewtertack/node/runtime.py
@@ -280,5 +280,5 @@
         self._tasks.start_soon(self._read, effect)
 
     async def _read(self, effect: ReadDocument) -> None:
-        answer = await self._reader.read(effect)
-        self.feed(msgspec.structs.replace(answer, read_id=effect.read_id))
+        outcome = await self._reader.read(effect)
+        self.feed(msgspec.structs.replace(outcome, read_id=effect.read_id))
--- a/tests/node/crashing_backend.py
+++ b/tests/node/crashing_backend.py
@@ -1,5 +1,4 @@
-"""A back end that one request crashes: its connections are reset and it stops listening for a
-while."""
+"""A back end that a request crashes: it resets its connections and stops listening for a while."""
 
 from __future__ import annotations
 
--- a/tests/node/gateway/test_link_words.py
+++ b/tests/node/gateway/test_link_words.py
@@ -60,7 +60,7 @@
         self.assertEqual([len(item.body) for item in answers], [LENGTH] * 3)
         self.assertEqual([item for item in answers[0].headers if "pewtertack" in item], [])
         (long_route,) = self.proxy._context.dispatcher.service("logbook")._long_routes.values()
-        own = LENGTH / self.pacer.share.bytes_per_second
+        own = LENGTH / self.pacer.scheduler.bytes_per_second
         self.assertAlmostEqual(long_route.transfer_seconds, own, places=2)
         self.assertGreater(self.backend.link_free_at, 0.0)
 
--- a/tests/node/gateway/test_sending.py
+++ b/tests/node/gateway/test_sending.py
@@ -83,7 +83,7 @@
         after two others "left 1684 ms", as the first, and not -316.
         """
         size = 50 * LONG_BYTES
-        share = self.pacer.share
+        share = self.pacer.scheduler
         share.note_answer_size("export", size)
         sender = self.make()
         sender.reserve()
@@ -110,7 +110,7 @@
         self.assertEqual(self.held.byte_count, len(data) - len(self.body()))
         await sender.finish()
         self.assertEqual(self.body(), data)
-        self.assertGreater(self.pacer.answer_time("export", BULK), 0.0)
+        self.assertGreater(self.pacer.delivery_time("export", BULK), 0.0)
 
     async def test_a_short_answer_that_comes_whole_with_its_head_leaves_with_it(self) -> None:
         sender = self.make()
@@ -135,7 +135,7 @@
         await sender.finish()
         self.assertEqual(len(self.body()), came)
         self.assertEqual(sum(not item.get("more_body", False) for item in self.sent[1:]), 1)
-        self.assertEqual(self.pacer.answer_time("export", BULK), 0.0)
+        self.assertEqual(self.pacer.delivery_time("export", BULK), 0.0)
 
     async def test_a_late_answer_that_comes_in_pieces_goes_on_before_one_that_has_not_begun(
         self,
@@ -249,7 +249,7 @@
         took more requests than its link could answer by their objectives. Evidence: what gateways
         reckoned beside the time that each answer took, and fewer late ones with this alone changed.
         """
-        share = self.pacer.share
+        share = self.pacer.scheduler
         share.note_sent(RESPONSE_BUFFER_BYTES, time.monotonic())
         sender = self.make()
         size = 10 * LONG_BYTES
@@ -265,7 +265,7 @@
     async def test_an_answer_of_unknown_length_is_reckoned_with_as_usual_until_it_is_whole(
         self,
     ) -> None:
-        share = self.pacer.share
+        share = self.pacer.scheduler
         share.note_answer_size("export", 10 * LONG_BYTES)
         share.note_sent(RESPONSE_BUFFER_BYTES, time.monotonic())
         sender = self.make()
@@ -308,7 +308,7 @@
         self.assertEqual(len(self.body()), 4 * len(part))
 
     async def test_what_is_to_come_is_reckoned_with_until_it_is_sent_or_given_up(self) -> None:
-        share = self.pacer.share
+        share = self.pacer.scheduler
         share.note_answer_size("export", RESPONSE_BUFFER_BYTES)
         alone = share.delivery_time("export", BULK, time.monotonic())
         sent, given_up = self.make(), self.make()
@@ -327,9 +327,9 @@
     ) -> None:
         for seed in range(30):
             chance = random.Random(seed)
-            self.pacer.share.note_answer_size("export", 5 * LONG_BYTES)
+            self.pacer.scheduler.note_answer_size("export", 5 * LONG_BYTES)
             await asyncio.gather(*(self.some_end(chance) for _ in range(8)))
-            share = self.pacer.share
+            share = self.pacer.scheduler
             self.assertEqual((share._queue, self.held.byte_count), ([], 0), f"seed {seed}")
             self.assertLess(sum(share._reserved_bytes.values()), 0.001, f"seed {seed}")
 
@@ -404,7 +404,7 @@
 
     async def test_one_that_would_leave_too_late_is_refused_before_it_runs(self) -> None:
         address = await self.start()
-        share = self.gateways[0]._context.pacer.share  # type: ignore[union-attr]
+        share = self.gateways[0]._context.pacer.scheduler  # type: ignore[union-attr]
         share.note_answer_size("lookup", 50_000_000)
         answer = await raw_call(address, get("/long"))
         self.assert_refused(answer, 503, "not-run")
@@ -417,7 +417,7 @@
         self.assertEqual((await raw_call(address, get("/long"))).status, 200)
         self.gateways[0].start_leaving(3.0)
         self.assertEqual((await raw_call(address, get("/short"))).status, 200)
-        share = self.gateways[0]._context.pacer.share  # type: ignore[union-attr]
+        share = self.gateways[0]._context.pacer.scheduler  # type: ignore[union-attr]
         share.note_sent(600_000, time.monotonic())
         self.assert_refused(await raw_call(address, get("/short")), 503, "not-run")
 
--- a/tests/node/http/test_held_up_loop.py
+++ b/tests/node/http/test_held_up_loop.py
@@ -34,8 +34,7 @@
 
 class LingerTest(unittest.TestCase):
     def test_a_caller_that_sent_during_the_delay_is_not_reset(self) -> None:
-        """Guards against a caller that sees its connection reset instead of a refusal while it
-        sends its body."""
+        """Guards against a reset instead of a refusal while the caller sends its body."""
         with (
             mock.patch.object(protocol, "LINGER_SECONDS", LINGER_SECONDS),
             asyncio.Runner(loop_factory=BoottimeEventLoop) as runner,
--- a/tests/node/http/test_server_stop.py
+++ b/tests/node/http/test_server_stop.py
@@ -185,8 +185,7 @@
         self.assertEqual(received.count(b" 200 "), 2)
 
     async def test_response_data_lost_at_exit_is_logged(self) -> None:
-        """A response that the application has sent, and that is logged so, may still be in this
-        process."""
+        """A response that the application has sent, and logged, may still be in the process."""
         self.application.body = b"b" * LONG_BYTES
         caller = self.connect()
         caller.sendall(REQUEST)
--- a/tests/node/test_gateway_stop_and_long_answers.py
+++ b/tests/node/test_gateway_stop_and_long_answers.py
@@ -66,8 +66,7 @@
         await self.assert_complete_from_one_gateway(repeatable=True)
 
     async def assert_complete_from_one_gateway(self, repeatable: bool) -> None:
-        """Shut down the only gateway while responses wait in its link queue; all must arrive
-        complete."""
+        """Shut down the only gateway while responses are queued; all must arrive complete."""
         route = TREE["routes"]["export"] | {"repeatable": repeatable}
         tree = TREE | {"routes": {"export": route}}
         backends = {"b": await self.serve(self.backend)}
--- a/tests/node/test_planned_stop.py
+++ b/tests/node/test_planned_stop.py
@@ -205,11 +205,10 @@
                 self.assertEqual(await a.wait_exit(), 0)
 
     async def test_a_node_paused_during_its_shutdown_ends_in_time(self) -> None:
-        """The same if the process is stopped for a second during its notice, as on an overloaded
-        machine.
+        """The same if the process is paused during its notice, as on an overloaded machine.
 
-        The duration of each stage of a shutdown used to be measured from the end of the previous
-        one.
+        It is stopped for a second. The duration of each stage of a shutdown used to be measured
+        from the end of the previous one.
         """
         async with self.fleet(f'{STOP_WITHIN_LIMITS}"1s"\n') as (a, _):
             working = await self.send(a, upload(1))
--- a/tests/node/test_runtime.py
+++ b/tests/node/test_runtime.py
@@ -133,8 +133,11 @@
         self.assertEqual(histogram.values[("held", "delta")].counts, [0, 1, 0])
 
     async def test_a_start_time_far_in_the_future_hides_no_back_end(self) -> None:
-        """An entry with a start time in the future was written under a live back end's name; later
-        that back end reports its own."""
+        """A wrong entry with a future start time does not hide a live back end.
+
+        Another process wrote the entry under the back end's name; later the back end reports its
+        own.
+        """
         now = int(time.time() * 1000)
         registry, gateway = BackendRegistry(), Incarnations(lambda: 0.0)
 
