--- a/tests/core/replication/test_leaving.py
+++ b/tests/core/replication/test_leaving.py
@@ -1,4 +1,4 @@
-"""Notices of leaving back ends."""
+"""Notices about leaving back ends."""
 
 import unittest
 
@@ -20,29 +20,29 @@
         self.leaving = LeavingBackends()
         self.notice = LeavingBackend("b-1", "1")
 
-    def test_a_notice_is_news_once_and_outlives_the_lagging_list(self) -> None:
+    def test_a_notice_is_new_once_and_overrides_the_lagging_list(self) -> None:
         machines = list_of("1", "2")
         self.assertEqual(self.leaving.observe([self.notice], machines), (self.notice,))
         self.assertEqual(self.leaving.observe([self.notice], machines), ())
         states = [machine.state for machine in self.leaving.apply(machines).machines]
         self.assertEqual(states, [MachineState.LEAVING, MachineState.LIVE])
 
-    def test_a_replacement_under_the_same_name_is_used(self) -> None:
+    def test_a_replacement_with_the_same_name_is_used(self) -> None:
         self.leaving.observe([self.notice], list_of("1"))
         replacement = Machine("b-1", MachineRole.BACKEND, "a", "9", "archive")
         machines = MachineList(2, (replacement,))
         self.assertEqual(self.leaving.apply(machines), machines)
 
-    def test_a_notice_of_one_life_says_nothing_of_the_next(self) -> None:
-        def living(started_at: int) -> MachineList:
+    def test_a_notice_does_not_apply_to_the_next_incarnation(self) -> None:
+        def list_started_at(started_at: int) -> MachineList:
             role = MachineRole.BACKEND
             machine = Machine("b-1", role, "a", "1", "archive", started_at=started_at)
             return MachineList(1, (machine,))
 
         notice = LeavingBackend("b-1", "1", 7)
-        self.assertEqual(self.leaving.observe([notice], living(7)), (notice,))
-        self.assertEqual(self.leaving.apply(living(8)), living(8))
-        self.assertEqual(self.leaving.observe([notice], living(8)), ())
+        self.assertEqual(self.leaving.observe([notice], list_started_at(7)), (notice,))
+        self.assertEqual(self.leaving.apply(list_started_at(8)), list_started_at(8))
+        self.assertEqual(self.leaving.observe([notice], list_started_at(8)), ())
 
-    def test_notices_about_unlisted_back_ends_take_no_memory(self) -> None:
+    def test_notices_about_unlisted_back_ends_are_not_kept(self) -> None:
         self.assertEqual(self.leaving.observe([LeavingBackend("x", "y")], list_of("1")), ())
--- a/tests/core/replication/test_pull_server.py
+++ b/tests/core/replication/test_pull_server.py
@@ -1,4 +1,4 @@
-"""How many whole documents a node sends to its peers."""
+"""Rate limits of the snapshots that a node sends to its peers."""
 
 import unittest
 from random import Random
@@ -11,8 +11,8 @@
 
 
 class PullServerTest(unittest.TestCase):
-    def served_at_once(self, kinds: tuple[DocumentKind, ...], wide_link: bool = False) -> int:
-        """Return how many of 100 joiners have all these kinds at once."""
+    def joiners_served(self, kinds: tuple[DocumentKind, ...], wide_link: bool = False) -> int:
+        """Return how many of 100 joiners that pull at the same time receive all these kinds."""
         stores = {kind: DocumentStore() for kind in DocumentKind}
         document = {"services": {"a": {}}}
         for store in stores.values():
@@ -23,14 +23,14 @@
         )
         return sum(not any(isinstance(item, Busy) for item in answer) for answer in answers)
 
-    def test_snapshots_are_bounded(self) -> None:
-        served = self.served_at_once((DocumentKind.CONFIGURATION,))
+    def test_snapshots_are_rate_limited(self) -> None:
+        served = self.joiners_served((DocumentKind.CONFIGURATION,))
         self.assertEqual(served, LEASED.snapshots_per_second)
 
-    def test_a_joiner_has_both_documents_at_once(self) -> None:
-        served = self.served_at_once(tuple(DocumentKind))
+    def test_both_documents_have_separate_limits(self) -> None:
+        served = self.joiners_served(tuple(DocumentKind))
         self.assertEqual(served, LEASED.snapshots_per_second)
 
-    def test_a_wide_link_bears_more(self) -> None:
-        served = self.served_at_once(tuple(DocumentKind), wide_link=True)
+    def test_a_wide_link_raises_the_limit(self) -> None:
+        served = self.joiners_served(tuple(DocumentKind), wide_link=True)
         self.assertEqual(served, LEASED.wide_snapshots_per_second)
--- a/tests/core/replication/test_reader.py
+++ b/tests/core/replication/test_reader.py
@@ -1,4 +1,4 @@
-"""When the platform is read, and which of its answers confirm what is held."""
+"""When the platform is read, and which of its answers confirm held documents."""
 
 import unittest
 from random import Random
@@ -14,7 +14,7 @@
 
 
 class AlwaysReads:
-    """A readership that tells its node to read."""
+    """A readership policy that makes its node read at all times."""
 
     starts_with_stale_read = True
     sends_heartbeats = True
@@ -40,39 +40,41 @@
             (item for item in effects if isinstance(item, ReadDocument) and item.kind is KIND), None
         )
 
-    def wait_asked(self, now: float, held: int = 5) -> tuple[bool, float]:
+    def wait_of_read(self, now: float, held: int = 5) -> tuple[bool, float]:
         effect = self.read(now, held)
         assert effect is not None
         return effect.may_be_stale, effect.wait
 
-    def test_a_node_that_holds_nothing_begins_with_what_may_be_stale(self) -> None:
-        self.assertEqual(self.wait_asked(0.0, held=0), (True, 0.0))
+    def test_a_node_without_documents_starts_with_a_read_that_may_be_stale(self) -> None:
+        self.assertEqual(self.wait_of_read(0.0, held=0), (True, 0.0))
         self.reader.on_stale_document(0.1, DocumentRead(KIND, 4, {}, stale=True))
         self.assertIsNone(self.freshness.ages(0.1).configuration)
 
-    def test_the_first_read_after_that_confirms_and_does_not_wait(self) -> None:
-        self.assertEqual(self.wait_asked(0.0), (False, 0.0))
+    def test_the_first_read_that_may_not_be_stale_does_not_wait(self) -> None:
+        self.assertEqual(self.wait_of_read(0.0), (False, 0.0))
         self.reader.on_answer(0.1, DocumentUnchanged(KIND))
-        self.assertEqual(self.wait_asked(1.0), (False, LEASED.read_wait))
+        self.assertEqual(self.wait_of_read(1.0), (False, LEASED.read_wait))
 
-    def test_nor_does_the_first_one_after_a_failure(self) -> None:
+    def test_the_first_read_after_a_failure_does_not_wait(self) -> None:
         self.read(0.0, 5)
         self.reader.on_answer(0.1, DocumentUnchanged(KIND))
         self.read(1.0, 5)
         self.reader.on_failure(1.1, DocumentReadFailed(KIND, "down"))
-        self.assertEqual(self.wait_asked(5.0), (False, 0.0))
+        self.assertEqual(self.wait_of_read(5.0), (False, 0.0))
 
-    def test_a_read_that_stays_open_confirms_until_it_is_overdue(self) -> None:
+    def test_an_open_read_confirms_until_it_is_overdue(self) -> None:
         self.read(0.0, 5)
         self.reader.on_answer(0.1, DocumentUnchanged(KIND))
         self.read(1.0, 5)
         self.read(8.0, 5)
         self.assertEqual(self.freshness.ages(8.0).configuration, 0)
-        late = LEASED.read_wait + OVERDUE_SECONDS + 1.0
-        self.read(late, 5)
-        self.assertEqual(self.freshness.ages(late).configuration, round((late - 8.0) * 1000))
+        overdue_at = LEASED.read_wait + OVERDUE_SECONDS + 1.0
+        self.read(overdue_at, 5)
+        self.assertEqual(
+            self.freshness.ages(overdue_at).configuration, round((overdue_at - 8.0) * 1000)
+        )
 
-    def test_one_opened_before_a_pause_does_not(self) -> None:
+    def test_a_read_opened_before_a_pause_confirms_nothing_while_open(self) -> None:
         self.read(0.0, 5)
         self.reader.on_answer(0.1, DocumentUnchanged(KIND))
         self.read(1.0, 5)
@@ -81,7 +83,7 @@
         self.read(4.1, 5)
         self.assertIsNone(self.freshness.ages(4.1).configuration)
 
-    def test_the_answer_to_one_opened_before_a_pause_does_not(self) -> None:
+    def test_the_answer_to_a_read_opened_before_a_pause_confirms_nothing(self) -> None:
         self.read(0.0, 5)
         self.reader.on_answer(0.1, DocumentUnchanged(KIND))
         self.read(1.0, 5)
@@ -90,12 +92,12 @@
         self.reader.on_answer(4.0, DocumentUnchanged(KIND))
         self.assertIsNone(self.freshness.ages(4.0).configuration)
         self.assertEqual(self.reader.last_answer_at[KIND], 0.1)
-        self.assertEqual(self.wait_asked(4.0), (False, 0.0))
+        self.assertEqual(self.wait_of_read(4.0), (False, 0.0))
         self.assertIsNone(self.freshness.ages(4.0).configuration)
         self.reader.on_answer(4.1, DocumentUnchanged(KIND))
         self.assertEqual(self.freshness.ages(4.1).configuration, 0)
 
-    def test_an_answer_older_than_what_is_held_confirms_nothing(self) -> None:
+    def test_an_answer_older_than_the_held_document_confirms_nothing(self) -> None:
         self.read(0.0, 5)
         self.reader.on_document(0.1, DocumentRead(KIND, 4, {}), 5)
         self.assertIsNone(self.freshness.ages(0.1).configuration)
@@ -105,22 +107,24 @@
 
 
 class NarrowLinkTest(unittest.TestCase):
-    """A node whose link a long document fills leaves it to its peers for a moment."""
+    """A node with a narrow link first waits for its peers to send it a long document."""
 
-    def asked(self, now: float, held: dict[DocumentKind, int], narrow: bool) -> set[DocumentKind]:
+    def kinds_read(
+        self, now: float, held: dict[DocumentKind, int], narrow: bool
+    ) -> set[DocumentKind]:
         reader = PlatformReader(LEASED, AlwaysReads(), SourceFreshness(), Random(1), 0.0, narrow)
         effects = reader.tick(now, True, held)
         return {item.kind for item in effects if isinstance(item, ReadDocument)}
 
-    def test_at_its_start_it_reads_the_machine_list_alone(self) -> None:
+    def test_at_its_start_it_reads_only_the_machine_list(self) -> None:
         nothing = dict.fromkeys(DocumentKind, 0)
-        self.assertEqual(self.asked(0.0, nothing, narrow=True), {DocumentKind.MACHINE_LIST})
-        self.assertEqual(self.asked(0.0, nothing, narrow=False), set(DocumentKind))
+        self.assertEqual(self.kinds_read(0.0, nothing, narrow=True), {DocumentKind.MACHINE_LIST})
+        self.assertEqual(self.kinds_read(0.0, nothing, narrow=False), set(DocumentKind))
 
-    def test_it_reads_the_configuration_when_no_peer_has_sent_it(self) -> None:
+    def test_it_reads_the_configuration_after_waiting_in_case_no_peer_sent_it(self) -> None:
         nothing = dict.fromkeys(DocumentKind, 0)
         later = LEASED.narrow_patience + 0.01
-        self.assertEqual(self.asked(later, nothing, narrow=True), set(DocumentKind))
+        self.assertEqual(self.kinds_read(later, nothing, narrow=True), set(DocumentKind))
 
 
 if __name__ == "__main__":
--- a/tests/core/replication/test_readership.py
+++ b/tests/core/replication/test_readership.py
@@ -1,4 +1,4 @@
-"""Which nodes read the platform, by heartbeats of readers and the age of the source's word."""
+"""Leased readership: which nodes read, by readers' heartbeats and the age of confirmations."""
 
 import unittest
 
@@ -16,9 +16,9 @@
 from pewtertack.wire.messages import DocumentKind
 
 LEASED = msgspec.structs.replace(ONE_READER, readers_per_zone=2)
-STEP = LEASED.volunteer_step
+VOLUNTEER_STEP = LEASED.volunteer_step
 NAMES = sorted((f"node-{index}" for index in range(40)), key=hash_score)
-"""By rank: the first two read."""
+"""Ordered by rank; the first two are readers."""
 
 
 class ReadershipTestCase(unittest.TestCase):
@@ -32,17 +32,17 @@
         table = MemberTable(identity, 20.0, 600.0)
         machines = [Machine(name, MachineRole.NODE, "a", "127.0.0.1:2") for name in names or NAMES]
         table.use_machine_list([item for item in machines if item.name != identity.name], 0.0)
-        parts = ReadershipInputs(
+        inputs = ReadershipInputs(
             identity, LEASED, table, self.freshness, False, wide_link=wide_link
         )
-        return LeasedReadership(parts)
+        return LeasedReadership(inputs)
 
     def confirm(self, at: float) -> None:
         for kind in DocumentKind:
             self.freshness.confirm(kind, at)
 
     def first_read(self, node: LeasedReadership, until: float) -> float | None:
-        """Return when the node begins to read, asked at every tick."""
+        """Return when the node starts to read; its policy is evaluated at every tick."""
         for tick in range(round(until / LEASED.tick) + 1):
             if node.should_read(tick * LEASED.tick, True, False):
                 return tick * LEASED.tick
@@ -50,7 +50,7 @@
 
 
 class LeasedReadershipTest(ReadershipTestCase):
-    def test_two_of_a_zone_read_at_once_and_the_others_do_not(self) -> None:
+    def test_two_nodes_of_a_zone_read_immediately_and_others_do_not(self) -> None:
         self.assertEqual(self.first_read(self.node(0), 1.0), 0.0)
         self.assertEqual(self.first_read(self.node(1), 1.0), 0.0)
         self.assertIsNone(self.first_read(self.node(2), LEASED.reader_lease - 0.1))
@@ -59,40 +59,40 @@
         few = NAMES[: LEASED.reads_alone_below - 1]
         self.assertTrue(self.node(len(few) - 1, few).should_read(0.0, True, False))
 
-    def test_a_node_that_may_not_read_does_not(self) -> None:
+    def test_a_node_that_is_not_allowed_to_read_does_not(self) -> None:
         self.assertFalse(self.node(0).should_read(0.0, False, False))
 
-    def test_while_the_sources_word_is_recent_nobody_takes_over(self) -> None:
+    def test_no_node_takes_over_while_confirmations_are_recent(self) -> None:
         node = self.node(2)
         for tick in range(100):
             self.confirm(tick * 0.1)
             self.assertFalse(node.should_read(tick * 0.1, True, False))
 
-    def test_silent_readers_are_replaced_in_the_order_of_rank(self) -> None:
+    def test_silent_readers_are_replaced_in_order_of_rank(self) -> None:
         begun = [self.first_read(self.node(rank), 30.0) for rank in (2, 3, 5, 20)]
         self.assertTrue(all(moment is not None for moment in begun))
         self.assertEqual(begun, sorted(begun, key=lambda moment: moment or 0.0))
         self.assertLessEqual(begun[0] or 0.0, LEASED.reader_lease + 0.2)
 
-    def test_a_source_that_answers_nobody_is_asked_by_few_at_first(self) -> None:
-        asking = [self.first_read(self.node(rank), 4.0) for rank in range(40)]
-        self.assertLessEqual(sum(moment is not None for moment in asking), 12)
+    def test_a_source_that_never_answers_is_read_by_few_nodes_at_first(self) -> None:
+        first_reads = [self.first_read(self.node(rank), 4.0) for rank in range(40)]
+        self.assertLessEqual(sum(moment is not None for moment in first_reads), 12)
 
-    def test_one_that_took_over_stops_when_two_before_it_are_heard(self) -> None:
+    def test_a_node_that_took_over_stops_when_two_preceding_readers_are_active(self) -> None:
         node = self.node(4)
         took_over = self.first_read(node, 5.0)
         assert took_over is not None
         self.confirm(took_over)
         self.assertTrue(node.should_read(took_over + 0.1, True, False))
         node.on_heartbeat(took_over + 0.2, NAMES[0], True)
-        node.on_heartbeat(took_over + 0.2, NAMES[9], True)  # after it by score: it yields itself
-        node.on_heartbeat(took_over + 0.2, NAMES[1], False)  # another zone's
+        node.on_heartbeat(took_over + 0.2, NAMES[9], True)  # does not precede it by score
+        node.on_heartbeat(took_over + 0.2, NAMES[1], False)  # in another zone
         self.assertTrue(node.should_read(took_over + 0.3, True, False))
         node.on_heartbeat(took_over + 0.4, NAMES[3], True)
         self.confirm(took_over + 0.4)
         self.assertFalse(node.should_read(took_over + 0.5, True, False))
 
-    def test_readers_that_fall_silent_again_do_not_count(self) -> None:
+    def test_readers_whose_heartbeats_stop_again_do_not_count(self) -> None:
         node = self.node(4)
         took_over = self.first_read(node, 5.0)
         assert took_over is not None
@@ -104,35 +104,40 @@
 
 
 class ReaderChangesTest(ReadershipTestCase):
-    """A reader that is heard is not replaced, and a node that has begun to read goes on."""
+    """Active readers are not replaced, and a node that has started to read continues."""
 
-    def changes(self, node: LeasedReadership, seconds: float, heard: bool, every: float) -> int:
-        """Return how often a node begins or ends to read; its word is confirmed ``every`` s."""
+    def changes(
+        self, node: LeasedReadership, seconds: float, readers_active: bool, confirm_interval: float
+    ) -> int:
+        """Return how often a node starts or stops to read.
+
+        Its documents are confirmed every ``confirm_interval`` seconds.
+        """
         count, reading = 0, False
         for tick in range(round(seconds / LEASED.tick)):
             now = tick * LEASED.tick
-            if heard:
+            if readers_active:
                 for rank in (0, 1):
                     node.on_heartbeat(now, NAMES[rank], True)
-            if now % every < LEASED.tick:
+            if now % confirm_interval < LEASED.tick:
                 self.confirm(now)
             if node.should_read(now, True, False) != reading:
                 count, reading = count + 1, not reading
         return count
 
-    def test_who_is_behind_the_readers_it_hears_leaves_the_source_alone_for_a_while(self) -> None:
+    def test_a_node_behind_active_readers_waits_before_it_reads(self) -> None:
         self.assertEqual(self.changes(self.node(4), 60.0, True, 3.5), 0)
 
-    def test_one_that_stays_behind_them_reads_for_itself_and_does_not_waver(self) -> None:
+    def test_a_node_that_stays_behind_active_readers_reads_without_oscillating(self) -> None:
         self.assertLessEqual(self.changes(self.node(4), 60.0, True, 7.0), 60 / 7 * 2 + 1)
         self.assertLessEqual(self.changes(self.node(4), 60.0, True, 100.0), 2)
 
-    def test_a_source_that_answers_nobody_changes_the_readers_once(self) -> None:
+    def test_a_source_that_never_answers_changes_the_readers_once(self) -> None:
         self.assertLessEqual(self.changes(self.node(4), 60.0, False, 100.0), 1)
 
     @settings(max_examples=60, deadline=None)
     @given(st.integers(2, 12), st.lists(st.tuples(st.booleans(), st.booleans()), min_size=400))
-    def test_changes_are_bounded_whatever_is_heard_and_confirmed(
+    def test_changes_are_bounded_for_any_heartbeats_and_confirmations(
         self, rank: int, ticks: list[tuple[bool, bool]]
     ) -> None:
         self.freshness = SourceFreshness()
@@ -154,21 +159,21 @@
     def setUp(self) -> None:
         self.freshness = SourceFreshness()
 
-    def test_nothing_is_known_at_first(self) -> None:
+    def test_ages_are_unknown_at_first(self) -> None:
         ages = self.freshness.ages(5.0)
         self.assertEqual((ages.configuration, ages.machine_list), (None, None))
 
-    def test_the_oldest_document_counts(self) -> None:
+    def test_the_maximum_age_is_that_of_the_oldest_document(self) -> None:
         self.freshness.confirm(DocumentKind.CONFIGURATION, 4.0)
         self.freshness.record_peer_age(5.0, DocumentKind.MACHINE_LIST, 3000)
         self.assertEqual(self.freshness.max_age(5.0), 3.0)
 
-    def test_an_older_word_does_not_take_a_newer_one_back(self) -> None:
+    def test_an_older_report_does_not_replace_a_newer_one(self) -> None:
         for age in (100, 2000):
             self.freshness.record_peer_age(5.0, DocumentKind.CONFIGURATION, age)
         self.assertAlmostEqual(self.freshness.age(5.0, DocumentKind.CONFIGURATION), 0.1)
 
-    def test_words_that_came_during_a_pause_count_for_nothing(self) -> None:
+    def test_reports_that_arrived_during_a_pause_are_ignored(self) -> None:
         self.freshness.confirm(DocumentKind.CONFIGURATION, 1.0)
         self.freshness.reset(9.0, 0.3)
         self.freshness.record_peer_age(9.1, DocumentKind.CONFIGURATION, 0)
@@ -182,15 +187,15 @@
 
 
 class WideLinkTest(ReadershipTestCase):
-    """Nodes whose links are wide go before all others of their zone."""
+    """Nodes with wide links precede all others of their zone."""
 
-    def test_one_far_down_the_ranks_begins_to_read_after_those_before_it_could(self) -> None:
+    def test_a_node_of_high_rank_volunteers_after_those_of_lower_rank(self) -> None:
         for rank in (3, 20):
             begun = self.first_read(self.node(rank, wide_link=True), 30.0)
             self.assertIsNotNone(begun)
-            self.assertLessEqual(begun or 0.0, LEASED.reader_lease + (rank + 1) * STEP)
+            self.assertLessEqual(begun or 0.0, LEASED.reader_lease + (rank + 1) * VOLUNTEER_STEP)
 
-    def test_the_chosen_by_hash_stop_while_enough_with_wide_links_are_heard(self) -> None:
+    def test_nodes_chosen_by_hash_stop_while_enough_wide_links_read(self) -> None:
         chosen = self.node(0)
         self.assertTrue(chosen.should_read(0.0, True, False))
         for reader in (10, 30):
@@ -198,14 +203,14 @@
         self.assertFalse(chosen.should_read(1.1, True, False))
         self.assertTrue(chosen.should_read(1.1 + LEASED.reader_lease, True, False))
 
-    def test_readers_of_other_zones_or_with_narrow_links_stop_nobody_before_them(self) -> None:
+    def test_readers_in_other_zones_or_with_narrow_links_do_not_precede(self) -> None:
         chosen = self.node(0)
         for reader in (10, 30):
             chosen.on_heartbeat(1.0, NAMES[reader], False, wide_link=True)
             chosen.on_heartbeat(1.0, NAMES[reader], True, wide_link=False)
         self.assertTrue(chosen.should_read(1.1, True, False))
 
-    def test_of_many_with_wide_links_only_the_first_read(self) -> None:
+    def test_of_many_nodes_with_wide_links_only_the_first_read(self) -> None:
         late = self.node(20, wide_link=True)
         for tick in range(200):
             now = tick * 0.1
@@ -214,7 +219,7 @@
                 late.on_heartbeat(now, NAMES[rank], True, wide_link=True)
             self.assertFalse(late.should_read(now, True, False))
 
-    def test_one_that_joins_and_hears_of_no_reader_begins_at_once_and_goes_on(self) -> None:
+    def test_a_joiner_without_active_readers_volunteers_early_and_continues(self) -> None:
         for rank in (3, 20):
             joiner = self.node(rank, wide_link=True)
             begun = [tick for tick in range(200) if joiner.should_read(tick * 0.01, False, True)][0]
@@ -222,7 +227,7 @@
             self.confirm(begun * 0.01)
             self.assertTrue(joiner.should_read(begun * 0.01 + 0.01, True, False))
 
-    def test_one_that_joins_where_readers_are_heard_does_not(self) -> None:
+    def test_a_joiner_with_active_readers_does_not_read(self) -> None:
         joiner = self.node(20, wide_link=True)
         for tick in range(100):
             now = tick * 0.1
@@ -231,10 +236,10 @@
                 joiner.on_heartbeat(now, NAMES[rank], True, wide_link=True)
             self.assertFalse(joiner.should_read(now, False, True))
 
-    def test_one_with_a_wide_link_does_not_wait_for_those_with_narrow_ones(self) -> None:
+    def test_a_wide_link_reads_despite_active_narrow_links(self) -> None:
         wide = self.node(5, wide_link=True)
         wide.should_read(0.0, True, False)
-        now = 6 * STEP
+        now = 6 * VOLUNTEER_STEP
         self.confirm(now)
         for rank in (0, 1):
             wide.on_heartbeat(now, NAMES[rank], True, wide_link=False)
--- a/tests/core/replication/test_rejections.py
+++ b/tests/core/replication/test_rejections.py
@@ -1,4 +1,4 @@
-"""A refused revision is told of as long as it lasts."""
+"""A rejection is logged repeatedly for as long as it persists."""
 
 import unittest
 from typing import Any
@@ -11,47 +11,47 @@
 from tests.core.replication.test_replica import tree
 
 
-def bad_tree() -> dict[str, Any]:
-    bad = tree("1s")
-    bad["routes"]["browse"]["service"] = "missing"
-    return bad
+def invalid_tree() -> dict[str, Any]:
+    tree_with_error = tree("1s")
+    tree_with_error["routes"]["browse"]["service"] = "missing"
+    return tree_with_error
 
 
-class RefusalWatchTest(unittest.TestCase):
+class RejectionMonitorTest(unittest.TestCase):
     def setUp(self) -> None:
         self.replica = ConfigurationReplica("zone", Mechanisms())
-        self.watch = RejectionMonitor(self.replica)
+        self.monitor = RejectionMonitor(self.replica)
         self.replica.offer_document(5, tree("1s"))
 
     def ticks(self, begin: float, seconds: int) -> list[Effect]:
-        return [effect for n in range(seconds) for effect in self.watch.tick(begin + n)]
+        return [effect for n in range(seconds) for effect in self.monitor.tick(begin + n)]
 
-    def test_nothing_is_told_without_a_refusal(self) -> None:
+    def test_nothing_is_logged_without_a_rejection(self) -> None:
         self.assertEqual(self.ticks(0.0, 600), [])
-        self.assertIsNone(self.watch.since)
+        self.assertIsNone(self.monitor.since)
 
-    def test_a_refusal_is_logged_again_each_minute_while_it_lasts(self) -> None:
-        self.replica.offer_document(6, bad_tree())
+    def test_a_persisting_rejection_is_logged_every_minute(self) -> None:
+        self.replica.offer_document(6, invalid_tree())
         logs = self.ticks(100.0, 3 * int(REPEAT_LOG_SECONDS) + 1)
-        self.assertEqual(self.watch.since, 100.0)
-        told = [log for log in logs if isinstance(log, Log)]
-        self.assertEqual([log.event for log in told], [Event.REVISION_REJECTED] * 3)
-        self.assertEqual([log.fields["lasting"] for log in told], [60.0, 120.0, 180.0])
-        self.assertIn("missing", str(told[0].fields["findings"]))
-
-    def test_another_refused_revision_does_not_begin_anew(self) -> None:
-        self.replica.offer_document(6, bad_tree())
-        self.watch.tick(100.0)
-        self.replica.offer_document(7, bad_tree())
-        self.watch.tick(130.0)
-        self.assertEqual(self.watch.since, 100.0)
-
-    def test_it_is_over_once_a_newer_revision_is_held(self) -> None:
-        self.replica.offer_document(6, bad_tree())
-        self.watch.tick(100.0)
+        self.assertEqual(self.monitor.since, 100.0)
+        logged = [log for log in logs if isinstance(log, Log)]
+        self.assertEqual([log.event for log in logged], [Event.REVISION_REJECTED] * 3)
+        self.assertEqual([log.fields["lasting"] for log in logged], [60.0, 120.0, 180.0])
+        self.assertIn("missing", str(logged[0].fields["findings"]))
+
+    def test_a_further_rejected_revision_does_not_restart_the_period(self) -> None:
+        self.replica.offer_document(6, invalid_tree())
+        self.monitor.tick(100.0)
+        self.replica.offer_document(7, invalid_tree())
+        self.monitor.tick(130.0)
+        self.assertEqual(self.monitor.since, 100.0)
+
+    def test_a_rejection_ends_once_a_newer_revision_is_held(self) -> None:
+        self.replica.offer_document(6, invalid_tree())
+        self.monitor.tick(100.0)
         self.replica.offer_document(7, tree("2s"))
         self.assertEqual(self.ticks(101.0, 300), [])
-        self.assertIsNone(self.watch.since)
+        self.assertIsNone(self.monitor.since)
 
 
 if __name__ == "__main__":
--- a/tests/core/replication/test_replica.py
+++ b/tests/core/replication/test_replica.py
@@ -1,4 +1,4 @@
-"""What a replica holds, refuses and brings into force."""
+"""Configuration replica: which revisions it holds, rejects and brings into force."""
 
 import unittest
 from typing import Any
@@ -31,7 +31,7 @@
     def commit(self, revision: RevisionId) -> None:
         self.replica.mark_committed(revision)
 
-    def test_a_held_revision_is_in_force_only_once_committed(self) -> None:
+    def test_a_held_revision_comes_into_force_only_once_committed(self) -> None:
         self.assertIsNone(self.replica.next_in_force())
         self.commit(self.replica.held)
         configuration = self.replica.next_in_force()
@@ -39,7 +39,7 @@
         self.assertEqual(configuration.routes[0].timeout, 1.0)
         self.assertIsNone(self.replica.next_in_force())
 
-    def test_it_knows_whether_a_newer_revision_is_coming_or_was_refused(self) -> None:
+    def test_lag_tells_whether_a_newer_revision_is_coming_or_refused(self) -> None:
         self.commit(self.replica.held)
         self.assertIs(self.replica.lag, Lag.COMING)
         self.replica.next_in_force()
@@ -71,15 +71,15 @@
         assert configuration is not None
         self.assertEqual(configuration.revision, revision)
 
-    def test_an_invalid_revision_is_refused_whole_and_not_asked_for_again(self) -> None:
-        bad = tree("1s")
-        bad["routes"]["browse"]["service"] = "missing"
-        effects = self.replica.offer_document(6, bad)
+    def test_an_invalid_revision_is_rejected_and_not_pulled_again(self) -> None:
+        invalid = tree("1s")
+        invalid["routes"]["browse"]["service"] = "missing"
+        effects = self.replica.offer_document(6, invalid)
         self.assertEqual(event_of(effects), Event.REVISION_REJECTED)
         self.assertEqual(self.replica.held.number, 5)
-        self.assertFalse(self.replica.wants(revision_id_of(6, bad)))
+        self.assertFalse(self.replica.wants(revision_id_of(6, invalid)))
 
-    def test_a_committed_revision_that_was_skipped_is_fetched_alone(self) -> None:
+    def test_a_committed_revision_that_was_skipped_is_fetched_and_comes_into_force(self) -> None:
         skipped = tree("6s")
         revision = revision_id_of(6, skipped)
         self.replica.offer_document(7, tree("7s"))
--- a/tests/core/replication/test_source_eras.py
+++ b/tests/core/replication/test_source_eras.py
@@ -1,4 +1,4 @@
-"""What a node takes from words of an earlier and of a later era of the source."""
+"""Effect of peers' reports from an earlier or later era of the source on a node."""
 
 import unittest
 from random import Random
@@ -27,7 +27,7 @@
 
 
 class EraOfPeersTest(unittest.TestCase):
-    """One node that reads, and the word of a peer."""
+    """One node that reads the source and receives messages from a peer."""
 
     def setUp(self) -> None:
         self.now = 0.0
@@ -60,21 +60,21 @@
     def age(self) -> float:
         return self.core.replication.freshness.max_age(self.now)
 
-    def test_an_open_read_confirms_until_a_later_era_is_heard_of(self) -> None:
+    def test_an_open_read_confirms_until_a_later_era_is_reported(self) -> None:
         self.tick(1.0)
         self.assertLess(self.age(), 0.2)
         self.from_peer(Ping(1, self.state(2, 4)))
         self.tick(1.0)
         self.assertGreaterEqual(self.age(), 0.9)
 
-    def test_the_next_reads_are_told_the_later_era(self) -> None:
+    def test_the_next_reads_contain_the_later_era(self) -> None:
         self.from_peer(Ping(1, self.state(2, 4)))
         self.reads.clear()
         self.core.handle(self.now, DocumentUnchanged(DocumentKind.CONFIGURATION))
         self.tick(1.0)
         self.assertEqual(self.reads[DocumentKind.CONFIGURATION].era, 2)
 
-    def test_a_reader_of_an_earlier_era_confirms_and_changes_nothing(self) -> None:
+    def test_messages_from_an_earlier_era_confirm_and_change_nothing(self) -> None:
         self.core.handle(self.now, self.listed(2, 4))
         number = self.core.replication.machine_list.revision.number
         self.core.replication.freshness.reset(self.now, 0.0)
@@ -87,13 +87,13 @@
         self.from_peer(ReaderHeartbeat(self.state(2, 4), digest, SourceAges(0, 0)))
         self.assertLess(self.age(), 0.1)
 
-    def test_a_list_of_a_later_era_under_the_same_digest_is_a_new_era(self) -> None:
+    def test_a_list_with_the_same_digest_in_a_later_era_starts_a_new_era(self) -> None:
         digest = revision_id_of(1, MACHINES).digest
         effects = self.from_peer(ReaderHeartbeat(self.state(2, 4), digest, SourceAges(0, 0)))
-        told = [
+        logged_fields = [
             item.fields
             for item in effects
             if isinstance(item, Log) and item.event is Event.SOURCE_RETURNED
         ]
-        self.assertEqual([(fields["old"], fields["new"]) for fields in told], [(1, 2)])
+        self.assertEqual([(fields["old"], fields["new"]) for fields in logged_fields], [(1, 2)])
         self.assertEqual(self.core.replication.machine_list.era, 2)
--- a/tests/core/replication/test_store.py
+++ b/tests/core/replication/test_store.py
@@ -1,4 +1,4 @@
-"""Which changes a node can still tell its peers one by one."""
+"""Delta log: which changes can be sent to peers as deltas."""
 
 import unittest
 from typing import Any
@@ -21,7 +21,7 @@
         self.store.put(revision_id_of(number, document), shared)
         return self.store.revision
 
-    def test_additions_in_a_row_are_told_as_changes(self) -> None:
+    def test_successive_additions_are_available_as_deltas(self) -> None:
         first = self.put(1, tree(3600))
         self.put(2, tree(5000))
         self.put(3, tree(6400))
@@ -29,12 +29,12 @@
         assert deltas is not None
         self.assertEqual(sum(len(delta.edits) for delta in deltas), 2800)
 
-    def test_one_addition_is_told_as_a_change_however_long(self) -> None:
+    def test_a_single_addition_of_any_size_is_available_as_a_delta(self) -> None:
         first = self.put(1, tree(10))
         self.put(2, tree(MAX_EDITS + 500))
         self.assertIsNotNone(self.store.deltas_since(first))
 
-    def test_more_edits_than_entries_are_told_as_a_whole(self) -> None:
+    def test_the_log_is_shortened_beyond_as_many_edits_as_entries(self) -> None:
         first = self.put(1, tree(MAX_EDITS))
         second = self.put(2, tree(MAX_EDITS, "2s"))
         self.put(3, tree(MAX_EDITS, "3s"))
