--- a/src/pewtertack/routing/admission.py
+++ b/src/pewtertack/routing/admission.py
@@ -1,24 +1,24 @@
-"""Admission of requests to the one back end beside a node.
+"""Admission of requests to the one back end that is local to a node.
 
-Every request to the back end passes its node, so the number in flight is exact.
-What finds no free slot waits, ordered by class, priority and the start that its objective
-asks for: what a back end calls while it runs a request is short of time and goes first.
-One that can no longer be answered within its objective, or whose caller came back
-(``pewtertack.routing.wait_policy``), lets all go first that still can: in overload the back
-end's time goes to answers that are in time.
+All requests to the back end pass through its node, so the number in flight is exact.
+Requests that find no free slot are queued by class, priority and latest timely start. A
+request that can no longer be answered within its objective, or that comes from a retrying
+caller (``pewtertack.routing.wait_policy``), has lower precedence than all that still can: in
+an overload the back end's time goes to answers that are in time.
 
-A call that a back end makes while it runs another request has no worth of its own, but the
-run that waits for it is lost without it (``pewtertack.routing.origins``). It goes before others
-of its rank, is never late, and is refused only when its deadline cannot be met.
+A nested call, which a back end makes while it runs another request, has no value of its own,
+but the execution that waits for it is lost without it (``pewtertack.routing.origins``). It is
+short of time, so it precedes other requests of its rank, is never late, and is refused only
+when its deadline cannot be met.
 
-A request is kept while it is expected to be served: in time; or late, where its caller has no
-time for another whole attempt or came back. That is judged on arrival and again while it
-waits, by its place, the mean and the spread of the back end's times, and what those that go
-first leave free. It is refused as soon as it is not expected any longer, before the back end
-has seen a byte of it.
+A request stays queued while it is expected to be served: in time; or late, if its caller has no
+time for another whole attempt or is retrying. This is estimated on arrival and again while it
+waits, from its position in the queue, the mean and the spread of the back end's service times,
+and the capacity that requests of higher precedence leave free. A request that is no longer
+expected to be served is refused at once, before the back end has received a byte of it.
 
 The caller submits an ``AdmissionTicket`` for every request, waits for its ``wake``
-when it was neither granted nor refused at once, and reports its end.
+when it was neither granted nor refused at once, and reports when the request has ended.
 """
 
 from __future__ import annotations
@@ -39,31 +39,32 @@
 from pewtertack.routing.wait_policy import WaitPolicy
 
 QUEUE_PER_SLOT = 20
-"""Requests that may wait for each slot."""
+"""Requests that may be queued for each slot."""
 STALL_FACTOR = 3.0
-"""A back end that began and ended nothing for so many mean times stands still. Assumed."""
+"""A back end is stalled after this many mean times without any request starting or ending.
+Assumed."""
 RECHECK_SECONDS = 0.05
-"""How often the prospects of a late request that waits are judged anew: an eighth of an
-objective of 0.4 s, up to which the users' price list takes waiting for nothing."""
+"""Interval at which the prospects of a late request are checked: an eighth of an objective of
+0.4 s. The users' price list charges nothing for waits up to that."""
 LATE_CHECK_DELAY_SECONDS = 0.001
-"""Seconds after the last timely start at which a waiting request is judged as late."""
+"""Seconds after its latest timely start at which a queued request is checked as a late one."""
 MINIMUM_RETRY_AFTER = 0.05
 MAXIMUM_RETRY_AFTER = 10.0
 OVERLOAD_END_SECONDS = 1.0
-"""So long without a refusal, and an overload is over."""
+"""An overload is over after this long without a refusal."""
 
 
 Precedence = tuple[bool, tuple[int, int, bool, float, int]]
-"""Whether others go first, then the order of tickets."""
+"""Whether the ticket is late or deferred, then its ``sort_key``; the smallest goes first."""
 
 
 class Admission:
     """Slots and queue of one incarnation of a back end.
 
     Args:
-        slots: requests that the back end works on at once.
-        cold: what it may be given while it is cold; ``None`` bounds nothing.
-        policies: the way of each decision that has several.
+        slots: number of requests that the back end serves concurrently.
+        cold: limits the rate of requests while the back end is cold; ``None`` sets no limit.
+        policies: the policy of each decision that has several.
     """
 
     def __init__(
@@ -90,18 +91,19 @@
 
     @property
     def load(self) -> int:
-        """Requests at the back end and waiting for it, without those that let others go first."""
+        """Number of requests at the back end or queued for it, without deferred ones."""
         return self.in_flight + sum(not item.is_deferred for item in self._queue)
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request is at the back end or waits for it."""
+        """Whether no request is at the back end or queued for it."""
         return not self.in_flight and not self._queue
 
     def advertised_slots(self, now: float) -> int:
-        """Return the slots to tell other nodes: while it is cold, how many its rate keeps busy.
+        """Return the number of slots to advertise to other nodes.
 
-        Of one that hangs on a part of its requests: as many as the others need.
+        While the back end is cold: the number that its permitted rate keeps busy. While it hangs
+        on part of its requests: the number that the others need.
         """
         if self.cold is None or not self.cold.is_cold(now):
             return (
@@ -114,20 +116,20 @@
         )
 
     def use_slots(self, slots: int, now: float) -> None:
-        """Work with so many slots from now on; what waits gets those that are new."""
+        """Change the number of slots; queued requests are granted any new ones."""
         self.slots = max(1, slots)
         self._grant_waiting(now)
 
     def expected_time(self, route: str) -> float:
-        """Return the mean time that the back end takes for the route, 0 while unknown."""
+        """Return the mean time that the back end needs for the route, 0 while unknown."""
         return self._service_times.mean_of(route)
 
     def submit(self, ticket: AdmissionTicket, now: float) -> None:
-        """Grant the ticket or let it wait.
+        """Grant the ticket or queue it.
 
         Raises:
-            QueueFullError: as many wait as may.
-            DeadlineUnmeetableError: its turn would come too late.
+            QueueFullError: the queue is full.
+            DeadlineUnmeetableError: the request is not expected to start in time.
         """
         ticket.submitted_at = now
         if not ticket.is_deferred:
@@ -144,7 +146,7 @@
             self._arrivals,
         )
         if not self._may_be_served(ticket, now):
-            message = "no slot comes free in time"
+            message = "no slot is expected to be free in time"
             raise DeadlineUnmeetableError(message, self._retry_after(now))
         if len(self._queue) >= QUEUE_PER_SLOT * self.slots:
             self._evict_for(ticket, now)
@@ -156,23 +158,23 @@
         return self.in_flight < self.slots and (self.cold is None or self.cold.may_start(now))
 
     def _evict_for(self, ticket: AdmissionTicket, now: float) -> None:
-        """Refuse the last that waits if it is less urgent, else the new one.
+        """Refuse the last ticket of the queue if it is less urgent than the new one.
 
         Raises:
-            QueueFullError: nothing less urgent than the ticket waits.
+            QueueFullError: no queued ticket is less urgent than the new one.
         """
         last = self._queue[-1]
         if last.sort_key < ticket.sort_key:
-            raise QueueFullError("too many requests wait", self._retry_after(now))
+            raise QueueFullError("too many requests are queued", self._retry_after(now))
         self._queue.pop()
-        last.refusal = QueueFullError("too many requests wait", self._retry_after(now))
+        last.refusal = QueueFullError("too many requests are queued", self._retry_after(now))
         last.wake()
 
     def _may_be_served(self, ticket: AdmissionTicket, now: float) -> bool:
-        """Tell whether the ticket is expected to start while that is of use."""
+        """Tell whether the ticket is expected to start early enough to be useful."""
         if not self._is_late(ticket, now):
-            turn = (False, ticket.sort_key)
-            ahead = sum(self._precedence(item, now) < turn for item in self._queue)
+            precedence = (False, ticket.sort_key)
+            ahead = sum(self._precedence(item, now) < precedence for item in self._queue)
             if now + self._wait_behind(ahead, ticket, now) <= ticket.latest_timely_start:
                 return True
         if ticket.nested:
@@ -185,25 +187,25 @@
         return now + self._late_wait(ticket, now) <= self._latest_start(ticket, now)
 
     def _late_wait(self, ticket: AdmissionTicket, now: float) -> float:
-        """Return the wait of a request behind all that may still be in time.
+        """Return the wait of a request behind all that may still be answered in time.
 
-        Those that go first keep coming; what they leave free serves the others.
+        Requests of higher precedence keep arriving; only the capacity they leave free counts.
         """
-        free = 1 - self._precedence_arrivals.lower_bound(now) * self._start_interval(
+        free_share = 1 - self._precedence_arrivals.lower_bound(now) * self._start_interval(
             self._mean_time(now), now
         )
-        if free <= 0:
+        if free_share <= 0:
             return math.inf
-        turn = (True, ticket.sort_key)
-        ahead = sum(self._precedence(item, now) < turn for item in self._queue)
-        return self._wait_behind(ahead, ticket, now) / free
+        precedence = (True, ticket.sort_key)
+        ahead = sum(self._precedence(item, now) < precedence for item in self._queue)
+        return self._wait_behind(ahead, ticket, now) / free_share
 
     def _is_stalled(self, now: float) -> bool:
-        """Tell whether the back end stands still, so that nothing is known of any wait."""
+        """Tell whether the back end makes no progress, so that no wait can be estimated."""
         return now - self._last_progress_at > STALL_FACTOR * self._mean_time(now) > 0
 
     def _latest_start(self, ticket: AdmissionTicket, now: float) -> float:
-        """Return until when it should start: later, it would often miss its deadline."""
+        """Return the latest start after which the request would often miss its deadline."""
         return (
             ticket.deadline
             - self._response_time(ticket, now)
@@ -211,15 +213,15 @@
         )
 
     def _wait_behind(self, ahead: int, ticket: AdmissionTicket, now: float) -> float:
-        """Return in how many seconds a request starts that lets ``ahead`` others go first."""
+        """Return the seconds until a request with ``ahead`` others before it starts."""
         return (ahead + 1) * self._start_interval(self._mean_time(now) or ticket.assumed_time, now)
 
     def _mean_time(self, now: float) -> float:
-        """Return for how long a request takes a slot, 0 while unknown."""
+        """Return the mean time for which a request occupies a slot, 0 while unknown."""
         return self._service_times.mean and self._service_times.mean + self._delay.at(now)
 
     def _start_interval(self, mean: float, now: float) -> float:
-        """Return the seconds from one request's start to the next, where all slots are taken."""
+        """Return the seconds from one start to the next while all slots are occupied."""
         by_slots = mean / self.slots
         if self.cold is None or not self.cold.is_cold(now):
             return by_slots
@@ -229,11 +231,11 @@
         return self.expected_time(ticket.route) or ticket.assumed_time
 
     def _response_time(self, ticket: AdmissionTicket, now: float) -> float:
-        """Return the seconds from its start to its answer, as read by this node."""
+        """Return the seconds from the start until this node has read the answer."""
         return self._execution_time(ticket) + self._delay.at(now)
 
     def _latest_timely_start(self, ticket: AdmissionTicket, now: float) -> float:
-        """Return until when it should start: later, it would often miss its objective."""
+        """Return the latest start after which the request would often miss its objective."""
         if ticket.nested:
             return self._latest_start(ticket, now)
         latest = min(ticket.objective, ticket.deadline) - self._response_time(ticket, now)
@@ -241,17 +243,17 @@
         return self._start_with_margin(ticket.submitted_at, latest, spread)
 
     def _precedence(self, ticket: AdmissionTicket, now: float) -> Precedence:
-        """Return the ticket's place among those that wait; the smallest goes first."""
+        """Return the ticket's precedence in the queue; the smallest goes first."""
         return self._is_late(ticket, now), ticket.sort_key
 
     def _is_late(self, ticket: AdmissionTicket, now: float) -> bool:
-        """Tell whether a request lets go first what may still be in time."""
+        """Tell whether the request has lower precedence than all that may still be in time."""
         return ticket.is_deferred or now > ticket.latest_timely_start
 
     def _retry_after(self, now: float) -> float:
-        """Note a refusal; return in how many seconds there will be room, as far as known.
+        """Record a refusal; return the seconds until capacity is expected to be free.
 
-        An overload that has lasted for some time is taken to last as long again.
+        An overload that has lasted for some time is assumed to last as long again.
         """
         if now - self._refused_at > OVERLOAD_END_SECONDS:
             self._refusing_since = now
@@ -262,11 +264,11 @@
         return min(expected, MAXIMUM_RETRY_AFTER)
 
     def next_check_at(self, ticket: AdmissionTicket) -> float:
-        """Return when to look at a waiting ticket again."""
+        """Return when to check a queued ticket again."""
         return ticket.check_at
 
     def recheck(self, ticket: AdmissionTicket, now: float) -> None:
-        """Refuse a waiting ticket which is not expected to be served in time any longer."""
+        """Refuse a queued ticket that is no longer expected to be served in time."""
         if ticket.granted or ticket.refusal is not None or now < ticket.check_at:
             return
         self._grant_waiting(now)
@@ -278,8 +280,9 @@
         self._refuse_late(ticket, now)
 
     def _may_keep_waiting(self, ticket: AdmissionTicket, now: float) -> bool:
-        """Tell whether a ticket may go on waiting; a call within that may not has time to ask
-        another gateway.
+        """Tell whether a ticket may stay queued.
+
+        A nested call that may not is refused early enough to try another gateway.
         """
         if ticket.nested:
             stalls = self.in_flight >= self.slots and self._is_stalled(now)
@@ -288,47 +291,50 @@
 
     def _refuse_late(self, ticket: AdmissionTicket, now: float) -> None:
         self._queue.remove(ticket)
-        message = "no slot came free in time"
+        message = "no slot became free in time"
         ticket.refusal = DeadlineUnmeetableError(message, self._retry_after(now))
         ticket.wake()
 
     def _next_check(self, ticket: AdmissionTicket, now: float) -> float:
-        """Return when to judge it anew; a cold back end has room without any request's end."""
+        """Return when to check the ticket again.
+
+        A cold back end gains capacity with time, without any request ending.
+        """
         cold = self.cold is not None and self.cold.is_cold(now)
         if cold or ticket.nested or self._is_late(ticket, now):
             return now + RECHECK_SECONDS
         return ticket.latest_timely_start + LATE_CHECK_DELAY_SECONDS
 
     def withdraw(self, ticket: AdmissionTicket) -> None:
-        """Take a waiting ticket out, since its caller has gone."""
+        """Remove a queued ticket whose caller has gone."""
         if ticket in self._queue:
             self._queue.remove(ticket)
 
     def refuse(self, ticket: AdmissionTicket, refusal: NotRunError) -> None:
-        """End a ticket's waiting with ``refusal``; one that does not wait is left alone."""
+        """Refuse a queued ticket with ``refusal``; a ticket that is not queued is left alone."""
         if ticket in self._queue:
             self._queue.remove(ticket)
             ticket.refusal = refusal
             ticket.wake()
 
     def refuse_all(self, refusal_of: Callable[[], NotRunError]) -> None:
-        """End the waiting of all tickets, each with a refusal of its own."""
+        """Refuse all queued tickets, each with a refusal of its own."""
         for ticket in tuple(self._queue):
             self.refuse(ticket, refusal_of())
 
     def finish(
         self, ticket: AdmissionTicket, now: float, answered: bool, delay: float = 0.0
     ) -> None:
-        """A granted request has ended; its slot goes to the next that waits.
+        """Record the end of a granted request and give its slot to the next in the queue.
 
-        One that ended without an answer tells how long it takes at least: a back end
-        that has turned slow answers only what is quick.
+        A request that ended without an answer still gives a lower bound of its time: a back end
+        that has become slow answers only its quick requests.
 
         Args:
-            ticket: the request's place.
+            ticket: the request's ticket.
             now: monotonic seconds.
             answered: whether the back end has answered.
-            delay: seconds for which the answer lay unread, since this node was held up.
+            delay: seconds for which the answer lay unread because this node was delayed.
         """
         self.in_flight -= 1
         self._last_progress_at = now
--- a/src/pewtertack/routing/arrivals.py
+++ b/src/pewtertack/routing/arrivals.py
@@ -1,18 +1,19 @@
-"""How often requests come, by what was seen lately and how sure that is."""
+"""Estimated rate of arrivals, with a lower confidence bound."""
 
 from __future__ import annotations
 
 import math
 
 DECAY_SECONDS = 1.0
-"""Arrivals count for about so long. In virtual time half of it gives the same within noise."""
+"""Time constant with which arrivals lose weight. In virtual time half of it gives the same
+result within noise."""
 
 CONFIDENCE_DEVIATIONS = 2.0
-"""Standard deviations of the count that may be chance: 1 in 40 counts is further off."""
+"""Standard deviations that the lower bound subtracts: 1 in 40 counts is further off by chance."""
 
 
 class ArrivalRate:
-    """A count of arrivals of which each loses weight with its age."""
+    """An exponentially decaying count of arrivals."""
 
     __slots__ = ("count", "updated_at")
 
@@ -26,7 +27,7 @@
         self.updated_at = now
 
     def lower_bound(self, now: float) -> float:
-        """Return the arrivals a second that are sure: the count less what may be chance."""
+        """Return a lower bound of the arrivals per second: the count less its statistical error."""
         count = self._decayed_count(now)
         return max(0.0, count - CONFIDENCE_DEVIATIONS * math.sqrt(count)) / DECAY_SECONDS
 
--- a/src/pewtertack/routing/attempt_results.py
+++ b/src/pewtertack/routing/attempt_results.py
@@ -1,4 +1,4 @@
-"""How an attempt ended, and what that tells of its back end."""
+"""Results of an attempt, and what they say of its back end."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 
 
 UNREACHABLE_RETRY_SECONDS = 0.4
-"""Seconds for which a gateway that could not be reached is left alone at first."""
+"""Initial time for which an unreachable gateway is not tried again."""
 
 
 class AttemptResult(Enum):
-    """What became of an attempt, as far as it tells something of the back end."""
+    """Result of an attempt, as far as it says something of the back end."""
 
     ANSWERED = "answered"
     FAILED_STATUS = "failed-status"
     """An answer of status 500, 502 or 503, other than a shed request."""
     FAILED_BELOW = "failed-below"
-    """A failure that a node below the back end gave; tells nothing of the back end."""
+    """A failure reported by a node further down; says nothing of the back end."""
     HUNG = "hung"
-    """The gateway takes it for one of those on which the back end hangs, and tells of fewer slots
-    by the share that does; that others fail too it does not say."""
+    """The gateway takes the back end to hang on this request. It says nothing of other requests;
+    the gateway advertises fewer slots according to the share on which the back end hangs."""
     SHED = "shed"
     REFUSED = "refused"
-    """The gateway refused the request; tells nothing of the back end."""
+    """The gateway refused the request; says nothing of the back end."""
     GONE = "gone"
-    """The gateway says that the back end has left for good; tells nothing of the gateway."""
+    """The gateway reports that the back end has left for good; says nothing of the gateway."""
     UNREACHABLE = "unreachable"
     SILENT = "silent"
     """The gateway's machine acknowledged nothing of what was sent to it."""
@@ -48,35 +48,37 @@
     AttemptResult.CANCELLED,
 }
 CONNECTIVITY_FAILURES = {AttemptResult.UNREACHABLE, AttemptResult.SILENT}
-"""Ends after which a gateway's back end is asked for nothing until a probe is answered."""
+"""Results after which a gateway gets no requests until it answers a probe."""
 
 
 INCOMPLETE_RESULTS = {AttemptResult.TIMED_OUT, AttemptResult.CANCELLED, AttemptResult.BROKEN}
-"""Ends that tell how long the answer would have taken at least."""
+"""Results that give a lower bound of the time that the answer would have taken."""
 
 
-def ejection_parameters(ticket: Ticket, backend: Backend, end: AttemptResult) -> tuple[int, float]:
+def ejection_parameters(
+    ticket: Ticket, backend: Backend, result: AttemptResult
+) -> tuple[int, float]:
     """Return how many failures in a row eject the back end, and for how many seconds.
 
-    A gateway that cannot be reached says so at once, and asking again costs little.
+    An unreachable gateway is ejected at once: trying it again fails fast and costs little.
     """
-    if backend.gateway and end in CONNECTIVITY_FAILURES:
+    if backend.gateway and result in CONNECTIVITY_FAILURES:
         return 1, UNREACHABLE_RETRY_SECONDS
     return ticket.service.ejection_failures, ticket.service.ejection_time
 
 
-def reflects_on_backend(ticket: Ticket, now: float, end: AttemptResult) -> bool:
-    """Tell whether the end of an attempt speaks for or against its back end."""
-    silent_of_it = (
+def reflects_on_backend(ticket: Ticket, now: float, result: AttemptResult) -> bool:
+    """Tell whether the result counts for or against the back end's health."""
+    inconclusive = (
         AttemptResult.FAILED_BELOW,
         AttemptResult.REFUSED,
         AttemptResult.GONE,
         AttemptResult.HUNG,
     )
-    if end in silent_of_it:
+    if result in inconclusive:
         return False
-    if end is AttemptResult.SHED:
+    if result is AttemptResult.SHED:
         return ticket.trial
-    if end not in (AttemptResult.TIMED_OUT, AttemptResult.CANCELLED):
+    if result not in (AttemptResult.TIMED_OUT, AttemptResult.CANCELLED):
         return True
     return not ticket.answered and now - ticket.started_at >= MIN_SIGNIFICANT_SECONDS
--- a/src/pewtertack/routing/backend.py
+++ b/src/pewtertack/routing/backend.py
@@ -1,4 +1,4 @@
-"""What one proxy knows of one back end."""
+"""A proxy's view of one back end."""
 
 from __future__ import annotations
 
@@ -11,29 +11,30 @@
 from pewtertack.routing.limit import AdaptiveLimit
 
 REPORT_HALF_LIFE_SECONDS = 0.5
-"""Seconds after which a load report counts half."""
+"""Half-life of a load report's weight."""
 REPORT_EXPIRY_SECONDS = 3.0
-"""Seconds after which a load report no longer counts."""
+"""Age at which a load report no longer counts."""
 INITIAL_SHARE = 0.1
-"""Share of the work that a back end takes at the beginning of its slow start."""
+"""Share of the usual work that a back end gets at the beginning of its slow start."""
 STALL_SECONDS = 1.0
-"""Without any sign for this long while requests wait there, a back end is avoided."""
+"""A back end is avoided when requests wait there and nothing has been received for this long."""
 GATEWAY_STALL_SECONDS = 0.15
-"""The same at least for a back end with a gateway, which tells its load with every answer."""
+"""Lower bound of the same for a back end with a gateway, which reports its load with every
+answer."""
 GATEWAY_STALL_FACTOR = 2.5
 """The same as a multiple of the time that the back end's answers take."""
 STALL_MEMORY_SECONDS = 3.0
 """Seconds for which a stall counts after the last request there has been given up."""
 STALL_PENALTY = 8.0
 PROBE_GRACE_SECONDS = 0.5
-"""An unreachable gateway is tried by a request when no probe has been made for so long."""
+"""A request tries an unreachable gateway when a probe has been overdue for this long."""
 SLOWNESS_WEIGHT = 0.1
 SLOWNESS_LIMIT = 8.0
-"""One answer counts as slower or faster than the mean by this factor at most."""
+"""Largest factor by which one answer counts as slower or faster than the mean."""
 SLOWNESS_NOISE = 1.25
-"""Two equal back ends may seem so far apart, since answers differ from one another."""
+"""Apparent slowness up to which two equal back ends may differ, since answer times vary."""
 SLOWNESS_HALF_LIFE_SECONDS = 10.0
-"""Seconds without an answer after which half of what was known of its slowness still counts."""
+"""Half-life of the slowness estimate while no answer is received."""
 MAXIMUM_REPORTED_SLOTS = 1_000_000
 
 
@@ -45,7 +46,7 @@
 
 
 def parse_load(text: str | None) -> LoadReport | None:
-    """Read a load report; ``None`` for one that is missing or makes no sense."""
+    """Parse a load report; return ``None`` if it is missing or malformed."""
     if text is None:
         return None
     in_flight, _, slots = text.strip().partition("/")
@@ -70,34 +71,35 @@
     in_flight: int = 0
     """Requests of this proxy at the back end."""
     leaving: bool = False
-    """Gets no new work, by the list or its own answers. Sticky for an incarnation."""
+    """Gets no new work, according to the machine list or its own answers. Never reset."""
     removed: bool = False
     """Gone from the list, or replaced by another incarnation."""
     silent_since: float | None = None
-    """Since when a request has waited there without any sign of the back end."""
+    """Start of the period in which requests have waited there and nothing was received."""
     unreachable: bool = False
-    """Ejected because its gateway's machine, or process, gave no sign."""
+    """Ejected because its gateway's machine or process did not respond."""
     other_requests: int = 0
     """Requests of other callers at the back end when it last reported."""
     slots: int = 0
     reported_at: float = float("-inf")
     gateway: str = ""
-    """``ip:port`` of the node beside the back end, which admits; empty without one."""
+    """``ip:port`` of the node that admits requests to the back end; empty without one."""
     listed_cold: bool = False
     """Whether the newest list says that it is cold."""
     started_at: int = 0
-    """Unix milliseconds of its start, 0 while unknown; another start is another incarnation."""
+    """Unix milliseconds of its start, 0 while unknown; each start is another incarnation."""
     successor: Backend | None = None
-    """Listed at the same address later. This one has ended then, and its entry is still to go:
-    after a loss of power half of the list may be such entries for some seconds."""
+    """The back end that was listed later at the same address. This one has ended then, and its
+    entry is stale: for some seconds after a loss of power half of the list may be such entries."""
     link_free_at: float = 0.0
-    """When its gateway's link has carried all that it has told of, and that was asked for since."""
+    """When its gateway's link will have sent the queue last reported and the answers requested
+    since."""
     slowness: float = 1.0
     """Time that its answers take, as a multiple of the service's mean."""
     slowness_noted_at: float = float("-inf")
 
     def configure(self, settings: ResolvedService) -> None:
-        """Use the service's settings; the first ones set the limit up."""
+        """Use the service's settings; the first ones create the limit."""
         if settings is self.settings:
             return
         ceiling = min(settings.slots_per_backend, settings.connections_per_backend)
@@ -109,9 +111,9 @@
 
     @property
     def accepts_work(self) -> bool:
-        """Whether it is listed, and neither leaves nor has a successor that takes work.
+        """Whether it is listed, is not leaving and has no successor that accepts work.
 
-        The successor may be nobody: an entry can claim an address that is another's.
+        The successor's entry may be wrong: it can claim an address that belongs to another machine.
         """
         if self.leaving or self.removed:
             return False
@@ -126,21 +128,21 @@
         )
 
     def reachable(self, now: float) -> bool:
-        """Tell whether it is not ejected, or due for a request that tries it."""
+        """Tell whether it is not ejected, or is due for a trial request."""
         return self.health.allows_request(now - PROBE_GRACE_SECONDS if self.unreachable else now)
 
     def note_start(self, now: float) -> None:
-        """A request of this proxy starts there."""
+        """Record that a request of this proxy starts there."""
         self.in_flight += 1
         if self.silent_since is None:
             self.silent_since = now
 
     def note_contact(self, now: float) -> None:
-        """The back end, or its gateway, has answered one of the requests there."""
+        """Record that the back end, or its gateway, has answered one of the requests there."""
         self.silent_since = now if self.in_flight > 1 else None
 
     def note_end(self, now: float, mean_time: float) -> None:
-        """A request there has ended; a silence that is long already is not forgotten."""
+        """Record the end of a request there; a stall is remembered."""
         self.in_flight -= 1
         if self.in_flight == 0 and not self.stalled(now, mean_time):
             self.silent_since = None
@@ -154,10 +156,10 @@
             self.slowness_noted_at = now
 
     def known_slowness(self, now: float) -> float:
-        """Return its slowness as far as it is known: 1.0 where that may be chance, or was long ago.
+        """Return its slowness, or 1.0 where that is within noise or outdated.
 
-        Its own answers alone renew the estimate, so that a back end that seems slower than others
-        gets none to correct it.
+        Only its own answers update the estimate, and a back end that seems slower than others
+        gets no requests that could correct it. So the estimate expires.
         """
         if _may_be_noise(self.slowness):
             return 1.0
@@ -181,19 +183,19 @@
         self.slots = report.slots
         self.reported_at = now
 
-    def note_link_queue(self, now: float, ahead: float) -> None:
-        """Its gateway has told how long the line of its link is."""
-        self.link_free_at = now + ahead
+    def note_link_queue(self, now: float, queue_seconds: float) -> None:
+        """Take over its gateway's report of the link queue."""
+        self.link_free_at = now + queue_seconds
 
     def link_wait(self, now: float) -> float:
-        """Return for how long a long answer would wait for its gateway's link."""
+        """Return the seconds for which a long answer would wait for its gateway's link."""
         return max(0.0, self.link_free_at - now)
 
     def assume_cold(self, now: float) -> None:
-        """Take it for full and small until it reports: it does not bear its share yet.
+        """Assume that it has one slot, which is taken, until it reports its load.
 
-        All proxies hear of a new back end at once. That none has a request there yet must not
-        make each of them send one.
+        All proxies learn of a new back end at once, while it cannot take its full share yet. Not
+        every one of them should send a request because it has none there.
         """
         self.slots = 1
         self.other_requests = 1
@@ -202,7 +204,7 @@
     def occupancy(self, now: float) -> float:
         """Return the estimated share of the back end's slots that are taken.
 
-        Own requests count in full; others' by the last report, which loses
+        Own requests count in full; those of others by the last report, which loses
         half its weight every ``REPORT_HALF_LIFE_SECONDS``.
         """
         age = now - self.reported_at
@@ -213,14 +215,14 @@
         )
 
     def score(self, now: float) -> float:
-        """Return how unattractive the back end is for one more request."""
+        """Return a score for one more request; the lowest is the best."""
         assert self.settings is not None
         slots = self.slots or self.settings.slots_per_backend
         score = (self.occupancy(now) + 1 / slots) / self._slow_start_share(now)
         return score * STALL_PENALTY if self.stalled(now) else score
 
     def stalled(self, now: float, mean_time: float = 0.0) -> bool:
-        """Tell whether requests wait, or waited, there and nothing was heard for too long.
+        """Tell whether requests wait, or waited, there and nothing was received for too long.
 
         Args:
             now: monotonic seconds.
@@ -228,10 +230,10 @@
         """
         if self.silent_since is None:
             return False
-        silent = now - self.silent_since
-        if self.in_flight == 0 and silent > STALL_MEMORY_SECONDS:
+        silence = now - self.silent_since
+        if self.in_flight == 0 and silence > STALL_MEMORY_SECONDS:
             return False
-        return silent > self._stall_limit(mean_time)
+        return silence > self._stall_limit(mean_time)
 
     def _stall_limit(self, mean_time: float) -> float:
         if not self.gateway or mean_time == 0:
@@ -239,7 +241,7 @@
         return max(GATEWAY_STALL_SECONDS, GATEWAY_STALL_FACTOR * mean_time * self.slowness)
 
     def _slow_start_share(self, now: float) -> float:
-        """Return the share of work, below 1 during the slow start."""
+        """Return the share of the usual work to give it, below 1 during its slow start."""
         assert self.settings is not None
         began = max(self.first_seen, self.health.reinstated_at)
         if self.settings.slow_start <= 0 or now - began >= self.settings.slow_start:
--- a/src/pewtertack/routing/choice.py
+++ b/src/pewtertack/routing/choice.py
@@ -12,17 +12,18 @@
 SATURATED_OCCUPANCY = 1.0
 """Estimated occupancy from which a back end of the own zone is no longer preferred."""
 COMPARE_ALL_UP_TO = 8
-"""Up to so many back ends are all compared; what 13 machines in 4 zones need."""
+"""Up to this number all back ends are compared; 13 machines in 4 zones need it."""
 SAMPLE_SIZE = 3
-"""So many of more are. In virtual time (18 senders, 11 gateways of 3 slots, half loaded) two
-or three bring the mean wait from 26 to 7 to 10 ms."""
+"""Number of back ends compared where there are more. In virtual time (18 senders, 11 gateways of
+3 slots, half loaded) a sample of two or three reduces the mean wait from 26 ms to 7 to 10 ms."""
 MAX_DRAWS = 12
-"""Attempts to draw them; those that are not usable do not count."""
+"""Number of draws for a sample; back ends that are not usable are skipped."""
 CROWDING_FACTOR = 1.5
-"""How much longer an answer is taken to need at a back end whose slots are all taken. Without
-it all fill the fastest one first and meet there, since reports are old by the time that others
-read them. In virtual time (8 senders, 7 gateways, seeds 1 and 2) the mean wait falls from
-10.6 and 15.2 ms to 9.7 and 14.2 at half load, from 79 and 85 to 79 and 80 at 0.95."""
+"""Relative increase of the expected answer time at a back end whose slots are all taken. Without
+it all senders fill the fastest back end first and collide there, since reports are outdated by the
+time that others read them. In virtual time (8 senders, 7 gateways, seeds 1 and 2) it reduces the
+mean wait from 10.6 and 15.2 ms to 9.7 and 14.2 at half load, from 79 and 85 to 79 and 80 at
+0.95."""
 NONE_EXCLUDED: frozenset[str] = frozenset()
 
 
@@ -89,7 +90,7 @@
 
 
 class GatewayCriteria(msgspec.Struct, frozen=True):
-    """What a request asks of the back end beside whose node it will wait. Seconds."""
+    """What a request requires of the gateway that it is sent to. Times in seconds."""
 
     expected_time: float
     """Mean time of the route's answers, 0 while unknown."""
@@ -98,33 +99,33 @@
     max_wait: float
     """How long the request may wait in its own zone, where no bytes cross zones."""
     excluded: Container[str]
-    """Those that earlier attempts have tried."""
+    """Back ends that earlier attempts have tried."""
     refused: Container[str] = NONE_EXCLUDED
-    """Those of them that have refused it."""
+    """Those of them whose gateways have refused it."""
     link_seconds: float = 0.0
-    """What its answer takes the link of the back end's node alone; 0 if it is short."""
+    """Time for which its answer alone occupies the link of the back end's node; 0 if short."""
 
 
 def choose_gateway(
     local: Sequence[Backend],
     remote: Sequence[Backend],
-    wish: GatewayCriteria,
+    criteria: GatewayCriteria,
     now: float,
     random: Random,
 ) -> Backend | None:
-    """Return the back end whose gateway to ask, or ``None``.
+    """Return the back end whose gateway to send the request to, or ``None``.
 
-    Of many, a few drawn at random are compared: senders that all look at all meet at the
-    one they believe free, and reports are old where each sender has many to hear from.
+    If there are many, a few are drawn at random and compared: senders that all compare all of them
+    collide at the one that seems free, since a sender with many back ends has outdated reports.
     The own zone is left only when the wait there is too long and elsewhere it is not:
-    an answer that is late all the same is not worth the bytes between zones.
-    Back ends in ``wish.excluded`` are taken only when no other is usable, and those in
-    ``wish.refused`` last: what has refused a request will do so again.
+    an answer that is late anyway is not worth the bytes between zones.
+    Back ends in ``criteria.excluded`` are taken only when no other is usable, and those in
+    ``criteria.refused`` last, since they are likely to refuse the request again.
     """
-    chosen = _choose_untried(local, remote, wish, now, random)
-    for excluded in (wish.refused, NONE_EXCLUDED):
-        if chosen is None and wish.excluded:
-            others = msgspec.structs.replace(wish, excluded=excluded)
+    chosen = _choose_untried(local, remote, criteria, now, random)
+    for excluded in (criteria.refused, NONE_EXCLUDED):
+        if chosen is None and criteria.excluded:
+            others = msgspec.structs.replace(criteria, excluded=excluded)
             chosen = _choose_untried(local, remote, others, now, random)
     return chosen
 
@@ -132,63 +133,66 @@
 def _choose_untried(
     local: Sequence[Backend],
     remote: Sequence[Backend],
-    wish: GatewayCriteria,
+    criteria: GatewayCriteria,
     now: float,
     random: Random,
 ) -> Backend | None:
-    near = _fastest(_sample(local, wish, now, random), wish, now, random)
-    if near is not None and _is_soon_enough(near, wish, now):
-        return near
+    best_local = _fastest(_sample(local, criteria, now, random), criteria, now, random)
+    if best_local is not None and _is_soon_enough(best_local, criteria, now):
+        return best_local
     if len(local) > COMPARE_ALL_UP_TO:
-        near = _fastest(_untried(local, wish, now), wish, now, random)
-        if near is not None and _is_soon_enough(near, wish, now):
-            return near
-    far = _fastest(_sample(remote, wish, now, random), wish, now, random)
-    if near is None or far is None:
-        return near or far
-    return far if _is_soon_enough(far, wish, now) else near
+        best_local = _fastest(_untried(local, criteria, now), criteria, now, random)
+        if best_local is not None and _is_soon_enough(best_local, criteria, now):
+            return best_local
+    best_remote = _fastest(_sample(remote, criteria, now, random), criteria, now, random)
+    if best_local is None or best_remote is None:
+        return best_local or best_remote
+    return best_remote if _is_soon_enough(best_remote, criteria, now) else best_local
 
 
-def _is_soon_enough(backend: Backend, wish: GatewayCriteria, now: float) -> bool:
-    if wish.link_seconds and backend.link_wait(now) - wish.expected_time > wish.max_wait:
-        return False  # its answer will have to wait longer for the link
-    return backend.expected_wait(now, wish.mean_time) <= wish.max_wait
+def _is_soon_enough(backend: Backend, criteria: GatewayCriteria, now: float) -> bool:
+    if (
+        criteria.link_seconds
+        and backend.link_wait(now) - criteria.expected_time > criteria.max_wait
+    ):
+        return False  # its answer would wait longer for the link
+    return backend.expected_wait(now, criteria.mean_time) <= criteria.max_wait
 
 
-def _untried(backends: Sequence[Backend], wish: GatewayCriteria, now: float) -> list[Backend]:
-    return [item for item in backends if item.usable(now) and item.name not in wish.excluded]
+def _untried(backends: Sequence[Backend], criteria: GatewayCriteria, now: float) -> list[Backend]:
+    return [item for item in backends if item.usable(now) and item.name not in criteria.excluded]
 
 
 def _sample(
-    backends: Sequence[Backend], wish: GatewayCriteria, now: float, random: Random
+    backends: Sequence[Backend], criteria: GatewayCriteria, now: float, random: Random
 ) -> Sequence[Backend]:
-    """Return a few back ends to compare, at random; all where they are few."""
+    """Return a few back ends drawn at random, or all if there are few."""
     count = len(backends)
     if count <= COMPARE_ALL_UP_TO:
-        return _untried(backends, wish, now)
+        return _untried(backends, criteria, now)
     drawn: list[Backend] = []
     for _ in range(MAX_DRAWS):
         item = backends[int(random.random() * count)]
-        if item not in drawn and item.name not in wish.excluded and item.usable(now):
+        if item not in drawn and item.name not in criteria.excluded and item.usable(now):
             drawn.append(item)
             if len(drawn) == SAMPLE_SIZE:
                 return drawn
-    return drawn or _untried(backends, wish, now)
+    return drawn or _untried(backends, criteria, now)
 
 
 def _fastest(
-    backends: Sequence[Backend], wish: GatewayCriteria, now: float, random: Random
+    backends: Sequence[Backend], criteria: GatewayCriteria, now: float, random: Random
 ) -> Backend | None:
-    """Return the back end from which the answer is expected first, any of those that are alike."""
+    """Return the back end expected to answer first; one at random if several are equal."""
 
     def cost(backend: Backend) -> tuple[float, float]:
-        wait = backend.expected_wait(now, wish.mean_time)
-        stalled = STALL_PENALTY if backend.stalled(now, wish.mean_time) else 1.0
+        wait = backend.expected_wait(now, criteria.mean_time)
+        stalled = STALL_PENALTY if backend.stalled(now, criteria.mean_time) else 1.0
         slowness = backend.known_slowness(now) * stalled
         occupancy = backend.occupancy(now)
         crowding = 1 + CROWDING_FACTOR * occupancy * occupancy
-        ready = wait + wish.expected_time * slowness * crowding
-        if wish.link_seconds:
+        ready = wait + criteria.expected_time * slowness * crowding
+        if criteria.link_seconds:
             ready = max(ready, backend.link_wait(now))
         return ready, occupancy * stalled
 
@@ -198,5 +202,5 @@
     least = min(costs)
     if costs.count(least) == 1:
         return backends[costs.index(least)]
-    alike = [backend for backend, own in zip(backends, costs, strict=True) if own == least]
-    return alike[int(random.random() * len(alike))]
+    tied = [backend for backend, own in zip(backends, costs, strict=True) if own == least]
+    return tied[int(random.random() * len(tied))]
--- a/src/pewtertack/routing/cold.py
+++ b/src/pewtertack/routing/cold.py
@@ -1,12 +1,12 @@
-"""How many requests a cold back end is given.
+"""Rate limit for requests to a cold back end.
 
-A back end that has just started, or has turned cold for another reason, bears a published
-number of requests a second and falls over well above it. Every request to it passes the node
-beside it, so that node alone keeps the bound for the whole fleet, whoever sends; others learn
-from its load reports that little fits and place their requests elsewhere.
+A back end that has just started, or has become cold for another reason, bears a published
+number of requests a second and fails well above it. Every request to it passes through its own
+node, so that node alone enforces the limit for the whole fleet, whoever sends; other nodes learn
+from its load reports that it has little capacity and send their requests elsewhere.
 
-The state is that of one back end, and cold is what it is taken to be as long as nobody has
-said otherwise: a node that starts, or has been suspended, knows nothing of it.
+The state is that of one back end. It is assumed to be cold until it has reported otherwise: a
+node that starts, or has been suspended, does not know.
 """
 
 from __future__ import annotations
@@ -17,39 +17,39 @@
 import msgspec
 
 WINDOW_SECONDS = 1.0
-"""Seconds over which a rate is counted; any span of that length counts."""
+"""Length of the window in which starts are counted; the limit holds for every such window."""
 QUERY_RETRY_SECONDS = 0.25
-"""Seconds between two questions while nothing is known."""
+"""Seconds between two queries while the state is unknown."""
 WARM_CHECK_SECONDS = 0.5
-"""A warm back end that gets more than a cold one bears is asked so often whether it is still
-warm. One of 7 slots that take 0.25 s each is given at most 14 requests meanwhile."""
+"""Seconds between two queries of a warm back end that gets more than a cold one bears. One of
+7 slots that take 0.25 s each is given at most 14 requests meanwhile."""
 WARM_CHECK_MIN_SHARE = 0.5
-"""A back end that gets less than this share of what a cold one bears is not asked at all."""
+"""A back end that gets less than this share of what a cold one bears is not queried at all."""
 
 
 class ColdBounds(msgspec.Struct, frozen=True):
-    """What one back end bears while it is cold."""
+    """Load that one back end bears while it is cold."""
 
     rate: float
     """Requests a second, as its service publishes them."""
     duration: float
-    """Seconds for which a start stays cold."""
+    """Seconds for which a back end stays cold after its start."""
     overage: float = 1.0
     """Multiple of the rate that operators allow."""
     slack: float = 0.0
     """Requests in one second that operators allow beyond that."""
 
     def max_starts_per_second(self, slots: int) -> int:
-        """Return how many requests may start within any second.
+        """Return the number of requests that may start within any second.
 
-        What is granted a slot may reach the back end later, as many as have slots: so many fewer
-        are granted than operators allow.
+        Up to ``slots`` requests that were granted earlier may reach the back end later, so that
+        number is subtracted from what operators allow.
         """
         return max(1, int(self.rate * self.overage + self.slack - slots))
 
 
 class ColdStart:
-    """Whether one back end is cold, and what it may be given now. Times: monotonic seconds."""
+    """Whether one back end is cold, and what it may be given. Times are monotonic seconds."""
 
     __slots__ = (
         "_queried_at",
@@ -84,7 +84,7 @@
 
     @property
     def is_limited(self) -> bool:
-        """Whether its service says anything of cold back ends, as far as is known."""
+        """Whether its service limits cold back ends, as far as is known."""
         return self.bounds is None or self.bounds.rate > 0
 
     def set_bounds(self, bounds: ColdBounds, now: float) -> None:
@@ -96,16 +96,16 @@
             self.assume_cold(now)
 
     def assume_cold(self, now: float) -> None:
-        """Take it for cold until it is asked: it may have turned so, unseen by this node."""
+        """Assume that it is cold until it is queried: it may have become so unnoticed."""
         self._is_known = False
         self._assumed_at = now
         self._queried_at = -math.inf
         self.cold_until = now + self.bounds.duration if self.bounds is not None else math.inf
 
     def note_remaining(self, asked_at: float, now: float, remaining: float) -> None:
-        """It has said for how many more seconds it is cold.
+        """Record its report of the seconds for which it stays cold.
 
-        An answer to a question of before ``forget`` may be as old, and says nothing.
+        An answer to a query from before ``assume_cold`` may be outdated and is ignored.
         """
         if asked_at < self._assumed_at:
             return
@@ -113,11 +113,11 @@
         self.cold_until = now + max(0.0, remaining)
 
     def is_cold(self, now: float) -> bool:
-        """Tell whether the bound holds now."""
+        """Tell whether the limit applies now."""
         return self.is_limited and now < self.cold_until
 
     def note_start(self, now: float) -> None:
-        """A request is given to it."""
+        """Record that a request starts."""
         if self.is_limited:
             self._start_times.append(now)
             self._drop_expired(now)
@@ -127,7 +127,7 @@
         return not self.is_cold(now) or self._remaining_starts(now) > 0
 
     def should_query(self, now: float) -> bool:
-        """Tell whether to ask it now how long it stays cold; if so, the question is asked."""
+        """Tell whether to query now how long it stays cold; if so, the query counts as sent."""
         if self.bounds is None or not self.is_limited:
             return False
         since = now - self._queried_at
@@ -140,7 +140,7 @@
         return due
 
     def _is_busy(self, now: float) -> bool:
-        """Tell whether it gets so much that it matters whether it is cold."""
+        """Tell whether it gets so many requests that it matters whether it is cold."""
         self._drop_expired(now)
         return len(self._start_times) >= WARM_CHECK_MIN_SHARE * self.max_starts_per_second
 
--- a/src/pewtertack/routing/deadlines.py
+++ b/src/pewtertack/routing/deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines that travel with a request as the time left in milliseconds."""
+"""Deadlines, which travel with a request as the remaining time in milliseconds."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def deadline_of(now: float, header: str | None, route_timeout: float) -> float:
-    """Return the deadline on the clock of ``now``; the route's timeout bounds the caller's.
+    """Return the deadline on the clock of ``now``; the route's timeout is its upper bound.
 
     Raises:
         InvalidRequestError: the header is not a whole number of milliseconds above zero.
@@ -20,9 +20,9 @@
 
 
 def caller_deadline_of(now: float, header: str | None, deadline: float) -> float:
-    """Return until when the caller waits over all its attempts, whatever the route's timeout.
+    """Return when the caller gives up, over all its attempts and whatever the route's timeout.
 
-    ``header`` was read by ``deadline_of`` before; without one ``deadline`` stands.
+    ``header`` has been validated by ``deadline_of``; without one it is ``deadline``.
     """
     return deadline if header is None else now + int(header) / 1000
 
@@ -30,10 +30,10 @@
 def _milliseconds(header: str) -> int:
     text = header.strip()
     if not (text.isascii() and text.isdigit() and len(text) <= MAXIMUM_DIGITS) or int(text) == 0:
-        raise InvalidRequestError(f"{DEADLINE_HEADER} must be milliseconds above zero")
+        raise InvalidRequestError(f"{DEADLINE_HEADER} must be a whole number of milliseconds > 0")
     return int(text)
 
 
 def format_deadline(now: float, deadline: float) -> str:
-    """Return the header value that passes on the time left, rounded down, at least 1."""
+    """Return the header value for the remaining time, rounded down, at least 1."""
     return str(max(1, int((deadline - now) * 1000)))
--- a/src/pewtertack/routing/dispatcher.py
+++ b/src/pewtertack/routing/dispatcher.py
@@ -1,8 +1,8 @@
-"""The request path's decisions in one place: who goes where, who waits, who is refused.
+"""Routing decisions of one proxy: back end selection, queueing, refusal and retries.
 
 The caller (the proxy, or a simulation) submits a ticket for every attempt,
 waits for its ``wake`` when it was neither granted nor refused at once, and
-reports what became of the attempt.
+reports the result of the attempt.
 """
 
 from __future__ import annotations
@@ -63,14 +63,14 @@
 
 
 class RetryDecision(msgspec.Struct, frozen=True):
-    """Why a request is sent once more, with its ``ticket``, or why not."""
+    """Why a request is retried, with the new ``ticket``, or why it is not."""
 
     reason: RetryReason
     ticket: Ticket | None = None
 
 
 class Dispatcher:
-    """All services of one proxy."""
+    """Routing state of all services of one proxy."""
 
     def __init__(
         self,
@@ -91,7 +91,7 @@
         self._wait_policies = CallerWaitPolicies(policies.returning)
         self._acceptance = AcceptanceTracker(random)
         self.short_answers: set[str] = set()
-        """Routes whose last answer was short: their next won't take a gateway's link for long."""
+        """Routes whose last answer was short: the next should not occupy a link for long."""
         self.origins = AdvertisedOrigins()
         """Which routes back ends call while they run other requests."""
 
@@ -106,9 +106,9 @@
             self._assign_backends()
 
     def use_evacuated(self, zones: frozenset[str], now: float) -> bool:
-        """Send nothing to the back ends of these zones; return whether that is news.
+        """Send nothing to the back ends of these zones; return whether the set has changed.
 
-        Those of a zone that is evacuated no longer may have turned cold.
+        Back ends of a zone that is no longer evacuated may have become cold in the meantime.
         """
         returned = self._evacuated - zones
         if zones == self._evacuated:
@@ -121,7 +121,7 @@
         return True
 
     def unserved(self, services: Iterable[str]) -> list[str]:
-        """Return which of the services have back ends in evacuated zones alone."""
+        """Return which of the services have back ends in evacuated zones only."""
         return [
             name
             for name in sorted(services)
@@ -129,12 +129,12 @@
         ]
 
     def _unevacuated_backends(self, service: str) -> list[Backend]:
-        """Return the back ends of the service that lie in no evacuated zone."""
+        """Return the back ends of the service that are in no evacuated zone."""
         members = self._registry.of_service(service)
         return [item for item in members if item.zone not in self._evacuated]
 
     def keep_only(self, routes: Container[str], services: Container[str], now: float) -> None:
-        """Forget what was learnt of routes and idle services that are in force no longer."""
+        """Forget the state of routes, and of idle services, that are no longer in force."""
         self._splits.keep_only(routes)
         self._wait_policies.keep_only(routes)
         self._acceptance.keep_only(routes)
@@ -166,9 +166,9 @@
             service.use_backends(self._unevacuated_backends(name), self._zone)
 
     def can_reach_all(self, services: Iterable[str], now: float) -> bool:
-        """Tell whether every one of the services has a back end that may be reached.
+        """Tell whether each of the services has a back end that may be reachable.
 
-        A service with no back end on the list counts as reached: no node is better off.
+        A service with no listed back end counts as reachable: no other node could reach one either.
         """
         return all(self.service(name).is_reachable(now) for name in services)
 
@@ -177,7 +177,7 @@
         return self._registry.addresses()
 
     def available_retries(self, now: float) -> dict[str, float]:
-        """Return the retries that may come at once, by service."""
+        """Return the number of retries that may be made at once, by service."""
         return self._budgets.available(now)
 
     def service(self, name: str) -> ServiceDispatcher:
@@ -189,15 +189,15 @@
         return found
 
     def has_gateways(self, service: str) -> bool:
-        """Tell whether nodes beside the service's back ends admit requests for them."""
+        """Tell whether gateways admit requests to the service's back ends."""
         return self.service(service).has_gateways
 
     def services(self) -> tuple[ServiceDispatcher, ...]:
-        """Return the dispatchers of all services that were asked for."""
+        """Return the dispatchers of all services that requests have used."""
         return tuple(self._services.values())
 
     def submit(self, ticket: Ticket, now: float) -> None:
-        """Grant the ticket or let it wait; see ``ServiceDispatcher.submit``."""
+        """Grant the ticket or queue it; see ``ServiceDispatcher.submit``."""
         if not ticket.excluded:
             ticket.arrived_at = now
             ticket.caller_wait_policy = self._wait_policies.classify(
@@ -205,7 +205,7 @@
             )
             ticket.nested = self._is_nested(ticket.route.name, now)
             if ticket.nested:
-                ticket.caller_wait_policy = WaitPolicy.WAIT  # whoever waits for it is a run
+                ticket.caller_wait_policy = WaitPolicy.WAIT  # an execution waits for the answer
             budget = self._budgets.for_service(ticket.service.name, now)
             budget.note_first_attempt(now, ticket.route.retry_budget)
         self.service(ticket.route.service).submit(ticket, now)
@@ -214,34 +214,34 @@
         first = self._policies.calls_within is NestedCallPolicy.FIRST
         return first and self.origins.is_nested(route, now)
 
-    def note_origin(self, route: str, told: str, now: float) -> None:
-        """A gateway has told who makes the route's requests."""
-        if told in ORIGIN_VALUES:
-            self.origins.note_advertised(route, Origin(told), now)
+    def note_origin(self, route: str, advertised: str, now: float) -> None:
+        """Record a gateway's report on who makes the route's requests."""
+        if advertised in ORIGIN_VALUES:
+            self.origins.note_advertised(route, Origin(advertised), now)
 
     def note_failed(self, route: str, now: float) -> None:
-        """A request of the route ended without a good answer: its caller may come back."""
+        """Record that a request of the route failed, so that its caller may retry."""
         self._wait_policies.note_failed(route, now)
 
     def check(self, ticket: Ticket, now: float) -> float:
-        """See what a waiting ticket can do now; return when to look again."""
+        """Grant or refuse a queued ticket if that is due; return when to check it again."""
         service = self.service(ticket.route.service)
         service.pump(now)
         service.give_up(ticket, now)
         return service.next_check(ticket, now)
 
     def withdraw(self, ticket: Ticket) -> None:
-        """Take a waiting ticket out, since its caller has gone."""
+        """Remove a queued ticket whose caller has gone."""
         self.service(ticket.route.service).withdraw(ticket)
 
     def refuse(self, ticket: Ticket, refusal: RequestFailedError) -> None:
-        """End a ticket's waiting with ``refusal``; one that does not wait is left alone."""
+        """Refuse a queued ticket with ``refusal``; a ticket that is not queued is left alone."""
         self.service(ticket.route.service).refuse(ticket, refusal)
 
     def note_answer(
         self, ticket: Ticket, now: float, report: LoadReport | None, leaving: bool
     ) -> None:
-        """The head of a back end's answer has come."""
+        """Record that a back end's answer has begun."""
         backend = ticket.backend
         assert backend is not None
         ticket.answered = True
@@ -252,12 +252,12 @@
         if leaving:
             self._note_leaving(backend)
 
-    def note_link_report(self, ticket: Ticket, word: LinkReport, now: float, begun: bool) -> None:
-        """A gateway has told of its link (``ServiceDispatcher.note_link_report``)."""
-        self.service(ticket.route.service).note_link_report(ticket, word, now, begun)
+    def note_link_report(self, ticket: Ticket, report: LinkReport, now: float, begun: bool) -> None:
+        """Record a gateway's report on its link; see ``ServiceDispatcher.note_link_report``."""
+        self.service(ticket.route.service).note_link_report(ticket, report, now, begun)
 
     def note_hung(self, ticket: Ticket, now: float, report: LoadReport | None) -> None:
-        """The gateway, which lives, takes its back end to hang on the attempt."""
+        """Record that the gateway, which still responds, takes its back end to hang."""
         backend = ticket.backend
         assert backend is not None
         ticket.hung = True
@@ -271,30 +271,32 @@
             if not backend.removed:
                 self._notify(BackendLeaving(backend))
 
-    def finish(self, ticket: Ticket, now: float, end: AttemptResult) -> None:
-        """An attempt has ended; its place goes to the next that waits."""
+    def finish(self, ticket: Ticket, now: float, result: AttemptResult) -> None:
+        """Record the result of an attempt and grant queued tickets that can start now."""
         backend = ticket.backend
         if backend is None or ticket.finished:
             return
         ticket.finished = True
-        if ticket.hung and end in (AttemptResult.TIMED_OUT, AttemptResult.CANCELLED):
-            end = AttemptResult.HUNG  # it was awaited for want of a better place
+        if ticket.hung and result in (AttemptResult.TIMED_OUT, AttemptResult.CANCELLED):
+            result = AttemptResult.HUNG  # it was only awaited because no other place was better
         service = self.service(ticket.route.service)
         backend.note_end(now, service.mean_time)
         service.in_flight -= 1
-        if end is AttemptResult.GONE:
+        if result is AttemptResult.GONE:
             self._note_leaving(backend)
-        elif ticket.unseen_attempts and end not in CONNECTIVITY_FAILURES:
-            self._acceptance.note(ticket.route.name, now, end is not AttemptResult.REFUSED)
+        elif ticket.unseen_attempts and result not in CONNECTIVITY_FAILURES:
+            self._acceptance.note(ticket.route.name, now, result is not AttemptResult.REFUSED)
         service.limit.note_finished(now, now - ticket.started_at)
         seconds = max(0.0, now - ticket.started_at - ticket.queued_seconds)
         expected = service.expected_time(ticket.route.name)
-        if end is AttemptResult.ANSWERED:
+        if result is AttemptResult.ANSWERED:
             service.note_time(ticket.route.name, seconds)
-        if end is AttemptResult.ANSWERED or (seconds > expected and end in INCOMPLETE_RESULTS):
+        if result is AttemptResult.ANSWERED or (
+            seconds > expected and result in INCOMPLETE_RESULTS
+        ):
             backend.note_time(now, seconds, expected)
-        self._adapt_limits(service, backend, ticket, now, end)
-        self._update_health(service, backend, ticket, now, end)
+        self._adapt_limits(service, backend, ticket, now, result)
+        self._update_health(service, backend, ticket, now, result)
         service.pump(now)
 
     def _adapt_limits(
@@ -303,19 +305,22 @@
         backend: Backend,
         ticket: Ticket,
         now: float,
-        end: AttemptResult,
+        result: AttemptResult,
     ) -> None:
         limit = backend.limit
-        if end is AttemptResult.SHED:
+        if result is AttemptResult.SHED:
             limit.note_shed(now, ticket.started_at, self._random.random())
             service.limit.note_shed(now, ticket.started_at)
-        elif end in (
+        elif result in (
             AttemptResult.ANSWERED,
             AttemptResult.FAILED_STATUS,
             AttemptResult.FAILED_BELOW,
         ):
             _adapt_to_load(service, backend, ticket, now)
-        elif end in CONNECTIVITY_FAILURES or end in (AttemptResult.TIMED_OUT, AttemptResult.BROKEN):
+        elif result in CONNECTIVITY_FAILURES or result in (
+            AttemptResult.TIMED_OUT,
+            AttemptResult.BROKEN,
+        ):
             limit.note_overload(now, ticket.started_at)
 
     def _update_health(
@@ -324,19 +329,19 @@
         backend: Backend,
         ticket: Ticket,
         now: float,
-        end: AttemptResult,
+        result: AttemptResult,
     ) -> None:
-        """Let the end of an attempt count for or against the back end's health.
+        """Count the result of an attempt for or against the back end's health.
 
-        What ends at a former life says nothing of the next one, nor of its gateway.
+        The result of a former incarnation says nothing of the next one, nor of its gateway.
         """
-        if backend.removed or not reflects_on_backend(ticket, now, end):
+        if backend.removed or not reflects_on_backend(ticket, now, result):
             backend.health.note_inconclusive(ticket.trial)
-        elif end is not AttemptResult.ANSWERED and end in FAILURES:
-            may_eject = end is not AttemptResult.FAILED_STATUS or service.may_eject()
-            threshold, pause = ejection_parameters(ticket, backend, end)
+        elif result is not AttemptResult.ANSWERED and result in FAILURES:
+            may_eject = result is not AttemptResult.FAILED_STATUS or service.may_eject()
+            threshold, pause = ejection_parameters(ticket, backend, result)
             if backend.health.note_failure(now, ticket.trial, threshold, pause, may_eject):
-                backend.unreachable = bool(backend.gateway) and end in CONNECTIVITY_FAILURES
+                backend.unreachable = bool(backend.gateway) and result in CONNECTIVITY_FAILURES
                 self._notify(BackendHealthChanged(backend, ejected=True))
         elif backend.health.note_success(now, ticket.trial):
             self._reinstate(backend)
@@ -347,11 +352,11 @@
         self._notify(BackendHealthChanged(backend, ejected=False))
 
     def any_unreachable(self) -> bool:
-        """Tell whether a gateway is out of reach, so that probes of it come due."""
+        """Tell whether a gateway is unreachable, so that probes of it come due."""
         return any(item.unreachable and not item.leaving for item in self._registry.all())
 
     def probes_due(self, now: float) -> list[Backend]:
-        """Return the back ends whose gateways to probe now; each is due once a probe."""
+        """Return the back ends whose gateways are to be probed now, and begin the probes."""
         due = [
             backend
             for backend in self._registry.all()
@@ -362,7 +367,7 @@
         return due
 
     def note_probe_result(self, backend: Backend, now: float, answered: bool) -> None:
-        """A probe of the back end's gateway has ended."""
+        """Record the result of a probe of the back end's gateway."""
         if not answered:
             backend.health.note_probe_failure(now, UNREACHABLE_RETRY_SECONDS)
         elif backend.health.note_success(now, True):
@@ -372,19 +377,19 @@
     def retry(
         self, ticket: Ticket, error: RequestFailedError, now: float, replayable: bool
     ) -> Ticket | None:
-        """Return a ticket for one more attempt, or ``None`` when the request ends here."""
+        """Return the ticket of one more attempt, or ``None`` if the request has failed for good."""
         return self.decide_retry(ticket, error, now, replayable).ticket
 
     def decide_retry(
         self, ticket: Ticket, error: RequestFailedError, now: float, replayable: bool
     ) -> RetryDecision:
-        """Decide whether the request is sent once more, and say why."""
+        """Decide whether the request is retried, and give the reason."""
         assert ticket.backend is not None
         service = self.service(ticket.route.service)
         if isinstance(error, BackendShedError) and error.retry_after is None:
             report = ticket.report
-            has_room = report is not None and report.in_flight < report.slots
-            error.retry_after = retry_after_shedding(ticket.route.objective, has_room)
+            has_free_slots = report is not None and report.in_flight < report.slots
+            error.retry_after = retry_after_shedding(ticket.route.objective, has_free_slots)
         if isinstance(error, RequestEndsBackendsError):
             return RetryDecision(RetryReason.ENDS_BACKENDS)
         if not error.reached_backend and ticket.backend.gateway:
@@ -407,20 +412,20 @@
         )
 
     def note_response_length(self, route: str, length: int | None) -> None:
-        """An answer of the route announces so many bytes, ``None`` where it tells none."""
+        """Record the announced length of an answer, ``None`` where it announces none."""
         if length is not None and length <= LONG_BYTES:
             self.short_answers.add(route)
         else:
             self.short_answers.discard(route)
 
     def may_abandon_hung(self, ticket: Ticket, now: float) -> bool:
-        """Tell whether an attempt would now be made elsewhere if its back end hangs on it."""
+        """Tell whether an attempt on which the back end hangs should be made elsewhere now."""
         return self._policies.hanging is HungRequestPolicy.LEFT and self.may_retry_elsewhere(
             ticket, now
         )
 
     def may_retry_elsewhere(self, ticket: Ticket, now: float) -> bool:
-        """Tell whether an attempt that fails now would be made elsewhere."""
+        """Tell whether an attempt that fails now would be repeated on another back end."""
         if not ticket.route.repeatable:
             return False
         assert ticket.backend is not None
@@ -434,7 +439,7 @@
         )
 
     def _try_another_gateway(self, ticket: Ticket, now: float, replayable: bool) -> RetryDecision:
-        """No back end has seen the request: ask another gateway, which costs no retry."""
+        """Try another gateway, which costs no retry, since no back end has seen the request."""
         refusals = ticket.unseen_attempts + 1
         if not replayable:
             return RetryDecision(RetryReason.BODY_GONE)
@@ -442,7 +447,7 @@
             return RetryDecision(RetryReason.NO_TIME)
         following = ticket.next_attempt(refusals)
         service = self.service(ticket.route.service)
-        # One that has broken the request off is better than none: the attempt was granted.
+        # A gateway that broke an attempt off may be used again: that attempt was granted.
         if refusals >= MAXIMUM_REFUSALS or not service.has_untried(following.refused, now):
             return RetryDecision(RetryReason.NO_GATEWAY)
         if following.nested:
@@ -457,7 +462,7 @@
 def _adapt_to_load(
     service: ServiceDispatcher, backend: Backend, ticket: Ticket, now: float
 ) -> None:
-    """Grow or shrink the limits by the load that the back end has just reported."""
+    """Adapt the limits to the load that the back end has just reported."""
     report = ticket.report
     if report is None or report.in_flight < report.slots:
         backend.limit.note_free_slots(backend.in_flight)
--- a/src/pewtertack/routing/executions.py
+++ b/src/pewtertack/routing/executions.py
@@ -1,17 +1,18 @@
-"""What the back end beside a node runs, and how the calls of its runs fare.
-
-Every run of the back end passes the node's gateway, and every call that a run makes passes
-the node's proxy: ``LocalExecutions`` is what the two know in common. A run whose call is turned
-away ends badly after it has held its slot for nothing. While calls are turned away, requests
-whose runs make them therefore let all others go first (``in_vain``). They are not refused for
-it: a slot that nobody else wants is theirs, and some runs make no call. Six slots in virtual
-time, 30 to 90 requests a second of 0.2 s, 30 to 100 in 100 calls of one route failing, three
-seeds: 8% more are served than when all wait alike; refusing the share that would end badly
-served 2% more in some cases and 10% less in others, where slots then stood idle.
-
-Nothing tells which run a call belongs to. A call is shared out over the routes in flight in
-proportion to what their runs are known to call; a route that calls nothing is left with
-nothing, since calls come without it and it runs without calls.
+"""Executions of the local back end, and the results of the calls they make.
+
+Every execution of the back end passes through the node's gateway, and every call that an execution
+makes passes through the node's proxy; ``LocalExecutions`` is the state that the two share. An
+execution whose call is refused fails after it has occupied its slot without result. While calls are
+refused, requests whose executions make them therefore get lower precedence
+(``likely_without_result``). They are not refused: a slot that no other request wants is theirs,
+and some executions make no call. With six slots in virtual time, 30 to 90 requests a second of
+0.2 s, 30 to 100 in 100 calls of one route failing, and three seeds, this serves 8% more than equal
+precedence; refusing the share that would fail served 2% more in some cases and 10% less in
+others, where slots then were idle.
+
+Nothing identifies the execution that a call belongs to. A call is divided among the routes in
+flight in proportion to the calls that their executions are known to make; a route that makes no
+calls ends up with none, since calls also come while it is not running and it runs without calls.
 """
 
 from __future__ import annotations
@@ -22,33 +23,33 @@
 from pewtertack.routing.policies import Parameter, PolicyKind, SlotOrderPolicy, policy
 
 Rank = tuple[int, int]
-"""Class of work and priority within it; smaller goes first."""
+"""Class of work and priority within it; the smallest goes first."""
 
 HALF_LIFE_EXECUTIONS = 300.0
-"""Ended runs of a route after which earlier ones count half."""
+"""Number of ended executions of a route after which earlier ones count half."""
 DECAY = 0.5 ** (1 / HALF_LIFE_EXECUTIONS)
 MIN_EXECUTIONS = 20.0
-"""Of a route of which fewer runs have ended nothing is taken to be known."""
+"""Nothing is concluded about a route of which fewer executions have ended."""
 MIN_CALLS_PER_EXECUTION = 0.1
-"""A route whose runs make fewer calls than this, each, is taken to make none."""
+"""A route whose executions make fewer calls than this is assumed to make none."""
 RESULT_WINDOW_SECONDS = 1.0
-"""Ends of calls count for so long: a service that has recovered is believed within it."""
+"""Results of calls count for this long, so that a recovered service is trusted within it."""
 MIN_RESULTS = 3
-"""Fewer ends of calls say nothing of a service."""
+"""Fewer results of calls say nothing about a service."""
 MAX_RESULTS = 64
-"""Ends of calls kept of each called route."""
+"""Results kept of each called route."""
 MIN_DEFERRED_SHARE = 0.1
-"""From this share of runs that would end badly on, others go first. A greater one served less
-in the comparison above (0.25: 7% more than when all wait alike)."""
+"""Requests are deferred from this share of failing executions on. A greater one served less in
+the comparison above (0.25: 7% more than equal precedence)."""
 PRIOR_CALLS = 0.1
-"""Calls that a route is taken to have made before any is known. With 1, what is shared out
-wrongly at first stays for long: after 30 s a route that makes none had 0.45 a run, not 0.19."""
+"""Calls that a route is assumed to have made before any is known. With 1, initial errors of the
+division persist: after 30 s a route that makes none had 0.45 an execution, not 0.19."""
 MAX_ROUTES = 256
-"""Routes of runs, and called routes of each, of which something is kept."""
+"""Number of routes with executions, and of called routes of each, of which state is kept."""
 
 
 class CalledRoute:
-    """How calls of one route ended lately."""
+    """Recent results of calls of one route."""
 
     __slots__ = ("_results",)
 
@@ -56,7 +57,7 @@
         self._results: deque[tuple[float, bool]] = deque(maxlen=MAX_RESULTS)
 
     def note(self, now: float, failed: bool) -> None:
-        """A call has ended."""
+        """Record the result of a call."""
         self._results.append((now, failed))
 
     def failed_share(self, now: float) -> float:
@@ -69,7 +70,7 @@
 
 
 class RouteExecutions:
-    """What is known of the runs of one route."""
+    """Statistics of one route's executions."""
 
     __slots__ = ("calls", "ended", "in_flight", "seconds")
 
@@ -77,33 +78,33 @@
         self.in_flight = 0
         self.ended = 0.0
         self.seconds = 0.0
-        """Of the ended ones, all together."""
+        """Total time of the ended ones."""
         self.calls: dict[str, float] = {}
-        """Calls by called route, all runs together."""
+        """Calls by called route, over all executions."""
 
     def note_end(self, seconds: float) -> None:
-        """A run has ended."""
+        """Record the end of an execution."""
         self.ended = self.ended * DECAY + 1
         self.seconds = self.seconds * DECAY + seconds
         for name in self.calls:
             self.calls[name] *= DECAY
 
     def call_rate(self, called: str) -> float:
-        """Return how many calls a run makes in a second."""
+        """Return the number of calls that an execution makes in a second."""
         return (self.calls.get(called, 0.0) + PRIOR_CALLS) / (self.seconds + self.mean_time)
 
     @property
     def mean_time(self) -> float:
-        """Seconds that a run takes; 1 while unknown."""
+        """Mean seconds of an execution; 1 while unknown."""
         return self.seconds / self.ended if self.ended and self.seconds else 1.0
 
     def calls_per_execution(self, called: str) -> float:
-        """Return how many calls of a route a run makes."""
+        """Return the number of calls of a route that an execution makes."""
         return self.calls.get(called, 0.0) / self.ended if self.ended else 0.0
 
 
 class LocalExecutions:
-    """The requests that the back end beside a node works on. Times are monotonic seconds."""
+    """Requests that the local back end executes. Times are monotonic seconds."""
 
     __slots__ = ("_called", "_ranks", "_routes")
 
@@ -113,7 +114,7 @@
         self._called: dict[str, CalledRoute] = {}
 
     def note_start(self, route: str, rank: Rank) -> None:
-        """A request has its slot."""
+        """Record that a request has been given a slot."""
         self._ranks[rank] = self._ranks.get(rank, 0) + 1
         found = self._routes.get(route)
         if found is None:
@@ -122,7 +123,7 @@
         found.in_flight += 1
 
     def note_end(self, route: str, rank: Rank, seconds: float) -> None:
-        """A request that had a slot for so long has ended."""
+        """Record the end of a request that occupied a slot for ``seconds``."""
         left = self._ranks.get(rank, 0) - 1
         if left > 0:
             self._ranks[rank] = left
@@ -140,13 +141,13 @@
                 del self._routes[idle]
 
     def usual_rank(self) -> Rank | None:
-        """Return the rank of most runs, the most urgent of several; ``None`` without a run."""
+        """Return the most frequent rank, the most urgent of several; ``None`` when idle."""
         if not self._ranks:
             return None
         return min(self._ranks, key=lambda rank: (-self._ranks[rank], rank))
 
     def note_call(self, called: str, now: float, failed: bool) -> None:
-        """A call of a run has been answered, or has failed for good."""
+        """Record a call of an execution that has been answered or has failed for good."""
         self._note_call_result(called, now, failed)
         running = [item for item in self._routes.values() if item.in_flight]
         weights = [item.in_flight * item.call_rate(called) for item in running]
@@ -169,7 +170,7 @@
         return {name: share for name, share in shares.items() if share > 0}
 
     def failing_share(self, route: str, now: float) -> float:
-        """Return the share of the route's runs that would end badly, begun now."""
+        """Return the share of the route's executions that would fail if started now."""
         found = self._routes.get(route)
         if found is None or found.ended < MIN_EXECUTIONS:
             return 0.0
@@ -183,23 +184,26 @@
     @policy(
         PolicyKind.BEGUN_RUNS,
         SlotOrderPolicy.FINISHABLE,
-        "While calls are turned away, requests whose runs make such calls wait behind all others.",
+        "While calls are refused, requests whose executions make them wait behind all others.",
         Parameter(
-            "bad_share", MIN_DEFERRED_SHARE, "share of runs", "assumed; see ``MIN_DEFERRED_SHARE``"
+            "bad_share",
+            MIN_DEFERRED_SHARE,
+            "share of executions",
+            "assumed; see ``MIN_DEFERRED_SHARE``",
         ),
-        Parameter("picture", RESULT_WINDOW_SECONDS, "seconds", "so soon all are equal again"),
+        Parameter("picture", RESULT_WINDOW_SECONDS, "seconds", "equal precedence again after it"),
         Parameter("ends_least", MIN_RESULTS, "calls", "assumed"),
     )
     def likely_without_result(self, route: str, now: float) -> bool:
-        """Tell whether runs of the route often end badly now, so that others should go first."""
+        """Tell whether executions of the route often fail now, so that others should precede."""
         return self.failing_share(route, now) >= MIN_DEFERRED_SHARE
 
 
 @policy(
     PolicyKind.BEGUN_RUNS,
     SlotOrderPolicy.ALL,
-    "Requests take their slots whatever becomes of the calls that their runs make.",
+    "Requests take their slots whatever the results of the calls that their executions make.",
 )
 def never_without_result(route: str, now: float) -> bool:
-    """Take no run for one that often ends badly."""
+    """Defer no request."""
     return False
--- a/src/pewtertack/routing/health.py
+++ b/src/pewtertack/routing/health.py
@@ -1,7 +1,7 @@
-"""Ejection of a back end by the proxy's own observation, and its careful return.
+"""Ejection of a back end by the proxy's own observation, and its gradual reinstatement.
 
-A health endpoint is not asked: it lags or misleads, and what happened to this
-proxy's own requests outranks it.
+No health endpoint is queried: it may lag or mislead, and the results of this proxy's own
+requests are better evidence.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
         self._failures = 0
         self._ejections = 0
         self._failed_probes = 0
-        """Probes in a row that found nobody."""
+        """Consecutive probes that failed."""
         self._failed_at = float("-inf")
 
     def allows_request(self, now: float) -> bool:
@@ -34,19 +34,19 @@
         return now >= self.retry_at and not self._trial_running
 
     def note_start(self) -> bool:
-        """Note that a request starts; return whether it is a trial."""
+        """Record that a request starts; return whether it is a trial."""
         self._trial_running = self._trial_running or self.ejected
         return self.ejected
 
     def note_inconclusive(self, trial: bool) -> None:
-        """A request ended without telling anything of the back end."""
+        """Record a result that says nothing about the back end."""
         if trial:
             self._trial_running = False
 
     def note_success(self, now: float, trial: bool) -> bool:
-        """A request succeeded; return whether the back end comes back by this.
+        """Record a success; return whether it reinstates the back end.
 
-        Only a trial brings it back: late answers to requests from before the
+        Only a trial does so: late answers to requests from before the
         ejection do not.
         """
         if not self.ejected:
@@ -60,7 +60,7 @@
         return True
 
     def note_probe_failure(self, now: float, pause: float) -> None:
-        """A probe, which costs no request, found nobody: the next one follows soon."""
+        """Record a failed probe. Probes cost no request, so the next one follows soon."""
         self._trial_running = False
         self._failed_probes += 1
         self.retry_at = now + pause * 2 ** min(self._failed_probes, MAXIMUM_PROBE_DOUBLINGS)
@@ -68,7 +68,7 @@
     def note_failure(
         self, now: float, trial: bool, threshold: int, ejection_time: float, may_eject: bool
     ) -> bool:
-        """A request failed; return whether the back end is ejected by this."""
+        """Record a failed request; return whether it ejects the back end."""
         if now - self._failed_at > FORGET_AFTER_EJECTION_TIMES * ejection_time:
             self._ejections = 0
         self._failed_at = now
--- a/src/pewtertack/routing/limit.py
+++ b/src/pewtertack/routing/limit.py
@@ -1,7 +1,7 @@
 """Adaptive limits of one proxy's concurrent requests, to a back end and to a service.
 
 Additive increase, multiplicative decrease (AIMD), as in TCP's congestion
-control: many proxies share a back end's slots without speaking to each other.
+control: many proxies share a back end's slots without communicating with each other.
 The signals are the back end's own: it sheds, or reports more in flight than it
 has slots. Latency is no signal here, since a back end's answers mix look-ups of
 milliseconds with uploads of minutes.
@@ -15,26 +15,26 @@
 """Factor on the limit per back end after a shed request or an overload."""
 MINIMUM_PAUSE_SECONDS = 0.02
 MAXIMUM_PAUSE_SECONDS = 1.0
-"""Seconds for which a back end that sheds single requests is left alone; doubling."""
+"""Bounds of the pause for a back end that sheds even single requests; the pause doubles."""
 
 INITIAL_SERVICE_LIMIT = 4.0
 MINIMUM_SERVICE_LIMIT = 0.1
 INITIAL_SERVICE_GROWTH = 1.0
 """Growth per answer with free slots until the first shed request."""
 SERVICE_GROWTH = 0.2
-"""The same from then on."""
+"""The same after the first shed request."""
 FULL_SERVICE_GROWTH = 0.02
 """Growth per answer with all slots taken, while nothing is shed."""
 FULL_SERVICE_DECREASE = 0.02
-"""Shrinking per answer with all slots taken, while requests are shed too."""
+"""Decrease per answer with all slots taken, while requests are shed too."""
 SHED_SERVICE_DECREASE = 0.15
-"""Share of the limit that is given up after a shed request."""
+"""Share by which the limit is reduced after a shed request."""
 LARGE_SERVICE_LIMIT = 6.0
-"""From here on that decrease no longer grows with the limit."""
+"""Value from which on that reduction no longer grows with the limit."""
 SHED_MEMORY_SECONDS = 1.0
 """Seconds for which a shed request makes reports of full back ends credible."""
 URGENT_HEADROOM = 0.25
-"""Share of the limit, at least one request, that only urgent requests may use."""
+"""Share of the limit, at least one request, by which urgent requests may exceed it."""
 
 
 class AdaptiveLimit:
@@ -48,7 +48,7 @@
         self._decreased_at = float("-inf")
 
     def set_ceiling(self, ceiling: int) -> None:
-        """Take over another upper bound."""
+        """Change the upper bound."""
         self.ceiling = float(max(1, ceiling))
         self.value = min(self.value, self.ceiling)
 
@@ -57,26 +57,26 @@
         return in_flight < int(self.value) and now >= self.paused_until
 
     def note_free_slots(self, in_flight: int) -> None:
-        """The back end answered and has free slots: grow if the limit was in use."""
+        """Record an answer with free slots: grow if the limit was in use."""
         self._pause = MINIMUM_PAUSE_SECONDS
         if in_flight + 1 >= int(self.value):
             self.value = min(self.ceiling, self.value + 1 / self.value)
 
     def note_full(self) -> None:
-        """The back end answered, and all its slots are taken: neither grow nor shrink."""
+        """Record an answer with all slots taken: neither grow nor shrink."""
         self._pause = MINIMUM_PAUSE_SECONDS
 
     def note_overload(self, now: float, started_at: float) -> None:
-        """The back end reports more work than slots: shrink, once per round trip."""
+        """Record a report of more requests than slots: shrink, once per round trip."""
         if started_at < self._decreased_at:
             return
         self._decreased_at = now
         self.value = max(MINIMUM_LIMIT, self.value * DECREASE_FACTOR)
 
     def note_shed(self, now: float, started_at: float, jitter: float) -> None:
-        """The back end refused a request: shrink; at the least limit also pause.
+        """Record a shed request: shrink; at the lowest limit also pause.
 
-        ``jitter`` in [0, 1) spreads the return of many proxies.
+        ``jitter`` in [0, 1) spreads the times at which many proxies resume.
         """
         at_minimum = self.value < MINIMUM_LIMIT + 1
         self.note_overload(now, started_at)
@@ -88,8 +88,8 @@
 class ServiceLimit:
     """Limit of one proxy's concurrent requests to a whole service.
 
-    Many proxies may share fewer slots than they are: below 1 the limit becomes a
-    pace, a pause after every request. Urgent requests may go beyond it by
+    The proxies may outnumber the slots: below 1 the limit becomes a rate, with
+    a pause after every request. Urgent requests may exceed it by
     ``URGENT_HEADROOM``, so that they need not wait for longer work to end.
     """
 
@@ -108,21 +108,21 @@
         return in_flight < int(self.value)
 
     def paused_until(self) -> float:
-        """Return when a pause of a limit below 1 ends."""
+        """Return when the pause of a limit below 1 ends."""
         return self._paused_until
 
     def note_finished(self, now: float, seconds: float) -> None:
-        """A request that took ``seconds`` has ended: a limit below 1 rests for a while."""
+        """Record the end of a request that took ``seconds``: a limit below 1 pauses."""
         if self.value < 1:
             self._paused_until = now + seconds * (1 / self.value - 1)
 
     def note_free_slots(self, in_flight: int) -> None:
-        """A back end answered and has free slots: grow if the limit was in use."""
+        """Record an answer with free slots: grow if the limit was in use."""
         started = self._shed_at > float("-inf")
         self._grow(in_flight, SERVICE_GROWTH if started else INITIAL_SERVICE_GROWTH)
 
     def note_full(self, now: float, in_flight: int) -> None:
-        """A back end answered with all slots taken: leave room for urgent requests.
+        """Record an answer with all slots taken: leave capacity for urgent requests.
 
         Reports may mislead: they shrink the limit only while back ends shed too.
         """
@@ -139,11 +139,11 @@
             self.value += rate * self._step_size()
 
     def _step_size(self) -> float:
-        """Return what makes the change per unit of time alike for all limits."""
+        """Return the factor that equalizes the change per unit of time for all limits."""
         return 1 / self.value if self.value > 1 else self.value
 
     def note_shed(self, now: float, started_at: float) -> None:
-        """A back end refused a request: shrink, once per round trip."""
+        """Record a shed request: shrink, once per round trip."""
         self._shed_at = now
         if started_at >= self._decreased_at:
             self._decreased_at = now
--- a/src/pewtertack/routing/link.py
+++ b/src/pewtertack/routing/link.py
@@ -137,13 +137,13 @@
             self._queue.remove(body)
         self._wake_next(now)
 
-    def stop_at(self, moment: float, now: float) -> None:
+    def stop_at(self, stops_at: float, now: float) -> None:
         """The link's node stops, and carries nothing after ``moment``.
 
         What has begun goes on, before all others. What can't leave by then is given back while
         it can be had elsewhere: begun shortly before the end, it would be broken off there.
         """
-        self._stops_at = moment
+        self._stops_at = stops_at
         self._hand_back(now)
 
     def _hand_back(self, now: float) -> None:
@@ -168,22 +168,22 @@
         That one would not live to see it late; the others at least wait until their deadlines.
         What could be had nowhere else is better given to the system at this node's end (``open``).
         """
-        own_end = math.inf if body.only_source else self._stops_at
-        return min(own_end, body.expires_at) if body.receiver_stopping else own_end
+        node_stop = math.inf if body.only_source else self._stops_at
+        return min(node_stop, body.expires_at) if body.receiver_stopping else node_stop
 
-    def stops_before(self, route: str, rank: Rank, now: float, run_seconds: float) -> bool:
+    def stops_before(self, route: str, rank: Rank, now: float, execution_seconds: float) -> bool:
         """Tell whether the node stops before an answer of the route, not run yet, has left."""
-        own = self.transfer_time(route)
-        if not own or self._stops_at == math.inf:
+        transfer_time = self.transfer_time(route)
+        if not transfer_time or self._stops_at == math.inf:
             return False
-        ahead = self._queued_bytes(rank, now) / self.bytes_per_second
-        turn_at = max(now, self._free_at) + ahead
-        return max(turn_at, now + run_seconds) + own > self._stops_at
+        queue_seconds = self._queued_bytes(rank, now) / self.bytes_per_second
+        free_at = max(now, self._free_at) + queue_seconds
+        return max(free_at, now + execution_seconds) + transfer_time > self._stops_at
 
     def _wake_next(self, now: float) -> None:
-        first = self._next(now)
-        if first is not None:
-            first.wake()
+        next_body = self._next(now)
+        if next_body is not None:
+            next_body.wake()
 
     def _next(self, now: float) -> LongBody | None:
         """Return whose turn is next."""
@@ -195,21 +195,23 @@
 
         Where the node stops, what can be had elsewhere lets all go first that can not.
         """
-        returns = item.uncommitted_bytes > 0 and not item.only_source
-        lets_go_first = self._stops_at < math.inf and returns
+        can_hand_back = item.uncommitted_bytes > 0 and not item.only_source
+        is_deferred = self._stops_at < math.inf and can_hand_back
         end = now + item.remaining_bytes / self.bytes_per_second
-        goes_on = item.started and end <= item.expires_at + OVERDUE_SECONDS
+        continues = item.started and end <= item.expires_at + OVERDUE_SECONDS
         # Else what is more urgent and keeps coming would have it broken off, sent for nothing.
-        rank = FINISHING_SOON if goes_on and self._is_finishing(item, now) else item.rank
-        return lets_go_first, rank, not goes_on, item.due_time(end), item.sequence
+        rank = FINISHING_SOON if continues and self._is_finishing(item, now) else item.rank
+        return is_deferred, rank, not continues, item.due_time(end), item.sequence
 
     def _is_finishing(self, item: LongBody, now: float) -> bool:
         """Tell whether no more time was left to it once than twice what it then took.
 
         It stays so: with each part that leaves, what is left takes less.
         """
-        takes = item.remaining_bytes / self.bytes_per_second
-        item.is_urgent = item.is_urgent or (item.started and now + 2 * takes >= item.expires_at)
+        transfer_seconds = item.remaining_bytes / self.bytes_per_second
+        item.is_urgent = item.is_urgent or (
+            item.started and now + 2 * transfer_seconds >= item.expires_at
+        )
         return item.is_urgent and not item.receiver_stopping
 
     def send_delay(self, body: LongBody, now: float) -> float | None:
@@ -258,9 +260,9 @@
         self._reserved_bytes[rank] = self._reserved_bytes.get(rank, 0) + size
         return size
 
-    def release(self, rank: Rank, promised: int) -> None:
+    def release(self, rank: Rank, reserved: int) -> None:
         """What was promised is in line now, or will not come."""
-        left = self._reserved_bytes.pop(rank, 0) - promised
+        left = self._reserved_bytes.pop(rank, 0) - reserved
         if left > 0:
             self._reserved_bytes[rank] = left
 
@@ -278,9 +280,9 @@
 
     def queue_time(self, rank: Rank, now: float) -> float:
         """Return the seconds for which others take the link before a long answer of the rank."""
-        ahead = self._queued_bytes(rank, now)
-        ahead += sum(total for other, total in self._reserved_bytes.items() if other <= rank)
-        return max(0.0, self._free_at - now) + ahead / self.bytes_per_second
+        queued_bytes = self._queued_bytes(rank, now)
+        queued_bytes += sum(total for other, total in self._reserved_bytes.items() if other <= rank)
+        return max(0.0, self._free_at - now) + queued_bytes / self.bytes_per_second
 
     def total_queue_time(self, now: float) -> float:
         """Return the seconds that all take the link that stand in its line or are to come."""
@@ -301,5 +303,5 @@
 
     def delivery_time(self, route: str, rank: Rank, now: float) -> float:
         """Return in how many seconds an answer of the route would have left; 0 if it is short."""
-        own = self.transfer_time(route)
-        return own + self.queue_time(rank, now) if own else 0.0
+        transfer_time = self.transfer_time(route)
+        return transfer_time + self.queue_time(rank, now) if transfer_time else 0.0
--- a/src/pewtertack/routing/link_reports.py
+++ b/src/pewtertack/routing/link_reports.py
@@ -26,24 +26,33 @@
     """What an answer of the route that was asked for takes alone; 0 if it is short."""
 
 
-def format_link_report(ahead: float, own: float) -> str | None:
+def format_link_report(queue_seconds: float, transfer_seconds: float) -> str | None:
     """Return what to tell of a link; ``None`` where there is nothing to be told."""
-    word = [round(seconds * MILLISECONDS_PER_SECOND) for seconds in (ahead, own)]
-    if not any(word):
+    milliseconds = [
+        round(seconds * MILLISECONDS_PER_SECOND) for seconds in (queue_seconds, transfer_seconds)
+    ]
+    if not any(milliseconds):
         return None
-    return SEPARATOR.join(str(min(item, MAX_REPORTED_MS)) for item in word)
+    return SEPARATOR.join(str(min(item, MAX_REPORTED_MS)) for item in milliseconds)
 
 
 def parse_link_report(text: str) -> LinkReport | None:
     """Read such a word; ``None`` for one that makes no sense."""
-    ahead, _, own = text.partition(SEPARATOR)
+    queue_text, _, transfer_text = text.partition(SEPARATOR)
     if len(text) > len(f"{MAX_REPORTED_MS}/{MAX_REPORTED_MS}"):
         return None
-    if not (ahead.isascii() and ahead.isdecimal() and own.isascii() and own.isdecimal()):
+    if not (
+        queue_text.isascii()
+        and queue_text.isdecimal()
+        and transfer_text.isascii()
+        and transfer_text.isdecimal()
+    ):
         return None
-    if max(int(ahead), int(own)) > MAX_REPORTED_MS:
+    if max(int(queue_text), int(transfer_text)) > MAX_REPORTED_MS:
         return None
-    return LinkReport(int(ahead) / MILLISECONDS_PER_SECOND, int(own) / MILLISECONDS_PER_SECOND)
+    return LinkReport(
+        int(queue_text) / MILLISECONDS_PER_SECOND, int(transfer_text) / MILLISECONDS_PER_SECOND
+    )
 
 
 class LongRouteTimes:
@@ -57,7 +66,7 @@
         self.execution_seconds = 0.0
         """Mean time until an answer begins, which is before it waits for the link."""
 
-    def note(self, own: float, run: float) -> None:
+    def note(self, transfer_seconds: float, execution_seconds: float) -> None:
         """An answer has begun."""
-        self.transfer_seconds = own
-        self.execution_seconds = smoothed(self.execution_seconds, run)
+        self.transfer_seconds = transfer_seconds
+        self.execution_seconds = smoothed(self.execution_seconds, execution_seconds)
--- a/src/pewtertack/routing/origins.py
+++ b/src/pewtertack/routing/origins.py
@@ -117,32 +117,32 @@
         self._last_contact_at = {
             name: at for name, at in self._last_contact_at.items() if name in self._shares
         }
-        for watched in self._routes.values():
-            for name in watched.silences.keys() - self._shares.keys():
-                del watched.silences[name]
+        for counts in self._routes.values():
+            for name in counts.silences.keys() - self._shares.keys():
+                del counts.silences[name]
 
     def note(self, route: str, service: str, now: float) -> bool:
         """A request of the route came from a machine of the service; tell if that is news."""
-        watched = self._routes.pop(route, None) or _RouteCounts()
-        self._routes[route] = watched
+        counts = self._routes.pop(route, None) or _RouteCounts()
+        self._routes[route] = counts
         if len(self._routes) > MAX_ROUTES:
             del self._routes[next(iter(self._routes))]
         if service not in self._shares:
             return False  # whoever sends from elsewhere says nothing of the services near
         self._last_contact_at[service] = now
         for name, share in self._shares.items():
-            known = watched.silences.get(name)
+            known = counts.silences.get(name)
             if known is None:
-                known = watched.silences[name] = ServiceSilence()
+                known = counts.silences[name] = ServiceSilence()
             known.sent = known.sent * DECAY + (name == service)
-            heard = now - self._last_contact_at.get(name, -math.inf) < CONTACT_SECONDS
-            known.expected = known.expected * DECAY + (share if heard else 0.0)
-        before = watched.origin
-        watched.origin = self._infer_origin(watched)
-        return watched.origin is not before
-
-    def _infer_origin(self, watched: _RouteCounts) -> Origin | None:
-        silences = watched.silences.values()
+            is_in_contact = now - self._last_contact_at.get(name, -math.inf) < CONTACT_SECONDS
+            known.expected = known.expected * DECAY + (share if is_in_contact else 0.0)
+        before = counts.origin
+        counts.origin = self._infer_origin(counts)
+        return counts.origin is not before
+
+    def _infer_origin(self, counts: _RouteCounts) -> Origin | None:
+        silences = counts.silences.values()
         if any(item.silent for item in silences):
             return Origin.BACK_ENDS
         if self._has_absent_service or not all(item.known for item in silences):
@@ -151,18 +151,18 @@
 
     def origin(self, route: str) -> Origin | None:
         """Return who makes the route's requests, ``None`` while too little is known."""
-        watched = self._routes.get(route)
-        return watched.origin if watched is not None else None
+        counts = self._routes.get(route)
+        return counts.origin if counts is not None else None
 
-    def is_nested(self, route: str, told: bool) -> bool:
+    def is_nested(self, route: str, believed: bool) -> bool:
         """Tell whether a back end made a request; ``told`` is what its sender believes."""
         origin = self.origin(route)
-        return told if origin is None else origin is Origin.BACK_ENDS
+        return believed if origin is None else origin is Origin.BACK_ENDS
 
-    def to_advertise(self, route: str, told: bool) -> Origin | None:
+    def to_advertise(self, route: str, believed: bool) -> Origin | None:
         """Return what to tell a sender: that back ends call the route, or that it is wrong."""
         origin = self.origin(route)
-        return origin if told or origin is Origin.BACK_ENDS else None
+        return origin if believed or origin is Origin.BACK_ENDS else None
 
     def nested_routes(self) -> list[str]:
         """Return the routes that back ends call, by name."""
@@ -197,12 +197,12 @@
 
     def note_advertised(self, route: str, origin: Origin, now: float) -> None:
         """A gateway's answer has told who makes the route's requests."""
-        told = float(origin is Origin.BACK_ENDS)
+        advertised = float(origin is Origin.BACK_ENDS)
         known = self._routes.get(route)
         if known is None or now - known.advertised_at > BELIEF_SECONDS:
-            self._routes[route] = _Belief(told, now)
+            self._routes[route] = _Belief(advertised, now)
             return
-        known.share += ADVERTISED_WEIGHT * (told - known.share)
+        known.share += ADVERTISED_WEIGHT * (advertised - known.share)
         known.advertised_at = now
 
     def is_nested(self, route: str, now: float) -> bool:
--- a/src/pewtertack/routing/policies.py
+++ b/src/pewtertack/routing/policies.py
@@ -80,13 +80,13 @@
         name: str,
         purpose: str,
         parameters: tuple[Parameter, ...],
-        made_by: Callable[..., object],
+        implementation: Callable[..., object],
     ) -> None:
         self.kind = kind
         self.name = name
         self.purpose = purpose
         self.parameters = parameters
-        self.implementation = made_by
+        self.implementation = implementation
 
 
 REGISTRY: dict[tuple[PolicyKind, str], Policy] = {}
@@ -97,9 +97,9 @@
 ) -> Callable[[Callable[..., Implementation]], Callable[..., Implementation]]:
     """Return a decorator that enters a class or function as a way of the kind."""
 
-    def enter(made_by: Callable[..., Implementation]) -> Callable[..., Implementation]:
-        REGISTRY[kind, name] = Policy(kind, name, purpose, parameters, made_by)
-        return made_by
+    def enter(implementation: Callable[..., Implementation]) -> Callable[..., Implementation]:
+        REGISTRY[kind, name] = Policy(kind, name, purpose, parameters, implementation)
+        return implementation
 
     return enter
 
--- a/src/pewtertack/routing/queueing.py
+++ b/src/pewtertack/routing/queueing.py
@@ -166,7 +166,7 @@
         return tickets.index(ticket) if ticket in tickets else len(tickets)
 
     def expected_wait(
-        self, work_class: WorkClass, place: int, per_turn: float, now: float
+        self, work_class: WorkClass, position: int, per_turn: float, now: float
     ) -> float:
         """Return in how many seconds the ticket at ``place`` of its class has its turn.
 
@@ -175,16 +175,16 @@
         that are still to come go before.
         """
         lane = self._lanes[work_class]
-        by_weight = per_turn * (place + 1 + self._others_before(work_class, place))
+        by_weight = per_turn * (position + 1 + self._others_before(work_class, position))
         if not lane.tickets or not lane.interval:
             return by_weight
-        seen = (place + 1) * lane.interval - (now - lane.last_turn_at)
+        seen = (position + 1) * lane.interval - (now - lane.last_turn_at)
         return max(by_weight, seen)
 
-    def _others_before(self, work_class: WorkClass, place: int) -> float:
+    def _others_before(self, work_class: WorkClass, position: int) -> float:
         weight = WEIGHTS[work_class]
         return sum(
-            min(len(lane.tickets), (place + 1) * WEIGHTS[other] / weight)
+            min(len(lane.tickets), (position + 1) * WEIGHTS[other] / weight)
             for other, lane in self._lanes.items()
             if other is not work_class
         )
--- a/src/pewtertack/routing/retry_budgets.py
+++ b/src/pewtertack/routing/retry_budgets.py
@@ -19,8 +19,8 @@
 
     __slots__ = ("_started_at", "_budgets", "_node_count", "limits", "policy")
 
-    def __init__(self, way: RetryBudgetPolicy, limits: RetryLimits) -> None:
-        self.policy = way
+    def __init__(self, policy: RetryBudgetPolicy, limits: RetryLimits) -> None:
+        self.policy = policy
         self.limits = limits
         self._budgets: dict[str, Budget] = {}
         self._started_at: float | None = None
--- a/src/pewtertack/routing/retry_window.py
+++ b/src/pewtertack/routing/retry_window.py
@@ -100,8 +100,8 @@
         """Take over the fleet's size; 0 while unknown: then nothing beyond the share is allowed."""
         if self._node_counts and self._node_counts[-1][1] == nodes:
             return
-        started = now - self.limits.window
-        newer = [item for item in self._node_counts[:-1] if item[0] >= started]
+        window_start = now - self.limits.window
+        newer = [item for item in self._node_counts[:-1] if item[0] >= window_start]
         self._node_counts = [*newer, *self._node_counts[-1:], (now, nodes)]
 
     def is_idle(self, now: float) -> bool:
@@ -150,11 +150,11 @@
         """Return the largest count of nodes that held within the last window."""
         if not self._node_counts:
             return 0
-        started = now - self.limits.window
+        window_start = now - self.limits.window
         largest = 0
-        ends = [at for at, _ in self._node_counts[1:]]
-        for (_, nodes), end in zip(self._node_counts, [*ends, now], strict=True):
-            if end >= started:
+        end_times = [at for at, _ in self._node_counts[1:]]
+        for (_, nodes), end in zip(self._node_counts, [*end_times, now], strict=True):
+            if end >= window_start:
                 largest = max(largest, nodes)
         return largest
 
--- a/src/pewtertack/routing/service.py
+++ b/src/pewtertack/routing/service.py
@@ -24,9 +24,10 @@
 MAXIMUM_RETRY_AFTER = 30.0
 MINIMUM_CAPACITY = 0.1
 TIME_UNCERTAINTY_FACTOR = 1.5
-"""Answers take up to so many times the mean often enough to plan for it."""
+"""Answers take up to this multiple of the mean often enough to plan for it."""
 CROSSING_SHARE = 0.05
-"""What crosses zones costs bytes: it does when it would wait for this share of its objective."""
+"""Share of its objective that a request would have to wait to go to another zone, since bytes
+between zones cost money."""
 LARGE_BODY_BYTES = 16 * 1024
 """A request with a longer body goes to another zone only to meet its deadline."""
 OWN_ZONE = "own-zone"
@@ -34,11 +35,11 @@
 OWN_ZONE_BUSY = "the own zone's back ends take no work in time"
 """Reasons of a choice, for the log."""
 POLL_SECONDS = 0.25
-"""While nothing can start, waiting requests look again after this long at most."""
+"""Longest interval between two checks of a queued request while nothing can start."""
 
 
 class ServiceDispatcher:
-    """Places tickets on the back ends of one service; what cannot start waits, bounded."""
+    """Places tickets on the back ends of one service and queues, up to a limit, what must wait."""
 
     def __init__(self, name: str, random: Random) -> None:
         self.name = name
@@ -55,7 +56,7 @@
         """Mean seconds of all answers, 0 while unknown."""
         self._route_times: dict[str, float] = {}
         self._long_routes: dict[str, LongRouteTimes] = {}
-        """Routes whose answers wait for a gateway's link, as gateways have told."""
+        """Routes whose answers queue for a gateway's link, as reported by gateways."""
 
     def use_backends(self, backends: Iterable[Backend], zone: str) -> None:
         """Take over the back ends of a newer machine list."""
@@ -68,11 +69,11 @@
             self.configure(self._settings)
 
     def has_untried(self, excluded: Container[str], now: float) -> bool:
-        """Tell whether a back end that the request has not tried may take it."""
+        """Tell whether a back end that the request has not tried is usable."""
         return any(item.name not in excluded and item.usable(now) for item in self.backends)
 
     def another_gateway_may_help(self, ticket: Ticket, now: float) -> bool:
-        """Tell whether asking one more gateway is better than telling the caller to come back."""
+        """Tell whether to try another gateway rather than have the caller retry."""
         if not ticket.caller_can_retry:
             return True
         return any(
@@ -82,17 +83,17 @@
         )
 
     def is_reachable(self, now: float) -> bool:
-        """Tell whether any back end that takes work answers, or is overdue for a trial."""
+        """Tell whether any back end that accepts work is reachable or overdue for a trial."""
         working = [item for item in self.backends if item.accepts_work]
         return not working or any(item.reachable(now) for item in working)
 
     @property
     def backends(self) -> tuple[Backend, ...]:
-        """All listed back ends, the own zone's first."""
+        """All listed back ends, those of the own zone first."""
         return (*self._local, *self._remote)
 
     def configure(self, settings: ResolvedService) -> None:
-        """Use the service's settings for all back ends, and for those that are still to come."""
+        """Use the service's settings for all present and future back ends."""
         self._settings = settings
         for backend in self.backends:
             backend.configure(settings)
@@ -102,28 +103,30 @@
         return self._route_times.get(route, 0.0)
 
     def note_time(self, route: str, seconds: float) -> None:
-        """Take the time of an answered attempt into the means."""
+        """Include the time of an answered attempt in the means."""
         self.mean_time = smoothed(self.mean_time, seconds)
         self._route_times[route] = smoothed(self._route_times.get(route, 0.0), seconds)
 
-    def note_link_report(self, ticket: Ticket, word: LinkReport, now: float, begun: bool) -> None:
-        """A gateway has told of its link, with an answer that has begun or with a refusal."""
+    def note_link_report(self, ticket: Ticket, report: LinkReport, now: float, begun: bool) -> None:
+        """Record a gateway's report on its link, received with an answer or a refusal."""
         assert ticket.backend is not None
-        ticket.backend.note_link_queue(now, word.queue_seconds)
+        ticket.backend.note_link_queue(now, report.queue_seconds)
         route = ticket.route.name
-        if not word.transfer_seconds:
+        if not report.transfer_seconds:
             self._long_routes.pop(route, None)
         elif begun:
-            run = max(0.0, now - ticket.started_at - ticket.queued_seconds)
-            self._long_routes.setdefault(route, LongRouteTimes()).note(word.transfer_seconds, run)
+            execution_seconds = max(0.0, now - ticket.started_at - ticket.queued_seconds)
+            self._long_routes.setdefault(route, LongRouteTimes()).note(
+                report.transfer_seconds, execution_seconds
+            )
 
     def submit(self, ticket: Ticket, now: float) -> None:
-        """Grant the ticket or let it wait.
+        """Grant the ticket or queue it.
 
         Raises:
-            NoBackendError: no back end may take work now or soon.
-            QueueFullError: as many requests of the route wait as may.
-            DeadlineUnmeetableError: its turn would come too late.
+            NoBackendError: no back end accepts work now or soon.
+            QueueFullError: the route's queue is full.
+            DeadlineUnmeetableError: the request is not expected to start in time.
         """
         if ticket.service is not self._settings:
             self.configure(ticket.service)
@@ -132,11 +135,11 @@
         self._check_backends(now)
         wait = self._expected_wait(ticket, now)
         if self.queue.length_of_route(ticket.route.name) >= ticket.route.queue_limit:
-            raise QueueFullError("too many requests wait", self.retry_after(wait))
+            raise QueueFullError("too many requests are queued", self.retry_after(wait))
         ticket.expires_at = self._latest_start(ticket, now)
         if now + wait >= ticket.expires_at:
             raise DeadlineUnmeetableError(
-                "no back end comes free before the deadline", self.retry_after(wait)
+                "no back end is expected to be free before the deadline", self.retry_after(wait)
             )
         self.queue.push(ticket, now)
         self.pump(now)
@@ -155,26 +158,28 @@
 
     def _expected_wait(self, ticket: Ticket, now: float) -> float:
         per_turn = self.mean_time / max(MINIMUM_CAPACITY, self._capacity(now))
-        place = self.queue.position_of(ticket)
-        return self.queue.expected_wait(ticket.route.work_class, place, per_turn, now)
+        position = self.queue.position_of(ticket)
+        return self.queue.expected_wait(ticket.route.work_class, position, per_turn, now)
 
     def _capacity(self, now: float) -> float:
-        """Return how many requests this proxy may have in flight at the service."""
+        """Return the number of requests that this proxy may have in flight at the service."""
         working = (item for item in self.backends if item.accepts_work and not item.health.ejected)
-        places = sum(int(item.limit.value) for item in working if item.limit.paused_until <= now)
-        return min(float(places), self.limit.value)
+        backend_limit = sum(
+            int(item.limit.value) for item in working if item.limit.paused_until <= now
+        )
+        return min(float(backend_limit), self.limit.value)
 
     def _latest_start(self, ticket: Ticket, now: float) -> float:
         by_deadline = ticket.deadline - self.expected_time(ticket.route.name)
         return min(by_deadline, now + MAXIMUM_WAIT_SECONDS[ticket.route.work_class])
 
     def retry_after(self, wait: float) -> float:
-        """Return when to come back after a refusal: the expected wait, spread at random."""
+        """Return the seconds after which to retry: the expected wait, spread at random."""
         spread = max(wait, MINIMUM_RETRY_AFTER) * (1 + self._random.random())
         return round(min(spread, MAXIMUM_RETRY_AFTER), 3)
 
     def pump(self, now: float) -> None:
-        """Grant what can start now, in order, and refuse what can start no longer."""
+        """Grant all tickets that can start now, in order, and refuse those that have expired."""
         while (ticket := self.queue.peek()) is not None:
             if ticket.expires_at <= now:
                 self.queue.remove(ticket)
@@ -186,7 +191,7 @@
                 return
 
     def _grant_urgent(self, now: float) -> bool:
-        """Grant the first urgent ticket, which has headroom, past others that have none."""
+        """Grant the first urgent ticket, which has headroom, before others that have none."""
         urgent = self.queue.first_of(WorkClass.URGENT)
         if urgent is None or urgent is self.queue.peek() or not self._grant(urgent, now):
             return False
@@ -195,7 +200,7 @@
         return True
 
     def give_up(self, ticket: Ticket, now: float) -> None:
-        """Refuse a waiting ticket as soon as its turn is expected too late."""
+        """Refuse a queued ticket as soon as it is expected to start too late."""
         if ticket.backend is not None or ticket.refusal is not None:
             return
         if now + self._expected_wait(ticket, now) >= ticket.expires_at:
@@ -205,33 +210,35 @@
     def _refuse(self, ticket: Ticket, now: float) -> None:
         wait = self._expected_wait(ticket, now)
         ticket.refusal = DeadlineUnmeetableError(
-            "no back end came free in time", self.retry_after(wait)
+            "no back end became free in time", self.retry_after(wait)
         )
         ticket.wake()
 
     def withdraw(self, ticket: Ticket) -> None:
-        """Take a waiting ticket out, since its caller has gone."""
+        """Remove a queued ticket whose caller has gone."""
         if ticket.backend is None and ticket.refusal is None:
             ticket.refusal = RequestFailedError("withdrawn")
             self.queue.remove(ticket)
 
     def refuse(self, ticket: Ticket, refusal: RequestFailedError) -> None:
-        """End a ticket's waiting with ``refusal``; one that does not wait is left alone."""
+        """Refuse a queued ticket with ``refusal``; a ticket that is not queued is left alone."""
         if ticket in self.queue:
             self.queue.remove(ticket)
             ticket.refusal = refusal
             ticket.wake()
 
     def next_check(self, ticket: Ticket, now: float) -> float:
-        """Return when a waiting ticket should be looked at again, at the latest."""
-        rested = self.limit.paused_until()
-        return min(ticket.expires_at, now + POLL_SECONDS, rested if rested > now else math.inf)
+        """Return when a queued ticket should be checked again, at the latest."""
+        paused_until = self.limit.paused_until()
+        return min(
+            ticket.expires_at, now + POLL_SECONDS, paused_until if paused_until > now else math.inf
+        )
 
     def _grant(self, ticket: Ticket, now: float) -> bool:
         urgent = ticket.route.work_class is WorkClass.URGENT
         if self.has_gateways:
-            wish = self._gateway_criteria(ticket, now)
-            backend = choose_gateway(self._local, self._remote, wish, now, self._random)
+            criteria = self._gateway_criteria(ticket, now)
+            backend = choose_gateway(self._local, self._remote, criteria, now, self._random)
         elif self.limit.allows(now, self.in_flight, urgent):
             backend = choose(self._local, self._remote, now, self._random, ticket.excluded)
         else:
@@ -244,9 +251,11 @@
         ticket.backend = backend
         if self._long_routes:
             self._reserve_link(ticket, backend, now)
-        near = backend.zone == self._zone
-        ticket.choice_reason = OWN_ZONE if near else self._why_other_zone(ticket)
-        ticket.wait_policy = _wait_policy_of(ticket, near or ticket.choice_reason == NONE_IN_ZONE)
+        is_local = backend.zone == self._zone
+        ticket.choice_reason = OWN_ZONE if is_local else self._why_other_zone(ticket)
+        ticket.wait_policy = _wait_policy_of(
+            ticket, is_local or ticket.choice_reason == NONE_IN_ZONE
+        )
         ticket.started_at = now
         return True
 
@@ -254,22 +263,33 @@
         objective = ticket.arrived_at + ticket.route.objective
         long_route = self._long_routes.get(ticket.route.name)
         if long_route is not None:
-            own, run = long_route.transfer_seconds, long_route.execution_seconds
-            patience = max(0.0, objective - now - own - run * TIME_UNCERTAINTY_FACTOR)
+            transfer_seconds, execution_seconds = (
+                long_route.transfer_seconds,
+                long_route.execution_seconds,
+            )
+            max_wait = max(
+                0.0,
+                objective - now - transfer_seconds - execution_seconds * TIME_UNCERTAINTY_FACTOR,
+            )
             return GatewayCriteria(
-                run, self.mean_time, patience, ticket.excluded, ticket.refused, own
+                execution_seconds,
+                self.mean_time,
+                max_wait,
+                ticket.excluded,
+                ticket.refused,
+                transfer_seconds,
             )
         expected = self.expected_time(ticket.route.name)
-        patient_until = ticket.deadline if ticket.body_bytes > LARGE_BODY_BYTES else objective
-        patience = patient_until - now - expected * TIME_UNCERTAINTY_FACTOR
+        wait_until = ticket.deadline if ticket.body_bytes > LARGE_BODY_BYTES else objective
+        max_wait = wait_until - now - expected * TIME_UNCERTAINTY_FACTOR
         if _may_cross_early(ticket) and ticket.body_bytes <= LARGE_BODY_BYTES:
-            patience = min(patience, CROSSING_SHARE * ticket.route.objective)
+            max_wait = min(max_wait, CROSSING_SHARE * ticket.route.objective)
         return GatewayCriteria(
-            expected, self.mean_time, max(0.0, patience), ticket.excluded, ticket.refused
+            expected, self.mean_time, max(0.0, max_wait), ticket.excluded, ticket.refused
         )
 
     def _reserve_link(self, ticket: Ticket, backend: Backend, now: float) -> None:
-        """Reckon with the answer, until the gateway's next word does."""
+        """Add the expected answer to the link's queue until the gateway's next report."""
         long_route = self._long_routes.get(ticket.route.name)
         if long_route is not None:
             ready_at = max(backend.link_free_at, now)
@@ -281,16 +301,16 @@
         return OWN_ZONE_BUSY
 
     def may_eject(self) -> bool:
-        """Tell whether answered failures may eject one more: never more than half."""
+        """Tell whether answered failures may eject one more back end: at most half of them."""
         ejected = sum(item.health.ejected for item in self.backends)
         return (ejected + 1) * 2 <= len(self.backends)
 
 
 def _may_cross_early(ticket: Ticket) -> bool:
-    """Tell whether rather bytes cross zones than the request waits in its own.
+    """Tell whether the request goes to another zone early rather than wait in its own.
 
-    Who has less time than ``ROOM`` asks for is told to come back as well where operators choose
-    so, and would then cross as early: bytes between zones doubled by it.
+    Where operators choose so, callers with less time than ``RETRY_TIME_FACTOR`` asks for are told
+    to retry as well. They do not cross early: that doubled the bytes between zones.
     """
     if not ticket.caller_can_retry:
         return False
@@ -298,8 +318,8 @@
     return can_retry(ticket.route.objective, caller_time)
 
 
-def _wait_policy_of(ticket: Ticket, may_wait: bool) -> WaitPolicy:
-    """Return what a gateway should do with the ticket; ``may_wait`` where it is the last hope."""
-    if ticket.caller_wait_policy is WaitPolicy.WAIT and not may_wait:
+def _wait_policy_of(ticket: Ticket, may_be_late: bool) -> WaitPolicy:
+    """Return the gateway's policy; ``may_be_late`` where no other gateway would do better."""
+    if ticket.caller_wait_policy is WaitPolicy.WAIT and not may_be_late:
         return WaitPolicy.TRY_ANOTHER_GATEWAY
     return ticket.caller_wait_policy
--- a/src/pewtertack/routing/wait_policy.py
+++ b/src/pewtertack/routing/wait_policy.py
@@ -149,46 +149,46 @@
 
     def note_failed(self, route: str, now: float) -> None:
         """A request of the route ended without a good answer: its caller may come back."""
-        known = self._routes.get(route)
-        if known is not None:
-            known.failed_at = now
+        times = self._routes.get(route)
+        if times is not None:
+            times.failed_at = now
 
     def classify(self, route: str, objective: float, time_left: float, now: float) -> WaitPolicy:
         """Note a request's arrival; return what to do with it when it would have to wait."""
-        known = self._note(route, time_left, now)
-        came_back = (
-            can_retry(objective, known.longest, self._retry_time_factor)
-            and time_left < RETRY_TIME_SHARE * known.usual_shortest
-            and now <= known.failed_at + known.longest
+        times = self._note(route, time_left, now)
+        is_retry = (
+            can_retry(objective, times.longest, self._retry_time_factor)
+            and time_left < RETRY_TIME_SHARE * times.usual_shortest
+            and now <= times.failed_at + times.longest
         )
         if can_retry(objective, time_left, self._retry_time_factor):
-            return WaitPolicy.RETRY_DEFERRED if came_back else WaitPolicy.RETRY
-        return WaitPolicy.DEFERRED if came_back else WaitPolicy.WAIT
+            return WaitPolicy.RETRY_DEFERRED if is_retry else WaitPolicy.RETRY
+        return WaitPolicy.DEFERRED if is_retry else WaitPolicy.WAIT
 
     def _note(self, route: str, time_left: float, now: float) -> _CallerTimes:
         """Return what is known: the longest time comes down slowly, the shortest goes up so."""
-        known = self._routes.get(route)
-        if known is None:
-            known = self._routes[route] = _CallerTimes(time_left)
-        known.longest = max(time_left, known.longest + DECAY_WEIGHT * (time_left - known.longest))
-        if now > known.failed_at + known.longest:
-            weight = DECAY_WEIGHT if time_left > known.shortest else SHORTENING_WEIGHT
-            known.shortest += weight * (time_left - known.shortest)
-            known.first_calls += 1
-        known.shortest = min(known.shortest, known.longest)
-        return known
-
-
-def retry_after_shedding(objective: float, has_room: bool) -> float:
+        times = self._routes.get(route)
+        if times is None:
+            times = self._routes[route] = _CallerTimes(time_left)
+        times.longest = max(time_left, times.longest + DECAY_WEIGHT * (time_left - times.longest))
+        if now > times.failed_at + times.longest:
+            weight = DECAY_WEIGHT if time_left > times.shortest else SHORTENING_WEIGHT
+            times.shortest += weight * (time_left - times.shortest)
+            times.first_calls += 1
+        times.shortest = min(times.shortest, times.longest)
+        return times
+
+
+def retry_after_shedding(objective: float, has_free_slots: bool) -> float:
     """Return when a caller is to come back whose request a back end shed without saying when.
 
     One that has free slots sheds for another reason than want of room: the next attempt may well
     end in time, if its caller is not told to come after the objective.
     """
-    return RETRY_PAUSE_SHARE * objective if has_room else DEFAULT_RETRY_AFTER
+    return RETRY_PAUSE_SHARE * objective if has_free_slots else DEFAULT_RETRY_AFTER
 
 
-def can_retry(objective: float, time_left: float, room: float = RETRY_TIME_FACTOR) -> bool:
+def can_retry(objective: float, time_left: float, factor: float = RETRY_TIME_FACTOR) -> bool:
     """Tell whether a caller that is refused has time for another whole attempt.
 
     Args:
@@ -196,4 +196,4 @@
         time_left: seconds for which the caller will wait, over all its attempts.
         room: how many times its objective that must be.
     """
-    return time_left >= room * objective
+    return time_left >= factor * objective
--- a/tests/routing/test_origins.py
+++ b/tests/routing/test_origins.py
@@ -92,7 +92,7 @@
         made.use_machines({}, 0)
         arrive(made, "fee", ["ledger"] * 100)
         self.assertIsNone(made.origin("fee"))
-        self.assertTrue(made.is_nested("fee", told=True))
+        self.assertTrue(made.is_nested("fee", believed=True))
 
     def test_senders_without_a_service_near_say_nothing_of_those_near(self) -> None:
         made = watch()
@@ -153,7 +153,7 @@
         for index, (route, service, now) in enumerate(arrivals):
             made.note(route, service, now)
             made.use_machines({service: index, "desk": 1}, index)
-            made.to_advertise(route, told=True)
+            made.to_advertise(route, believed=True)
 
     def test_a_gateway_that_treats_all_alike_watches_nothing(self) -> None:
         self.assertIsNone(origin_detector_for(Policies(calls_within=NestedCallPolicy.ALIKE)))
--- a/tests/routing/test_patience.py
+++ b/tests/routing/test_patience.py
@@ -89,8 +89,8 @@
                 self.assertEqual(patience.classify("status", 0.4, 1.1, now), WaitPolicy.DEFERRED)
 
     def test_a_back_end_that_sheds_for_want_of_room_is_left_alone_for_longer(self) -> None:
-        self.assertEqual(retry_after_shedding(0.8, has_room=True), 0.1)
-        self.assertEqual(retry_after_shedding(0.8, has_room=False), DEFAULT_RETRY_AFTER)
+        self.assertEqual(retry_after_shedding(0.8, has_free_slots=True), 0.1)
+        self.assertEqual(retry_after_shedding(0.8, has_free_slots=False), DEFAULT_RETRY_AFTER)
 
 
 if __name__ == "__main__":
