--- a/src/pewtertack/core/address_owners.py
+++ b/src/pewtertack/core/address_owners.py
@@ -1,4 +1,4 @@
-"""Latest known start time of a back end at each address, kept across a restore of the source."""
+"""Latest known start time of the back end at each address, kept across a source restore."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         self._record(machines)
 
     def add_reported(self, expires_at: float, machines: Iterable[Machine]) -> None:
-        """Add what a peer knew before the era; this does not extend the validity."""
+        """Add what a peer knew before the era; ``expires_at`` applies only if nothing was known."""
         if not self.started_at_by_address:
             self._expires_at = expires_at
         self._record(machines)
--- a/src/pewtertack/core/delta.py
+++ b/src/pewtertack/core/delta.py
@@ -24,7 +24,7 @@
 
 
 class DeltaMismatchError(CoordinationError):
-    """A delta does not fit its base document, or applying it gives a different digest."""
+    """A delta does not fit its base document, or the result has another digest."""
 
     code: ClassVar[str] = "delta-mismatch"
 
--- a/src/pewtertack/core/items.py
+++ b/src/pewtertack/core/items.py
@@ -16,12 +16,12 @@
 from pewtertack.wire.messages import DocumentKind
 
 REMEMBERED_MAX = 1024
-"""Findings that a node remembers, and therefore reports, for one document. A fleet of
-1,700 machines has about that many items; findings about further ones are not reported."""
+"""Number of findings about one document that a node remembers. Findings about further items are not
+reported; a fleet of 1,700 machines has about that many items."""
 LOGGED_MAX = 16
-"""Log events for one read of a document: one bad write may invalidate a whole machine list."""
+"""Number of findings logged per read: one bad write may invalidate a whole machine list."""
 SHOWN_CHARACTERS_MAX = 120
-"""Characters of an item's name or of a detail that a log event contains."""
+"""Length to which an item's name and a finding's detail are cut in log events."""
 
 Item = TypeVar("Item")
 
@@ -44,7 +44,7 @@
 
 
 class ItemFinding(msgspec.Struct, frozen=True):
-    """One item that was skipped; the other items of its document are used."""
+    """A finding about one skipped item; the other items of its document are used."""
 
     item: str
     problem: ItemProblem
--- a/src/pewtertack/core/node.py
+++ b/src/pewtertack/core/node.py
@@ -306,7 +306,7 @@
         return self._joiner.knows_enough(now, self.membership.table.quorum_members(now))
 
     def _is_up_to_date_with_source(self, now: float) -> bool:
-        """Whether the source or a serving peer has reported the newest revision since the start.
+        """Tell whether the source or a serving peer has reported its newest revision since start.
 
         A node that has waited for both without result serves with what it holds: no node
         that it can reach has anything newer in force.
@@ -322,7 +322,7 @@
         return self._is_up_to_date_with_peers(now)
 
     def _is_up_to_date_with_peers(self, now: float) -> bool:
-        """Whether peers have reported what is in force, or none could.
+        """Tell whether this node has what peers report as in force, or no peer could report it.
 
         A source that was restored from a copy may have older documents than the peers.
         """
--- a/src/pewtertack/core/policies.py
+++ b/src/pewtertack/core/policies.py
@@ -54,7 +54,7 @@
     """What happens to a request when its back end most likely hangs."""
 
     AWAITED = "awaited"
-    """Its answer is awaited until its deadline."""
+    """The node goes on waiting for its answer."""
     LEFT = "left"
     """It is abandoned and tried again if it may be repeated."""
 
--- a/src/pewtertack/core/profile.py
+++ b/src/pewtertack/core/profile.py
@@ -52,13 +52,13 @@
     acknowledge_timeout: float = 0.4
     indirect_probes: int = 3
     suspicion_rounds: float = 3.0
-    """Probe intervals that a suspicion lasts, per decimal digit of the fleet's size."""
+    """Probe intervals that a suspicion lasts, for each power of ten in the fleet's size."""
     reconnect_interval: float = 2.0
     """Time between two probes of an unreachable member."""
     dead_retention: float = 20.0
     """How long a dead member that is not listed still counts for the quorum's size."""
     forget_after: float = 600.0
-    """The same while no machine list is known."""
+    """How long a dead member still counts while no machine list is known."""
     fan_out: int = 4
     """Number of peers in the own zone that receive an announcement."""
     far_fan_out: int = 1
--- a/src/pewtertack/core/replication/machine_lists.py
+++ b/src/pewtertack/core/replication/machine_lists.py
@@ -87,7 +87,7 @@
         return self._refresh(now) if self.overrides.has_expired(now) else []
 
     def _refresh(self, now: float) -> list[Effect]:
-        self.machines = self._leaving.apply(self.overrides.overridden(now, self._listed))
+        self.machines = self._leaving.apply(self.overrides.apply(now, self._listed))
         return [UseMachineList(self.machines)]
 
     def on_overrides(self, now: float, report: ListOverrides) -> list[Effect]:
--- a/src/pewtertack/core/returned_lists.py
+++ b/src/pewtertack/core/returned_lists.py
@@ -109,7 +109,7 @@
             return False
         if era < self._era or expires_at <= now:
             return False
-        self._apply(expires_at, report, listed)
+        self._adopt(expires_at, report, listed)
         return True
 
     def _apply_early_reports(self, now: float, listed: MachineList) -> None:
@@ -119,9 +119,9 @@
             if era_of(report.number) > era_of(listed.number):
                 self._early_reports.append((expires_at, report))
             elif era_of(report.number) == era_of(listed.number) and expires_at > now:
-                self._apply(expires_at, report, listed)
+                self._adopt(expires_at, report, listed)
 
-    def _apply(self, expires_at: float, report: ListOverrides, listed: MachineList) -> None:
+    def _adopt(self, expires_at: float, report: ListOverrides, listed: MachineList) -> None:
         """Adopt a peer's overrides, except where the own list is not older and says otherwise."""
         self._active_until = max(self._active_until, expires_at)
         listed_by_name = {machine.name: machine for machine in listed.machines}
@@ -210,7 +210,7 @@
         }
         self._address_owners.add_listed(listed_by_name.values())
 
-    def overridden(self, now: float, listed: MachineList) -> MachineList:
+    def apply(self, now: float, listed: MachineList) -> MachineList:
         """Return the list with the overrides that are still valid."""
         self._discard_expired(now)
         listed_by_name = {machine.name: machine for machine in listed.machines}
@@ -290,7 +290,7 @@
         return msgspec.structs.replace(machine, state=MachineState.LEAVING) if leaves else machine
 
     def _is_blocked(self, machine: Machine) -> bool:
-        """Tell whether this entry had been removed; one that was registered anew is not blocked."""
+        """Tell whether this entry was removed earlier; a newly registered one is not blocked."""
         blocked = self._blocked.get(machine.name)
         return blocked is not None and blocked[0].entry_key == machine.entry_key
 
--- a/src/pewtertack/core/source_mirror.py
+++ b/src/pewtertack/core/source_mirror.py
@@ -156,7 +156,7 @@
         return self._evacuations + zone in self._reported_evacuations
 
     def shows_restored_evacuation(self, zone: str, created_until: float = math.inf) -> bool:
-        """Tell whether the zone's evacuation dates from before the era, created by the revision."""
+        """Tell whether the zone's evacuation, made by ``created_until``, is older than the era."""
         key = self._evacuations + zone
         created = self._restored_evacuations.get(key)
         return created is not None and self.created_revisions.get(key) == created <= created_until
--- a/src/pewtertack/wire/messages.py
+++ b/src/pewtertack/wire/messages.py
@@ -34,7 +34,7 @@
 
 
 class MemberUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """The status of one member, disseminated within probe messages.
+    """The status of one member, piggybacked on probes and join messages.
 
     ``incarnation`` is the start time of the process in milliseconds. The member itself
     raises it to refute a suspicion or to exceed its predecessor's.
--- a/tests/core/replication/test_list_overrides.py
+++ b/tests/core/replication/test_list_overrides.py
@@ -54,13 +54,13 @@
         return self.overridden(now)
 
     def overridden(self, now: float) -> dict[str, Machine]:
-        machines = self.overrides.overridden(now, self.listed)
+        machines = self.overrides.apply(now, self.listed)
         return {item.name: item for item in machines.machines}
 
     def messages(self, now: float) -> tuple[ListOverrides, ...]:
         if not self.overrides.is_active(now):
             return ()
-        overrides = overrides_against(self.listed, self.overrides.overridden(now, self.listed))
+        overrides = overrides_against(self.listed, self.overrides.apply(now, self.listed))
         return messages_of(
             self.listed.number, overrides, lambda name: self.overrides.remaining_seconds(now, name)
         )
--- a/tests/core/test_returned_lists.py
+++ b/tests/core/test_returned_lists.py
@@ -32,7 +32,7 @@
         return self.in_use(now, machines)
 
     def in_use(self, now: float, machines: MachineList) -> dict[str, Machine]:
-        return {item.name: item for item in self.overrides.overridden(now, machines).machines}
+        return {item.name: item for item in self.overrides.apply(now, machines).machines}
 
     def test_lists_of_one_era_are_used_unchanged(self) -> None:
         for era in (0, 3):
@@ -40,7 +40,7 @@
             for revision, names in enumerate(("ab", "b", "abc"), 1):
                 machines = listed(era, revision, *map(machine, names))
                 self.assertIsNone(overrides.update(0.0, machines))
-                self.assertIs(overrides.overridden(0.0, machines), machines)
+                self.assertIs(overrides.apply(0.0, machines), machines)
 
     def test_back_ends_missing_in_the_copy_are_kept_for_the_hold_period(self) -> None:
         self.update(0.0, listed(0, 9, machine("a"), machine("b")))
@@ -138,7 +138,7 @@
             found = []
             for overrides, delay in ((first, 0.0), (second, 0.4)):
                 overrides.update(now + delay, machines)
-                found.append(overrides.overridden(now + delay, machines))
+                found.append(overrides.apply(now + delay, machines))
             self.assertEqual(*found)
         end = len(steps) + HOLD_SECONDS + 1
-        self.assertEqual(first.overridden(end, machines), machines)
+        self.assertEqual(first.apply(end, machines), machines)
