--- a/src/pewtertack/core/membership/gossip.py
+++ b/src/pewtertack/core/membership/gossip.py
@@ -34,10 +34,10 @@
             return ()
         limit = TRANSMISSIONS_PER_DECADE * math.ceil(math.log10(fleet_size + 2))
         names = sorted(self._updates, key=self._send_counts.__getitem__)[:UPDATES_PER_MESSAGE]
-        taken = tuple(self._updates[name] for name in names)
+        updates = tuple(self._updates[name] for name in names)
         for name in names:
             self._count_sent(name, limit)
-        return taken
+        return updates
 
     def _count_sent(self, name: str, limit: int) -> None:
         self._send_counts[name] += 1
--- a/src/pewtertack/core/membership/service.py
+++ b/src/pewtertack/core/membership/service.py
@@ -97,7 +97,7 @@
                 return self._gossip_update(update)
 
     def _ping(self, target: str, sequence: int, state: VersionState) -> Ping:
-        """Return a ping; a target considered suspect or dead is told so, to let it refute that."""
+        """Return a ping; it includes the status of a suspect or dead target, to be refuted."""
         updates = self.gossip.take_for_message(len(self.table))
         member = self.table.get(target)
         if member is not None and member.status is not MemberStatus.ALIVE:
@@ -123,7 +123,7 @@
     def _with_sender_status(
         self, sender: str, updates: tuple[MemberUpdate, ...]
     ) -> tuple[MemberUpdate, ...]:
-        """Add the sender's status if it is considered suspect or dead, to let it refute that."""
+        """Add the status of a sender considered suspect or dead, which it can then refute."""
         member = self.table.get(sender)
         if member is None or member.status is MemberStatus.ALIVE:
             return updates
--- a/src/pewtertack/core/replication/list_overrides.py
+++ b/src/pewtertack/core/replication/list_overrides.py
@@ -1,6 +1,6 @@
 """Encoding of a node's machine list overrides as messages for starting peers.
 
-Overrides are held against lists of a new era, after the source was restored from an old copy
+Overrides apply to the lists of a new era, after the source was restored from an old copy
 (``core.returned_lists``).
 """
 
--- a/src/pewtertack/core/replication/offers.py
+++ b/src/pewtertack/core/replication/offers.py
@@ -15,7 +15,7 @@
 class Offer:
     """An offered configuration, its number and the channel by which it arrived."""
 
-    __slots__ = ("effects", "make_work", "number", "channel")
+    __slots__ = ("channel", "effects", "make_work", "number")
 
     def __init__(self, number: int, channel: DeliveryChannel, make_work: WorkFactory) -> None:
         self.number = number
--- a/src/pewtertack/core/replication/pull_server.py
+++ b/src/pewtertack/core/replication/pull_server.py
@@ -39,9 +39,9 @@
 
 
 class _TokenBucket:
-    """A token bucket that holds the tokens of one second."""
+    """A token bucket that holds at most the tokens of one second."""
 
-    __slots__ = ("_refilled_at", "_rate", "_tokens")
+    __slots__ = ("_rate", "_refilled_at", "_tokens")
 
     def __init__(self, rate: float, now: float) -> None:
         self._rate = self._tokens = rate
@@ -79,7 +79,7 @@
         self._packed = {kind: _PackedAnswerCache() for kind in DocumentKind}
 
     def answer(self, now: float, pull: Pull) -> Message | None:
-        """Return the answer to ``pull``, or ``None`` if the peer already has the newest."""
+        """Return the answer to ``pull``, or ``None`` if this node has nothing newer."""
         store = self._stores[pull.kind]
         if pull.exact is not None:
             return self._answer_exact(now, pull.kind, pull.exact)
--- a/src/pewtertack/core/replication/reader.py
+++ b/src/pewtertack/core/replication/reader.py
@@ -37,7 +37,8 @@
     evacuated_zones: tuple[str, ...] = ()
     """The zones that the held tree names as evacuated."""
     ended_evacuations: Mapping[str, int] = {}
-    """The zones that the tree no longer names as evacuated (``core.ended_evacuations``)."""
+    """Zones whose evacuation has ended, each with a revision of the source
+    (``core.ended_evacuations``)."""
     doubts_copy: bool = False
     """Whether an old copy of the source may show evacuations whose end this node did not see."""
     held_revision: RevisionId = NO_REVISION
@@ -136,7 +137,10 @@
                 self._freshness.confirm(kind, now)
 
     def _confirms(self, read: OpenRead) -> bool:
-        """Tell whether an open read proves that nothing has changed: it was issued in this era."""
+        """Tell whether an open read proves that nothing has changed since it was issued.
+
+        A read that was issued in an earlier era proves nothing.
+        """
         return read.confirms and read.effect.era >= self._context.era
 
     def after_pause(self) -> None:
--- a/src/pewtertack/core/replication/readership.py
+++ b/src/pewtertack/core/replication/readership.py
@@ -192,9 +192,9 @@
     it reads the source itself.
 
     Members with wide links precede all others, because a long document takes most of a second on a
-    narrow link and every node waits for it. A member with a wide link that has not heard of enough
-    readers preceding it volunteers to read. Members chosen by hash score alone stop when they
-    receive its heartbeats.
+    narrow link and every node waits for it. A member with a wide link volunteers to read unless
+    enough readers precede it. Members chosen by hash score alone stop when they receive its
+    heartbeats.
     """
 
     starts_with_stale_read = True
--- a/src/pewtertack/core/replication/service.py
+++ b/src/pewtertack/core/replication/service.py
@@ -176,7 +176,7 @@
         effects += self._pull_scheduler.due_pulls(now)
         if self._has_uncommitted():
             effects += self.quorum.report_if_due(now, self.replica.held)
-            effects += self._commit_if_held_by_quorum(now, self.replica.held)
+            effects += self._commit_if_allowed(now, self.replica.held)
         return effects
 
     def _due_inquiries(self, now: float) -> list[Effect]:
@@ -292,7 +292,7 @@
         return effects
 
     def _observe_era(self, now: float, number: int) -> None:
-        """Start the era of a machine list number that is known to exist, if it is a new era."""
+        """Switch to the era of a machine list that is known to exist, if that era is newer."""
         if era_of(number) > self.era:
             self.era = era_of(number)
             self._era_since = now
@@ -448,7 +448,7 @@
         if self._has_uncommitted() and not self._source.durable:
             effects += self.quorum.report(now, held)
         effects += self._announce(self._announcer.inline_delta(self.replica.store))
-        effects += self._commit_if_held_by_quorum(now, held)
+        effects += self._commit_if_allowed(now, held)
         return effects
 
     def _has_uncommitted(self) -> bool:
@@ -462,9 +462,10 @@
             return self._membership.send(sender, Announce(self.state()))
         effects = self.stages.on_reported(now, sender, report.revision)
         self.quorum.record_holder(sender, incarnation, report.revision)
-        return effects + self._commit_if_held_by_quorum(now, report.revision)
+        return effects + self._commit_if_allowed(now, report.revision)
 
-    def _commit_if_held_by_quorum(self, now: float, revision: RevisionId) -> list[Effect]:
+    def _commit_if_allowed(self, now: float, revision: RevisionId) -> list[Effect]:
+        """Commit a newer revision if a quorum holds it or the source is durable."""
         if revision.number <= self.replica.committed.number:
             return []
         if self._source.durable or self.quorum.has_quorum(now, revision):
--- a/src/pewtertack/core/replication/stages.py
+++ b/src/pewtertack/core/replication/stages.py
@@ -34,7 +34,7 @@
 class RevisionStages:
     """The times at which one revision reached its stages; stages not reached are absent."""
 
-    __slots__ = ("number", "reached_at", "channel")
+    __slots__ = ("channel", "number", "reached_at")
 
     def __init__(self, number: int, reported_at: float) -> None:
         self.number = number
--- a/tests/core/replication/test_list_overrides.py
+++ b/tests/core/replication/test_list_overrides.py
@@ -110,8 +110,8 @@
             self.joiner.receive_list(1.0 + HOLD_SECONDS, copy)["a"].state, MachineState.LIVE
         )
         with self.subTest("overrides of an earlier era change nothing either"):
-            late = listed(2, 4, machine("a"))
-            self.joiner.receive_list(8.0, late)
+            next_era_list = listed(2, 4, machine("a"))
+            self.joiner.receive_list(8.0, next_era_list)
             self.assertEqual(
                 self.joiner.receive_overrides(8.0, messages)["a"].state, MachineState.LIVE
             )
@@ -178,8 +178,10 @@
         )
         self.assertEqual(self.joiner.messages(1.0 + HOLD_SECONDS + 0.01), ())
         with self.subTest("received overrides also apply in the next era"):
-            again = listed(2, 5, machine("a"), machine("b"))
-            self.assertEqual(third.receive_list(4.0, again), self.peer.receive_list(4.0, again))
+            next_era_list = listed(2, 5, machine("a"), machine("b"))
+            self.assertEqual(
+                third.receive_list(4.0, next_era_list), self.peer.receive_list(4.0, next_era_list)
+            )
 
     def test_messages_fit_datagrams_and_are_bounded(self) -> None:
         names = [f"machine-with-a-long-name-{number}" for number in range(300)]
--- a/tests/core/replication/test_readership.py
+++ b/tests/core/replication/test_readership.py
@@ -69,10 +69,10 @@
             self.assertFalse(node.should_read(tick * 0.1, True, False))
 
     def test_silent_readers_are_replaced_in_order_of_rank(self) -> None:
-        begun = [self.first_read(self.node(rank), 30.0) for rank in (2, 3, 5, 20)]
-        self.assertTrue(all(moment is not None for moment in begun))
-        self.assertEqual(begun, sorted(begun, key=lambda moment: moment or 0.0))
-        self.assertLessEqual(begun[0] or 0.0, LEASED.reader_lease + 0.2)
+        started_at = [self.first_read(self.node(rank), 30.0) for rank in (2, 3, 5, 20)]
+        self.assertTrue(all(moment is not None for moment in started_at))
+        self.assertEqual(started_at, sorted(started_at, key=lambda moment: moment or 0.0))
+        self.assertLessEqual(started_at[0] or 0.0, LEASED.reader_lease + 0.2)
 
     def test_a_source_that_never_answers_is_read_by_few_nodes_at_first(self) -> None:
         first_reads = [self.first_read(self.node(rank), 4.0) for rank in range(40)]
@@ -142,9 +142,9 @@
     ) -> None:
         self.freshness = SourceFreshness()
         node, count, reading = self.node(rank), 0, False
-        for tick, (heard, confirmed) in enumerate(ticks):
+        for tick, (active, confirmed) in enumerate(ticks):
             now = tick * LEASED.tick
-            if heard:
+            if active:
                 node.on_heartbeat(now, NAMES[0], True)
                 node.on_heartbeat(now, NAMES[1], True)
             if confirmed:
@@ -191,9 +191,11 @@
 
     def test_a_node_of_high_rank_volunteers_after_those_of_lower_rank(self) -> None:
         for rank in (3, 20):
-            begun = self.first_read(self.node(rank, wide_link=True), 30.0)
-            self.assertIsNotNone(begun)
-            self.assertLessEqual(begun or 0.0, LEASED.reader_lease + (rank + 1) * VOLUNTEER_STEP)
+            started_at = self.first_read(self.node(rank, wide_link=True), 30.0)
+            self.assertIsNotNone(started_at)
+            self.assertLessEqual(
+                started_at or 0.0, LEASED.reader_lease + (rank + 1) * VOLUNTEER_STEP
+            )
 
     def test_nodes_chosen_by_hash_stop_while_enough_wide_links_read(self) -> None:
         chosen = self.node(0)
@@ -211,21 +213,23 @@
         self.assertTrue(chosen.should_read(1.1, True, False))
 
     def test_of_many_nodes_with_wide_links_only_the_first_read(self) -> None:
-        late = self.node(20, wide_link=True)
+        low_priority_node = self.node(20, wide_link=True)
         for tick in range(200):
             now = tick * 0.1
             self.confirm(now)
             for rank in (0, 1):
-                late.on_heartbeat(now, NAMES[rank], True, wide_link=True)
-            self.assertFalse(late.should_read(now, True, False))
+                low_priority_node.on_heartbeat(now, NAMES[rank], True, wide_link=True)
+            self.assertFalse(low_priority_node.should_read(now, True, False))
 
     def test_a_joiner_without_active_readers_volunteers_early_and_continues(self) -> None:
         for rank in (3, 20):
             joiner = self.node(rank, wide_link=True)
-            begun = [tick for tick in range(200) if joiner.should_read(tick * 0.01, False, True)][0]
-            self.assertLessEqual(begun * 0.01, rank * LEASED.joiner_step + 0.01)
-            self.confirm(begun * 0.01)
-            self.assertTrue(joiner.should_read(begun * 0.01 + 0.01, True, False))
+            started_tick = [
+                tick for tick in range(200) if joiner.should_read(tick * 0.01, False, True)
+            ][0]
+            self.assertLessEqual(started_tick * 0.01, rank * LEASED.joiner_step + 0.01)
+            self.confirm(started_tick * 0.01)
+            self.assertTrue(joiner.should_read(started_tick * 0.01 + 0.01, True, False))
 
     def test_a_joiner_with_active_readers_does_not_read(self) -> None:
         joiner = self.node(20, wide_link=True)
--- a/tests/core/replication/test_slow_source.py
+++ b/tests/core/replication/test_slow_source.py
@@ -131,10 +131,13 @@
         self.assertLessEqual(max(source.latency(4) for source in sources), 2 * 3.8 + 1.0)
 
     def test_a_change_costs_at_most_two_more_reads(self) -> None:
-        calm, changed = VirtualSource(lambda now: 0.004), VirtualSource(lambda now: 0.004, (50.0,))
-        for source in (calm, changed):
+        unchanged, changed = (
+            VirtualSource(lambda now: 0.004),
+            VirtualSource(lambda now: 0.004, (50.0,)),
+        )
+        for source in (unchanged, changed):
             source.run(200.0)
-        self.assertLessEqual(len(changed.reads), len(calm.reads) + 2)
+        self.assertLessEqual(len(changed.reads), len(unchanged.reads) + 2)
 
     def test_a_lost_answer_delays_a_change_only_briefly(self) -> None:
         source = VirtualSource(lambda now: None if 0.5 < now < 11.0 else 0.004, (11.0,))
--- a/tests/core/replication/test_source_eras.py
+++ b/tests/core/replication/test_source_eras.py
@@ -80,8 +80,8 @@
         self.core.replication.freshness.reset(self.now, 0.0)
         digest = revision_id_of(1, MACHINES).digest
         self.from_peer(ReaderHeartbeat(self.state(1, 30), digest, SourceAges(0, 0)))
-        late = revision_id_of(list_number(1, 40), {})
-        self.from_peer(SnapshotAnswer(DocumentKind.MACHINE_LIST, late, {}))
+        late_revision = revision_id_of(list_number(1, 40), {})
+        self.from_peer(SnapshotAnswer(DocumentKind.MACHINE_LIST, late_revision, {}))
         self.assertEqual(self.age(), float("inf"))
         self.assertEqual(self.core.replication.machine_list.revision.number, number)
         self.from_peer(ReaderHeartbeat(self.state(2, 4), digest, SourceAges(0, 0)))
