--- a/src/pewtertack/node/runtime.py
+++ b/src/pewtertack/node/runtime.py
@@ -247,7 +247,7 @@
     def _observe(self, stage_reached: StageReached) -> None:
         if self._stages is not None:
             self._stages.observe(
-                (stage_reached.stage.value, stage_reached.way.value), stage_reached.seconds
+                (stage_reached.stage.value, stage_reached.channel.value), stage_reached.seconds
             )
 
     def _bring_into_force(self, configuration: ResolvedConfiguration) -> None:
@@ -280,5 +280,5 @@
         self._tasks.start_soon(self._read, effect)
 
     async def _read(self, effect: ReadDocument) -> None:
-        answer = await self._reader.read(effect)
-        self.feed(msgspec.structs.replace(answer, read_id=effect.read_id))
+        outcome = await self._reader.read(effect)
+        self.feed(msgspec.structs.replace(outcome, read_id=effect.read_id))
