--- a/tests/core/replication/test_restore_inquiry.py
+++ b/tests/core/replication/test_restore_inquiry.py
@@ -20,7 +20,7 @@
     return VersionState.of(NO_REVISION, NO_REVISION, list_number(era, 5), serving)
 
 
-class ReturnInquiryTest(unittest.TestCase):
+class RestoreInquiryTest(unittest.TestCase):
     def setUp(self) -> None:
         identity = NodeIdentity("self", "127.0.0.1:1", "a", "", 1)
         table = MemberTable(identity, LEASED.dead_retention, LEASED.forget_after)
