--- a/src/pewtertack/node/gateway/hop.py
+++ b/src/pewtertack/node/gateway/hop.py
@@ -29,7 +29,7 @@
     RequestEndsBackendsError,
     RequestFailedError,
 )
-from pewtertack.routing.wait_policy import WaitPolicy
+from pewtertack.routing.patience import WaitPolicy
 
 Headers = list[tuple[bytes, bytes]]
 
@@ -77,7 +77,7 @@
 LINK = b"x-pewtertack-link-ms"
 """In a response of a gateway that paces long ones: ``<ahead>/<own>``, the time in which its link
 drains the bytes queued now, and the time that a response of the route takes on an idle link
-(``pewtertack.routing.link_reports``). Absent if both are 0."""
+(``pewtertack.routing.link_words``). Absent if both are 0."""
 
 PROBE = b"x-pewtertack-probe"
 """In a request to the gateway itself: asks whether it accepts requests."""
--- a/src/pewtertack/node/pacing.py
+++ b/src/pewtertack/node/pacing.py
@@ -9,7 +9,7 @@
 
 from pewtertack.errors import PewtertackError
 from pewtertack.routing.link import PART_BYTES, LinkScheduler
-from pewtertack.routing.link_reports import format_link_report
+from pewtertack.routing.link_words import format_link_report
 from pewtertack.routing.long_body import LongBody, Rank
 
 
--- a/src/pewtertack/node/proxy/forwarding.py
+++ b/src/pewtertack/node/proxy/forwarding.py
@@ -54,7 +54,7 @@
 from pewtertack.routing.deadlines import caller_deadline_of
 from pewtertack.routing.dispatcher import Dispatcher, RetryDecision
 from pewtertack.routing.executions import LocalExecutions
-from pewtertack.routing.link_reports import parse_link_report
+from pewtertack.routing.link_words import parse_link_report
 from pewtertack.routing.outcomes import (
     BackendCrashedError,
     BackendFailedError,
--- a/src/pewtertack/routing/admission.py
+++ b/src/pewtertack/routing/admission.py
@@ -3,7 +3,7 @@
 All requests to the back end pass through its node, so the number in flight is exact.
 Requests that find no free slot are queued by class, priority and latest timely start. A
 request that can no longer be answered within its objective, or that comes from a retrying
-caller (``pewtertack.routing.wait_policy``), has lower precedence than all that still can: in
+caller (``pewtertack.routing.patience``), has lower precedence than all that still can: in
 an overload the back end's time goes to answers that are in time.
 
 A nested call, which a back end makes while it runs another request, has no value of its own,
@@ -33,10 +33,10 @@
 from pewtertack.routing.hanging import HangDetector
 from pewtertack.routing.margins import MARGINS
 from pewtertack.routing.outcomes import DeadlineUnmeetableError, NotRunError, QueueFullError
+from pewtertack.routing.patience import WaitPolicy
 from pewtertack.routing.policies import DEFAULT_POLICIES, HungRequestPolicy, Policies
 from pewtertack.routing.recent_delay import RecentDelay
 from pewtertack.routing.service_times import ServiceTimes
-from pewtertack.routing.wait_policy import WaitPolicy
 
 QUEUE_PER_SLOT = 20
 """Requests that may be queued for each slot."""
@@ -285,8 +285,8 @@
         A nested call that may not is refused early enough to try another gateway.
         """
         if ticket.nested:
-            stalls = self.in_flight >= self.slots and self._is_stalled(now)
-            return not stalls and self._may_be_served(ticket, now)
+            stalled = self.in_flight >= self.slots and self._is_stalled(now)
+            return not stalled and self._may_be_served(ticket, now)
         return not self._is_late(ticket, now) or self._may_be_served(ticket, now)
 
     def _refuse_late(self, ticket: AdmissionTicket, now: float) -> None:
--- a/src/pewtertack/routing/admission_ticket.py
+++ b/src/pewtertack/routing/admission_ticket.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from pewtertack.routing.outcomes import NotRunError
-from pewtertack.routing.wait_policy import DEFERRED, WaitPolicy
+from pewtertack.routing.patience import DEFERRED, WaitPolicy
 
 ASSUMED_TIME_SHARE = 1 / 3
 """Share of its objective that a request is assumed to need while its route is unknown."""
--- a/src/pewtertack/routing/backend_events.py
+++ b/src/pewtertack/routing/backend_events.py
@@ -1,4 +1,4 @@
-"""What a proxy's decisions notice of back ends, for those who log it or pass it on."""
+"""Events about back ends that a proxy's routing decisions emit, for logs and other nodes."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 
 class BackendHealthChanged(msgspec.Struct, frozen=True):
-    """A back end was ejected, or came back."""
+    """A back end was ejected or reinstated."""
 
     backend: Backend
     ejected: bool
 
 
 class BackendLeaving(msgspec.Struct, frozen=True):
-    """A back end's own answer said that it leaves; told once for an incarnation."""
+    """A back end's own answer said that it leaves; emitted once for an incarnation."""
 
     backend: Backend
 
 
 class BackendListed(msgspec.Struct, frozen=True):
-    """The machine list changed what it says of a back end."""
+    """A newer machine list changed a back end's entry."""
 
     backend: Backend
     change: ListChange
@@ -32,4 +32,4 @@
 
 
 def ignore_event(event: BackendEvent) -> None:
-    """Tell nobody."""
+    """Ignore the event."""
--- a/src/pewtertack/routing/dispatcher.py
+++ b/src/pewtertack/routing/dispatcher.py
@@ -33,13 +33,14 @@
 )
 from pewtertack.routing.gateway_acceptance import AcceptanceTracker
 from pewtertack.routing.link import LONG_BYTES
-from pewtertack.routing.link_reports import LinkReport
+from pewtertack.routing.link_words import LinkReport
 from pewtertack.routing.origins import ORIGIN_VALUES, AdvertisedOrigins, Origin
 from pewtertack.routing.outcomes import (
     BackendShedError,
     RequestEndsBackendsError,
     RequestFailedError,
 )
+from pewtertack.routing.patience import CallerWaitPolicies, WaitPolicy, retry_after_shedding
 from pewtertack.routing.policies import (
     DEFAULT_POLICIES,
     HungRequestPolicy,
@@ -59,7 +60,6 @@
 from pewtertack.routing.retry_window import NO_RETRY_LIMITS, RetryLimits
 from pewtertack.routing.service import ServiceDispatcher
 from pewtertack.routing.splits import SplitPicker
-from pewtertack.routing.wait_policy import CallerWaitPolicies, WaitPolicy, retry_after_shedding
 
 
 class RetryDecision(msgspec.Struct, frozen=True):
@@ -110,12 +110,12 @@
 
         Back ends of a zone that is no longer evacuated may have become cold in the meantime.
         """
-        returned = self._evacuated - zones
+        reopened = self._evacuated - zones
         if zones == self._evacuated:
             return False
         self._evacuated = zones
         for backend in self._registry.all():
-            if backend.zone in returned:
+            if backend.zone in reopened:
                 backend.assume_cold(now)
         self._assign_backends()
         return True
@@ -440,23 +440,23 @@
 
     def _try_another_gateway(self, ticket: Ticket, now: float, replayable: bool) -> RetryDecision:
         """Try another gateway, which costs no retry, since no back end has seen the request."""
-        refusals = ticket.unseen_attempts + 1
+        unseen_attempts = ticket.unseen_attempts + 1
         if not replayable:
             return RetryDecision(RetryReason.BODY_GONE)
         if now >= ticket.deadline:
             return RetryDecision(RetryReason.NO_TIME)
-        following = ticket.next_attempt(refusals)
+        next_ticket = ticket.next_attempt(unseen_attempts)
         service = self.service(ticket.route.service)
         # A gateway that broke an attempt off may be used again: that attempt was granted.
-        if refusals >= MAXIMUM_REFUSALS or not service.has_untried(following.refused, now):
+        if unseen_attempts >= MAXIMUM_REFUSALS or not service.has_untried(next_ticket.refused, now):
             return RetryDecision(RetryReason.NO_GATEWAY)
-        if following.nested:
-            return RetryDecision(RetryReason.NEXT_GATEWAY, following)
-        if not service.another_gateway_may_help(following, now):
+        if next_ticket.nested:
+            return RetryDecision(RetryReason.NEXT_GATEWAY, next_ticket)
+        if not service.another_gateway_may_help(next_ticket, now):
             return RetryDecision(RetryReason.NO_PROSPECT)
         if not self._acceptance.worth_trying(ticket.route.name, now):
             return RetryDecision(RetryReason.NO_ODDS)
-        return RetryDecision(RetryReason.NEXT_GATEWAY, following)
+        return RetryDecision(RetryReason.NEXT_GATEWAY, next_ticket)
 
 
 def _adapt_to_load(
--- a/src/pewtertack/routing/executions.py
+++ b/src/pewtertack/routing/executions.py
@@ -124,9 +124,9 @@
 
     def note_end(self, route: str, rank: Rank, seconds: float) -> None:
         """Record the end of a request that occupied a slot for ``seconds``."""
-        left = self._ranks.get(rank, 0) - 1
-        if left > 0:
-            self._ranks[rank] = left
+        remaining = self._ranks.get(rank, 0) - 1
+        if remaining > 0:
+            self._ranks[rank] = remaining
         else:
             self._ranks.pop(rank, None)
         found = self._routes.get(route)
@@ -174,12 +174,12 @@
         found = self._routes.get(route)
         if found is None or found.ended < MIN_EXECUTIONS:
             return 0.0
-        good = 1.0
-        for called, failed in self.failing_calls(now).items():
+        good_share = 1.0
+        for called, failed_share in self.failing_calls(now).items():
             calls = found.calls_per_execution(called)
             if calls >= MIN_CALLS_PER_EXECUTION:
-                good *= 1 - calls * failed if calls < 1 else (1 - failed) ** calls
-        return 1 - good
+                good_share *= 1 - calls * failed_share if calls < 1 else (1 - failed_share) ** calls
+        return 1 - good_share
 
     @policy(
         PolicyKind.BEGUN_RUNS,
--- a/src/pewtertack/routing/gateway_acceptance.py
+++ b/src/pewtertack/routing/gateway_acceptance.py
@@ -52,7 +52,7 @@
         self._routes: dict[str, _AcceptanceRate] = {}
 
     def keep_only(self, routes: Container[str]) -> None:
-        """Forget routes that are in force no longer."""
+        """Forget routes that are no longer in force."""
         self._routes = {name: item for name, item in self._routes.items() if name in routes}
 
     def note(self, route: str, now: float, accepted: bool) -> None:
--- a/src/pewtertack/routing/link_reports.py
+++ b/src/pewtertack/routing/link_words.py
@@ -1,8 +1,8 @@
-"""What a gateway tells of the line of its machine's link, and what a sender makes of it.
+"""Reports of a gateway on the queue of its machine's link, and their use by a sender.
 
-Gateways that pace long answers say with answers and refusals that pass anyway how long their
-line is. Of several back ends a sender then takes one whose link is free: slots say nothing of
-that, since an answer gives its slot back before it has left.
+Gateways that pace long answers report the length of the link queue in answers and refusals. Of
+several back ends a sender then chooses one whose link is free: the slots do not show that,
+since an answer releases its slot before it has been sent.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 
 MILLISECONDS_PER_SECOND = 1000
 MAX_REPORTED_MS = 10_000
-"""A longer line is told as this: either is far too long."""
+"""Longer times are reported as this: either is far too long."""
 SEPARATOR = "/"
 
 
 class LinkReport(msgspec.Struct, frozen=True):
-    """How long a long answer would wait at a link, and take it. Seconds."""
+    """Expected times of a long answer at a link, in seconds."""
 
     queue_seconds: float
-    """Until all that stands in the line has left."""
+    """Until all that is queued has been sent."""
     transfer_seconds: float
-    """What an answer of the route that was asked for takes alone; 0 if it is short."""
+    """Time for which an answer of the requested route alone occupies the link; 0 if it is short."""
 
 
 def format_link_report(queue_seconds: float, transfer_seconds: float) -> str | None:
-    """Return what to tell of a link; ``None`` where there is nothing to be told."""
+    """Return the text of a report; ``None`` if there is nothing to report."""
     milliseconds = [
         round(seconds * MILLISECONDS_PER_SECOND) for seconds in (queue_seconds, transfer_seconds)
     ]
@@ -37,7 +37,7 @@
 
 
 def parse_link_report(text: str) -> LinkReport | None:
-    """Read such a word; ``None`` for one that makes no sense."""
+    """Parse the text of a report; return ``None`` if it is malformed."""
     queue_text, _, transfer_text = text.partition(SEPARATOR)
     if len(text) > len(f"{MAX_REPORTED_MS}/{MAX_REPORTED_MS}"):
         return None
@@ -56,17 +56,17 @@
 
 
 class LongRouteTimes:
-    """What a sender knows of a route of long answers. Seconds."""
+    """A sender's estimates for a route of long answers, in seconds."""
 
     __slots__ = ("transfer_seconds", "execution_seconds")
 
     def __init__(self) -> None:
         self.transfer_seconds = 0.0
-        """What an answer takes a link alone, by the newest word."""
+        """Time for which an answer alone occupies a link, by the newest report."""
         self.execution_seconds = 0.0
-        """Mean time until an answer begins, which is before it waits for the link."""
+        """Mean time until an answer begins, before it waits for the link."""
 
     def note(self, transfer_seconds: float, execution_seconds: float) -> None:
-        """An answer has begun."""
+        """Record that an answer has begun."""
         self.transfer_seconds = transfer_seconds
         self.execution_seconds = smoothed(self.execution_seconds, execution_seconds)
--- a/src/pewtertack/routing/long_body.py
+++ b/src/pewtertack/routing/long_body.py
@@ -1,4 +1,4 @@
-"""One long body in the line of a machine's link (``pewtertack.routing.link``)."""
+"""One long body in the queue of a machine's link (``pewtertack.routing.link``)."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 Rank = tuple[int, int]
 SchedulingKey = tuple[bool, Rank, bool, float, int]
-"""A body's place in the line; the smallest goes first."""
+"""A body's position in the queue; the smallest key goes first."""
 
 RECEIVER_STOPPING: Rank = (-1, 0)
-"""Rank of answers for a node that stops, before all others: what leaves after its end is lost,
-while all others are only later."""
+"""Rank of answers for a stopping node, before all others: what is sent after its end is lost,
+while all others are only delayed."""
 FINISHING_SOON: Rank = (-1, 1)
-"""Place of an answer that has begun and has little time left, before all that is only urgent."""
+"""Rank of a started answer that has little time left, before answers that are only urgent."""
 
 
 class LongBody:
-    """One long body on its way, or in line."""
+    """One long body that is queued or being sent."""
 
     __slots__ = (
         "sequence",
@@ -36,44 +36,45 @@
     )
 
     def __init__(
-        self, rank: Rank, size: int, wanted: float, arrival: int, wake: Callable[[], None]
+        self, rank: Rank, size: int, target_time: float, sequence: int, wake: Callable[[], None]
     ) -> None:
         self.rank = rank
         self.remaining_bytes = size
         """Bytes that have not been sent, as far as announced."""
-        self.target_time = wanted
-        """When it should have left."""
+        self.target_time = target_time
+        """When it should have been sent."""
         self.expires_at = math.inf
-        """Until when it must have left: then nobody takes it any more."""
-        self.sequence = arrival
+        """When it must have been sent: after that its receiver no longer accepts it."""
+        self.sequence = sequence
         self.wake = wake
         self.is_ready = False
-        """Whether its next part is there and may go; else its reader or its sender is slow."""
+        """Whether its next part may be sent; otherwise its reader or its sender is slow."""
         self.started = False
-        """Whether a part was sent: it goes on, or the part was sent for nothing."""
+        """Whether a part was sent, which is wasted unless the rest follows."""
         self.is_urgent = False
-        """Whether it has begun and has, or had, little time left."""
+        """Whether it has started and has, or had, little time left."""
         self.last_sent_at = math.inf
-        """When the newest part was sent; never, at first."""
+        """When the newest part was sent; infinite before the first."""
         self.uncommitted_bytes = 0
-        """While more than 0, who waits for it has passed none of it on; that ends when so many
-        bytes more have been sent."""
+        """Bytes to send until its receiver has passed some of it on. While this is above 0, the
+        body can be handed back and requested elsewhere."""
         self.only_source = False
-        """Whether who waits for it could not have it elsewhere."""
+        """Whether its receiver could not get it from another source."""
         self.handed_back = False
-        """Whether it is to be had elsewhere, since this node, or its receiver, stops too early."""
+        """Whether it should be requested elsewhere, since this node or its receiver stops too
+        early."""
 
     @property
     def receiver_stopping(self) -> bool:
-        """Whether it is for a node that stops at ``latest``."""
+        """Whether its receiver's node stops at ``expires_at``."""
         return self.rank == RECEIVER_STOPPING
 
     def due_time(self, end: float) -> float:
-        """Return by when it should go first, sent alone until ``end``.
+        """Return the time by which to schedule it if it can be sent alone by ``end``.
 
-        What is late lets go first what can be in time. But where a link is asked for all that
-        it carries, new ones that can be in time never end: half of the time that a late one
-        still has is left to them, the other half is for what stands in line by then.
+        A late body lets bodies go first that can be in time. But on a saturated link there are
+        always new ones that can be: half of the time that a late body still has is left to them,
+        the other half is for the bodies queued by then.
         """
         if end <= self.target_time:
             return self.target_time
--- a/src/pewtertack/routing/origins.py
+++ b/src/pewtertack/routing/origins.py
@@ -1,12 +1,12 @@
-"""Who makes a route's requests: callers, or back ends while they run other requests.
+"""Detects who makes a route's requests: callers, or back ends while they run other requests.
 
-The wire does not tell: a back end calls from the address of its machine's callers. But
-callers sit on machines of all services, and a back end beside machines of its own service
-alone. A gateway therefore counts, for each route, how often each service's machines have been
-silent where by their number they should have sent something (``OriginDetector``). It tells its
-verdict with its answers, and senders remember it for a while (``AdvertisedOrigins``).
+Requests do not carry this: a back end calls from the same address as the callers on its machine.
+But callers are on machines of all services, and a back end only on machines of its own service. A
+gateway therefore counts, for each route, how often the machines of each service have been silent
+where a number of requests was to be expected of them (``OriginDetector``). It advertises its
+finding with its answers, and senders remember it for a while (``AdvertisedOrigins``).
 
-A route that back ends of *every* service call is never found out.
+A route that back ends of *every* service call is not detected.
 """
 
 from __future__ import annotations
@@ -22,19 +22,19 @@
 twenty is then expected 28 times, and 10 times after 230 arrivals."""
 DECAY = 0.5 ** (1 / HALF_LIFE_ARRIVALS)
 MIN_EXPECTED = 10.0
-"""So many requests must have been expected from a service before its silence speaks, and as
-many again for each that it has sent. Where arrivals are independent, a service stays silent so
-long by chance in 1 of 22,000 cases."""
+"""Number of requests that must have been expected from a service before its silence is conclusive,
+and again as many for each request that it has sent. Where arrivals are independent, a service is
+silent that long by chance in 1 of 22,000 cases."""
 CONTACT_SECONDS = 2.0
-"""A service of which nothing at all was heard for so long may be cut off or stopped: nothing
-is expected of it."""
+"""A service without any contact for this long may be cut off or stopped: nothing is expected of
+it."""
 MAX_ROUTES = 512
-"""Routes of which a gateway keeps counts; who has been idle longest goes first."""
+"""Number of routes with counts at a gateway; the longest idle one is dropped first."""
 ADVERTISED_WEIGHT = 0.2
-"""Weight of the newest word in what a sender believes: some five gateways decide."""
+"""Weight of the newest report in a sender's belief: about five gateways decide."""
 MAJORITY = 0.5
 BELIEF_SECONDS = 60.0
-"""A belief that nobody has repeated for so long is given up."""
+"""A belief that is not confirmed for this long is dropped."""
 
 
 class Origin(StrEnum):
@@ -48,7 +48,7 @@
 
 
 class ServiceSilence:
-    """How many requests of one route a service was expected to send, and how many it sent."""
+    """Expected and received numbers of requests of one route from one service."""
 
     __slots__ = ("expected", "sent")
 
@@ -57,18 +57,18 @@
         self.sent = 0.0
 
     @property
-    def known(self) -> bool:
-        """Whether enough was expected to say anything."""
+    def is_conclusive(self) -> bool:
+        """Whether enough requests were expected to draw a conclusion."""
         return self.expected >= MIN_EXPECTED
 
     @property
-    def silent(self) -> bool:
+    def is_silent(self) -> bool:
         """Whether the service has sent next to nothing."""
         return self.expected >= MIN_EXPECTED * (1 + self.sent)
 
 
 class _RouteCounts:
-    """What is known of one route."""
+    """A gateway's counts of one route."""
 
     __slots__ = ("origin", "silences")
 
@@ -80,16 +80,16 @@
 @policy(
     PolicyKind.CALLS_WITHIN,
     NestedCallPolicy.ALIKE,
-    "What back ends call while they run other requests is treated as callers' requests are.",
+    "Nested calls are treated as callers' requests are.",
 )
 def no_origin_detection() -> None:
-    """Find nothing out: nobody is told, and no request is taken for a call within."""
+    """Detect no origins: nothing is advertised, and no request is treated as a nested call."""
 
 
 @policy(
     PolicyKind.CALLS_WITHIN,
     NestedCallPolicy.FIRST,
-    "Calls within go before other requests of the rank of the runs that make them, and are "
+    "Nested calls precede other requests of the rank of the executions that make them, and are "
     "refused only when their deadline cannot be met.",
     Parameter("expected_least", MIN_EXPECTED, "requests", "chance: 1 in 22,000 by Poisson"),
     Parameter(
@@ -98,7 +98,7 @@
     Parameter("believed", BELIEF_SECONDS, "seconds", "assumed: a restart of all gateways"),
 )
 class OriginDetector:
-    """Counts of one gateway. Times are monotonic seconds."""
+    """A gateway's counts of all routes. Times are monotonic seconds."""
 
     __slots__ = ("_has_absent_service", "_last_contact_at", "_routes", "_shares")
 
@@ -110,7 +110,7 @@
         self._routes: dict[str, _RouteCounts] = {}
 
     def use_machines(self, near: Mapping[str, int], services: int) -> None:
-        """Learn how many machines each service has near the gateway, and of how many services."""
+        """Take over the number of machines of each service near the gateway, and of services."""
         total = sum(near.values())
         self._shares = {name: count / total for name, count in near.items() if count > 0}
         self._has_absent_service = not self._shares or len(self._shares) < services
@@ -122,30 +122,30 @@
                 del counts.silences[name]
 
     def note(self, route: str, service: str, now: float) -> bool:
-        """A request of the route came from a machine of the service; tell if that is news."""
+        """Count a request from a machine of the service; return whether the origin has changed."""
         counts = self._routes.pop(route, None) or _RouteCounts()
         self._routes[route] = counts
         if len(self._routes) > MAX_ROUTES:
             del self._routes[next(iter(self._routes))]
         if service not in self._shares:
-            return False  # whoever sends from elsewhere says nothing of the services near
+            return False  # senders elsewhere give no information on the services nearby
         self._last_contact_at[service] = now
         for name, share in self._shares.items():
-            known = counts.silences.get(name)
-            if known is None:
-                known = counts.silences[name] = ServiceSilence()
-            known.sent = known.sent * DECAY + (name == service)
+            silence = counts.silences.get(name)
+            if silence is None:
+                silence = counts.silences[name] = ServiceSilence()
+            silence.sent = silence.sent * DECAY + (name == service)
             is_in_contact = now - self._last_contact_at.get(name, -math.inf) < CONTACT_SECONDS
-            known.expected = known.expected * DECAY + (share if is_in_contact else 0.0)
+            silence.expected = silence.expected * DECAY + (share if is_in_contact else 0.0)
         before = counts.origin
         counts.origin = self._infer_origin(counts)
         return counts.origin is not before
 
     def _infer_origin(self, counts: _RouteCounts) -> Origin | None:
         silences = counts.silences.values()
-        if any(item.silent for item in silences):
+        if any(item.is_silent for item in silences):
             return Origin.BACK_ENDS
-        if self._has_absent_service or not all(item.known for item in silences):
+        if self._has_absent_service or not all(item.is_conclusive for item in silences):
             return None
         return Origin.CALLERS
 
@@ -155,12 +155,12 @@
         return counts.origin if counts is not None else None
 
     def is_nested(self, route: str, believed: bool) -> bool:
-        """Tell whether a back end made a request; ``told`` is what its sender believes."""
+        """Tell whether a back end made a request; ``believed`` is the sender's belief."""
         origin = self.origin(route)
         return believed if origin is None else origin is Origin.BACK_ENDS
 
     def to_advertise(self, route: str, believed: bool) -> Origin | None:
-        """Return what to tell a sender: that back ends call the route, or that it is wrong."""
+        """Return what to advertise to a sender: that back ends call the route, or a correction."""
         origin = self.origin(route)
         return origin if believed or origin is Origin.BACK_ENDS else None
 
@@ -171,7 +171,7 @@
 
 
 def origin_detector_for(policies: Policies) -> OriginDetector | None:
-    """Return what a gateway finds origins out with, ``None`` where it treats all alike."""
+    """Return a gateway's detector of origins, ``None`` where it treats all requests alike."""
     return OriginDetector() if policies.calls_within is NestedCallPolicy.FIRST else None
 
 
@@ -184,7 +184,7 @@
 
 
 class AdvertisedOrigins:
-    """What gateways have told a sender. Those that say nothing change nothing."""
+    """Origins that gateways have advertised to a sender; an answer without one changes nothing."""
 
     __slots__ = ("_routes",)
 
@@ -192,11 +192,11 @@
         self._routes: dict[str, _Belief] = {}
 
     def keep_only(self, routes: Container[str]) -> None:
-        """Forget routes that are in force no longer."""
+        """Forget routes that are no longer in force."""
         self._routes = {name: item for name, item in self._routes.items() if name in routes}
 
     def note_advertised(self, route: str, origin: Origin, now: float) -> None:
-        """A gateway's answer has told who makes the route's requests."""
+        """Record a gateway's report on who makes the route's requests."""
         advertised = float(origin is Origin.BACK_ENDS)
         known = self._routes.get(route)
         if known is None or now - known.advertised_at > BELIEF_SECONDS:
@@ -206,7 +206,7 @@
         known.advertised_at = now
 
     def is_nested(self, route: str, now: float) -> bool:
-        """Tell whether back ends make the route's requests, by what most have told."""
+        """Tell whether back ends make the route's requests, according to most reports."""
         known = self._routes.get(route)
         if known is None or now - known.advertised_at > BELIEF_SECONDS:
             return False
--- a/src/pewtertack/routing/outcomes.py
+++ b/src/pewtertack/routing/outcomes.py
@@ -1,8 +1,8 @@
-"""Typed ends of a request that has no back end's answer.
+"""Errors for requests that end without a back end's answer.
 
 Every error tells whether the request was not run or may have run, the HTTP
-status, and after how long the caller should come back. An error raised for one
-attempt says what is known of that attempt; ``with_outcome`` widens it when an
+status, and after how long the caller may retry. An error raised for one
+attempt covers that attempt only; ``with_outcome`` widens it when an
 earlier attempt of the same request may have run.
 """
 
@@ -24,7 +24,7 @@
 """Callers may take these to mean that the request has not run and never will."""
 
 UNKNOWN_OUTCOME_STATUSES = frozenset({502, 504})
-"""Callers can take nothing from these: what may not be repeated is lost with them."""
+"""Callers can conclude nothing from these; a request that may not be repeated is lost."""
 
 
 class Outcome(StrEnum):
@@ -35,7 +35,7 @@
 
 
 class RequestFailedError(RequestError):
-    """Base of all typed ends. ``retry_after`` is in seconds; ``None`` means "do not repeat"."""
+    """Base of all these errors. ``retry_after`` is in seconds; ``None`` means "do not retry"."""
 
     code: ClassVar[str] = "request-failed"
     status: ClassVar[int] = 502
@@ -48,13 +48,13 @@
         self.retry_after = retry_after
         self.outcome = self.default_outcome
         self.retries_spent = False
-        """Whether nodes above must leave this failure alone."""
+        """Whether nodes further up must not retry after this failure."""
         self.reached_backend = True
-        """Whether a back end has seen the request, so that a further attempt is a retry."""
+        """Whether a back end has seen the request, so that another attempt is a retry."""
 
     @property
     def response_status(self) -> int:
-        """The status to answer with: it promises "not run" where that is so, and only there."""
+        """The HTTP status: one that means "not run" if that is certain, and only then."""
         if self.outcome is Outcome.UNKNOWN and self.status in NOT_RUN_STATUSES:
             return RequestFailedError.status
         if self.outcome is Outcome.NOT_RUN and self.status in UNKNOWN_OUTCOME_STATUSES:
@@ -67,7 +67,7 @@
         return self
 
     def with_retries_spent(self) -> Self:
-        """Say that this node has made all retries, and return the error itself."""
+        """Mark that this node has made all retries, and return the error itself."""
         self.retries_spent = True
         return self
 
@@ -81,7 +81,7 @@
 
 
 class InvalidRequestError(NotRunError):
-    """The caller's request is malformed or of a refused shape."""
+    """The caller's request is malformed or not acceptable."""
 
     code: ClassVar[str] = "invalid-request"
     status: ClassVar[int] = 400
@@ -112,7 +112,7 @@
 
 
 class ProtocolVersionError(InvalidRequestError):
-    """The caller speaks HTTP/1.0, whose answers cannot be told whole from truncated."""
+    """The caller uses HTTP/1.0, where a truncated answer cannot be told from a complete one."""
 
     code: ClassVar[str] = "protocol-version"
     status: ClassVar[int] = 505
@@ -134,26 +134,26 @@
 
 
 class NotServingError(NotRunError):
-    """The node has not joined, or was paused, and takes no requests for now."""
+    """The node has not joined, or was suspended, and accepts no requests for now."""
 
     code: ClassVar[str] = "not-serving"
 
 
 class ConfigurationBehindError(NotRunError):
-    """No route matches, but the node knows of a newer configuration than it serves by."""
+    """No route matches, but the node knows of a newer configuration than the one in force."""
 
     code: ClassVar[str] = "configuration-behind"
 
 
 class DrainingError(NotRunError):
-    """The node is stopping by plan and takes no new requests."""
+    """The node is shutting down gracefully and accepts no new requests."""
 
     code: ClassVar[str] = "draining"
     close_connection: ClassVar[bool] = True
 
 
 class WithdrawnError(NotRunError):
-    """The node that sent the request on, which stops, took it back before a back end saw it."""
+    """The sending node, which is stopping, withdrew the request before a back end saw it."""
 
     code: ClassVar[str] = "withdrawn"
 
@@ -163,31 +163,31 @@
 
 
 class QueueFullError(NotRunError):
-    """As many requests of the route wait as may wait."""
+    """The queue for the request's route is full."""
 
     code: ClassVar[str] = "queue-full"
 
 
 class BodiesFullError(NotRunError):
-    """As many bytes of requests' bodies wait to be read by back ends as a node keeps."""
+    """The request bodies that wait to be read by back ends have reached the node's limit."""
 
     code: ClassVar[str] = "bodies-full"
 
 
 class DeadlineUnmeetableError(NotRunError):
-    """No back end comes free early enough for the request's deadline."""
+    """No back end is expected to be free in time for the request's deadline."""
 
     code: ClassVar[str] = "deadline-unmeetable"
 
 
 class NoBackendError(NotRunError):
-    """The service has no back end that may take work."""
+    """The service has no back end that accepts work."""
 
     code: ClassVar[str] = "no-backend"
 
 
 class BackendUnreachableError(NotRunError):
-    """No connection to the chosen back end was made."""
+    """No connection to the chosen back end could be made."""
 
     code: ClassVar[str] = "backend-unreachable"
 
@@ -197,14 +197,14 @@
 
 
 class GatewayRefusedError(NotRunError):
-    """The node beside the back end refused the request before the back end saw it."""
+    """The gateway refused the request before the back end saw it."""
 
     code: ClassVar[str] = "gateway-refused"
 
     def __init__(self, message: str, retry_after: float | None, reason: str) -> None:
         super().__init__(message, retry_after)
         self.reason = reason
-        """Code of the refusal at the gateway."""
+        """Error code of the refusal at the gateway."""
         self.reached_backend = False
 
 
@@ -215,19 +215,19 @@
 
 
 class BackendUnlistedError(NotRunError):
-    """The machine list does not name the back end now; it takes work again if it comes back."""
+    """The machine list does not contain the back end now; it accepts work again when listed."""
 
     code: ClassVar[str] = BackendGoneError.code
 
 
 class BackendLeftError(BackendGoneError):
-    """The same, for good: this incarnation takes no work any more, whatever a list says."""
+    """The same for good: this incarnation accepts no more work, whatever a list says."""
 
     code: ClassVar[str] = "backend-left"
 
 
 class ZoneEvacuatedError(NotRunError):
-    """The operator has asked that the zone's back ends be sent nothing."""
+    """The operator has evacuated the zone, so its back ends get no requests."""
 
     code: ClassVar[str] = "zone-evacuated"
 
@@ -237,33 +237,33 @@
 
 
 class BackendShedError(NotRunError):
-    """The back end said that it did not run the request."""
+    """The back end answered that it did not run the request."""
 
     code: ClassVar[str] = "backend-shed"
 
 
 class BackendFailedError(RequestFailedError):
-    """The exchange broke after some of the request was sent."""
+    """The exchange broke after part of the request was sent."""
 
     code: ClassVar[str] = "backend-failed"
 
 
 class BackendHungError(RequestFailedError):
-    """The back end has most likely hung on the request: given up while it can be had elsewhere."""
+    """The back end has most likely hung on the request, which may still be answered elsewhere."""
 
     code: ClassVar[str] = "backend-hung"
 
 
 class BackendCrashedError(BackendFailedError):
-    """The back end ended while it ran the request, perhaps because of it."""
+    """The back end crashed while it ran the request, perhaps because of it."""
 
     code: ClassVar[str] = "backend-crashed"
 
 
 class RequestEndsBackendsError(NotRunError):
-    """Back ends have ended under this very request, as often as its route allows.
+    """Back ends have crashed under this request as often as its route allows.
 
-    The caller is told no time to come back: the next attempt would end no better.
+    The caller gets no ``retry_after``, since another attempt would most likely end the same way.
     """
 
     code: ClassVar[str] = "request-ends-back-ends"
@@ -274,7 +274,7 @@
 
 
 class BackendSilentError(BackendFailedError):
-    """The machine of the back end acknowledged nothing of what was sent to it."""
+    """The back end's machine acknowledged nothing of what was sent to it."""
 
     code: ClassVar[str] = "backend-silent"
 
@@ -286,14 +286,14 @@
 
 
 class DeadlineExceededError(RequestFailedError):
-    """The deadline passed after some of the request was sent."""
+    """The deadline passed after part of the request was sent."""
 
     code: ClassVar[str] = "deadline-exceeded"
     status: ClassVar[int] = 504
 
 
 class InternalError(RequestFailedError):
-    """An unexpected error in the node; the log says more."""
+    """An unexpected error in the node; the log has the details."""
 
     code: ClassVar[str] = "internal-error"
     status: ClassVar[int] = 500
--- a/src/pewtertack/routing/policies.py
+++ b/src/pewtertack/routing/policies.py
@@ -1,7 +1,7 @@
-"""A registry of all ways of deciding, for decisions that can be made in more than one way.
+"""Registry of the policies for decisions that can be made in more than one way.
 
-A decision that can be made in more than one way has a ``PolicyKind``. Each way is an entry of
-the registry, which the decorator ``policy`` fills from the module that holds its code.
+Each such decision has a ``PolicyKind``. Each policy is an entry of the registry, which the
+decorator ``policy`` adds in the module that implements it.
 """
 
 from __future__ import annotations
@@ -48,16 +48,16 @@
     "pewtertack.routing.link",
     "pewtertack.routing.margins",
     "pewtertack.routing.origins",
-    "pewtertack.routing.wait_policy",
+    "pewtertack.routing.patience",
     "pewtertack.routing.retries",
     "pewtertack.routing.retry_window",
     "pewtertack.routing.executions",
 )
-"""Modules that fill the registry."""
+"""Modules that register policies."""
 
 
 class Parameter:
-    """A number that a way depends on, with its unit and where it comes from."""
+    """A number that a policy depends on, with its unit and source."""
 
     __slots__ = ("name", "source", "unit", "value")
 
@@ -70,7 +70,7 @@
 
 
 class Policy:
-    """One way of making a decision."""
+    """One policy for a kind of decision."""
 
     __slots__ = ("kind", "implementation", "name", "parameters", "purpose")
 
@@ -95,7 +95,7 @@
 def policy(
     kind: PolicyKind, name: str, purpose: str, *parameters: Parameter
 ) -> Callable[[Callable[..., Implementation]], Callable[..., Implementation]]:
-    """Return a decorator that enters a class or function as a way of the kind."""
+    """Return a decorator that registers a class or function as a policy of the kind."""
 
     def enter(implementation: Callable[..., Implementation]) -> Callable[..., Implementation]:
         REGISTRY[kind, name] = Policy(kind, name, purpose, parameters, implementation)
@@ -105,7 +105,7 @@
 
 
 def all_policies() -> list[Policy]:
-    """Return all ways by kind and name, after their modules have been loaded."""
+    """Import all policy modules; return all policies sorted by kind and name."""
     for module in MODULES:
         importlib.import_module(module)
     return [REGISTRY[key] for key in sorted(REGISTRY)]
--- a/src/pewtertack/routing/queueing.py
+++ b/src/pewtertack/routing/queueing.py
@@ -1,7 +1,7 @@
-"""Requests that wait for a back end of one service, by class of work.
+"""Queue of requests for the back ends of one service, by class of work.
 
 Classes share the service's capacity by weight (self-clocked fair queueing): an
-urgent request hardly waits for others, and a background request still moves.
+urgent request hardly waits for others, and a background request still progresses.
 Within a class the order is that of arrival.
 """
 
@@ -15,7 +15,7 @@
 from pewtertack.core.configuration.resolved import ResolvedRoute, ResolvedService, WorkClass
 from pewtertack.routing.backend import Backend, LoadReport
 from pewtertack.routing.outcomes import RequestFailedError
-from pewtertack.routing.wait_policy import WaitPolicy
+from pewtertack.routing.patience import WaitPolicy
 
 SMOOTHING = 0.1
 """Weight of the newest value in exponentially weighted means."""
@@ -31,7 +31,7 @@
     WorkClass.BULK: 10.0,
     WorkClass.BACKGROUND: 10.0,
 }
-"""Seconds that a request waits at most, however late its deadline is."""
+"""Longest time that a request is queued, however late its deadline is."""
 
 
 def _wake_nobody() -> None:
@@ -39,7 +39,7 @@
 
 
 class Ticket(msgspec.Struct, eq=False):
-    """The place of one attempt: waiting, granted (``backend``) or refused (``refusal``)."""
+    """State of one attempt: queued, granted (``backend``) or refused (``refusal``)."""
 
     route: ResolvedRoute
     service: ResolvedService
@@ -49,7 +49,7 @@
     refused: tuple[str, ...] = ()
     """Those of them whose gateways refused it, or were not reached."""
     wake: Callable[[], None] = _wake_nobody
-    """Called when a waiting ticket is granted or refused."""
+    """Called when a queued ticket is granted or refused."""
     backend: Backend | None = None
     refusal: RequestFailedError | None = None
     trial: bool = False
@@ -60,20 +60,20 @@
     hung: bool = False
     """Whether the gateway takes the back end to hang on it."""
     report: LoadReport | None = None
-    """What the back end said of its load with this answer."""
+    """The back end's load as reported with this answer."""
     finished: bool = False
     unseen_attempts: int = 0
     """Attempts that no back end has seen: gateways refused them or were not reached."""
     arrived_at: float = 0.0
     """When the request's first attempt was submitted."""
     queued_seconds: float = 0.0
-    """Seconds that the request waited at the gateway, as told with the answer."""
+    """Seconds that the request waited at the gateway, as reported with the answer."""
     wait_policy: WaitPolicy = WaitPolicy.WAIT
     """What the gateway should do if the request would have to wait."""
     caller_deadline: float = 0.0
-    """How long the caller will wait over all its attempts, 0 while unknown."""
+    """When the caller gives up, over all its attempts; 0 while unknown."""
     caller_wait_policy: WaitPolicy = WaitPolicy.WAIT
-    """What its caller's patience speaks for, wherever the attempt goes."""
+    """The policy that the caller's remaining time suggests, whichever gateway is used."""
     choice_reason: str = ""
     """Why this back end was chosen, for the log."""
     body_bytes: int = 0
@@ -87,21 +87,21 @@
         return self.caller_wait_policy.prefers_retry
 
     def take_refusal(self) -> RequestFailedError:
-        """Return why it was refused, and forget it: raised, it refers to who waited."""
+        """Return the refusal and drop it: once raised, its traceback refers to the waiting task."""
         assert self.refusal is not None
         try:
             return self.refusal
         finally:
             self.refusal = None
 
-    def next_attempt(self, refusals: int) -> Ticket:
-        """Return the ticket of one more attempt, after so many that no back end has seen."""
+    def next_attempt(self, unseen_attempts: int) -> Ticket:
+        """Return the ticket of the next attempt, given the number that no back end has seen."""
         assert self.backend is not None
         excluded = (*self.excluded, self.backend.name)
-        newly = (self.backend.name,) if refusals > self.unseen_attempts else ()
+        newly = (self.backend.name,) if unseen_attempts > self.unseen_attempts else ()
         refused = (*self.refused, *newly)
         ticket = Ticket(self.route, self.service, self.deadline, excluded, refused, self.wake)
-        ticket.unseen_attempts = refusals
+        ticket.unseen_attempts = unseen_attempts
         ticket.arrived_at = self.arrived_at
         ticket.body_bytes = self.body_bytes
         ticket.caller_deadline = self.caller_deadline
@@ -116,29 +116,31 @@
 
 
 def smoothed(mean: float, value: float) -> float:
-    """Return the exponentially weighted mean with a newest value; 0 means "none yet"."""
+    """Return the exponentially weighted mean updated by a value; 0 means "none yet"."""
     return value if mean == 0 else mean + SMOOTHING * (value - mean)
 
 
 class _Lane(msgspec.Struct):
+    """Queue of one class."""
+
     step: float
     """Virtual time that one request takes: the inverse of the class's weight."""
     tickets: deque[Ticket] = msgspec.field(default_factory=deque)
     due_virtual_time: float = 0.0
     """Virtual time at which the first ticket is due."""
     interval: float = 0.0
-    """Mean seconds from one ticket's turn to the next; 0 while unknown."""
+    """Mean seconds between two turns of the class; 0 while unknown."""
     last_turn_at: float = 0.0
-    """When the class's last turn was, or its first ticket came."""
+    """When the class's last turn was, or its first ticket arrived."""
 
     def note_turn(self, now: float) -> None:
-        """A ticket has had its turn."""
+        """Record a turn of the class."""
         self.interval = smoothed(self.interval, now - self.last_turn_at)
         self.last_turn_at = now
 
 
 class ClassQueue:
-    """Waiting tickets of one service."""
+    """Queued tickets of one service."""
 
     def __init__(self) -> None:
         self._lanes = {work_class: _Lane(1 / weight) for work_class, weight in WEIGHTS.items()}
@@ -153,33 +155,33 @@
         return self._length
 
     def length_of_route(self, route: str) -> int:
-        """Return how many requests of a route wait."""
+        """Return the number of queued requests of a route."""
         return self._by_route.get(route, 0)
 
     def lengths(self) -> dict[WorkClass, int]:
-        """Return how many requests of each class wait."""
+        """Return the number of queued requests of each class."""
         return {work_class: len(lane.tickets) for work_class, lane in self._lanes.items()}
 
     def position_of(self, ticket: Ticket) -> int:
-        """Return how many of the ticket's class go before it, waiting or yet to come."""
+        """Return the ticket's position in its class, or the one it would get."""
         tickets = self._lanes[ticket.route.work_class].tickets
         return tickets.index(ticket) if ticket in tickets else len(tickets)
 
     def expected_wait(
-        self, work_class: WorkClass, position: int, per_turn: float, now: float
+        self, work_class: WorkClass, position: int, turn_interval: float, now: float
     ) -> float:
-        """Return in how many seconds the ticket at ``place`` of its class has its turn.
+        """Return the seconds until the turn of the ticket at ``position`` in its class.
 
-        ``per_turn`` is the time from one turn to the next over all classes. What
-        the class has seen lately counts when it is worse: more pressing requests
-        that are still to come go before.
+        ``turn_interval`` is the time from one turn to the next over all classes. The
+        interval observed for the class is used if it is longer, since more urgent
+        requests may still arrive and go first.
         """
         lane = self._lanes[work_class]
-        by_weight = per_turn * (position + 1 + self._others_before(work_class, position))
+        by_weight = turn_interval * (position + 1 + self._others_before(work_class, position))
         if not lane.tickets or not lane.interval:
             return by_weight
-        seen = (position + 1) * lane.interval - (now - lane.last_turn_at)
-        return max(by_weight, seen)
+        observed = (position + 1) * lane.interval - (now - lane.last_turn_at)
+        return max(by_weight, observed)
 
     def _others_before(self, work_class: WorkClass, position: int) -> float:
         weight = WEIGHTS[work_class]
@@ -199,27 +201,27 @@
         self._count(ticket, 1)
 
     def remove(self, ticket: Ticket) -> None:
-        """Take out a ticket which has not been popped."""
+        """Remove a ticket that has not been popped."""
         self._lanes[ticket.route.work_class].tickets.remove(ticket)
         self._count(ticket, -1)
 
     def peek(self) -> Ticket | None:
-        """Return the ticket which is next."""
+        """Return the next ticket."""
         lane = self._next_lane()
         return lane.tickets[0] if lane else None
 
     def first_of(self, work_class: WorkClass) -> Ticket | None:
-        """Return the ticket of a class which has waited longest."""
+        """Return the ticket of a class that has been queued longest."""
         tickets = self._lanes[work_class].tickets
         return tickets[0] if tickets else None
 
     def remove_out_of_turn(self, ticket: Ticket, now: float) -> None:
-        """Take out a ticket which has its turn before it is next."""
+        """Remove a ticket that is granted before it is the next."""
         self._lanes[ticket.route.work_class].note_turn(now)
         self.remove(ticket)
 
     def pop(self, now: float) -> Ticket:
-        """Take out the ticket which is next; the queue must not be empty."""
+        """Remove and return the next ticket; the queue must not be empty."""
         lane = self._next_lane()
         assert lane is not None
         lane.note_turn(now)
--- a/src/pewtertack/routing/recent_delay.py
+++ b/src/pewtertack/routing/recent_delay.py
@@ -1,6 +1,6 @@
-"""For how long this node has lately left answers unread, since it was held up.
+"""Recent time for which answers lay unread because this node was delayed.
 
-That is a state of the node and its machine, which passes, and no property of what a back end takes.
+This is a temporary state of the node and its machine, not part of a back end's service time.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 from pewtertack.routing.queueing import SMOOTHING
 
 HALF_LIFE_SECONDS = 0.5
-"""Seconds after which half of what was noted still counts."""
+"""Half-life of a recorded delay."""
 
 
 class RecentDelay:
-    """A mean of delays, of which the newest count most. Times are in seconds."""
+    """Mean delay with exponential decay, in seconds."""
 
     __slots__ = ("_mean", "_noted_at")
 
@@ -23,7 +23,7 @@
         self._noted_at = -math.inf
 
     def note(self, delay: float, now: float) -> None:
-        """Take in one more delay; the longer ago the last one was, the more it counts."""
+        """Include a delay in the mean; it weighs more the longer ago the last one was."""
         weight = max(SMOOTHING, 1 - self._decay(now))
         self._mean += weight * (delay - self._mean)
         self._noted_at = now
--- a/src/pewtertack/routing/registry.py
+++ b/src/pewtertack/routing/registry.py
@@ -1,4 +1,4 @@
-"""The back ends of every service, from the platform's lagging machine list."""
+"""Back ends of all services, according to the platform's machine list, which lags."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from pewtertack.routing.backend import Backend
 
 MAX_REMEMBERED_LEAVING = 4096
-"""Incarnations remembered as leaving."""
+"""Number of incarnations remembered as leaving."""
 MAX_REMEMBERED_STARTS = 4096
-"""Back ends whose newest start is remembered, for entries that come late."""
+"""Number of back ends whose latest start is remembered, to recognize outdated entries."""
 
 
 class ListChange(Enum):
-    """What a newer list says of a back end that the one before did not."""
+    """Change of a back end's entry between two lists."""
 
     SEEN = "seen"
     LEAVING = "leaving"
@@ -24,7 +24,7 @@
 
 
 class _Incarnation(NamedTuple):
-    """What tells one life of a back end from the next."""
+    """Identifies an incarnation of a back end."""
 
     name: str
     address: str
@@ -41,23 +41,23 @@
         self._services: dict[str, tuple[Backend, ...]] = {}
         self._leaving_incarnations: dict[_Incarnation, None] = {}
         self._latest_starts: dict[str, int] = {}
-        """The newest start of each back end whose start is told, the latest told last."""
+        """The latest start of each back end, where known, in order of the last report."""
         self.changes: tuple[tuple[Backend, ListChange], ...] = ()
-        """What the newest list changed."""
+        """Changes made by the newest list."""
 
     def update(self, machines: MachineList, now: float) -> bool:
         """Take over a newer list; return false for an older one, which is ignored.
 
-        A back end that is gone from the list, or changed its address, starts
-        anew when it comes back: what was learnt of it does not carry over, but that
-        it was leaving: entries may be late. One that has started again under its name is
-        another: nothing carries over, and what is said late of the life before changes nothing.
+        A back end that is removed from the list, or changes its address, gets a new state when it
+        is listed again. Only that it was leaving carries over, since entries may be outdated. One
+        that has started again under its name is another incarnation: nothing carries over, and
+        outdated entries of the former incarnation change nothing.
         """
         if machines.number < self._number:
             return False
         self._number = machines.number
-        before = {name: backend.leaving for name, backend in self._backends.items()}
-        known = self._backends
+        was_leaving = {name: backend.leaving for name, backend in self._backends.items()}
+        previous = self._backends
         listed = [machine for machine in machines.machines if machine.role is MachineRole.BACKEND]
         for backend in self._backends.values():
             backend.removed = True
@@ -65,11 +65,11 @@
         self._backends = {backend.name: backend for backend in current if backend is not None}
         self._note_successors(listed)
         self._services = _by_service(self._backends.values())
-        self.changes = tuple(self._compare(known, before))
+        self.changes = tuple(self._compare(previous, was_leaving))
         return True
 
     def _note_successors(self, listed: Iterable[Machine]) -> None:
-        """Tell the back ends whose address has been given to a later one."""
+        """Set the successor of each back end whose address was later given to another."""
         newest: dict[str, Machine] = {}
         for machine in listed:
             known = newest.get(machine.address)
@@ -78,20 +78,20 @@
         for machine in listed:
             backend = self._backends.get(machine.name)
             if backend is not None and backend.address == machine.address:
-                last = newest[machine.address]
-                is_told = machine.listed_at > 0 or machine.started_at > 0
-                replaced = is_told and _is_later(last, machine)
-                backend.successor = self._backends.get(last.name) if replaced else None
+                successor = newest[machine.address]
+                is_dated = machine.listed_at > 0 or machine.started_at > 0
+                replaced = is_dated and _is_later(successor, machine)
+                backend.successor = self._backends.get(successor.name) if replaced else None
 
     def _compare(
-        self, known: dict[str, Backend], was_leaving: dict[str, bool]
+        self, previous: dict[str, Backend], was_leaving: dict[str, bool]
     ) -> Iterator[tuple[Backend, ListChange]]:
-        """Yield what the newest list changed."""
-        for name, backend in known.items():
+        """Yield the changes made by the newest list."""
+        for name, backend in previous.items():
             if self._backends.get(name) is not backend:
                 yield backend, ListChange.GONE
         for name, backend in self._backends.items():
-            if known.get(name) is not backend:
+            if previous.get(name) is not backend:
                 yield backend, ListChange.SEEN
             if backend.leaving and not was_leaving.get(name, False):
                 yield backend, ListChange.LEAVING
@@ -139,7 +139,7 @@
         return self._backends.values()
 
     def addresses(self) -> frozenset[str]:
-        """Return where requests for listed back ends that are not leaving are sent."""
+        """Return the addresses to which requests for back ends that are not leaving are sent."""
         backends = self._backends.values()
         return frozenset(
             backend.gateway or backend.address for backend in backends if not backend.leaving
@@ -151,9 +151,9 @@
 
 
 def _is_later(machine: Machine, other: Machine) -> bool:
-    """Tell whether a back end came to the address after the other, as far as that is told.
+    """Tell whether a back end was given the address after the other, as far as is known.
 
-    One that starts again keeps its entry: where both starts are told, these say it.
+    A back end that restarts keeps its entry, so start times decide where both are known.
     """
     if machine.started_at and other.started_at:
         return machine.started_at > other.started_at
@@ -161,7 +161,7 @@
 
 
 def _is_same(backend: Backend, incarnation: _Incarnation) -> bool:
-    """Tell whether the back end is this incarnation; a start told for the first time is its own."""
+    """Tell whether the back end is this incarnation; an unknown start time matches any."""
     started_at = backend.started_at or incarnation.started_at
     return incarnation == _Incarnation(backend.name, backend.address, backend.service, started_at)
 
--- a/src/pewtertack/routing/response_results.py
+++ b/src/pewtertack/routing/response_results.py
@@ -1,8 +1,8 @@
-"""What a back end's answer tells of its attempt: the status and two headers.
+"""Result of an attempt by its answer: the status and two headers.
 
 A back end may itself be a caller: it serves its request by calling the next
 service through its own node. When that node gives up, it marks its failure with
-``x-retries: spent`` and the back end hands the mark on with its own failing
+``x-retries: spent`` and the back end copies the mark to its own failing
 answer. A failure is thus retried by one node only, the one nearest to it.
 """
 
@@ -17,7 +17,7 @@
 
 
 def result_of_response(status: int, outcome: str | None, retries: str | None) -> AttemptResult:
-    """Return how an attempt ended whose answer has this status.
+    """Return the result of an attempt that was answered with this status.
 
     Args:
         status: HTTP status of the back end's answer.
--- a/src/pewtertack/routing/retries.py
+++ b/src/pewtertack/routing/retries.py
@@ -1,4 +1,4 @@
-"""When a request may be attempted again."""
+"""Rules and budgets for retries."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from pewtertack.routing.policies import Parameter, PolicyKind, RetryBudgetPolicy, policy
 
 NODE_BURST = 10.0
-"""Retries that one node may make at once after a quiet time."""
+"""Retries that one node may make at once after a quiet period."""
 FLEET_BURST = 36.0
 """The same for all nodes of a fleet together, to one service."""
 MAXIMUM_REFUSALS = 3
-"""Gateways that may refuse one request before its caller is told to come back."""
+"""Number of gateways that may refuse one request before its caller is told to retry."""
 
 
 def node_burst(nodes: int) -> float:
@@ -25,22 +25,22 @@
 
 
 class Budget(Protocol):
-    """The retries of one node to one service. Times are monotonic seconds."""
+    """Retry budget of one node for one service. Times are monotonic seconds."""
 
     def available(self, now: float, nested: bool = False) -> float:
-        """Return the retries that may come at once."""
+        """Return the number of retries that may be made at once."""
 
     def set_node_count(self, nodes: int, now: float) -> None:
-        """Take over the fleet's size, 0 while unknown."""
+        """Set the number of nodes of the fleet, 0 while unknown."""
 
     def is_idle(self, now: float) -> bool:
-        """Tell whether nothing of it has to be remembered."""
+        """Tell whether it holds no state that must be kept."""
 
     def note_first_attempt(self, now: float, ratio: float) -> None:
-        """A request of a route with this ``retry_budget`` begins."""
+        """Record the first attempt of a request whose route has this ``retry_budget``."""
 
     def take(self, now: float, nested: bool = False) -> bool:
-        """Take one retry; false when there is none. ``within``: a back end's call."""
+        """Take one retry, if there is one; ``nested`` for a call that a back end makes."""
 
 
 @policy(
@@ -61,24 +61,24 @@
         self._tokens = burst
 
     def available(self, now: float, nested: bool = False) -> float:
-        """Return the retries that may come at once, whoever makes them."""
+        """Return the number of retries that may be made at once, nested or not."""
         return self._tokens
 
     def is_idle(self, now: float) -> bool:
-        """Tell whether nothing of it has to be remembered: a burst is small."""
+        """Tell whether it holds no state that must be kept; none does, as a burst is small."""
         return True
 
     def set_node_count(self, nodes: int, now: float) -> None:
-        """Take over another part of the fleet's burst, as the fleet grows or shrinks."""
+        """Set this node's part of the fleet's burst by the number of nodes."""
         self._burst = node_burst(nodes)
         self._tokens = min(self._tokens, self._burst)
 
     def note_first_attempt(self, now: float, ratio: float) -> None:
-        """A request's first attempt earns ``ratio`` of a retry."""
+        """Record the first attempt of a request, which earns ``ratio`` of a retry."""
         self._tokens = min(self._burst, self._tokens + ratio)
 
     def take(self, now: float, nested: bool = False) -> bool:
-        """Take one retry out of the budget, whoever makes it; false when there is none."""
+        """Take one retry, nested or not, if there is one."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -86,19 +86,19 @@
 
 
 class AttemptRecord(msgspec.Struct, frozen=True):
-    """What a retry decision needs of the request so far. Times are monotonic seconds."""
+    """State of a request on which a retry decision depends. Times are monotonic seconds."""
 
     route: ResolvedRoute
     retries: int
     deadline: float
     expected_time: float
-    """How long an attempt of the route takes, as far as known."""
+    """Expected duration of an attempt of the route, as far as known."""
     body_replayable: bool
     """No byte of the body was consumed, or all of it is buffered."""
 
 
 class RetryReason(Enum):
-    """Why a request is, or is not, sent once more after an attempt failed."""
+    """Why a request is, or is not, retried after a failed attempt."""
 
     NOT_RUN = "not-run"
     REPEATABLE = "repeatable"
@@ -119,9 +119,9 @@
 
 
 def judge_retry(record: AttemptRecord, error: RequestFailedError, now: float) -> RetryReason:
-    """Tell whether another attempt is right and why, before the budget is asked.
+    """Tell whether another attempt is permitted, regardless of the budget, and why.
 
-    A request that may not be repeated is attempted again only when it is
+    A request that may not be repeated is retried only when it is
     certain that it did not run.
     """
     if isinstance(error, InvalidRequestError):
--- a/src/pewtertack/routing/retry_budgets.py
+++ b/src/pewtertack/routing/retry_budgets.py
@@ -1,4 +1,4 @@
-"""The retry budgets of one proxy, one a service, made in the way that the settings name."""
+"""Retry budgets of one proxy, one for each service, by the policy in the settings."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     """All budgets by service. Times are monotonic seconds.
 
     Args:
-        way: how many retries there may be.
+        policy: how the number of retries is limited.
         limits: what operators allow a service over all nodes, for ``window``.
     """
 
@@ -24,12 +24,12 @@
         self.limits = limits
         self._budgets: dict[str, Budget] = {}
         self._started_at: float | None = None
-        """When the first machine list came: what this process may have sent before is unknown."""
+        """When the first machine list came; what the process sent before it is unknown."""
         self._node_count = 0
-        """Nodes of the fleet, 0 while unknown."""
+        """Number of nodes of the fleet, 0 while unknown."""
 
     def set_node_count(self, nodes: int, now: float) -> None:
-        """Take over the fleet's size from a machine list."""
+        """Set the number of nodes of the fleet, taken from a machine list."""
         if self._started_at is None:
             self._started_at = now
         self._node_count = nodes
@@ -50,11 +50,11 @@
         return RetryBudget()
 
     def available(self, now: float) -> dict[str, float]:
-        """Return the retries that may come at once, by service."""
+        """Return the number of retries that may be made at once, by service."""
         return {name: budget.available(now) for name, budget in self._budgets.items()}
 
     def keep_only(self, services: Container[str], now: float) -> None:
-        """Forget services that are in force no longer, once nothing has to be remembered."""
+        """Forget services that are no longer in force, once they hold no state to keep."""
         self._budgets = {
             name: budget
             for name, budget in self._budgets.items()
--- a/src/pewtertack/routing/retry_window.py
+++ b/src/pewtertack/routing/retry_window.py
@@ -1,19 +1,19 @@
-"""Retries as a share of the requests of a sliding window, for a whole fleet.
-
-Operators bound, for each service, the attempts beyond the first of all requests that any
-window of some seconds holds over all nodes: a share of the window's requests and some more.
-No counter is shared: a node keeps to the share of its own requests and to its part of what is
-allowed beyond. What all nodes keep to, their sum keeps to.
-
-A call that a back end makes while it runs a request saves a run that is already under way.
-Calls that find the budget spent are remembered for a window, and so much of it, up to half, is
-left to them; everything else is repeated from the rest.
-
-What a life before has spent of the part beyond the share is not known, nor what nodes spend that
-have just left the list: the part grows from nothing over a budget's first window, and is that
-of the largest fleet of the last window. Otherwise 41 nodes that restart together could make 328
-retries where 186 are allowed, and a cut fleet of 82 438 where 400 are (pure code, each node
-spending all it may).
+"""Retry budget as a share of the requests in a sliding window, for a whole fleet.
+
+For each service operators limit the number of attempts beyond the first ones that any window of
+some seconds contains over all nodes: a share of the window's requests and a fixed number more.
+No counter is shared: a node keeps to the share of its own requests and to its part of the
+additional number. If every node does, so does their sum.
+
+A nested call saves an execution that has already begun. Nested calls that find the budget spent are
+remembered for a window, and as much of the budget, up to half, is reserved for nested calls;
+all other requests are retried from the rest.
+
+Unknown is how much of the additional number a former incarnation has spent, and how much nodes
+spend that have just left the list. So the node's part grows from zero over a budget's first window,
+and is computed for the largest fleet of the last window. Otherwise 41 nodes that restart together
+could make 328 retries where 186 are allowed, and a reduced fleet of 82 nodes 438 where 400 are
+(pure code, each node spending all it may).
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 from pewtertack.routing.policies import Parameter, PolicyKind, RetryBudgetPolicy, policy
 
 STEP_SHARE = 1 / 20
-"""Length of a step as a share of the window: requests are forgotten by steps."""
+"""Length of a step as a share of the window: requests expire in steps."""
 MAX_NESTED_SHARE = 0.5
-"""Largest share of the allowed retries that is left to calls within that lacked one."""
+"""Largest share of the allowed retries that is reserved for nested calls that lacked one."""
 USED_SHARE = 0.9
 """Share of the allowed retries that is used. Steps keep requests up to a twentieth longer than
-the window, and an attempt counts when it arrives, a crossing after it was decided on."""
+the window, and an attempt counts when it arrives, some network latency after the decision."""
 
 
 class RetryLimits(msgspec.Struct, frozen=True):
@@ -39,17 +39,17 @@
     ratio: float
     """Retries as a share of the window's requests."""
     window: float
-    """Seconds."""
+    """Length of the window in seconds."""
     slack: float = 0.0
     """Retries allowed beyond the share."""
 
 
 NO_RETRY_LIMITS = RetryLimits(0.0, 1.0)
-"""No retries at all."""
+"""Allows no retries."""
 
 
 class _Step(msgspec.Struct):
-    """What was counted in one step."""
+    """Counts of one step."""
 
     number: int
     requests: float = 0.0
@@ -60,7 +60,7 @@
 @policy(
     PolicyKind.RETRY_BUDGET,
     RetryBudgetPolicy.WINDOW,
-    "the operator's share of a sliding window's requests; calls within first",
+    "the operator's share of a sliding window's requests; nested calls first",
     Parameter("ratio", None, "", "setting limits.retry_ratio"),
     Parameter("window", None, "s", "setting limits.retry_window"),
     Parameter("slack", None, "", "setting limits.retry_slack, over all nodes"),
@@ -79,25 +79,25 @@
         "started_at",
     )
 
-    def __init__(self, limits: RetryLimits, since: float) -> None:
+    def __init__(self, limits: RetryLimits, started_at: float) -> None:
         self.limits = limits
-        self.started_at = since
-        """When the budget, or the process, began."""
+        self.started_at = started_at
+        """When the budget, or the process, started."""
         self._node_counts: list[tuple[float, int]] = []
-        """Nodes of the fleet by when the list told so many; empty while unknown."""
+        """Numbers of nodes, each with the time since when it was listed; empty while unknown."""
         self._steps: deque[_Step] = deque()
         self._requests = 0.0
         self._retries = 0
         self._refused_nested = 0
 
     def available(self, now: float, nested: bool = False) -> float:
-        """Return the retries that may come at once."""
+        """Return the number of retries that may be made at once."""
         self._drop_expired(now)
         allowed = self._allowed(now)
         return max(0.0, allowed - self._retries - self._reserved_for_nested(allowed, nested))
 
     def set_node_count(self, nodes: int, now: float) -> None:
-        """Take over the fleet's size; 0 while unknown: then nothing beyond the share is allowed."""
+        """Set the number of nodes; while it is 0, unknown, only the share is allowed."""
         if self._node_counts and self._node_counts[-1][1] == nodes:
             return
         window_start = now - self.limits.window
@@ -105,21 +105,21 @@
         self._node_counts = [*newer, *self._node_counts[-1:], (now, nodes)]
 
     def is_idle(self, now: float) -> bool:
-        """Tell whether nothing of the last window has to be remembered."""
+        """Tell whether the last window holds no state that must be kept."""
         self._drop_expired(now)
         return not self._steps
 
     def note_first_attempt(self, now: float, ratio: float) -> None:
-        """A request's first attempt begins; the operator's ratio holds for all routes."""
+        """Record the first attempt of a request; the operator's ratio applies to all routes."""
         self._current_step(now).requests += 1
         self._requests += 1
 
     def take(self, now: float, nested: bool = False) -> bool:
-        """Take one retry out of the budget; false when there is none.
+        """Take one retry; return false when there is none.
 
         Args:
             now: monotonic seconds.
-            within: a back end makes the request while it runs another one.
+            nested: a back end makes the request while it runs another one.
         """
         step = self._current_step(now)
         allowed = self._allowed(now)
@@ -132,14 +132,14 @@
         return True
 
     def _reserved_for_nested(self, allowed: float, nested: bool) -> float:
-        """Return what is left to calls within."""
+        """Return the number of retries that only nested calls may take."""
         return 0.0 if nested else min(float(self._refused_nested), MAX_NESTED_SHARE * allowed)
 
     def _allowed(self, now: float) -> float:
         return USED_SHARE * (self.limits.ratio * self._requests + self._slack(now))
 
     def _slack(self, now: float) -> float:
-        """Return this node's part of what is allowed beyond the share."""
+        """Return this node's part of the number allowed beyond the share."""
         nodes = self._largest_node_count(now)
         if nodes == 0:
             return 0.0
@@ -147,7 +147,7 @@
         return grown * self.limits.slack / nodes
 
     def _largest_node_count(self, now: float) -> int:
-        """Return the largest count of nodes that held within the last window."""
+        """Return the largest number of nodes within the last window."""
         if not self._node_counts:
             return 0
         window_start = now - self.limits.window
@@ -159,7 +159,7 @@
         return largest
 
     def _current_step(self, now: float) -> _Step:
-        """Return the step of ``now``, after what has left the window is forgotten."""
+        """Return the step of ``now`` and drop the steps that have left the window."""
         self._drop_expired(now)
         number = self._step_number(now)
         if not self._steps or self._steps[-1].number < number:
@@ -170,7 +170,7 @@
         return int(now / (self.limits.window * STEP_SHARE))
 
     def _drop_expired(self, now: float) -> None:
-        """Forget the steps that lie a window back, and none that reaches into it."""
+        """Drop the steps that lie entirely before the window."""
         oldest = self._step_number(now) - round(1 / STEP_SHARE)
         while self._steps and self._steps[0].number < oldest:
             gone = self._steps.popleft()
--- a/src/pewtertack/routing/service.py
+++ b/src/pewtertack/routing/service.py
@@ -10,15 +10,15 @@
 from pewtertack.routing.backend import Backend
 from pewtertack.routing.choice import GatewayCriteria, choose, choose_gateway
 from pewtertack.routing.limit import ServiceLimit
-from pewtertack.routing.link_reports import LinkReport, LongRouteTimes
+from pewtertack.routing.link_words import LinkReport, LongRouteTimes
 from pewtertack.routing.outcomes import (
     DeadlineUnmeetableError,
     NoBackendError,
     QueueFullError,
     RequestFailedError,
 )
+from pewtertack.routing.patience import WaitPolicy, can_retry
 from pewtertack.routing.queueing import MAXIMUM_WAIT_SECONDS, ClassQueue, Ticket, smoothed
-from pewtertack.routing.wait_policy import WaitPolicy, can_retry
 
 MINIMUM_RETRY_AFTER = 0.1
 MAXIMUM_RETRY_AFTER = 30.0
@@ -157,9 +157,9 @@
             )
 
     def _expected_wait(self, ticket: Ticket, now: float) -> float:
-        per_turn = self.mean_time / max(MINIMUM_CAPACITY, self._capacity(now))
+        turn_interval = self.mean_time / max(MINIMUM_CAPACITY, self._capacity(now))
         position = self.queue.position_of(ticket)
-        return self.queue.expected_wait(ticket.route.work_class, position, per_turn, now)
+        return self.queue.expected_wait(ticket.route.work_class, position, turn_interval, now)
 
     def _capacity(self, now: float) -> float:
         """Return the number of requests that this proxy may have in flight at the service."""
--- a/src/pewtertack/routing/service_times.py
+++ b/src/pewtertack/routing/service_times.py
@@ -1,4 +1,4 @@
-"""How long a back end takes for its requests, and how sure that is."""
+"""Service times of a back end: means and spreads."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from pewtertack.routing.queueing import smoothed
 
 MEDIAN_COUNT = 9
-"""Times of which medians are taken."""
+"""Number of first times whose median is used."""
 SPREAD_DEVIATIONS = 2.0
-"""Answers seldom take longer than the mean and so many times the mean deviation. In virtual
+"""Answers seldom take longer than the mean and this number of mean deviations. In virtual
 time 2.0 earns more beyond capacity than 1.5 (docs/FARMARECOGE.md)."""
 
 
 class MeanTime(msgspec.Struct):
-    """Mean of times and of their distances from it, in seconds.
+    """Mean of times and mean deviation from it, in seconds.
 
     Medians while few are known: the first answers of a back end are often unusually slow.
     """
@@ -26,23 +26,23 @@
     """The times so far, while they are few."""
 
     def note(self, seconds: float) -> None:
-        """Take one more time into the means."""
+        """Include a time in the means."""
         if self.first_times is not None:
             self._note_first(self.first_times, seconds)
             return
         self.deviation = smoothed(self.deviation, abs(seconds - self.mean))
         self.mean = smoothed(self.mean, seconds)
 
-    def _note_first(self, first: list[float], seconds: float) -> None:
-        first.append(seconds)
-        self.mean = _median(first)
-        self.deviation = _median([abs(item - self.mean) for item in first])
-        if len(first) == MEDIAN_COUNT:
+    def _note_first(self, first_times: list[float], seconds: float) -> None:
+        first_times.append(seconds)
+        self.mean = _median(first_times)
+        self.deviation = _median([abs(item - self.mean) for item in first_times])
+        if len(first_times) == MEDIAN_COUNT:
             self.first_times = None
 
 
 class ServiceTimes:
-    """Seconds that one back end takes, over all requests and by route; 0 while unknown."""
+    """Service times of one back end, of all requests and by route; 0 while unknown."""
 
     __slots__ = ("_all", "routes")
 
@@ -56,7 +56,7 @@
         return self._all.mean
 
     def note(self, route: str, seconds: float) -> None:
-        """Take one more time into the means."""
+        """Include a time in the means."""
         self._all.note(seconds)
         self.routes.setdefault(route, MeanTime()).note(seconds)
 
@@ -66,11 +66,11 @@
         return known.mean if known is not None else 0.0
 
     def spread_of(self, route: str) -> float:
-        """Return by how much an answer of the route may well take longer than the mean."""
+        """Return the seconds by which an answer of the route may well exceed the mean."""
         known = self.routes.get(route)
         return known.deviation * SPREAD_DEVIATIONS if known is not None else 0.0
 
 
 def _median(times: list[float]) -> float:
-    """Return the median, the larger of two in the middle (``statistics`` is slow to import)."""
+    """Return the median, or the larger of two (``statistics`` is slow to import)."""
     return sorted(times)[len(times) // 2]
--- a/src/pewtertack/routing/splits.py
+++ b/src/pewtertack/routing/splits.py
@@ -1,7 +1,7 @@
-"""Sharing a route's requests between services by weight.
+"""Splits a route's requests between services by weight.
 
-Smooth weighted round robin: over any run of requests each service's share is as near
-to its weight as whole requests allow, and no service gets its share in one piece.
+Smooth weighted round robin: over any sequence of requests each service's share is as close
+to its weight as whole requests allow, and the requests of a service are spread evenly.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class _WeightedRotation:
-    """Whose turn it is among the services of one route."""
+    """Rotation of one route's services."""
 
     def __init__(self, route: ResolvedRoute) -> None:
         self.route = route
@@ -32,7 +32,7 @@
 
 
 class SplitPicker:
-    """Keeps the turns of every route that has a split."""
+    """Rotations of all routes that have a split."""
 
     def __init__(self) -> None:
         self._rotations: dict[str, _WeightedRotation] = {}
@@ -41,14 +41,20 @@
         """Return ``route`` with the service whose turn it is."""
         if not route.split:
             return route
-        turns = self._rotations.get(route.name)
-        if turns is None or (turns.route is not route and turns.route.split != route.split):
-            turns = self._rotations[route.name] = _WeightedRotation(route)
-        part = turns.next()
+        rotation = self._rotations.get(route.name)
+        if rotation is None or (
+            rotation.route is not route and rotation.route.split != route.split
+        ):
+            rotation = self._rotations[route.name] = _WeightedRotation(route)
+        part = rotation.next()
         return (
-            part if turns.route is route else msgspec.structs.replace(route, service=part.service)
+            part
+            if rotation.route is route
+            else msgspec.structs.replace(route, service=part.service)
         )
 
     def keep_only(self, routes: Container[str]) -> None:
-        """Forget routes that are in force no longer."""
-        self._rotations = {name: turns for name, turns in self._rotations.items() if name in routes}
+        """Forget routes that are no longer in force."""
+        self._rotations = {
+            name: rotation for name, rotation in self._rotations.items() if name in routes
+        }
--- a/src/pewtertack/routing/table.py
+++ b/src/pewtertack/routing/table.py
@@ -1,7 +1,7 @@
-"""Route table: which route serves a host, path and method.
+"""Route table: finds the route that serves a host, path and method.
 
-An exact host goes before routes for every host; then the longest path prefix;
-then a route that names the method before one for every method.
+An exact host precedes routes for every host; then the longest path prefix wins;
+then a route that names the method precedes one for every method.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 
 
 class RouteTable:
-    """Immutable index over the routes of one configuration."""
+    """Immutable index of the routes of one configuration."""
 
     def __init__(self, configuration: ResolvedConfiguration) -> None:
         self.configuration = configuration
         self._hosts: dict[str, dict[str, ResolvedRoute | dict[str, ResolvedRoute]]] = {}
-        """By host and prefix the route for every method, or the routes by method: a table for
-        each of 2,057 routes that name no method took 240 KiB."""
+        """By host and prefix: the route for every method, or the routes by method. A dictionary
+        for each of 2,057 routes that name no method took 240 KiB."""
         for route in sorted(configuration.routes, key=lambda route: route.name):
             self._add(route)
 
@@ -43,7 +43,7 @@
 
         Raises:
             RouteNotFoundError: no route matches host and path.
-            MethodNotAllowedError: some match, none with this method.
+            MethodNotAllowedError: routes match, but none with this method.
         """
         path_matched = False
         for candidate_host in (host, ANY):
@@ -68,7 +68,7 @@
 def _decoded(prefix: str) -> str:
     if "%" not in prefix:
         return prefix
-    from pewtertack.core.configuration.percent import decode  # for unusual prefixes alone
+    from pewtertack.core.configuration.percent import decode  # needed for unusual prefixes only
 
     return decode(prefix)
 
--- a/tests/node/gateway/test_lives.py
+++ b/tests/node/gateway/test_lives.py
@@ -13,7 +13,7 @@
 from pewtertack.routing.admission_ticket import AdmissionTicket
 from pewtertack.routing.cold import ColdBounds
 from pewtertack.routing.outcomes import BackendGoneError, BackendLeftError
-from pewtertack.routing.wait_policy import WaitPolicy
+from pewtertack.routing.patience import WaitPolicy
 from tests.node.gateway.test_gateway import POST, GatewayTestCase, answer_well, raw_call
 
 BEFORE, AFTER = 1_700_000_000_000, 1_700_000_005_000
--- a/tests/node/gateway/test_origins.py
+++ b/tests/node/gateway/test_origins.py
@@ -12,8 +12,8 @@
 from pewtertack.node.gateway.hop import NESTED, hop_headers, read_hop
 from pewtertack.node.proxy.application import ProxyApplication
 from pewtertack.routing.executions import LocalExecutions
+from pewtertack.routing.patience import WaitPolicy
 from pewtertack.routing.policies import NestedCallPolicy, Policies
-from pewtertack.routing.wait_policy import WaitPolicy
 from tests.node.gateway.test_gateway import EDGE, GatewayTestCase, answer_well
 from tests.node.proxy.harness import RawBackend, raw_call, request_bytes
 from tests.routing.samples import configuration, route
--- a/tests/node/gateway/test_own_stop.py
+++ b/tests/node/gateway/test_own_stop.py
@@ -13,7 +13,7 @@
 from pewtertack.node.proxy.body import MAX_REPLAY_BYTES
 from pewtertack.node.proxy.request_log import RecordEvent
 from pewtertack.routing.link import LinkScheduler
-from pewtertack.routing.wait_policy import WaitPolicy
+from pewtertack.routing.patience import WaitPolicy
 from tests.node.gateway.test_gateway import GatewayTestCase, header
 from tests.node.proxy.harness import Answer, answer_bytes, begin_call, raw_call, request_bytes
 from tests.routing.samples import route
--- a/tests/node/gateway/test_slow_readers.py
+++ b/tests/node/gateway/test_slow_readers.py
@@ -7,7 +7,7 @@
 
 from pewtertack.node.gateway.hop import hop_headers
 from pewtertack.node.http import unread
-from pewtertack.routing.wait_policy import WaitPolicy
+from pewtertack.routing.patience import WaitPolicy
 from tests.node.gateway.test_gateway import GatewayTestCase
 from tests.node.gateway.test_large_answers import head_of
 from tests.node.proxy.harness import request_bytes
--- a/tests/node/gateway/test_stopping_senders.py
+++ b/tests/node/gateway/test_stopping_senders.py
@@ -22,7 +22,7 @@
 from pewtertack.node.pacing import LinkPacer
 from pewtertack.node.proxy.in_flight import Progress
 from pewtertack.routing.link import LinkScheduler
-from pewtertack.routing.wait_policy import WaitPolicy
+from pewtertack.routing.patience import WaitPolicy
 from tests.node.gateway.test_gateway import GatewayTestCase, header
 from tests.node.proxy.harness import Answer, answer_bytes, raw_call, request_bytes
 from tests.routing.samples import route
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -8,7 +8,7 @@
 from pewtertack.routing.admission_ticket import AdmissionTicket
 from pewtertack.routing.cold import ColdBounds, ColdStart
 from pewtertack.routing.outcomes import DeadlineUnmeetableError, QueueFullError
-from pewtertack.routing.wait_policy import WaitPolicy
+from pewtertack.routing.patience import WaitPolicy
 
 
 def ticket(rank: int = 0, objective: float = 1.0, deadline: float = 2.0, **rest: Any) -> Any:
--- a/tests/routing/test_gateway_choice.py
+++ b/tests/routing/test_gateway_choice.py
@@ -19,10 +19,10 @@
     BackendUnreachableError,
     GatewayRefusedError,
 )
+from pewtertack.routing.patience import WaitPolicy
 from pewtertack.routing.policies import Policies, RetryLaterPolicy
 from pewtertack.routing.queueing import Ticket
 from pewtertack.routing.retries import FLEET_BURST, RetryReason, node_burst
-from pewtertack.routing.wait_policy import WaitPolicy
 from tests.routing.samples import dispatcher, route, service
 
 
--- a/tests/routing/test_link_words.py
+++ b/tests/routing/test_link_words.py
@@ -10,7 +10,7 @@
 from pewtertack.routing.attempt_results import AttemptResult
 from pewtertack.routing.backend import Backend, LoadReport
 from pewtertack.routing.dispatcher import Dispatcher
-from pewtertack.routing.link_reports import (
+from pewtertack.routing.link_words import (
     MAX_REPORTED_MS,
     MILLISECONDS_PER_SECOND,
     LinkReport,
--- a/tests/routing/test_margins.py
+++ b/tests/routing/test_margins.py
@@ -17,8 +17,8 @@
 from pewtertack.routing.admission_ticket import AdmissionTicket
 from pewtertack.routing.margins import reserve_half, reserve_spread
 from pewtertack.routing.outcomes import DeadlineUnmeetableError
+from pewtertack.routing.patience import WaitPolicy
 from pewtertack.routing.policies import Policies, RetryLaterPolicy, WaitMarginPolicy
-from pewtertack.routing.wait_policy import WaitPolicy
 
 SECONDS = st.floats(0.0, 100.0)
 
--- a/tests/routing/test_patience.py
+++ b/tests/routing/test_patience.py
@@ -4,8 +4,8 @@
 from random import Random
 
 from pewtertack.routing.outcomes import DEFAULT_RETRY_AFTER
+from pewtertack.routing.patience import CallerWaitPolicies, WaitPolicy, retry_after_shedding
 from pewtertack.routing.policies import RetryLaterPolicy
-from pewtertack.routing.wait_policy import CallerWaitPolicies, WaitPolicy, retry_after_shedding
 
 
 class CallerPatienceTest(unittest.TestCase):
--- a/tests/routing/test_runs.py
+++ b/tests/routing/test_runs.py
@@ -23,7 +23,7 @@
     never_without_result,
 )
 from pewtertack.routing.outcomes import DeadlineUnmeetableError, QueueFullError
-from pewtertack.routing.wait_policy import WaitPolicy
+from pewtertack.routing.patience import WaitPolicy
 
 RANK = (1, 1)
 WORK_SECONDS = 0.2
