--- a/src/pewtertack/core/configuration/conversion.py
+++ b/src/pewtertack/core/configuration/conversion.py
@@ -14,7 +14,7 @@
 
 from pewtertack.core.configuration.model import (
     DURATION_UNITS,
-    HEAD_BYTES_ALWAYS,
+    GUARANTEED_HEAD_BYTES,
     HEAD_BYTES_SETTING,
     ROUTE_SETTINGS,
     SERVICE_SETTINGS,
@@ -35,7 +35,9 @@
 Table = dict[str, Any]
 
 
-def route_table(host: str, prefix: str, service: str, shares: Sequence[tuple[str, float]]) -> Table:
+def route_match_settings(
+    host: str, prefix: str, service: str, shares: Sequence[tuple[str, float]]
+) -> Table:
     """Return a route's settings that say which requests it matches and which services get them.
 
     Args:
@@ -53,7 +55,7 @@
     }
 
 
-def route_bounds(times: tuple[str, str], priority: float, attempts: float) -> Table:
+def route_limit_settings(times: tuple[str, str], priority: float, attempts: float) -> Table:
     """Return a route's time-out, target latency, priority and limit of retries."""
     timeout, target_latency = times
     return {
@@ -64,7 +66,7 @@
     }
 
 
-def service_table(connections: float, cold_rate: float, cold: tuple[str, str] | None) -> Table:
+def service_settings(connections: float, cold_rate: float, cold: tuple[str, str] | None) -> Table:
     """Return a service's settings; ``cold`` has the health path and the time of a cold start."""
     limit, rate = SERVICE_SETTINGS["connections_per_backend"], SERVICE_SETTINGS["cold_rate"]
     table: Table = {limit.name: whole_number(limit, connections)}
@@ -147,14 +149,14 @@
     return {name: max(1, round(weight * scale)) if weight else 0 for name, weight in summed.items()}
 
 
-def head_bytes(value: float) -> Table:
+def head_bytes_settings(value: float) -> Table:
     """Return the root's limit of a head's size, if it is above what nodes always accept."""
-    if value <= HEAD_BYTES_ALWAYS:
+    if value <= GUARANTEED_HEAD_BYTES:
         return {}
     return {HEAD_BYTES_SETTING.name: whole_number(HEAD_BYTES_SETTING, value)}
 
 
-def routes_by_name(given: Iterable[tuple[str, Table]]) -> dict[str, Table]:
+def unique_routes(given: Iterable[tuple[str, Table]]) -> dict[str, Table]:
     """Return routes by unique names that the tree allows.
 
     Of routes that match the same requests only the first is kept.
--- a/src/pewtertack/core/configuration/findings.py
+++ b/src/pewtertack/core/configuration/findings.py
@@ -64,14 +64,14 @@
     zone: str | None = None
 
     @property
-    def place(self) -> str:
+    def dotted_path(self) -> str:
         """The path in the tree, joined by dots; ``(root)`` for the tree itself."""
         return ".".join(self.path) or "(root)"
 
     def __str__(self) -> str:
         scope = f" [in zone {self.zone}]" if self.zone else ""
         accepted = f"; accepted: {self.accepted}" if self.accepted else ""
-        return f"{self.place}: {self.code.label}: {self.message}{accepted}{scope}"
+        return f"{self.dotted_path}: {self.code.label}: {self.message}{accepted}{scope}"
 
 
 class TreeRejectedError(ConfigurationError):
--- a/src/pewtertack/core/configuration/memory.py
+++ b/src/pewtertack/core/configuration/memory.py
@@ -152,7 +152,7 @@
             self._lists.clear()
 
 
-class CheckedTables:
+class ValidationCache:
     """What of the newest accepted tree needs no further check."""
 
     __slots__ = (
@@ -212,7 +212,7 @@
         found = self._tables.get((path[-2], len(path)), {}).get(id(table))
         return found[1] if found is not None else None
 
-    def size_after(self, document: Document, edit: RouteEdit, size_of: SizeOf) -> int:
+    def size_after_edit(self, document: Document, edit: RouteEdit, size_of: SizeOf) -> int:
         """Return the reckoned bytes of a document that differs from the newest by ``edit``."""
         old, new = self._routes_of(self.document), self._routes_of(document)
         accepted = self._tables[_ROUTE_PLACE]
@@ -226,9 +226,7 @@
                 size -= size_of(name) - empty + (known[1] if known else size_of(old[name]))
         return size
 
-    def remember_edit(
-        self, document: Document, edit: RouteEdit, size: int, size_of: SizeOf
-    ) -> None:
+    def store_edit(self, document: Document, edit: RouteEdit, size: int, size_of: SizeOf) -> None:
         """Take over an accepted document of ``size`` that differs from the newest by ``edit``."""
         self.size = size
         old, new = self._routes_of(self.document), self._routes_of(document)
@@ -246,7 +244,7 @@
         found: Mapping[str, Table] = (document or {}).get(Section.ROUTES, {})
         return found
 
-    def remember(self, document: Document, size_of: SizeOf) -> None:
+    def store(self, document: Document, size_of: SizeOf) -> None:
         """Take over an accepted document; ``size_of(table)`` reckons a table's bytes."""
         self.document = document
         places: dict[_Place, dict[int, tuple[Table, int]]] = {_ROUTE_PLACE: {}}
@@ -339,7 +337,7 @@
             del self._origins[name]
 
 
-ResolvedRoutes = DerivedRoutes[ResolvedRoute]
+ResolvedRouteCache = DerivedRoutes[ResolvedRoute]
 """Routes of the newest resolved tree, for one zone."""
 
 
--- a/src/pewtertack/core/configuration/model.py
+++ b/src/pewtertack/core/configuration/model.py
@@ -339,7 +339,7 @@
     """Longest head of a caller's request, where that is more than any node takes."""
 
 
-HEAD_BYTES_ALWAYS = 32 * 1024
+GUARANTEED_HEAD_BYTES = 32 * 1024
 """Nodes take heads of so many bytes whatever the tree says."""
 HEAD_BYTES_SETTING = Setting(
     RootSection.HEAD_BYTES.value,
--- a/src/pewtertack/core/configuration/resolution.py
+++ b/src/pewtertack/core/configuration/resolution.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from pewtertack.core.configuration.findings import TreeRejectedError
-from pewtertack.core.configuration.memory import ResolvedRoutes, edit_of_routes
+from pewtertack.core.configuration.memory import ResolvedRouteCache, edit_of_routes
 from pewtertack.core.configuration.model import HEAD_BYTES_SETTING, RootSection
 from pewtertack.core.configuration.resolved import (
     ResolvedConfiguration,
@@ -46,24 +46,24 @@
 
 
 def resolve_checked(
-    document: Document, revision: RevisionId, zone: str, known: ResolvedRoutes | None = None
+    document: Document, revision: RevisionId, zone: str, known: ResolvedRouteCache | None = None
 ) -> ResolvedConfiguration:
     """Resolve a document for which ``check_document`` found nothing.
 
     Routes that are ``known`` from an earlier document, for the same zone, are taken over.
     """
-    return run_to_completion(resolving_checked(document, revision, zone, known))
+    return run_to_completion(resolve_checked_in_slices(document, revision, zone, known))
 
 
-def resolving_checked(
-    document: Document, revision: RevisionId, zone: str, known: ResolvedRoutes | None = None
+def resolve_checked_in_slices(
+    document: Document, revision: RevisionId, zone: str, known: ResolvedRouteCache | None = None
 ) -> Work[ResolvedConfiguration]:
     """Do what ``resolve_checked`` does, in slices.
 
     No other document may be resolved with the same memory meanwhile.
     """
     scope = Scope(document, zone)
-    memory = known if known is not None else ResolvedRoutes()
+    memory = known if known is not None else ResolvedRouteCache()
     names = scope.route_names()
     yield from _resolving_routes(scope, names, document, memory)
     routes = tuple(memory.derived(name) or _resolve_known(scope, name, memory) for name in names)
@@ -81,7 +81,7 @@
 
 
 def _resolving_routes(
-    scope: Scope, names: Sequence[str], document: Document, memory: ResolvedRoutes
+    scope: Scope, names: Sequence[str], document: Document, memory: ResolvedRouteCache
 ) -> Work[None]:
     """Let ``memory`` have all routes; those that a document leaves alone are not looked at."""
     edit = edit_of_routes(memory.document, document)
@@ -117,7 +117,7 @@
     )
 
 
-def _resolve_known(scope: Scope, name: str, memory: ResolvedRoutes) -> ResolvedRoute:
+def _resolve_known(scope: Scope, name: str, memory: ResolvedRouteCache) -> ResolvedRoute:
     tables, defaults = scope.route_tables(name), scope.inherited_values(name)
     route = memory.find(name, tables, defaults)
     if route is None:
--- a/src/pewtertack/core/configuration/structure.py
+++ b/src/pewtertack/core/configuration/structure.py
@@ -15,8 +15,8 @@
 from pewtertack.core.configuration.memory import (
     ROOT_DEPTH,
     ZONE_DEPTH,
-    CheckedTables,
     Table,
+    ValidationCache,
 )
 from pewtertack.core.configuration.model import (
     DELETE,
@@ -43,11 +43,11 @@
 DEPTH_LIMIT = 8
 """Nesting of tables and lists; the deepest table of a valid tree stands at depth 6."""
 
-SIZE_LIMIT = 8 * 1024 * 1024
+DOCUMENT_BYTES_LIMIT = 8 * 1024 * 1024
 """Bytes of one tree, by the estimate below. Whatever a source accepts must stay below it: a
 version that is refused is refused by every node."""
 
-SURE_DOCUMENT_SIZE = 1024 * 1024
+GUARANTEED_DOCUMENT_BYTES = 1024 * 1024
 """Bytes of a document up to which none is refused for its size or the number of its names, however
 short they are."""
 
@@ -67,7 +67,7 @@
 Steps = Iterator[Finding | None]
 """What is found, and ``None`` after each step."""
 
-NOTHING_CHECKED = CheckedTables()
+NOTHING_CHECKED = ValidationCache()
 
 NAME_ACCEPTED = "letters, digits, ., - and _, at most 128 characters, the first not . or -"
 
@@ -84,7 +84,7 @@
     return size
 
 
-def check_plain(document: Any, checked: CheckedTables = NOTHING_CHECKED) -> Iterator[Finding]:
+def check_plain(document: Any, checked: ValidationCache = NOTHING_CHECKED) -> Iterator[Finding]:
     """Yield what in ``document`` is no JSON value, or larger or deeper than allowed.
 
     Ends early when the tree is too large; safe for any nesting. Tables that were
@@ -93,7 +93,7 @@
     return (finding for finding in checking_plain(document, checked) if finding is not None)
 
 
-def checking_plain(document: Any, checked: CheckedTables) -> Steps:
+def checking_plain(document: Any, checked: ValidationCache) -> Steps:
     """Do what ``check_plain`` does, in steps."""
     pending: list[tuple[Any, Path]] = [(document, ())]
     size = count = 0
@@ -105,8 +105,10 @@
         known = _known_size(value, path, checked) if isinstance(value, dict) else None
         size += VALUE_SIZE + _text_size(value) if known is None else known
         size += _text_size(path[-1]) if path else 0
-        if size > SIZE_LIMIT:
-            yield Finding(FindingCode.TOO_LARGE, (), "too large", f"at most {SIZE_LIMIT} bytes")
+        if size > DOCUMENT_BYTES_LIMIT:
+            yield Finding(
+                FindingCode.TOO_LARGE, (), "too large", f"at most {DOCUMENT_BYTES_LIMIT} bytes"
+            )
             return
         if known is not None:
             continue
@@ -126,7 +128,7 @@
             pending.extend((child, (*path, str(index))) for index, child in enumerate(value))
 
 
-def _known_size(table: Table, path: Path, checked: CheckedTables) -> int | None:
+def _known_size(table: Table, path: Path, checked: ValidationCache) -> int | None:
     """Return the reckoned bytes of a named table that was checked, or is seen to be plain."""
     if len(path) not in (ROOT_DEPTH, ZONE_DEPTH):
         return None
@@ -228,13 +230,13 @@
 
 
 def check_structure(
-    document: Mapping[str, Any], checked: CheckedTables = NOTHING_CHECKED
+    document: Mapping[str, Any], checked: ValidationCache = NOTHING_CHECKED
 ) -> Iterator[Finding]:
     """Yield every unknown key and wrong value of ``document``, which ``check_plain`` passed."""
     return (finding for finding in checking_structure(document, checked) if finding is not None)
 
 
-def checking_structure(document: Mapping[str, Any], checked: CheckedTables) -> Steps:
+def checking_structure(document: Mapping[str, Any], checked: ValidationCache) -> Steps:
     """Do what ``check_structure`` does, in steps."""
     for key, value in document.items():
         if key == ZONES:
@@ -248,7 +250,9 @@
             yield from _check_section(key, value, (), checked)
 
 
-def _check_zone(root: Mapping[str, Any], checked: CheckedTables, zone: Table, path: Path) -> Steps:
+def _check_zone(
+    root: Mapping[str, Any], checked: ValidationCache, zone: Table, path: Path
+) -> Steps:
     for key, value in zone.items():
         if key == DELETE:
             yield from check_delete_list(value, root, (*path, DELETE))
@@ -256,7 +260,7 @@
             yield from _check_section(key, value, path, checked)
 
 
-def _check_section(key: str, value: Any, scope: Path, checked: CheckedTables) -> Steps:
+def _check_section(key: str, value: Any, scope: Path, checked: ValidationCache) -> Steps:
     path = (*scope, key)
     if key == Section.ROUTE_DEFAULTS:
         yield from _check_settings(ROUTE_DEFAULT_SETTINGS, value, path)
@@ -280,7 +284,7 @@
     path: Path,
     check_table: Callable[[Table, Path], Steps],
     limit: int = NAMED_LIMIT,
-    checked: CheckedTables = NOTHING_CHECKED,
+    checked: ValidationCache = NOTHING_CHECKED,
 ) -> Steps:
     """Check a table whose keys are names chosen by operators and whose values are tables."""
     if not isinstance(value, dict):
--- a/src/pewtertack/core/configuration/validation.py
+++ b/src/pewtertack/core/configuration/validation.py
@@ -14,17 +14,17 @@
 from pewtertack.core.configuration.findings import Finding, FindingCode
 from pewtertack.core.configuration.memory import (
     CheckedScope,
-    CheckedTables,
     KnownMatches,
     RouteEdit,
     RouteMatch,
+    ValidationCache,
     edit_of_routes,
     match_of,
 )
 from pewtertack.core.configuration.model import NAMED_LIMIT, ZONES, Section
 from pewtertack.core.configuration.scopes import Scope, scopes_of, winning_path
 from pewtertack.core.configuration.structure import (
-    SIZE_LIMIT,
+    DOCUMENT_BYTES_LIMIT,
     Steps,
     check_plain,
     check_structure,
@@ -64,7 +64,9 @@
 """Name and what it matches."""
 
 
-def check_document(document: Document, checked: CheckedTables | None = None) -> tuple[Finding, ...]:
+def check_document(
+    document: Document, checked: ValidationCache | None = None
+) -> tuple[Finding, ...]:
     """Return the findings of the first stage that has any; empty for a valid tree.
 
     The stages are: plain values, structure, resolved scopes. At most
@@ -74,17 +76,17 @@
     The verdict is the same with the tables ``checked`` with an earlier document, which
     then takes over a valid one.
     """
-    return run_to_completion(checking_document(document, checked))
+    return run_to_completion(check_document_in_slices(document, checked))
 
 
-def checking_document(
-    document: Document, checked: CheckedTables | None = None
+def check_document_in_slices(
+    document: Document, checked: ValidationCache | None = None
 ) -> Work[tuple[Finding, ...]]:
     """Do what ``check_document`` does, in slices.
 
     No other document may be checked with the same tables meanwhile.
     """
-    known = checked if checked is not None else CheckedTables()
+    known = checked if checked is not None else ValidationCache()
     known.begin()
     if (yield from _accepting_edit(document, known)):
         return ()
@@ -105,7 +107,7 @@
             return findings
     taken_over = len(plain.get(Section.ROUTES, ())) / ROUTES_SIZED_PER_UNIT
     yield taken_over
-    known.remember(plain, size_of)
+    known.store(plain, size_of)
     yield taken_over
     known.matches = _matches_of(plain, known)
     return ()
@@ -124,7 +126,7 @@
     return tuple(findings)
 
 
-def _accepting_edit(document: Document, known: CheckedTables) -> Work[bool]:
+def _accepting_edit(document: Document, known: ValidationCache) -> Work[bool]:
     """Take over a document that changes routes of the newest accepted one, if validly so.
 
     Returns whether it was taken over. Only what it changes is checked: 1,600 routes of which
@@ -139,11 +141,11 @@
     written = yield from _checking_written(document, edit, known, scope)
     if written is None:
         return False
-    size = known.size_after(document, edit, size_of)
-    if size > SIZE_LIMIT:
+    size = known.size_after_edit(document, edit, size_of)
+    if size > DOCUMENT_BYTES_LIMIT:
         return False
     yield len(edit.written) / ROUTES_SIZED_PER_UNIT
-    if not _is_free_of_rivals(known.matches, edit, scope, written):
+    if not _has_no_conflicts(known.matches, edit, scope, written):
         return False
     yield len(edit.written) / ROUTES_SIZED_PER_UNIT
     yield from _taking_over(document, edit, size, known, scope, written)
@@ -151,7 +153,7 @@
 
 
 def _checking_written(
-    document: Document, edit: RouteEdit, known: CheckedTables, scope: CheckedScope
+    document: Document, edit: RouteEdit, known: ValidationCache, scope: CheckedScope
 ) -> Work[Mapping[str, RouteMatch] | None]:
     """Return what the routes that were written match; nothing if one is not valid."""
     routes, whole = document[Section.ROUTES], Scope(document, None)
@@ -194,7 +196,7 @@
     return written
 
 
-def _is_free_of_rivals(
+def _has_no_conflicts(
     matches: KnownMatches,
     edit: RouteEdit,
     known: CheckedScope,
@@ -227,7 +229,7 @@
     document: Document,
     edit: RouteEdit,
     size: int,
-    known: CheckedTables,
+    known: ValidationCache,
     scope: CheckedScope,
     written: Mapping[str, RouteMatch],
 ) -> Work[None]:
@@ -247,11 +249,11 @@
             tables, defaults = whole.route_tables(name), whole.inherited_values(name)
             scope.routes.remember(name, tables, defaults, match)
         yield len(names) / ROUTES_SIZED_PER_UNIT
-    known.remember_edit(document, edit, size, size_of)
+    known.store_edit(document, edit, size, size_of)
     yield len(edit.written) / ROUTES_SIZED_PER_UNIT
 
 
-def _matches_of(document: Document, known: CheckedTables) -> KnownMatches:
+def _matches_of(document: Document, known: ValidationCache) -> KnownMatches:
     """Return the matches of a document that was just accepted; empty for one with zones."""
     matches = KnownMatches()
     scope = known.scope(None)
@@ -267,7 +269,7 @@
     return matches
 
 
-def _share_values(document: Document, checked: CheckedTables | None) -> Iterator[Finding]:
+def _share_values(document: Document, checked: ValidationCache | None) -> Iterator[Finding]:
     """Find nothing; where the tree is to be remembered, let its tables share equal values."""
     if checked is not None:
         checked.share_values(document)
@@ -281,7 +283,7 @@
         yield Finding(FindingCode.EMPTY_TREE, (), message, "at least one route or service")
 
 
-def _check_scopes(document: Document, checked: CheckedTables) -> Steps:
+def _check_scopes(document: Document, checked: ValidationCache) -> Steps:
     """Yield what is broken in any scope; what one scope reported is not said again."""
     reported: set[tuple[FindingCode, tuple[str, ...], str]] = set()
     for scope in scopes_of(document):
@@ -295,7 +297,7 @@
                 yield finding
 
 
-def _check_scope(scope: Scope, checked: CheckedTables) -> Steps:
+def _check_scope(scope: Scope, checked: ValidationCache) -> Steps:
     found = CheckedScope(frozenset(scope.service_names()), frozenset(scope.secrets()))
     known = checked.scope(scope.zone)
     if known is not None and not known.holds_for(found.services, found.secrets):
--- a/src/pewtertack/core/replication/replica.py
+++ b/src/pewtertack/core/replication/replica.py
@@ -8,10 +8,10 @@
 import msgspec
 
 from pewtertack.core.configuration.findings import Finding
-from pewtertack.core.configuration.memory import CheckedTables, ResolvedRoutes
-from pewtertack.core.configuration.resolution import resolving_checked
+from pewtertack.core.configuration.memory import ResolvedRouteCache, ValidationCache
+from pewtertack.core.configuration.resolution import resolve_checked_in_slices
 from pewtertack.core.configuration.resolved import ResolvedConfiguration
-from pewtertack.core.configuration.validation import checking_document
+from pewtertack.core.configuration.validation import check_document_in_slices
 from pewtertack.core.delta import Delta, DeltaMismatchError
 from pewtertack.core.effects import Effect, Log
 from pewtertack.core.profile import Mechanisms
@@ -61,8 +61,8 @@
         self._zone = zone
         self._mechanisms = mechanisms
         self.store = DocumentStore()
-        self._checked_tables = CheckedTables()
-        self._resolved_routes = ResolvedRoutes()
+        self._validation_cache = ValidationCache()
+        self._resolved_routes = ResolvedRouteCache()
         self.committed = NO_REVISION
         self.in_force: ResolvedConfiguration | None = None
         self._resolving: SlicedWork[ResolvedConfiguration] | None = None
@@ -221,7 +221,7 @@
             return []
         if not self._mechanisms.validation:
             return None
-        findings = yield from checking_document(document, self._checked_tables)
+        findings = yield from check_document_in_slices(document, self._validation_cache)
         if not findings:
             return None
         self.last_rejection = Rejection(revision, findings)
@@ -272,7 +272,9 @@
         document = self.store.recent_document(target)
         if document is None:
             return None
-        return SlicedWork(resolving_checked(document, target, self._zone, self._resolved_routes))
+        return SlicedWork(
+            resolve_checked_in_slices(document, target, self._zone, self._resolved_routes)
+        )
 
     def rejection_log(self, rejection: Rejection, lasting_seconds: float | None = None) -> Log:
         """Return the log event of a rejection; ``lasting_seconds`` is how long it has persisted."""
--- a/src/pewtertack/node/assembly.py
+++ b/src/pewtertack/node/assembly.py
@@ -6,7 +6,7 @@
 from random import Random
 from typing import TYPE_CHECKING, Protocol
 
-from pewtertack.core.configuration.structure import SURE_DOCUMENT_SIZE
+from pewtertack.core.configuration.structure import GUARANTEED_DOCUMENT_BYTES
 from pewtertack.core.identity import NodeIdentity
 from pewtertack.core.node import NodeCore
 from pewtertack.core.profile import PROFILES, SourceProperties
@@ -116,8 +116,8 @@
 def warn_of_long_documents(settings: Settings, log: EventLog) -> None:
     """Log that the source accepts configurations whose size nodes may refuse."""
     size = settings.source.document_size
-    if size is not None and size.bytes > SURE_DOCUMENT_SIZE:
-        log.record(Event.SOURCE_BOUND_WIDER, accepted=size.bytes, sure=SURE_DOCUMENT_SIZE)
+    if size is not None and size.bytes > GUARANTEED_DOCUMENT_BYTES:
+        log.record(Event.SOURCE_BOUND_WIDER, accepted=size.bytes, sure=GUARANTEED_DOCUMENT_BYTES)
 
 
 def _stage_histogram(registry: MetricsRegistry) -> Histogram:
--- a/src/pewtertack/node/status_page.py
+++ b/src/pewtertack/node/status_page.py
@@ -211,4 +211,4 @@
 
 
 def _finding_status(finding: Finding) -> FindingStatus:
-    return FindingStatus(finding.code.label, finding.place, finding.message)
+    return FindingStatus(finding.code.label, finding.dotted_path, finding.message)
--- a/src/pewtertack/platform/documents.py
+++ b/src/pewtertack/platform/documents.py
@@ -73,9 +73,9 @@
     routes = (known or KnownRoutes()).parse(given.routes or (), _read_route)
     tree: dict[str, Any] = {
         "services": {item.name: _service_of(item) for item in given.services or ()},
-        "routes": conversion.routes_by_name(routes),
+        "routes": conversion.unique_routes(routes),
     }
-    tree |= conversion.head_bytes(given.limits.max_header_bytes)
+    tree |= conversion.head_bytes_settings(given.limits.max_header_bytes)
     if zones:
         tree[RootSection.EVACUATED_ZONES.value] = list(zones)
     return version, tree
@@ -88,12 +88,14 @@
 
 def _service_of(service: _Service) -> dict[str, Any]:
     cold = (service.health_path, service.cold_start) if service.cold_per_s > 0 else None
-    return conversion.service_table(service.connection_limit, service.cold_per_s, cold)
+    return conversion.service_settings(service.connection_limit, service.cold_per_s, cold)
 
 
 def _route_of(route: _Route) -> dict[str, Any]:
     shares = [(share.service, share.weight) for share in route.traffic_split or ()]
     times = (route.timeout, route.target_latency)
-    table = conversion.route_table(route.host, route.path_prefix, route.service or "", shares)
-    table |= conversion.route_bounds(times, route.priority, route.max_attempts)
+    table = conversion.route_match_settings(
+        route.host, route.path_prefix, route.service or "", shares
+    )
+    table |= conversion.route_limit_settings(times, route.priority, route.max_attempts)
     return {**table, "repeatable": route.kind in REPEATABLE_KINDS}
--- a/src/pewtertack/wire/frames.py
+++ b/src/pewtertack/wire/frames.py
@@ -19,7 +19,7 @@
 import cbor2
 import msgspec
 
-from pewtertack.core.configuration.structure import SIZE_LIMIT
+from pewtertack.core.configuration.structure import DOCUMENT_BYTES_LIMIT
 from pewtertack.wire.errors import (
     MalformedFrameError,
     OversizedFrameError,
@@ -38,7 +38,7 @@
 DATAGRAM_BYTES_MAX = 1200
 """Largest frame sent over UDP: fits the MTU of all common paths without fragmentation."""
 ENVELOPE_BYTES_MAX = 64 * 1024
-STREAM_BYTES_MAX = SIZE_LIMIT + ENVELOPE_BYTES_MAX
+STREAM_BYTES_MAX = DOCUMENT_BYTES_LIMIT + ENVELOPE_BYTES_MAX
 """Largest frame sent over TCP: a snapshot of the largest tree. The estimate that limits
 a tree's size is larger than its encoded size."""
 
--- a/tests/core/configuration/test_memory.py
+++ b/tests/core/configuration/test_memory.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from pewtertack.core.configuration.memory import CheckedTables, ResolvedRoutes
+from pewtertack.core.configuration.memory import ResolvedRouteCache, ValidationCache
 from pewtertack.core.configuration.resolution import resolve_checked
 from pewtertack.core.configuration.scopes import Scope
 from pewtertack.core.configuration.structure import size_of
@@ -57,7 +57,7 @@
     base = {"services": {"book": {}}, "routes": {"first": idle_route(0)}}
     times = []
     for _ in range(5):
-        checked = CheckedTables()
+        checked = ValidationCache()
         assert not check_document(base, checked)
         added = {f"route-{n}": idle_route(n) for n in range(1, count)}
         document = {**base, "routes": {**base["routes"], **added}}
@@ -121,7 +121,7 @@
         """Compare 24 random edits with fresh checks; return how many were accepted."""
         random = Random(seed)
         accepted = 0
-        store, checked, resolved = DocumentStore(), CheckedTables(), ResolvedRoutes()
+        store, checked, resolved = DocumentStore(), ValidationCache(), ResolvedRouteCache()
         document: Any = tree()
         for number in range(1, 25):
             offered = edited(document, random)
@@ -145,7 +145,7 @@
         return accepted
 
     def test_a_table_moved_to_where_it_is_not_valid_is_refused(self) -> None:
-        checked = CheckedTables()
+        checked = ValidationCache()
         document = tree()
         self.assertEqual(check_document(document, checked), ())
         moved = {**document, "services": {**document["services"], "r1": document["routes"]["r1"]}}
@@ -153,7 +153,7 @@
 
     def test_the_reckoned_size_is_that_of_the_whole_tree_after_any_edits(self) -> None:
         for seed in range(40):
-            random, checked, store = Random(seed), CheckedTables(), DocumentStore()
+            random, checked, store = Random(seed), ValidationCache(), DocumentStore()
             document: Any = {key: value for key, value in tree().items() if key != "zones"}
             for number in range(1, 20):
                 offered = edited({**document, "zones": {ZONE: {"routes": {}}}}, random)
@@ -173,7 +173,7 @@
         document = tree()
         document.pop("zones")
         document["routes"] = {f"route-{n}": idle_route(n) for n in range(routes)}
-        checked, resolved = CheckedTables(), ResolvedRoutes()
+        checked, resolved = ValidationCache(), ResolvedRouteCache()
         tracemalloc.start()
         try:
             self.assertEqual(check_document(document, checked), ())
@@ -190,7 +190,7 @@
         document["routes"] = {f"route-{n}": idle_route(n) for n in range(50)}
         encoded = msgspec.msgpack.encode(document)
         decoded = msgspec.msgpack.decode(encoded)
-        checked = CheckedTables()
+        checked = ValidationCache()
         self.assertEqual(check_document(decoded, checked), ())
         self.assertEqual(decoded, document)
         edited = {**decoded, "routes": {**decoded["routes"], "new": idle_route(52)}}
@@ -208,7 +208,7 @@
         self.assertEqual(before, after)
 
     def test_a_tree_that_grows_table_by_table_is_still_bounded(self) -> None:
-        checked = CheckedTables()
+        checked = ValidationCache()
         big = {"hosts": ["x" * 4000] * 60}
         routes = {f"r{n}": {"service": "book", "path_prefix": f"/{n}", **big} for n in range(20)}
         document: dict[str, Any] = {"services": {"book": {}}, "routes": {}}
@@ -223,7 +223,7 @@
 class CostTest(unittest.TestCase):
     def test_an_edit_of_one_route_of_a_thousand_looks_at_that_one(self) -> None:
         """Measured: 1,600 routes of which one changes took 23 ms to check, now 2.5 ms."""
-        checked, store = CheckedTables(), DocumentStore()
+        checked, store = ValidationCache(), DocumentStore()
         document = {key: value for key, value in tree(routes=1000).items() if key != "zones"}
         check_document(document, checked)
         store.put(revision_id_of(1, document), document)
--- a/tests/core/configuration/test_validation.py
+++ b/tests/core/configuration/test_validation.py
@@ -155,7 +155,9 @@
                 findings = check_document(document)
                 self.assertEqual({code}, {finding.code for finding in findings})
                 self.assertEqual({zone}, {finding.zone for finding in findings})
-                self.assertTrue(findings[0].place.startswith(place or path), findings[0].place)
+                self.assertTrue(
+                    findings[0].dotted_path.startswith(place or path), findings[0].dotted_path
+                )
                 with self.assertRaises(TreeRejectedError) as raised:
                     resolve_document(document, NO_REVISION, "lekki")
                 self.assertEqual(findings, raised.exception.findings)
--- a/tests/core/test_long_work.py
+++ b/tests/core/test_long_work.py
@@ -305,7 +305,7 @@
         self.assertEqual(self.activated_numbers(found), [3])
 
     def test_an_exception_in_the_work_does_not_stop_confirmations(self) -> None:
-        with mock.patch.object(replica, "checking_document", side_effect=KeyError("secret")):
+        with mock.patch.object(replica, "check_document_in_slices", side_effect=KeyError("secret")):
             self.read(2, tree(BASE_ROUTES + ADDED_ROUTES))
             with self.assertRaises(KeyError):
                 for _ in range(TURNS_MAX):
--- a/tests/node/gateway/test_long_heads.py
+++ b/tests/node/gateway/test_long_heads.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from pewtertack.core.configuration.model import HEAD_BYTES_ALWAYS
+from pewtertack.core.configuration.model import GUARANTEED_HEAD_BYTES
 from pewtertack.node.http.heads import DEFAULT_HEAD_LIMIT
 from tests.node.gateway.test_gateway import GatewayTestCase, answer_well
 from tests.node.proxy.harness import raw_call, request_bytes
@@ -26,7 +26,7 @@
             gateway.use_configuration(allowing)
 
     async def test_what_the_proxy_always_takes_the_gateway_takes_too(self) -> None:
-        self.assertEqual(DEFAULT_HEAD_LIMIT, HEAD_BYTES_ALWAYS)
+        self.assertEqual(DEFAULT_HEAD_LIMIT, GUARANTEED_HEAD_BYTES)
         address = await self.start_fleet(answer_well)
         self.assertEqual(await self.status(address, DEFAULT_HEAD_LIMIT), 200)
         self.assertEqual(await self.status(address, DEFAULT_HEAD_LIMIT + 2_000), 431)
--- a/tests/node/test_long_documents.py
+++ b/tests/node/test_long_documents.py
@@ -5,7 +5,7 @@
 import unittest
 from typing import Any
 
-from pewtertack.core.configuration.structure import SURE_DOCUMENT_SIZE
+from pewtertack.core.configuration.structure import GUARANTEED_DOCUMENT_BYTES
 from pewtertack.log import EventLog
 from pewtertack.node.assembly import warn_of_long_documents
 from pewtertack.settings.loading import build_settings
@@ -28,10 +28,10 @@
 
     def test_nothing_is_logged_if_all_documents_are_accepted(self) -> None:
         self.assertEqual(self.lines(), [])
-        self.assertEqual(self.lines(document_size=f"{SURE_DOCUMENT_SIZE}B"), [])
+        self.assertEqual(self.lines(document_size=f"{GUARANTEED_DOCUMENT_BYTES}B"), [])
 
     def test_a_source_that_accepts_longer_documents_is_logged(self) -> None:
-        (line,) = self.lines(document_size=f"{SURE_DOCUMENT_SIZE + 1}B")
+        (line,) = self.lines(document_size=f"{GUARANTEED_DOCUMENT_BYTES + 1}B")
         self.assertEqual(line["event"], "SOURCE_BOUND_WIDER")
         self.assertEqual((line["accepted"], line["sure"]), (1048577, 1048576))
 
--- a/tests/platform/test_largest_configuration.py
+++ b/tests/platform/test_largest_configuration.py
@@ -4,9 +4,9 @@
 import unittest
 from typing import Any
 
-from pewtertack.core.configuration.memory import CheckedTables
+from pewtertack.core.configuration.memory import ValidationCache
 from pewtertack.core.configuration.resolution import resolve_document
-from pewtertack.core.configuration.structure import SURE_DOCUMENT_SIZE
+from pewtertack.core.configuration.structure import GUARANTEED_DOCUMENT_BYTES
 from pewtertack.core.configuration.validation import check_document
 from pewtertack.core.revision import Document, revision_id_of
 from pewtertack.platform.documents import tree_of
@@ -16,7 +16,7 @@
 from pewtertack.wire.packing import pack, unpack
 from tests.platform.test_documents import CONFIGURATION, ROUTE
 
-VALUE_BYTES = SURE_DOCUMENT_SIZE
+VALUE_BYTES = GUARANTEED_DOCUMENT_BYTES
 """The longest value that the store accepts."""
 KEY = b"k" * 32
 FEWEST_FIELDS = ("Name", "Host", "PathPrefix", "Kind", "Timeout", "Service")
@@ -58,7 +58,7 @@
     def test_no_node_refuses_what_grows_to_it_by_edits(self) -> None:
         for tree in self.trees():
             names = list(tree["routes"])
-            checked = CheckedTables()
+            checked = ValidationCache()
             for count in (len(names) // 2, len(names) - 1, len(names)):
                 routes = {name: tree["routes"][name] for name in names[:count]}
                 self.assertEqual(check_document({**tree, "routes": routes}, checked), ())
--- a/tools/measure_change.py
+++ b/tools/measure_change.py
@@ -19,7 +19,7 @@
 
 from pewtertack.core import delta
 from pewtertack.core.configuration import resolution, validation
-from pewtertack.core.configuration.memory import CheckedTables
+from pewtertack.core.configuration.memory import ValidationCache
 from pewtertack.core.effects import BringIntoForce, ContinueWork
 from pewtertack.core.eras import tree_number
 from pewtertack.core.identity import NodeIdentity
@@ -282,14 +282,14 @@
         (store, "compare"),
         (store, "apply_edits"),
         (delta, "apply_edits"),
-        (validation, "_is_free_of_rivals"),
-        (CheckedTables, "size_after"),
-        (CheckedTables, "remember_edit"),
+        (validation, "_has_no_conflicts"),
+        (ValidationCache, "size_after_edit"),
+        (ValidationCache, "store_edit"),
         (DocumentStore, "put"),
         (resolution, "ResolvedConfiguration"),
         (sys.modules["pewtertack.node.proxy.application"], "RouteTable"),
         (Dispatcher, "keep_only"),
-        (CheckedTables, "remember"),
+        (ValidationCache, "store"),
     ):
         count_apart(owner, name)
     collector.resume()
