--- a/tests/node/gateway/test_cold_and_evacuated.py
+++ b/tests/node/gateway/test_cold_and_evacuated.py
@@ -1,4 +1,4 @@
-"""A cold back end and an evacuated zone, over real sockets: proxy, gateways, back ends."""
+"""Cold back ends and evacuated zones, with proxy, gateways and back ends on loopback sockets."""
 
 import asyncio
 import time
@@ -20,42 +20,42 @@
 COLD_RATE = 4.0
 SLOTS = 2
 GRANTED = 6
-"""4.0 a second and half as many more."""
+"""Requests a second: ``COLD_RATE`` times the overage of 1.5."""
 ALLOWED = GRANTED + SLOTS
-"""The slack holds what has a slot and reaches the back end later."""
+"""The slack covers requests that have a slot and reach the back end later."""
 
 
-class ToldBackend:
-    """A back end that notes its requests; its health answers tell what the test says."""
+class ColdBackend:
+    """A back end that records its requests and reports a given cold time in health responses."""
 
     def __init__(self, cold_milliseconds: str) -> None:
         self.cold_milliseconds = cold_milliseconds
-        self.questions = 0
+        self.query_count = 0
         self.requests: list[float] = []
-        self.hold = asyncio.Event()
-        self.hold.set()
+        self.resume = asyncio.Event()
+        self.resume.set()
 
     async def answer(self, _reader: Any, writer: Any, head: str) -> bool:
         if head.startswith("get /health "):
-            self.questions += 1
-            told = f"x-cold-for: {self.cold_milliseconds}\r\n"
-            writer.write(f"HTTP/1.1 200 OK\r\n{told}content-length: 0\r\n\r\n".encode())
+            self.query_count += 1
+            cold_header = f"x-cold-for: {self.cold_milliseconds}\r\n"
+            writer.write(f"HTTP/1.1 200 OK\r\n{cold_header}content-length: 0\r\n\r\n".encode())
             return True
         self.requests.append(time.monotonic())
-        await self.hold.wait()
+        await self.resume.wait()
         writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok")
         return True
 
-    def most_in_a_second(self) -> int:
+    def max_requests_per_second(self) -> int:
         times = self.requests
         return max((sum(0 <= at - begin < 1.0 for at in times) for begin in times), default=0)
 
 
 class TwoZonesTest(ProxyTestCase):
-    """Two zones, a back end with its node in each, and a proxy in the first."""
+    """Two zones with a back end and its gateway in each, and a proxy in the first zone."""
 
     async def asyncSetUp(self) -> None:
-        self.backends: list[ToldBackend] = []
+        self.backends: list[ColdBackend] = []
         self.gateways: list[GatewayApplication] = []
         self.machines: list[Machine] = []
         self.tasks: list[asyncio.Task[None]] = []
@@ -65,12 +65,12 @@
         )
         self.proxy = ProxyApplication(time.monotonic, Random(7), edge=EDGE)
 
-    async def start_zone(self, zone: str, cold_milliseconds: str = "0") -> ToldBackend:
-        told = ToldBackend(cold_milliseconds)
-        address = await RawBackend(told.answer).start(self)
+    async def start_zone(self, zone: str, cold_milliseconds: str = "0") -> ColdBackend:
+        backend = ColdBackend(cold_milliseconds)
+        address = await RawBackend(backend.answer).start(self)
         place = GatewaySettings(address, "logbook", zone, cold_overage=1.5, cold_slack=SLOTS)
         gateway = GatewayApplication(time.monotonic, place, EDGE)
-        self.backends.append(told)
+        self.backends.append(backend)
         self.gateways.append(gateway)
         name = f"{zone}-1"
         served = await self.serve(gateway)
@@ -80,29 +80,29 @@
             )
         )
         watch = asyncio.create_task(gateway.run())
-        self.addAsyncCleanup(self.end, watch)
-        return told
+        self.addAsyncCleanup(self.cancel_task, watch)
+        return backend
 
-    async def end(self, task: Any) -> None:
+    async def cancel_task(self, task: Any) -> None:
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
     async def begin(self) -> str:
-        self.use(self.settings)
+        self.apply_configuration(self.settings)
         listed = MachineList(1, tuple(self.machines))
         for user in (self.proxy, *self.gateways):
             user.use_machines(listed)
         self.proxy.set_serving(True)
         return await self.serve(self.proxy)
 
-    def use(self, settings: ResolvedConfiguration) -> None:
+    def apply_configuration(self, settings: ResolvedConfiguration) -> None:
         for user in (self.proxy, *self.gateways):
             user.use_configuration(settings)
 
     def evacuate(self, *zones: str) -> None:
-        self.use(msgspec.structs.replace(self.settings, evacuated=frozenset(zones)))
+        self.apply_configuration(msgspec.structs.replace(self.settings, evacuated=frozenset(zones)))
 
-    async def until(self, condition: Any) -> None:
+    async def wait_until(self, condition: Any) -> None:
         async with asyncio.timeout(3.0):
             while not condition():
                 await asyncio.sleep(0.01)
@@ -113,116 +113,120 @@
         answers = await asyncio.gather(*(raw_call(address, request_bytes()) for _ in range(count)))
         return [answer.status for answer in answers]
 
-    async def test_it_gets_no_more_than_it_bears_and_the_rest_is_refused_truly(self) -> None:
-        told = await self.start_zone("ikeja", cold_milliseconds="60000")
+    async def test_it_gets_only_the_allowed_rate_and_the_rest_is_refused_as_not_run(self) -> None:
+        backend = await self.start_zone("ikeja", cold_milliseconds="60000")
         address = await self.begin()
-        await self.calls(address, 2)  # how long it takes is known from now on
+        await self.calls(address, 2)  # its response time is known from now on
         await asyncio.sleep(1.1)
-        told.requests.clear()
+        backend.requests.clear()
         statuses = await self.calls(address, 40)
-        self.assertLessEqual(told.most_in_a_second(), ALLOWED)
-        self.assertEqual(statuses.count(200), len(told.requests))
+        self.assertLessEqual(backend.max_requests_per_second(), ALLOWED)
+        self.assertEqual(statuses.count(200), len(backend.requests))
         self.assertEqual(statuses.count(200) + statuses.count(503), 40)
         self.assertGreaterEqual(statuses.count(200), GRANTED)
 
-    async def test_one_that_says_it_is_warm_gets_all(self) -> None:
-        told = await self.start_zone("ikeja")
+    async def test_one_that_reports_it_is_warm_gets_all_requests(self) -> None:
+        backend = await self.start_zone("ikeja")
         address = await self.begin()
-        await self.until(lambda: not self.gateways[0].cold_starts()[0].is_cold(time.monotonic()))
-        await self.calls(address, 4)  # how long it takes is known from now on
+        await self.wait_until(
+            lambda: not self.gateways[0].cold_starts()[0].is_cold(time.monotonic())
+        )
+        await self.calls(address, 4)  # its response time is known from now on
         self.assertEqual(await self.calls(address, 20), [200] * 20)
-        self.assertGreater(told.most_in_a_second(), ALLOWED)
+        self.assertGreater(backend.max_requests_per_second(), ALLOWED)
 
-    async def test_turning_cold_later_is_noticed_by_asking_it(self) -> None:
-        told = await self.start_zone("ikeja")
+    async def test_turning_cold_later_is_noticed_by_a_query(self) -> None:
+        backend = await self.start_zone("ikeja")
         address = await self.begin()
-        await self.until(lambda: told.questions == 1)
+        await self.wait_until(lambda: backend.query_count == 1)
         await self.calls(address, 10)
-        told.cold_milliseconds = "60000"
-        asked = told.questions
-        await self.until(lambda: told.questions > asked)
-        await asyncio.sleep(1.1)  # what it got while it was warm is a second ago
-        told.requests.clear()
+        backend.cold_milliseconds = "60000"
+        asked = backend.query_count
+        await self.wait_until(lambda: backend.query_count > asked)
+        await asyncio.sleep(1.1)  # the requests it got while warm are a second old
+        backend.requests.clear()
         await self.calls(address, 40)
-        self.assertLessEqual(told.most_in_a_second(), ALLOWED)
+        self.assertLessEqual(backend.max_requests_per_second(), ALLOWED)
 
-    async def test_without_its_own_word_a_start_is_cold_for_as_long_as_its_service_says(
+    async def test_without_a_report_a_started_back_end_is_cold_for_the_configured_time(
         self,
     ) -> None:
-        told = await self.start_zone("ikeja", cold_milliseconds="soon")
+        backend = await self.start_zone("ikeja", cold_milliseconds="soon")
         address = await self.begin()
         await self.calls(address, 30)
-        self.assertLessEqual(told.most_in_a_second(), ALLOWED)
+        self.assertLessEqual(backend.max_requests_per_second(), ALLOWED)
         await asyncio.sleep(1.5)
         self.assertEqual(await self.calls(address, 20), [200] * 20)
 
 
 class EvacuatedZoneTest(TwoZonesTest):
-    async def test_requests_go_to_the_other_zone_until_it_is_taken_back(self) -> None:
-        near, far = await self.start_zone("ikeja"), await self.start_zone("yaba")
+    async def test_requests_go_to_the_other_zone_until_the_evacuation_ends(self) -> None:
+        near_backend, far_backend = await self.start_zone("ikeja"), await self.start_zone("yaba")
         address = await self.begin()
-        await self.until(lambda: near.questions and far.questions)
+        await self.wait_until(lambda: near_backend.query_count and far_backend.query_count)
         self.assertEqual((await raw_call(address, request_bytes())).status, 200)
-        self.assertEqual((len(near.requests), len(far.requests)), (1, 0))
+        self.assertEqual((len(near_backend.requests), len(far_backend.requests)), (1, 0))
         self.evacuate("ikeja")
         for _ in range(4):
             self.assertEqual((await raw_call(address, request_bytes())).status, 200)
-        self.assertEqual((len(near.requests), len(far.requests)), (1, 4))
+        self.assertEqual((len(near_backend.requests), len(far_backend.requests)), (1, 4))
         self.evacuate()
         for _ in range(6):
             self.assertEqual((await raw_call(address, request_bytes())).status, 200)
-        self.assertGreater(len(near.requests), 1)
+        self.assertGreater(len(near_backend.requests), 1)
 
-    async def test_a_gateway_there_refuses_whom_the_news_has_not_reached(self) -> None:
-        near, far = await self.start_zone("ikeja"), await self.start_zone("yaba")
+    async def test_a_gateway_in_the_zone_refuses_senders_with_an_older_configuration(self) -> None:
+        near_backend, far_backend = await self.start_zone("ikeja"), await self.start_zone("yaba")
         address = await self.begin()
         self.gateways[0].use_configuration(
             msgspec.structs.replace(self.settings, evacuated=frozenset({"ikeja"}))
         )
         for _ in range(4):
             self.assertEqual((await raw_call(address, request_bytes())).status, 200)
-        self.assertEqual((len(near.requests), len(far.requests)), (0, 4))
+        self.assertEqual((len(near_backend.requests), len(far_backend.requests)), (0, 4))
         self.assertFalse(await takes_requests(self.machines[0].gateway))
 
-    async def test_what_waits_there_is_moved_and_what_runs_is_answered(self) -> None:
-        near, far = await self.start_zone("ikeja"), await self.start_zone("yaba")
+    async def test_waiting_requests_are_moved_and_running_ones_are_answered(self) -> None:
+        near_backend, far_backend = await self.start_zone("ikeja"), await self.start_zone("yaba")
         address = await self.begin()
-        await self.until(lambda: near.questions and far.questions)
+        await self.wait_until(lambda: near_backend.query_count and far_backend.query_count)
         self.proxy.use_machines(MachineList(2, tuple(self.machines[:1])))
-        near.hold.clear()
+        near_backend.resume.clear()
         calls = [asyncio.create_task(raw_call(address, request_bytes())) for _ in range(SLOTS)]
-        await self.until(lambda: len(near.requests) == SLOTS)
+        await self.wait_until(lambda: len(near_backend.requests) == SLOTS)
         waits = asyncio.create_task(raw_call(address, request_bytes()))
-        await self.until(lambda: self.gateways[0].in_flight == SLOTS + 1)
+        await self.wait_until(lambda: self.gateways[0].in_flight == SLOTS + 1)
         self.proxy.use_machines(MachineList(3, tuple(self.machines)))
         self.evacuate("ikeja")
         async with asyncio.timeout(1.0):
             self.assertEqual((await waits).status, 200)
-        self.assertEqual((len(near.requests), len(far.requests)), (SLOTS, 1))
-        near.hold.set()
+        self.assertEqual((len(near_backend.requests), len(far_backend.requests)), (SLOTS, 1))
+        near_backend.resume.set()
         self.assertEqual([(await call).status for call in calls], [200] * SLOTS)
 
-    async def test_with_every_zone_evacuated_nothing_is_sent_and_callers_hear_so_at_once(
+    async def test_with_every_zone_evacuated_callers_are_refused_at_once(
         self,
     ) -> None:
-        near = await self.start_zone("ikeja")
+        near_backend = await self.start_zone("ikeja")
         address = await self.begin()
         self.evacuate("ikeja")
-        began = time.monotonic()
+        started_at = time.monotonic()
         answer = await raw_call(address, request_bytes())
-        self.assertLess(time.monotonic() - began, 0.5)
+        self.assertLess(time.monotonic() - started_at, 0.5)
         self.assertEqual((answer.status, answer.headers["x-outcome"]), (503, "not-run"))
         self.assertIn("retry-after", answer.headers)
-        self.assertEqual(near.requests, [])
+        self.assertEqual(near_backend.requests, [])
 
-    async def test_taken_back_it_is_cold_until_it_says_otherwise(self) -> None:
-        near = await self.start_zone("ikeja")
+    async def test_after_the_evacuation_a_back_end_is_cold_until_it_reports_otherwise(self) -> None:
+        near_backend = await self.start_zone("ikeja")
         await self.begin()
-        await self.until(lambda: near.questions == 1)
-        near.cold_milliseconds = "60000"
+        await self.wait_until(lambda: near_backend.query_count == 1)
+        near_backend.cold_milliseconds = "60000"
         self.evacuate("ikeja")
         self.evacuate()
         cold = self.gateways[0].cold_starts()[0]
         self.assertTrue(cold.is_cold(time.monotonic()))
-        await self.until(lambda: near.questions == 2)
-        await self.until(lambda: cold.is_cold(time.monotonic() + 50.0))  # its answer is read
+        await self.wait_until(lambda: near_backend.query_count == 2)
+        await self.wait_until(
+            lambda: cold.is_cold(time.monotonic() + 50.0)
+        )  # its health response has been read
--- a/tests/node/gateway/test_gateway.py
+++ b/tests/node/gateway/test_gateway.py
@@ -1,4 +1,4 @@
-"""Two nodes in one event loop: a proxy, gateways, and the back ends beside them."""
+"""A proxy, gateways and their back ends, in one event loop."""
 
 import asyncio
 import time
@@ -41,32 +41,32 @@
     return head.split(f"\r\n{name}: ")[1].split("\r\n")[0]
 
 
-async def answer_well(reader: Any, writer: Any, head: str) -> bool:
+async def answer_normally(reader: Any, writer: Any, head: str) -> bool:
     writer.write(answer_bytes(b"ok", b"x-call: " + header(head, "x-call").encode()))
     return True
 
 
-def gateway_beside(address: str, **rest: Any) -> GatewayApplication:
-    """Return a gateway that knows its service, as a node does that serves."""
-    place = rest.pop("place", None) or GatewaySettings(address, "logbook", "ikeja")
-    gateway = GatewayApplication(time.monotonic, place, EDGE, **rest)
+def make_gateway(address: str, **arguments: Any) -> GatewayApplication:
+    """Return a gateway with a configuration, as a serving node has one."""
+    settings = arguments.pop("settings", None) or GatewaySettings(address, "logbook", "ikeja")
+    gateway = GatewayApplication(time.monotonic, settings, EDGE, **arguments)
     gateway.use_configuration(configuration())
     return gateway
 
 
 class GatewayTestCase(ProxyTestCase):
-    parts: ClassVar[dict[str, Any]] = {}
-    """Further arguments of all gateways and the proxy."""
+    extra_arguments: ClassVar[dict[str, Any]] = {}
+    """Additional constructor arguments of all gateways and of the proxy."""
 
     async def start_fleet(self, *backends: Any, slots: int = 2, **changes: Any) -> str:
-        """Run a gateway beside each back end and one proxy; return the proxy's address."""
+        """Run a gateway for each back end and one proxy; return the proxy's address."""
         self.gateways: list[GatewayApplication] = []
         self.heads: list[str] = []
         self.machines: list[Machine] = []
         for index, script in enumerate(backends):
             await self.add_backend(f"b{index}", script, slots)
         self.proxy = ProxyApplication(
-            time.monotonic, Random(7), edge=EDGE, caller_service="desk", **self.parts
+            time.monotonic, Random(7), edge=EDGE, caller_service="desk", **self.extra_arguments
         )
         self.proxy.use_configuration(configuration(route(**changes)))
         self.proxy.set_serving(True)
@@ -81,7 +81,7 @@
             return bool(await script(reader, writer, head))
 
         address = await RawBackend(recorded).start(self)
-        gateway = gateway_beside(address, **self.parts)
+        gateway = make_gateway(address, **self.extra_arguments)
         self.gateways.append(gateway)
         self.machines.append(
             Machine(
@@ -105,8 +105,8 @@
 
 
 class WholePathTest(GatewayTestCase):
-    async def test_a_request_passes_two_nodes_and_arrives_as_it_was_sent(self) -> None:
-        address = await self.start_fleet(answer_well)
+    async def test_a_request_passes_two_nodes_unchanged(self) -> None:
+        address = await self.start_fleet(answer_normally)
         answer = await raw_call(address, POST)
         self.assertEqual((answer.status, answer.body), (200, b"ok"))
         self.assertEqual(answer.headers["x-call"], "call-1")
@@ -114,30 +114,30 @@
         self.assertEqual([header(head, name) for name in ("x-wanted", "x-from")], ["b0", "desk"])
         self.assertLessEqual(int(header(head, "x-left")), 4000)
 
-    async def test_no_header_between_nodes_reaches_caller_or_back_end(self) -> None:
-        address = await self.start_fleet(answer_well)
+    async def test_hop_headers_reach_neither_caller_nor_back_end(self) -> None:
+        address = await self.start_fleet(answer_normally)
         answer = await raw_call(address, POST)
         self.assertNotIn("pewtertack", self.heads[0])
         self.assertNotIn("x-request-id", self.heads[0])
         self.assertEqual([name for name in answer.headers if "pewtertack" in name], [])
         self.assertNotIn("x-backend-load", answer.headers)
 
-    async def test_what_a_caller_claims_to_be_is_dropped(self) -> None:
+    async def test_identity_headers_of_a_caller_are_dropped(self) -> None:
         forged = ("x-call: call-1", "x-from: vault", "x-wanted: b9", "x-pewtertack-backend: b9")
-        address = await self.start_fleet(answer_well)
+        address = await self.start_fleet(answer_normally)
         await raw_call(address, request_bytes(headers=forged))
         self.assertEqual(self.heads[0].count("x-from"), 1)
         self.assertEqual(
             [header(self.heads[0], name) for name in ("x-wanted", "x-from")], ["b0", "desk"]
         )
 
-    async def test_a_call_at_a_gateway_that_no_node_made_is_refused(self) -> None:
-        await self.start_fleet(answer_well)
+    async def test_a_gateway_refuses_requests_that_are_not_from_a_node(self) -> None:
+        await self.start_fleet(answer_normally)
         answer = await raw_call(self.machines[0].gateway, POST)
         self.assert_refused(answer, 400, "not-run")
         self.assertEqual(self.heads, [])
 
-    async def test_an_answer_without_length_is_whole_when_its_connection_ends(self) -> None:
+    async def test_a_response_without_length_is_complete_when_its_connection_ends(self) -> None:
         async def unframed(reader: Any, writer: Any, head: str) -> bool:
             writer.write(b"HTTP/1.1 200 OK\r\nx-call: call-1\r\n\r\nall of it")
             return False
@@ -150,21 +150,21 @@
 
 
 class RefusalTest(GatewayTestCase):
-    async def test_another_back_end_at_the_address_is_not_run_and_another_gateway_asked(
+    async def test_another_back_end_at_the_address_is_not_run_and_another_gateway_tried(
         self,
     ) -> None:
         async def replaced(reader: Any, writer: Any, head: str) -> bool:
             writer.write(answer_bytes(b"", status=b"421 Misdirected Request"))
             return True
 
-        address = await self.start_fleet(replaced, answer_well)
+        address = await self.start_fleet(replaced, answer_normally)
         for _ in range(6):
             answer = await raw_call(address, POST)
             self.assertEqual(answer.status, 200)
         arrivals = [header(head, "x-wanted") for head in self.heads]
         self.assertLessEqual(arrivals.count("b0"), 1)
 
-    async def test_a_back_end_that_says_it_did_not_run_the_request_is_believed(self) -> None:
+    async def test_a_not_run_header_of_the_back_end_is_relayed(self) -> None:
         async def skip(reader: Any, writer: Any, head: str) -> bool:
             writer.write(answer_bytes(b"", b"x-skipped: 1", status=b"503 Service Unavailable"))
             return True
@@ -174,25 +174,27 @@
         self.assert_refused(answer, 503, "not-run")
         self.assertIn(".", answer.headers["retry-after"])
 
-    async def test_who_was_shed_by_a_back_end_with_free_slots_is_told_to_come_back_soon(
+    async def test_the_retry_after_of_a_request_shed_despite_free_slots(
         self,
     ) -> None:
-        told: dict[bytes, str] = {}
-        for said in (b"", b"retry-after: 2"):
+        received: dict[bytes, str] = {}
+        for retry_line in (b"", b"retry-after: 2"):
 
-            async def skip(reader: Any, writer: Any, head: str, said: bytes = said) -> bool:
-                lines = [b"x-skipped: 1", *([said] if said else [])]
+            async def skip(
+                reader: Any, writer: Any, head: str, retry_line: bytes = retry_line
+            ) -> bool:
+                lines = [b"x-skipped: 1", *([retry_line] if retry_line else [])]
                 writer.write(answer_bytes(b"", *lines, status=b"503 Service Unavailable"))
                 return True
 
             address = await self.start_fleet(skip, retry_limit=0, target_latency=0.8)
-            told[said] = (await raw_call(address, POST)).headers["retry-after"]
-        self.assertEqual(list(told.values()), ["0.100", "2.000"])
+            received[retry_line] = (await raw_call(address, POST)).headers["retry-after"]
+        self.assertEqual(list(received.values()), ["0.100", "2.000"])
 
     async def test_a_leaving_back_end_is_refused_by_its_gateway_before_the_proxy_knows(
         self,
     ) -> None:
-        address = await self.start_fleet(answer_well)
+        address = await self.start_fleet(answer_normally)
         entry = self.machines[0]
         leaving = Machine(
             entry.name, entry.role, entry.zone, entry.address, "logbook", MachineState.LEAVING
@@ -202,8 +204,8 @@
         self.assert_refused(answer, 503, "not-run")
         self.assertEqual(self.heads, [])
 
-    async def test_a_back_end_once_leaving_stays_so_whatever_a_late_list_says(self) -> None:
-        address = await self.start_fleet(answer_well)
+    async def test_a_leaving_back_end_stays_leaving_despite_a_late_list(self) -> None:
+        address = await self.start_fleet(answer_normally)
         listed = self.machines[0]
         leaving = Machine(
             listed.name, listed.role, listed.zone, listed.address, "logbook", MachineState.LEAVING
@@ -212,31 +214,31 @@
         self.gateways[0].use_machines(MachineList(3, (listed,)))
         self.assert_refused(await raw_call(address, POST), 503, "not-run")
 
-    async def test_a_stopping_gateway_refuses_and_the_next_answers(self) -> None:
-        address = await self.start_fleet(answer_well, answer_well)
+    async def test_a_draining_gateway_refuses_and_the_next_answers(self) -> None:
+        address = await self.start_fleet(answer_normally, answer_normally)
         self.gateways[0].start_draining()
         for _ in range(4):
             self.assertEqual((await raw_call(address, POST)).status, 200)
         self.assertEqual({header(head, "x-wanted") for head in self.heads}, {"b1"})
 
-    async def test_an_upload_that_a_gateway_refused_goes_whole_to_the_next(self) -> None:
-        address = await self.start_fleet(answer_well, answer_well)
+    async def test_an_upload_refused_by_a_gateway_is_sent_whole_to_the_next(self) -> None:
+        address = await self.start_fleet(answer_normally, answer_normally)
         self.gateways[0].start_draining()
         raw = request_bytes("POST", "/", b"x" * 300_000, ("x-call: call-1", "x-left: 4000"))
         for _ in range(4):
             self.assertEqual((await raw_call(address, raw)).status, 200)
 
-    async def test_a_gateway_that_will_stop_takes_what_ends_before_it_and_no_more(self) -> None:
-        address = await self.start_fleet(answer_well, answer_well, target_latency=1.0)
+    async def test_a_gateway_that_shuts_down_admits_only_requests_that_end_in_time(self) -> None:
+        address = await self.start_fleet(answer_normally, answer_normally, target_latency=1.0)
         self.gateways[0].start_leaving(60.0)
         self.gateways[1].start_leaving(1.0)
         for _ in range(4):
             self.assertEqual((await raw_call(address, POST)).status, 200)
         self.assertEqual({header(head, "x-wanted") for head in self.heads}, {"b0"})
 
-    async def test_a_dead_back_end_is_not_run_and_the_next_answers(self) -> None:
-        address = await self.start_fleet(answer_well)
-        dead = gateway_beside("127.0.0.1:1")
+    async def test_an_unreachable_back_end_is_not_run_and_the_next_answers(self) -> None:
+        address = await self.start_fleet(answer_normally)
+        dead = make_gateway("127.0.0.1:1")
         self.machines.insert(
             0,
             Machine(
@@ -254,28 +256,32 @@
 
 
 class UnknownOutcomeTest(GatewayTestCase):
-    async def test_a_broken_exchange_is_not_repeated_where_it_may_have_run(self) -> None:
-        async def hang_up(reader: Any, writer: Any, head: str) -> bool:
+    async def test_a_broken_exchange_that_may_have_run_is_not_retried(self) -> None:
+        async def close_without_response(reader: Any, writer: Any, head: str) -> bool:
             return False
 
-        address = await self.start_fleet(hang_up, hang_up, repeatable=False)
+        address = await self.start_fleet(
+            close_without_response, close_without_response, repeatable=False
+        )
         self.assert_refused(await raw_call(address, POST), 502, "unknown")
         self.assertEqual(len(self.heads), 1)
 
-    async def test_an_answer_with_another_id_or_none_is_not_passed_on(self) -> None:
+    async def test_a_response_with_another_id_or_none_is_not_relayed(self) -> None:
         for line in (b"x-call: call-9", b"x-other: 1"):
 
-            async def cross(reader: Any, writer: Any, head: str, line: bytes = line) -> bool:
+            async def answer_another_request(
+                reader: Any, writer: Any, head: str, line: bytes = line
+            ) -> bool:
                 writer.write(answer_bytes(b"not yours", line))
                 return True
 
             with self.subTest(line):
-                address = await self.start_fleet(cross)
+                address = await self.start_fleet(answer_another_request)
                 answer = await raw_call(address, POST)
                 self.assert_refused(answer, 502, "unknown")
                 self.assertNotIn(b"not yours", answer.body)
 
-    async def test_surplus_bytes_after_an_answer_belong_to_no_request(self) -> None:
+    async def test_surplus_bytes_after_a_response_belong_to_no_request(self) -> None:
         async def surplus(reader: Any, writer: Any, head: str) -> bool:
             call = header(head, "x-call").encode()
             writer.write(answer_bytes(b"ok", b"x-call: " + call))
@@ -290,27 +296,27 @@
 
 
 class LogTest(GatewayTestCase):
-    async def test_a_refusal_by_a_node_that_stops_names_its_request(self) -> None:
-        told: list[dict[str, Any]] = []
+    async def test_a_refusal_by_a_draining_node_logs_its_request(self) -> None:
+        received: list[dict[str, Any]] = []
         proxy = ProxyApplication(
             time.monotonic,
             Random(7),
             edge=EDGE,
-            log=lambda event, **fields: told.append({"event": event.name, **fields}),
+            log=lambda event, **fields: received.append({"event": event.name, **fields}),
         )
         proxy.start_draining()
         await raw_call(await self.serve(proxy), POST)
-        refused = [line for line in told if line["event"] == "REQUEST_REFUSED"]
+        refused = [line for line in received if line["event"] == "REQUEST_REFUSED"]
         self.assertEqual(
             [(line["request"], line["type"]) for line in refused], [("call-1", "draining")]
         )
 
 
 class MetricsTest(GatewayTestCase):
-    async def test_waiting_and_working_refusals_and_zones_are_told_apart(self) -> None:
+    async def test_queueing_back_end_time_and_refusals_are_counted_separately(self) -> None:
         registry = MetricsRegistry()
-        address = await self.start_fleet(answer_well)
-        gateway = gateway_beside(self.machines[0].address, registry=registry)
+        address = await self.start_fleet(answer_normally)
+        gateway = make_gateway(self.machines[0].address, registry=registry)
         served = await self.serve(gateway)
         self.machines[0] = msgspec.structs.replace(self.machines[0], gateway=served)
         self.gateways[0] = gateway
@@ -325,7 +331,7 @@
 
 
 class CancellationTest(GatewayTestCase):
-    async def test_a_caller_that_goes_frees_the_back_end_over_both_nodes(self) -> None:
+    async def test_a_disconnect_of_the_caller_ends_the_execution_over_both_nodes(self) -> None:
         begun, ended = asyncio.Event(), asyncio.Event()
 
         async def stall(reader: Any, writer: Any, head: str) -> bool:
@@ -340,7 +346,7 @@
         writer.close()
         await asyncio.wait_for(ended.wait(), 5.0)
 
-    async def test_the_deadline_frees_the_slot_and_the_caller_is_told_at_once(self) -> None:
+    async def test_the_deadline_frees_the_slot_and_the_caller_is_answered_at_once(self) -> None:
         async def stall(reader: Any, writer: Any, head: str) -> bool:
             await reader.read(1)
             return False
--- a/tests/node/gateway/test_lapsed_entry.py
+++ b/tests/node/gateway/test_lapsed_entry.py
@@ -1,10 +1,10 @@
-"""A back end whose entry goes and comes back while requests wait for it at its gateway.
+"""A back end whose list entry lapses and returns while requests wait for it at its gateway.
 
-Nodes were cut from the store and their back ends ran on. Their entries lapsed; each gateway
-handed back what waited. The entries came back after some ten seconds, and callers were still
-refused for want of slots: of eight such back ends, the three where requests had waited when the
-entry went were refused as left for good, and all nodes sent them nothing any more. The refusal
-of the waiting requests had been taken for the back end's own word that it is gone.
+Guards against back ends that never get work again. Nodes were cut off from the store while their
+back ends kept running: the entries lapsed, and each gateway handed back its waiting requests. When
+the entries returned some ten seconds later, the three of eight back ends that had had waiting
+requests were treated as having left for good, because the refusals of those requests had been taken
+for a report by the back end itself.
 """
 
 import unittest
@@ -16,47 +16,52 @@
 from pewtertack.core.machines import MachineList, MachineState
 from pewtertack.node.gateway.incarnations import Incarnations
 from pewtertack.routing.outcomes import BackendGoneError, BackendLeftError
-from tests.node.gateway.test_gateway import POST, GatewayTestCase, answer_well, raw_call
-from tests.node.gateway.test_lives import BEFORE, LIVING, request, said
+from tests.node.gateway.test_gateway import POST, GatewayTestCase, answer_normally, raw_call
+from tests.node.gateway.test_incarnations import (
+    FIRST_START,
+    LIVE_MACHINE,
+    machine_list,
+    make_ticket,
+)
 
 
 class IncarnationsTest(unittest.TestCase):
-    def test_what_waits_is_not_told_that_the_back_end_is_gone_when_its_entry_goes(self) -> None:
-        subject = Incarnations(lambda: 0.0)
-        subject.apply_machine_list(said(BEFORE))
-        found = subject.get("b1")
-        waiting = [request() for _ in range(LIVING.slots + 1)]
-        for item in waiting:
-            found.admission.submit(item, 0.0)
-        subject.apply_machine_list({})
-        refusal = waiting[-1].refusal
+    def test_a_removed_entry_is_not_reported_to_waiting_requests_as_a_gone_back_end(self) -> None:
+        incarnations = Incarnations(lambda: 0.0)
+        incarnations.apply_machine_list(machine_list(FIRST_START))
+        incarnation = incarnations.get("b1")
+        tickets = [make_ticket() for _ in range(LIVE_MACHINE.slots + 1)]
+        for item in tickets:
+            incarnation.admission.submit(item, 0.0)
+        incarnations.apply_machine_list({})
+        refusal = tickets[-1].refusal
         self.assertIsNotNone(refusal)
         self.assertNotIsInstance(refusal, BackendGoneError)
-        subject.apply_machine_list(said(BEFORE))
-        self.assertTrue(found.takes_work)
-
-    def test_what_waits_is_told_that_it_left_when_it_is_said_to_leave(self) -> None:
-        subject = Incarnations(lambda: 0.0)
-        subject.apply_machine_list(said(BEFORE))
-        waiting = [request() for _ in range(LIVING.slots + 1)]
-        for item in waiting:
-            subject.get("b1").admission.submit(item, 0.0)
-        subject.apply_machine_list(said(BEFORE, state=MachineState.LEAVING))
-        self.assertIsInstance(waiting[-1].refusal, BackendLeftError)
-        subject.apply_machine_list({})
-        subject.apply_machine_list(said(BEFORE))
-        self.assertFalse(subject.get("b1").takes_work)
+        incarnations.apply_machine_list(machine_list(FIRST_START))
+        self.assertTrue(incarnation.takes_work)
+
+    def test_a_leaving_back_end_is_reported_to_waiting_requests_as_having_left(self) -> None:
+        incarnations = Incarnations(lambda: 0.0)
+        incarnations.apply_machine_list(machine_list(FIRST_START))
+        tickets = [make_ticket() for _ in range(LIVE_MACHINE.slots + 1)]
+        for item in tickets:
+            incarnations.get("b1").admission.submit(item, 0.0)
+        incarnations.apply_machine_list(machine_list(FIRST_START, state=MachineState.LEAVING))
+        self.assertIsInstance(tickets[-1].refusal, BackendLeftError)
+        incarnations.apply_machine_list({})
+        incarnations.apply_machine_list(machine_list(FIRST_START))
+        self.assertFalse(incarnations.get("b1").takes_work)
 
 
 class LapsedEntryTest(GatewayTestCase):
-    async def run_with_one_waiting(self, back: tuple[Any, ...]) -> tuple[list[Any], str]:
-        """Let one request run and one wait while the gateway's list changes; ``back`` follows."""
+    async def run_with_one_waiting(self, later_lists: tuple[Any, ...]) -> tuple[list[Any], str]:
+        """Have one request run and one wait while the gateway gets ``later_lists`` in turn."""
         released = anyio.Event()
 
         async def hold_the_first(reader: Any, writer: Any, head: str) -> bool:
             if len(self.heads) == 1:
                 await released.wait()
-            return await answer_well(reader, writer, head)
+            return await answer_normally(reader, writer, head)
 
         address = await self.start_fleet(hold_the_first, slots=1)
         answers: list[Any] = []
@@ -71,13 +76,13 @@
                     await anyio.sleep(0.01)
             tasks.start_soon(call)
             await anyio.sleep(0.1)
-            for number, machines in enumerate(back, 2):
+            for number, machines in enumerate(later_lists, 2):
                 self.gateways[0].use_machines(MachineList(number, machines))
             await anyio.sleep(0.1)
             released.set()
         return answers, address
 
-    async def test_it_gets_work_again_when_its_entry_comes_back(self) -> None:
+    async def test_the_back_end_gets_work_again_when_its_entry_returns(self) -> None:
         answers, address = await self.run_with_one_waiting(((),))
         self.assertEqual(sorted(item.status for item in answers), [200, 503])
         self.proxy.use_machines(MachineList(3, ()))
@@ -85,11 +90,11 @@
         self.use_machines(4)
         self.assertEqual((await raw_call(address, POST)).status, 200)
 
-    async def test_a_late_entry_of_one_that_left_brings_no_work_back(self) -> None:
-        """The list lies: it names one as live that it has named as leaving before."""
+    async def test_a_late_entry_of_a_back_end_that_left_brings_no_work(self) -> None:
+        """The list wrongly contains a back end as live that it has reported as leaving."""
         _, address = await self.run_with_one_waiting(())
-        left = msgspec.structs.replace(self.machines[0], state=MachineState.LEAVING)
-        for number, machines in enumerate(((left,), (), tuple(self.machines)), 5):
+        leaving = msgspec.structs.replace(self.machines[0], state=MachineState.LEAVING)
+        for number, machines in enumerate(((leaving,), (), tuple(self.machines)), 5):
             self.gateways[0].use_machines(MachineList(number, machines))
         self.proxy.use_machines(MachineList(8, tuple(self.machines)))
         self.assert_refused(await raw_call(address, POST), 503, "not-run")
--- a/tests/node/gateway/test_link_check.py
+++ b/tests/node/gateway/test_link_check.py
@@ -1,4 +1,4 @@
-"""Requests of long answers are refused for what others put on the link, for nothing else."""
+"""Requests with long responses are refused only for the bytes that others have queued."""
 
 import contextlib
 import unittest
@@ -10,87 +10,95 @@
 from pewtertack.routing.outcomes import DeadlineUnmeetableError
 from pewtertack.routing.places import AdmissionTicket
 
-MEGABITS = 10.0
-DOWNLOAD = 90_000
+LINK_MBPS = 10.0
+DOWNLOAD_BYTES = 90_000
 RANK = (1, 2)
 OBJECTIVE, DEADLINE = 0.4, 5.0
 
 
-def nobody() -> None:
+def wake_nobody() -> None:
     """Wake nobody."""
 
 
 class LinkCheckTest(unittest.TestCase):
     def setUp(self) -> None:
         self.now = 1000.0
-        self.share = LinkShare(MEGABITS)
+        self.share = LinkShare(LINK_MBPS)
         self.admission = Admission(4)
         self.pacer = LinkPacer(lambda: self.now, self.share)
 
     def submit(self, objective: float = OBJECTIVE, within: bool = False) -> AdmissionTicket:
-        """Submit a request as a gateway does."""
-        made = AdmissionTicket("export", RANK, self.now + objective, self.now + DEADLINE)
-        made.within = within
-        LinkCheck(self.pacer, self.admission, made).check(self.now)
-        self.admission.submit(made, self.now)
-        return made
+        """Check and submit a request as a gateway does."""
+        ticket = AdmissionTicket("export", RANK, self.now + objective, self.now + DEADLINE)
+        ticket.within = within
+        LinkCheck(self.pacer, self.admission, ticket).check(self.now)
+        self.admission.submit(ticket, self.now)
+        return ticket
 
     def serve(self, seconds: float) -> None:
-        made = self.submit()
+        ticket = self.submit()
         self.now += seconds
-        self.admission.finish(made, self.now, True)
-        self.share.note_answer("export", DOWNLOAD)
-        self.share.note_sent(DOWNLOAD, self.now)
+        self.admission.finish(ticket, self.now, True)
+        self.share.note_answer("export", DOWNLOAD_BYTES)
+        self.share.note_sent(DOWNLOAD_BYTES, self.now)
         self.now += 1.0
 
-    def test_a_slow_time_does_not_shut_a_route_for_good(self) -> None:
+    def test_slow_executions_do_not_block_a_route_forever(self) -> None:
         for seconds in (0.05, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 0.05):
             self.serve(seconds)
 
-    def test_on_an_idle_link_nothing_is_refused_for_its_objective(self) -> None:
+    def test_no_request_is_refused_for_its_objective_on_an_idle_link(self) -> None:
         self.serve(0.05)
         for objective in (0.08, -0.1):
             self.assertTrue(self.submit(objective).granted)
 
-    def test_what_is_too_long_for_its_deadline_is_refused_but_for_a_probe_a_second(self) -> None:
+    def test_a_response_too_long_for_its_deadline_is_refused_except_one_probe_a_second(
+        self,
+    ) -> None:
         self.share.note_answer("export", 50_000_000)
-        passed = 0
+        granted_count = 0
         for _ in range(100):
             with contextlib.suppress(DeadlineUnmeetableError):
-                passed += self.submit().granted
+                granted_count += self.submit().granted
             self.now += 0.05
-        self.assertIn(passed, (3, 4))
+        self.assertIn(granted_count, (3, 4))
 
-    def test_what_may_be_broken_off_at_its_deadline_is_refused(self) -> None:
-        """An answer that had run was cut at its caller's deadline, close behind its objective.
+    def test_a_response_that_may_be_cut_at_its_deadline_is_refused(self) -> None:
+        """Guards against a response that is cut at its caller's deadline after it has run.
 
-        What stood before it took somewhat longer than reckoned.
+        The bytes queued before it took somewhat longer to send than predicted, and the deadline
+        was shortly after the objective.
         """
         self.serve(0.05)
-        own = self.share.own_time("export")
+        transfer = self.share.own_time("export")
         while self.share.time_ahead(RANK, self.now) < 1.0:
-            self.share.enter(RANK, DOWNLOAD, self.now + 60.0, nobody)
-        ahead = self.share.time_ahead(RANK, self.now)
-        run = self.admission.expected_time("export")
-        for deadline, taken in ((run + own + ahead * 1.1, False), (run + own + ahead * 2, True)):
-            made = AdmissionTicket("export", RANK, self.now + 60.0, self.now + deadline)
+            self.share.enter(RANK, DOWNLOAD_BYTES, self.now + 60.0, wake_nobody)
+        queued = self.share.time_ahead(RANK, self.now)
+        run_seconds = self.admission.expected_time("export")
+        for deadline, accepted in (
+            (run_seconds + transfer + queued * 1.1, False),
+            (run_seconds + transfer + queued * 2, True),
+        ):
+            ticket = AdmissionTicket("export", RANK, self.now + 60.0, self.now + deadline)
             with self.subTest(deadline=deadline):
-                check = LinkCheck(self.pacer, self.admission, made)
+                check = LinkCheck(self.pacer, self.admission, ticket)
                 with (
                     contextlib.nullcontext()
-                    if taken
+                    if accepted
                     else self.assertRaises(DeadlineUnmeetableError)
                 ):
                     check.check(self.now)
 
-    def test_what_others_make_late_is_refused_and_calls_within_by_their_deadline(self) -> None:
+    def test_a_response_delayed_by_others_is_refused_and_a_nested_call_only_for_its_deadline(
+        self,
+    ) -> None:
         self.serve(0.05)
         for _ in range(10):
-            self.share.enter(RANK, DOWNLOAD, self.now + 1.0, nobody)
+            self.share.enter(RANK, DOWNLOAD_BYTES, self.now + 1.0, wake_nobody)
         with self.assertRaises(DeadlineUnmeetableError):
             self.submit()
         self.assertTrue(self.submit(within=True).granted)
         for _ in range(60):
-            self.share.enter(RANK, DOWNLOAD, self.now + 1.0, nobody)
+            self.share.enter(RANK, DOWNLOAD_BYTES, self.now + 1.0, wake_nobody)
         with self.assertRaises(DeadlineUnmeetableError):
             self.submit(within=True)
--- a/tests/node/gateway/test_link_words.py
+++ b/tests/node/gateway/test_link_reports.py
@@ -1,4 +1,4 @@
-"""Gateways that pace long answers tell senders how long the line of their link is."""
+"""Gateways that pace long responses report the length of their link queue to senders."""
 
 import asyncio
 import unittest
@@ -13,12 +13,12 @@
 from tests.node.proxy.harness import answer_bytes, raw_call, request_bytes
 
 GET = request_bytes(headers=("x-call: call-1",))
-LENGTH = 60_000
+RESPONSE_BYTES = 60_000
 LINK_MBPS = 10.0
 
 
-class Answers:
-    """A back end whose answers have any length."""
+class LargeResponses:
+    """A back end whose responses have a given length."""
 
     def __init__(self, length: int) -> None:
         self.length = length
@@ -29,21 +29,23 @@
         return True
 
 
-class LinkWordsTest(GatewayTestCase):
-    parts: ClassVar[dict[str, Any]] = {"policies": Policies(long_bodies=LongBodyPolicy.IN_TURNS)}
+class LinkReportsTest(GatewayTestCase):
+    extra_arguments: ClassVar[dict[str, Any]] = {
+        "policies": Policies(long_bodies=LongBodyPolicy.IN_TURNS)
+    }
 
     async def start_one(self, length: int, megabits: float) -> str:
-        """Run one gateway on a link of its own and a proxy; return the proxy's address."""
+        """Run one gateway with a link of ``megabits`` and a proxy; return the proxy's address."""
 
-        def place(address: str, service: str, zone: str) -> GatewaySettings:
+        def make_settings(address: str, service: str, zone: str) -> GatewaySettings:
             return GatewaySettings(address, service, zone, link_mbps=megabits)
 
-        with mock.patch("tests.node.gateway.test_gateway.GatewaySettings", place):
-            return await self.start_fleet(Answers(length))
+        with mock.patch("tests.node.gateway.test_gateway.GatewaySettings", make_settings):
+            return await self.start_fleet(LargeResponses(length))
 
     @property
     def backend(self) -> Backend:
-        """What the proxy knows of the one back end."""
+        """The proxy's state of the only back end."""
         return self.proxy._context.dispatcher.service("logbook").backends[0]
 
     @property
@@ -52,19 +54,19 @@
         assert pacer is not None
         return pacer
 
-    async def test_a_sender_learns_of_the_line_and_of_the_route_s_own_time(self) -> None:
-        address = await self.start_one(LENGTH, LINK_MBPS)
+    async def test_a_sender_learns_the_queue_length_and_the_route_s_transfer_time(self) -> None:
+        address = await self.start_one(RESPONSE_BYTES, LINK_MBPS)
         await raw_call(address, GET)
         self.assertEqual(self.proxy._context.dispatcher.service("logbook")._long_routes, {})
         answers = await asyncio.gather(*(raw_call(address, GET) for _ in range(3)))
-        self.assertEqual([len(item.body) for item in answers], [LENGTH] * 3)
+        self.assertEqual([len(item.body) for item in answers], [RESPONSE_BYTES] * 3)
         self.assertEqual([item for item in answers[0].headers if "pewtertack" in item], [])
         (long_route,) = self.proxy._context.dispatcher.service("logbook")._long_routes.values()
-        own = LENGTH / self.pacer.share.bytes_per_second
-        self.assertAlmostEqual(long_route.own, own, places=2)
+        transfer = RESPONSE_BYTES / self.pacer.share.bytes_per_second
+        self.assertAlmostEqual(long_route.own, transfer, places=2)
         self.assertGreater(self.backend.link_free_at, 0.0)
 
-    async def test_a_refusal_tells_of_the_line_too(self) -> None:
+    async def test_a_refusal_reports_the_queue_too(self) -> None:
         address = await self.start_one(100, LINK_MBPS)
         self.pacer.note_sent(2_000_000)
         self.gateways[0].start_leaving(0.0)
@@ -72,8 +74,8 @@
         self.assertEqual(answer.status, 503)
         self.assertGreater(self.backend.link_wait(self.pacer.now()), 1.0)
 
-    async def test_nothing_is_told_where_nothing_is_paced_or_nothing_is_long(self) -> None:
-        for length, megabits in ((LENGTH, 0.0), (100, LINK_MBPS)):
+    async def test_nothing_is_reported_without_pacing_or_long_responses(self) -> None:
+        for length, megabits in ((RESPONSE_BYTES, 0.0), (100, LINK_MBPS)):
             with self.subTest(length):
                 address = await self.start_one(length, megabits)
                 for _ in range(2):
@@ -81,7 +83,7 @@
                     await asyncio.sleep(0.01)
                 self.assertEqual(self.backend.link_free_at, 0.0)
 
-    async def test_a_senseless_word_changes_nothing_and_is_counted(self) -> None:
+    async def test_an_invalid_report_is_ignored_and_counted(self) -> None:
         address = await self.start_one(100, LINK_MBPS)
         with mock.patch.object(LinkPacer, "link_report", lambda _self, _route: "soon"):
             answer = await raw_call(address, GET)
--- a/tests/node/gateway/test_origins.py
+++ b/tests/node/gateway/test_origins.py
@@ -1,4 +1,4 @@
-"""Calls that a back end makes while it runs another request: found out, told, let go first."""
+"""Nested calls, made by a back end while it runs another request: detected, reported, favored."""
 
 import time
 from random import Random
@@ -14,13 +14,13 @@
 from pewtertack.routing.patience import Lateness
 from pewtertack.routing.policies import NestedCallPolicy, Policies
 from pewtertack.routing.runs import RunsBeside
-from tests.node.gateway.test_gateway import EDGE, GatewayTestCase, answer_well
+from tests.node.gateway.test_gateway import EDGE, GatewayTestCase, answer_normally
 from tests.node.proxy.harness import RawBackend, raw_call, request_bytes
 from tests.routing.samples import configuration, route
 
-FIRST = Policies(calls_within=NestedCallPolicy.FIRST)
-CALL = request_bytes("GET", "/fee", b"", ("x-call: call-1", "x-left: 4000"))
-OWN = request_bytes("GET", "/verify", b"", ("x-call: call-2", "x-left: 4000"))
+NESTED_FIRST = Policies(calls_within=NestedCallPolicy.FIRST)
+NESTED_CALL = request_bytes("GET", "/fee", b"", ("x-call: call-1", "x-left: 4000"))
+ORIGINAL_CALL = request_bytes("GET", "/verify", b"", ("x-call: call-2", "x-left: 4000"))
 ROUTES = (
     route("fee", path_prefix="/fee", repeatable=True),
     route("verify", path_prefix="/verify", repeatable=True, priority=3),
@@ -29,13 +29,13 @@
 
 class OriginsTest(GatewayTestCase):
     async def start(self, policies: Policies) -> tuple[str, str]:
-        """Run a gateway, and proxies beside a ledger's and a desk's back end."""
+        """Run a gateway, and one proxy each for a ledger and a logbook back end as callers."""
         self.admitted: list[dict[str, Any]] = []
         self.origins: list[tuple[str, str]] = []
-        address = await RawBackend(answer_well).start(self)
-        place = GatewaySettings(address, "logbook", "ikeja")
+        address = await RawBackend(answer_normally).start(self)
+        settings = GatewaySettings(address, "logbook", "ikeja")
         self.gateway = GatewayApplication(
-            time.monotonic, place, EDGE, self.record, policies=policies
+            time.monotonic, settings, EDGE, self.record, policies=policies
         )
         self.gateway.use_configuration(configuration(*ROUTES))
         self.gateways, self.heads, self.machines = [self.gateway], [], []
@@ -43,16 +43,16 @@
         self.machines.append(
             msgspec.structs.replace(listed, gateway=await self.serve(self.gateway))
         )
-        other = {
+        other_machine = {
             "name": "b1",
             "address": "10.9.9.9:1",
             "service": "ledger",
             "gateway": "10.9.9.9:2",
         }
-        self.machines.append(msgspec.structs.replace(listed, **other))
+        self.machines.append(msgspec.structs.replace(listed, **other_machine))
         self.runs = RunsBeside()
-        ledger = await self.start_proxy("ledger", policies)
-        return ledger, await self.start_proxy("logbook", policies)
+        ledger_proxy = await self.start_proxy("ledger", policies)
+        return ledger_proxy, await self.start_proxy("logbook", policies)
 
     async def start_proxy(self, service: str, policies: Policies) -> str:
         self.proxy = ProxyApplication(
@@ -79,39 +79,43 @@
         elif event is Event.ROUTE_ORIGIN:
             self.origins.append((fields["route"], fields["origin"]))
 
-    async def test_it_is_found_out_and_carries_the_rank_of_the_run(self) -> None:
-        ledger, logbook = await self.start(FIRST)
+    async def test_nested_calls_are_detected_and_carry_the_rank_of_the_outer_request(self) -> None:
+        ledger_proxy, logbook_proxy = await self.start(NESTED_FIRST)
         for _ in range(25):
-            for proxy in (ledger, logbook):
-                self.assertEqual((await raw_call(proxy, OWN)).status, 200)
-            answer = await raw_call(ledger, CALL)
+            for proxy in (ledger_proxy, logbook_proxy):
+                self.assertEqual((await raw_call(proxy, ORIGINAL_CALL)).status, 200)
+            answer = await raw_call(ledger_proxy, NESTED_CALL)
         self.assertNotIn("x-pewtertack-origin", answer.headers)
         self.assertEqual(sorted(self.origins), [("fee", "back-ends"), ("verify", "callers")])
         self.runs.begin("history", (1, 2))
-        await raw_call(ledger, CALL)
-        await raw_call(ledger, OWN)
-        told = [(item["within"], item["rank"]) for item in self.admitted]
-        self.assertEqual([told[0], *told[-2:]], [(False, (1, 3)), (True, (1, 2)), (False, (1, 3))])
+        await raw_call(ledger_proxy, NESTED_CALL)
+        await raw_call(ledger_proxy, ORIGINAL_CALL)
+        admitted = [(item["within"], item["rank"]) for item in self.admitted]
+        self.assertEqual(
+            [admitted[0], *admitted[-2:]], [(False, (1, 3)), (True, (1, 2)), (False, (1, 3))]
+        )
 
-    async def test_where_all_are_treated_alike_nothing_is_told(self) -> None:
-        ledger, logbook = await self.start(Policies(calls_within=NestedCallPolicy.ALIKE))
+    async def test_without_the_policy_no_origin_is_reported(self) -> None:
+        ledger_proxy, logbook_proxy = await self.start(
+            Policies(calls_within=NestedCallPolicy.ALIKE)
+        )
         for _ in range(25):
-            await raw_call(logbook, OWN)
-            await raw_call(ledger, CALL)
+            await raw_call(logbook_proxy, ORIGINAL_CALL)
+            await raw_call(ledger_proxy, NESTED_CALL)
         self.assertEqual(self.origins, [])
         self.assertFalse(any(item["within"] for item in self.admitted))
 
-    async def test_the_word_of_a_caller_counts_for_nothing(self) -> None:
-        ledger, _ = await self.start(FIRST)
+    async def test_the_header_of_a_caller_is_ignored(self) -> None:
+        ledger_proxy, _ = await self.start(NESTED_FIRST)
         forged = ("x-call: call-1", "x-left: 4000", "x-pewtertack-within: 1")
-        await raw_call(ledger, request_bytes("GET", "/fee", b"", forged))
+        await raw_call(ledger_proxy, request_bytes("GET", "/fee", b"", forged))
         self.assertEqual([item["within"] for item in self.admitted], [False])
 
-    def test_the_header_is_there_for_calls_within_alone(self) -> None:
-        for within in (True, False):
+    def test_the_header_is_sent_for_nested_calls_only(self) -> None:
+        for nested in (True, False):
             headers = hop_headers(
-                ROUTES[1], "b0", 0.3, Lateness.ALLOWED, "ledger", within, run_rank=(1, 1)
+                ROUTES[1], "b0", 0.3, Lateness.ALLOWED, "ledger", nested, run_rank=(1, 1)
             )
-            self.assertEqual(NESTED in dict(headers), within)
+            self.assertEqual(NESTED in dict(headers), nested)
             request = read_hop(headers)
-            self.assertEqual((request.nested, request.rank[1]), (within, 1 if within else 3))
+            self.assertEqual((request.nested, request.rank[1]), (nested, 1 if nested else 3))
--- a/tests/node/gateway/test_sending.py
+++ b/tests/node/gateway/test_sending.py
@@ -1,4 +1,4 @@
-"""Long answers are held until their turn on the link; short ones are not."""
+"""Long responses are buffered until their turn on the link; short ones are sent at once."""
 
 import asyncio
 import random
@@ -16,25 +16,25 @@
 from tests.node.gateway.test_gateway import GatewayTestCase, header
 from tests.node.proxy.harness import answer_bytes, raw_call, request_bytes
 
-MEGABITS = 100.0
+LINK_MBPS = 100.0
 BULK = (2, 0)
-LONG_BODY = 200_000
+LONG_BODY_BYTES = 200_000
 
 
 async def ignore(message: Any) -> None:
-    """Take what is sent."""
+    """Discard what is sent."""
 
 
 class SenderTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.sent: list[Any] = []
-        self.held = BufferedBytes()
-        self.pacer = LinkPacer(time.monotonic, LinkShare(MEGABITS))
+        self.node_buffer = BufferedBytes()
+        self.pacer = LinkPacer(time.monotonic, LinkShare(LINK_MBPS))
 
-    def make(self, route: str = "export") -> ResponseSender:
+    def make_sender(self, route: str = "export") -> ResponseSender:
         now = time.monotonic()
         ticket = AdmissionTicket(route, BULK, now + 1.0, now + 5.0)
-        return ResponseSender(self.send, self.pacer, self.held, ticket)
+        return ResponseSender(self.send, self.pacer, self.node_buffer, ticket)
 
     async def send(self, message: Any) -> None:
         self.sent.append(message)
@@ -52,68 +52,67 @@
     def body(self) -> bytes:
         return b"".join(message.get("body", b"") for message in self.sent)
 
-    async def test_a_short_answer_leaves_at_once(self) -> None:
-        sender = self.make()
+    async def test_a_short_response_is_sent_at_once(self) -> None:
+        sender = self.make_sender()
         await self.begin(sender, LONG_BYTES)
         await sender({"type": "http.response.body", "body": b"x" * LONG_BYTES})
         self.assertEqual(len(self.sent), 2)
         await sender.finish()
         self.assertEqual(len(self.sent), 2)
 
-    async def test_a_long_answer_is_taken_at_once_and_leaves_in_its_turn(self) -> None:
+    async def test_a_long_response_is_buffered_at_once_and_sent_in_its_turn(self) -> None:
         data = bytes(index % 251 for index in range(5 * LONG_BYTES))
-        sender = self.make()
+        sender = self.make_sender()
         await self.answer(sender, data[:LONG_BYTES], data[LONG_BYTES:])
         self.assertLess(len(self.body()), len(data))
-        self.assertEqual(self.held.byte_count, len(data) - len(self.body()))
+        self.assertEqual(self.node_buffer.byte_count, len(data) - len(self.body()))
         await sender.finish()
         self.assertEqual(self.body(), data)
         self.assertFalse(self.sent[-1].get("more_body", False))
-        self.assertEqual(self.held.byte_count, 0)
+        self.assertEqual(self.node_buffer.byte_count, 0)
 
-    async def test_an_answer_counts_from_its_promise_to_its_place_in_line_without_a_gap(
+    async def test_a_response_is_counted_without_a_gap_from_its_reservation_to_its_queue_entry(
         self,
     ) -> None:
-        """What callers saw: 502 for a download that came while a node stopped, in place of 503.
+        """Guards against a 502 instead of a 503 for a download during a node's shutdown.
 
-        Order of events: answers for it had come, and in the same turn of the loop one more request
-        was admitted, as if nobody took the link; it could not leave before the node's end and was
-        given back. Cause: what had been promised was taken back when the answer came, and it got
-        its place in line a turn later. Evidence: the gateway's log tells a request that came just
-        after two others "left 1684 ms", as the first, and not -316.
+        When a response arrived, its reservation was released, and its queue entry was made one
+        turn of the event loop later. A request admitted in that turn saw an idle link, could not be
+        sent before the node's stop and was handed back. In the gateway's log the request that came
+        right after two others had 1684 ms left, like the first one, instead of -316 ms.
         """
         size = 50 * LONG_BYTES
         share = self.pacer.share
         share.note_answer("export", size)
-        sender = self.make()
+        sender = self.make_sender()
         sender.reserve()
-        own = share.own_time("export")
-        self.assertAlmostEqual(share.time_ahead(BULK, time.monotonic()), own, delta=0.001)
+        transfer = share.own_time("export")
+        self.assertAlmostEqual(share.time_ahead(BULK, time.monotonic()), transfer, delta=0.001)
         await self.begin(sender, size)
         for _ in range(size // LONG_BYTES):
             part = {"type": "http.response.body", "body": b"x" * LONG_BYTES, "more_body": True}
             await sender(part)
             ahead = share.time_ahead(BULK, time.monotonic())
-            self.assertGreater(ahead, own * 0.9 - LONG_BYTES / share.bytes_per_second)
+            self.assertGreater(ahead, transfer * 0.9 - LONG_BYTES / share.bytes_per_second)
             if len(self.sent) > 4:
                 break
         sender.close()
         await asyncio.sleep(0.01)
         self.assertEqual(share.time_ahead(BULK, time.monotonic() + 1.0), 0.0)
 
-    async def test_a_long_answer_that_comes_whole_with_its_head_takes_its_turn(self) -> None:
+    async def test_a_long_response_in_one_message_with_its_head_is_paced(self) -> None:
         data = bytes(index % 251 for index in range(3 * LONG_BYTES))
-        sender = self.make()
+        sender = self.make_sender()
         head = {"type": "http.response.start", "status": 200, "headers": [], WHOLE_BODY: data}
         await sender(head)
         self.assertNotIn(WHOLE_BODY, self.sent[0])
-        self.assertEqual(self.held.byte_count, len(data) - len(self.body()))
+        self.assertEqual(self.node_buffer.byte_count, len(data) - len(self.body()))
         await sender.finish()
         self.assertEqual(self.body(), data)
         self.assertGreater(self.pacer.answer_time("export", BULK), 0.0)
 
-    async def test_a_short_answer_that_comes_whole_with_its_head_leaves_with_it(self) -> None:
-        sender = self.make()
+    async def test_a_short_response_in_one_message_with_its_head_is_sent_with_it(self) -> None:
+        sender = self.make_sender()
         data = b"x" * LONG_BYTES
         await sender(
             {"type": "http.response.start", "status": 200, "headers": [], WHOLE_BODY: data}
@@ -121,27 +120,27 @@
         await sender.finish()
         self.assertEqual([message.get(WHOLE_BODY) for message in self.sent], [data])
 
-    async def test_what_comes_bit_by_bit_is_passed_on_bit_by_bit(self) -> None:
-        sender = self.make()
+    async def test_pieces_are_sent_as_they_arrive(self) -> None:
+        sender = self.make_sender()
         await sender({"type": "http.response.start", "status": 200, "headers": []})
-        came = 0
+        received_bytes = 0
         for size in (10, 2 * LONG_BYTES, 20, 30):
             part = {"type": "http.response.body", "body": b"x" * size, "more_body": True}
             await sender(part)
-            came += size
+            received_bytes += size
             await asyncio.sleep(0.02)
-            self.assertEqual(len(self.body()), came)
+            self.assertEqual(len(self.body()), received_bytes)
         await sender({"type": "http.response.body", "body": b""})
         await sender.finish()
-        self.assertEqual(len(self.body()), came)
+        self.assertEqual(len(self.body()), received_bytes)
         self.assertEqual(sum(not item.get("more_body", False) for item in self.sent[1:]), 1)
         self.assertEqual(self.pacer.answer_time("export", BULK), 0.0)
 
-    async def test_a_late_answer_that_comes_in_pieces_goes_on_before_one_that_has_not_begun(
+    async def test_an_overdue_response_in_pieces_is_continued_before_a_new_one_is_started(
         self,
     ) -> None:
         now = time.monotonic()
-        late = AdmissionTicket("export", BULK, now - 1.0, now + 5.0)
+        overdue_ticket = AdmissionTicket("export", BULK, now - 1.0, now + 5.0)
         order: list[str] = []
 
         async def send(message: Any) -> None:
@@ -151,27 +150,29 @@
         def piece(letter: bytes, size: int) -> dict[str, Any]:
             return {"type": "http.response.body", "body": letter * size, "more_body": True}
 
-        begun = ResponseSender(send, self.pacer, self.held, late)
-        timely = AdmissionTicket("other", BULK, now + 50.0, now + 60.0)
-        fresh = ResponseSender(send, self.pacer, self.held, timely)
-        await self.begin(begun, 20 * LONG_BYTES)
-        await begun(piece(b"l", LONG_BYTES // 2))
-        await begun(piece(b"l", 4 * LONG_BYTES))
+        started_sender = ResponseSender(send, self.pacer, self.node_buffer, overdue_ticket)
+        timely_ticket = AdmissionTicket("other", BULK, now + 50.0, now + 60.0)
+        new_sender = ResponseSender(send, self.pacer, self.node_buffer, timely_ticket)
+        await self.begin(started_sender, 20 * LONG_BYTES)
+        await started_sender(piece(b"l", LONG_BYTES // 2))
+        await started_sender(piece(b"l", 4 * LONG_BYTES))
         await asyncio.sleep(0)
-        await self.begin(fresh, 20 * LONG_BYTES)
-        await fresh(piece(b"f", 8 * LONG_BYTES))
-        await begun(piece(b"l", 8 * LONG_BYTES))
-        for sender in (begun, fresh):
+        await self.begin(new_sender, 20 * LONG_BYTES)
+        await new_sender(piece(b"f", 8 * LONG_BYTES))
+        await started_sender(piece(b"l", 8 * LONG_BYTES))
+        for sender in (started_sender, new_sender):
             await sender({"type": "http.response.body", "body": b""})
-        await begun.finish()
-        await fresh.finish()
+        await started_sender.finish()
+        await new_sender.finish()
         self.assertEqual(order.index("f"), order.count("l"))
 
-    async def test_answers_for_a_node_that_stops_keep_their_own_ends_where_those_are_earlier(
+    async def test_responses_for_a_stopping_node_keep_their_own_earlier_deadlines(
         self,
     ) -> None:
-        """Found by reading, brought about here: all for one node were due at its end, so that one
-        whose caller had 0.3 s left went behind all that had entered the line before it.
+        """Guards against a late response to a caller whose deadline is before its node's stop.
+
+        All responses for a stopping node were due at its stop, so that one whose caller had 0.3 s
+        left was queued behind all that had entered the queue before it.
         """
         now = time.monotonic()
         order: list[str] = []
@@ -180,14 +181,14 @@
             if message.get("body"):
                 order.append(chr(message["body"][0]))
 
-        self.pacer.note_sent(10 * LONG_BODY)  # the link is taken: neither begins
+        self.pacer.note_sent(10 * LONG_BODY_BYTES)  # the link is occupied, so neither starts
         senders = []
         for letter, left in ((b"p", 20.0), (b"u", 0.3)):
             ticket = AdmissionTicket("export", BULK, now + left / 2, now + left)
-            sender = ResponseSender(send, self.pacer, self.held, ticket)
-            await self.begin(sender, LONG_BODY)
+            sender = ResponseSender(send, self.pacer, self.node_buffer, ticket)
+            await self.begin(sender, LONG_BODY_BYTES)
             await sender(
-                {"type": "http.response.body", "body": letter * LONG_BODY, "more_body": True}
+                {"type": "http.response.body", "body": letter * LONG_BODY_BYTES, "more_body": True}
             )
             senders.append(sender)
         for sender in senders:
@@ -199,31 +200,27 @@
             await sender.finish()
         self.assertEqual(order[0], "u")
 
-    async def test_a_late_answer_leaves_before_its_deadline_though_others_keep_coming(
+    async def test_an_overdue_response_is_sent_before_its_deadline_despite_new_ones(
         self,
     ) -> None:
-        """Callers of downloads got nothing until their deadline, though the run had ended soon.
-
-        Where a link is asked for all it can carry, its line is always so long that an answer
-        which proves longer than reckoned makes those behind it late. Each newer one that could
-        still be in time went before the late ones, and newer ones came without end: the late
-        waited with no part sent until their callers' time was over, some seconds later.
+        """Guards against overdue responses that are not sent at all before their deadlines.
 
-        Cause: the line's order put what was late behind all that was not, for good. Evidence:
-        of the answers that a back end had given and no caller got, none had sent a part; their
-        lines were full all that time, with answers that had come later; and with the time by
-        which a late one is due as the only change, all of them arrived.
+        On a saturated link, a response that is longer than expected makes those behind it miss
+        their objectives. The queue put overdue responses behind all that could still be in time,
+        and new ones of those arrived without end: no part of the overdue ones was sent until their
+        callers' deadlines passed some seconds later, although their executions had ended early.
+        With a due time for overdue responses as the only change, all of them arrived.
         """
         self.pacer = LinkPacer(time.monotonic, LinkShare(20.0))
         now = time.monotonic()
-        late = AdmissionTicket("export", BULK, now - 0.1, now + 1.0)
-        sender = ResponseSender(self.send, self.pacer, self.held, late)
+        overdue_ticket = AdmissionTicket("export", BULK, now - 0.1, now + 1.0)
+        sender = ResponseSender(self.send, self.pacer, self.node_buffer, overdue_ticket)
 
         async def keep_coming() -> None:
             while True:
                 now = time.monotonic()
-                timely = AdmissionTicket("export", BULK, now + 0.3, now + 1.4)
-                newer = ResponseSender(ignore, self.pacer, self.held, timely)
+                timely_ticket = AdmissionTicket("export", BULK, now + 0.3, now + 1.4)
+                newer = ResponseSender(ignore, self.pacer, self.node_buffer, timely_ticket)
                 await self.answer(newer, b"n" * 4 * LONG_BYTES)
                 await newer.finish()
 
@@ -238,20 +235,18 @@
                 other.cancel()
             await asyncio.gather(*others, return_exceptions=True)
 
-    async def test_the_line_reckons_with_all_of_an_answer_of_which_a_piece_has_come(
+    async def test_the_queue_counts_the_whole_response_once_a_piece_has_arrived(
         self,
     ) -> None:
-        """Requests were taken that the link could not answer in time, and their answers came late.
+        """Guards against admitting more requests than the link can answer by their objectives.
 
-        An answer of some hundred kilobytes comes from its back end in pieces. Its place in the
-        line told the length of the piece that had come first, while what it was reckoned with
-        before was taken back: until the piece had left, nobody knew of the rest, and a gateway
-        took more requests than its link could answer by their objectives. Evidence: what gateways
-        reckoned beside the time that each answer took, and fewer late ones with this alone changed.
+        A response of some hundred kilobytes arrives from its back end in pieces. Its queue entry
+        counted only the first piece, while its reservation was released, so that the rest was not
+        counted until that piece had been sent. With this alone changed, fewer responses were late.
         """
         share = self.pacer.share
         share.note_sent(RESPONSE_BUFFER_BYTES, time.monotonic())
-        sender = self.make()
+        sender = self.make_sender()
         size = 10 * LONG_BYTES
         await self.begin(sender, size)
         for _ in range(3):
@@ -262,13 +257,13 @@
             self.assertAlmostEqual(seconds * share.bytes_per_second, size, delta=1)
         sender.close()
 
-    async def test_an_answer_of_unknown_length_is_reckoned_with_as_usual_until_it_is_whole(
+    async def test_a_response_of_unknown_length_counts_with_the_usual_length_until_complete(
         self,
     ) -> None:
         share = self.pacer.share
         share.note_answer("export", 10 * LONG_BYTES)
         share.note_sent(RESPONSE_BUFFER_BYTES, time.monotonic())
-        sender = self.make()
+        sender = self.make_sender()
         sender.reserve()
         await sender({"type": "http.response.start", "status": 200, "headers": []})
         piece = {"type": "http.response.body", "body": b"x" * 2 * LONG_BYTES}
@@ -281,74 +276,74 @@
         self.assertEqual(len(self.body()), 2 * LONG_BYTES)
         self.assertEqual(share.time_ahead(BULK, time.monotonic() + 60.0), 0.0)
 
-    async def test_a_back_end_slower_than_the_link_holds_nobody_up(self) -> None:
-        slow, quick = self.make(), self.make("other")
+    async def test_a_back_end_slower_than_the_link_delays_no_other_response(self) -> None:
+        slow, fast = self.make_sender(), self.make_sender("other")
         await self.begin(slow, 4 * LONG_BYTES)
         part = {"type": "http.response.body", "body": b"s" * 2 * LONG_BYTES, "more_body": True}
         await slow(part)
         await asyncio.sleep(0.02)
-        await self.answer(quick, b"q" * 2 * LONG_BYTES)
+        await self.answer(fast, b"q" * 2 * LONG_BYTES)
         async with asyncio.timeout(1.0):
-            await quick.finish()
+            await fast.finish()
         self.assertEqual(self.body().count(b"q"), 2 * LONG_BYTES)
         slow.close()
-        self.assertEqual(self.held.byte_count, 0)
+        self.assertEqual(self.node_buffer.byte_count, 0)
 
-    async def test_of_a_very_long_answer_little_is_held(self) -> None:
-        sender = self.make()
-        most = 0
+    async def test_the_buffer_of_a_very_long_response_is_limited(self) -> None:
+        sender = self.make_sender()
+        max_buffered = 0
         part = b"x" * (RESPONSE_BUFFER_BYTES // 2)
         await self.begin(sender, 4 * len(part))
         for _ in range(4):
             await sender({"type": "http.response.body", "body": part, "more_body": True})
-            most = max(most, self.held.byte_count)
+            max_buffered = max(max_buffered, self.node_buffer.byte_count)
         await sender({"type": "http.response.body", "body": b""})
         await sender.finish()
-        self.assertLessEqual(most, RESPONSE_BUFFER_BYTES + len(part))
+        self.assertLessEqual(max_buffered, RESPONSE_BUFFER_BYTES + len(part))
         self.assertEqual(len(self.body()), 4 * len(part))
 
-    async def test_what_is_to_come_is_reckoned_with_until_it_is_sent_or_given_up(self) -> None:
+    async def test_a_reservation_counts_until_the_response_is_sent_or_abandoned(self) -> None:
         share = self.pacer.share
         share.note_answer("export", RESPONSE_BUFFER_BYTES)
-        alone = share.answer_time("export", BULK, time.monotonic())
-        sent, given_up = self.make(), self.make()
+        base_time = share.answer_time("export", BULK, time.monotonic())
+        sent, abandoned = self.make_sender(), self.make_sender()
         sent.reserve()
-        given_up.reserve()
-        self.assertAlmostEqual(share.answer_time("export", BULK, time.monotonic()), 3 * alone)
-        given_up.close()
+        abandoned.reserve()
+        self.assertAlmostEqual(share.answer_time("export", BULK, time.monotonic()), 3 * base_time)
+        abandoned.close()
         await self.answer(sent, b"x" * LONG_BYTES, b"x" * LONG_BYTES)
         await sent.finish()
         sent.close()
         after = share.answer_time("export", BULK, time.monotonic() + 1.0)
-        self.assertLess(after, 1.01 * alone)
+        self.assertLess(after, 1.01 * base_time)
 
-    async def test_whatever_becomes_of_answers_nothing_of_them_is_reckoned_with_for_good(
+    async def test_nothing_stays_counted_however_responses_end(
         self,
     ) -> None:
         for seed in range(30):
-            chance = random.Random(seed)
+            rng = random.Random(seed)
             self.pacer.share.note_answer("export", 5 * LONG_BYTES)
-            await asyncio.gather(*(self.some_end(chance) for _ in range(8)))
+            await asyncio.gather(*(self.end_at_random(rng) for _ in range(8)))
             share = self.pacer.share
-            self.assertEqual((share._line, self.held.byte_count), ([], 0), f"seed {seed}")
+            self.assertEqual((share._line, self.node_buffer.byte_count), ([], 0), f"seed {seed}")
             self.assertLess(sum(share._promised.values()), 0.001, f"seed {seed}")
 
-    async def some_end(self, chance: random.Random) -> None:
-        """Take an answer to some end: refused, broken off, given up while it is sent, whole."""
-        sender = self.make()
+    async def end_at_random(self, rng: random.Random) -> None:
+        """End a response at random: refused, broken off, abandoned during sending, or complete."""
+        sender = self.make_sender()
         sender.reserve()
-        pieces = chance.randrange(5)
-        announced = [(b"content-length", b"%d" % (4 * LONG_BYTES))] if chance.random() < 0.5 else []
+        pieces = rng.randrange(5)
+        announced = [(b"content-length", b"%d" % (4 * LONG_BYTES))] if rng.random() < 0.5 else []
         try:
-            async with asyncio.timeout(chance.uniform(0.0, 0.02)):
-                await asyncio.sleep(chance.uniform(0.0, 0.005))
+            async with asyncio.timeout(rng.uniform(0.0, 0.02)):
+                await asyncio.sleep(rng.uniform(0.0, 0.005))
                 head = {"type": "http.response.start", "status": 200, "headers": announced}
                 await sender(head)
                 for _ in range(pieces):
                     piece = {"type": "http.response.body", "body": b"x" * LONG_BYTES}
                     await sender(piece | {"more_body": True})
-                    await asyncio.sleep(chance.uniform(0.0, 0.002))
-                if chance.random() < 0.5:
+                    await asyncio.sleep(rng.uniform(0.0, 0.002))
+                if rng.random() < 0.5:
                     await sender({"type": "http.response.body", "body": b""})
                     await sender.finish()
         except TimeoutError:
@@ -357,30 +352,30 @@
             sender.close()
         await asyncio.sleep(0)
 
-    async def test_one_that_is_given_up_leaves_the_line(self) -> None:
-        first, second = self.make(), self.make()
+    async def test_an_abandoned_response_leaves_the_queue(self) -> None:
+        first, second = self.make_sender(), self.make_sender()
         size = RESPONSE_BUFFER_BYTES // 2
         for sender, letter in ((first, b"f"), (second, b"s")):
             await self.answer(sender, letter * (LONG_BYTES + 1), letter * (size - LONG_BYTES - 1))
-        going = asyncio.create_task(first.finish())
+        finishing = asyncio.create_task(first.finish())
         await asyncio.sleep(0)
-        going.cancel()
-        await asyncio.gather(going, return_exceptions=True)
+        finishing.cancel()
+        await asyncio.gather(finishing, return_exceptions=True)
         first.close()
         sent = self.body().count(b"f")
         self.assertLess(sent, size)
         await second.finish()
         self.assertEqual(self.body().count(b"f"), sent)
         self.assertEqual(self.body().replace(b"f", b""), b"s" * size)
-        self.assertEqual(self.held.byte_count, 0)
+        self.assertEqual(self.node_buffer.byte_count, 0)
 
 
 class PathTest(GatewayTestCase):
-    """A back end with one slot answers long or short, over a link of 4 Mbit/s."""
+    """A back end with one slot sends long and short responses over a link of 4 Mbit/s."""
 
     async def start(self) -> str:
         async def script(reader: Any, writer: Any, head: str) -> bool:
-            size = LONG_BODY if head.startswith("get /long") else 2
+            size = LONG_BODY_BYTES if head.startswith("get /long") else 2
             writer.write(answer_bytes(b"x" * size, b"x-call: " + header(head, "x-call").encode()))
             return True
 
@@ -390,7 +385,7 @@
         gateway._context = msgspec.structs.replace(gateway._context, pacer=pacer)
         return address
 
-    async def test_a_long_answer_holds_neither_the_slot_nor_what_is_short(self) -> None:
+    async def test_a_long_response_delays_neither_the_slot_nor_short_responses(self) -> None:
         address = await self.start()
         began = time.monotonic()
         long = asyncio.create_task(raw_call(address, get("/long")))
@@ -399,10 +394,10 @@
         self.assertEqual((short.status, short.body), (200, b"xx"))
         self.assertFalse(long.done())
         answer = await long
-        self.assertEqual(answer.body, b"x" * LONG_BODY)
+        self.assertEqual(answer.body, b"x" * LONG_BODY_BYTES)
         self.assertGreater(time.monotonic() - began, 0.3)
 
-    async def test_one_that_would_leave_too_late_is_refused_before_it_runs(self) -> None:
+    async def test_a_response_that_would_be_sent_too_late_is_refused_before_it_runs(self) -> None:
         address = await self.start()
         share = self.gateways[0]._context.pacer.share  # type: ignore[union-attr]
         share.note_answer("lookup", 50_000_000)
@@ -410,7 +405,7 @@
         self.assert_refused(answer, 503, "not-run")
         self.assertEqual(self.heads, [])
 
-    async def test_a_gateway_that_stops_takes_no_answer_that_the_link_delays_beyond_it(
+    async def test_a_stopping_gateway_refuses_what_the_link_would_delay_beyond_its_stop(
         self,
     ) -> None:
         address = await self.start()
--- a/tests/node/proxy/harness.py
+++ b/tests/node/proxy/harness.py
@@ -1,4 +1,4 @@
-"""A proxy and tiny back ends on loopback sockets within one event loop."""
+"""A proxy and minimal back ends on loopback sockets in one event loop."""
 
 import asyncio
 import logging
@@ -20,11 +20,11 @@
 KEEP_ALIVE = 5.0
 
 
-logging.getLogger(LOGGER_NAME).setLevel(logging.CRITICAL)  # broken requests are on purpose
+logging.getLogger(LOGGER_NAME).setLevel(logging.CRITICAL)  # tests break requests on purpose
 
 
 class ProxyTestCase(unittest.IsolatedAsyncioTestCase):
-    """Starts servers on free ports and stops them with the test."""
+    """Starts servers on free ports and stops them after the test."""
 
     def setUp(self) -> None:
         self.servers: list[HttpServer] = []
@@ -33,7 +33,7 @@
         return ProxyApplication(time.monotonic, Random(7), **settings)
 
     async def serve(self, application: Any, at: str = LOOPBACK) -> str:
-        """Run an ASGI application at an IP number of this machine and return its address."""
+        """Run an ASGI application at an IP address of this machine; return its ``ip:port``."""
         listener = socket.create_server((at, 0))
         host, port = listener.getsockname()
         server = HttpServer(application, KEEP_ALIVE, typed_refusal)
@@ -64,7 +64,7 @@
         return await self.serve(self.proxy)
 
     async def _address(self, item: Any) -> str:
-        """Start an ASGI application or a raw back end; an address stands for itself."""
+        """Start an ASGI application or a raw back end; an address is returned unchanged."""
         if isinstance(item, str):
             return item
         if isinstance(item, RawBackend):
@@ -73,7 +73,7 @@
 
 
 class Answer:
-    """A raw HTTP answer: status, headers in lower case and what followed them."""
+    """A raw HTTP response: its status, its headers in lower case and the bytes after them."""
 
     def __init__(self, raw: bytes) -> None:
         head, _, self.body = raw.partition(b"\r\n\r\n")
@@ -92,7 +92,7 @@
 
 
 async def raw_call(address: str, raw: bytes, timeout: float = 10.0) -> Answer:
-    """Send bytes on a new connection and read to the end of the stream."""
+    """Send bytes on a new connection and read the response to the end of the stream."""
     reader, writer = await begin_call(address, raw)
     try:
         async with asyncio.timeout(timeout):
@@ -104,7 +104,7 @@
 def request_bytes(
     method: str = "GET", path: str = "/", body: bytes = b"", headers: tuple[str, ...] = ()
 ) -> bytes:
-    """Return one request which asks to close the connection after its answer."""
+    """Return a request that asks to close the connection after the response."""
     lines = [f"{method} {path} HTTP/1.1", "host: guild.example", "connection: close", *headers]
     if body:
         lines.append(f"content-length: {len(body)}")
@@ -132,10 +132,10 @@
 
 
 class RawBackend:
-    """A back end that reads one request head at a time and follows a script.
+    """A back end that reads one request head at a time and calls a script for it.
 
-    ``script(reader, writer, head)`` answers one request; returning false closes
-    the connection.
+    ``script(reader, writer, head)`` answers one request; if it returns false, the connection is
+    closed.
     """
 
     def __init__(self, script: Any) -> None:
--- a/tests/node/proxy/test_deadlines.py
+++ b/tests/node/proxy/test_deadlines.py
@@ -1,4 +1,4 @@
-"""One timer for many deadlines: each passes in its time, those taken back never."""
+"""One timer for many deadlines: each expires in time, cancelled ones never do."""
 
 import asyncio
 import unittest
@@ -11,60 +11,60 @@
     async def asyncSetUp(self) -> None:
         self.loop = asyncio.get_running_loop()
         self.deadlines = Deadlines(self.loop)
-        self.passed: list[tuple[int, float]] = []
+        self.expired: list[tuple[int, float]] = []
 
     def add(self, number: int, seconds: float) -> object:
         due = self.loop.time() + seconds
 
         def callback() -> None:
-            self.passed.append((number, self.loop.time() - due))
+            self.expired.append((number, self.loop.time() - due))
 
         return self.deadlines.add(seconds, callback)
 
-    async def test_each_passes_in_its_time_whatever_the_order(self) -> None:
+    async def test_each_expires_in_time_whatever_the_order(self) -> None:
         seconds = [0.06, 0.02, 0.04, -1.0, 0.02]
         for number, item in enumerate(seconds):
             self.add(number, item)
         await asyncio.sleep(0.1)
-        self.assertEqual([number for number, _ in self.passed], [3, 1, 4, 2, 0])
-        for number, late in self.passed[1:]:
-            self.assertGreater(late, -0.001, number)
-            self.assertLess(late, 0.03, number)
+        self.assertEqual([number for number, _ in self.expired], [3, 1, 4, 2, 0])
+        for number, delay in self.expired[1:]:
+            self.assertGreater(delay, -0.001, number)
+            self.assertLess(delay, 0.03, number)
 
-    async def test_taken_back_it_never_passes_and_the_others_do(self) -> None:
+    async def test_cancelled_deadlines_never_expire_and_others_do(self) -> None:
         first, _, third = self.add(0, 0.01), self.add(1, 0.02), self.add(2, 0.03)
         self.deadlines.cancel(first)
         self.deadlines.cancel(third)
         self.deadlines.cancel(third)
         await asyncio.sleep(0.06)
-        self.assertEqual([number for number, _ in self.passed], [1])
+        self.assertEqual([number for number, _ in self.expired], [1])
 
-    async def test_taken_back_by_one_that_passes(self) -> None:
+    async def test_cancelled_by_the_callback_of_another(self) -> None:
         second = None
 
-        def pass_first() -> None:
+        def cancel_second() -> None:
             self.deadlines.cancel(second)
 
-        self.deadlines.add(0.01, pass_first)
+        self.deadlines.add(0.01, cancel_second)
         second = self.add(1, 0.01)
         await asyncio.sleep(0.04)
-        self.assertEqual(self.passed, [])
+        self.assertEqual(self.expired, [])
 
-    async def test_one_added_by_one_that_passes(self) -> None:
+    async def test_added_by_the_callback_of_another(self) -> None:
         self.deadlines.add(0.01, lambda: self.add(1, 0.01))
         await asyncio.sleep(0.05)
-        self.assertEqual([number for number, _ in self.passed], [1])
+        self.assertEqual([number for number, _ in self.expired], [1])
 
-    async def test_what_is_taken_back_is_not_kept(self) -> None:
+    async def test_cancelled_deadlines_are_removed_from_the_heap(self) -> None:
         random = Random(1)
         kept = [self.add(number, 0.05) for number in range(3)]
         for _ in range(20 * MIN_CANCELLED_TO_COMPACT):
             self.deadlines.cancel(self.add(9, random.uniform(10.0, 3600.0)))
         self.assertLessEqual(len(self.deadlines._heap), 2 * MIN_CANCELLED_TO_COMPACT + len(kept))
         await asyncio.sleep(0.1)
-        self.assertEqual([number for number, _ in self.passed], [0, 1, 2])
+        self.assertEqual([number for number, _ in self.expired], [0, 1, 2])
 
-    async def test_a_loop_has_its_own(self) -> None:
+    async def test_each_loop_has_its_own_deadlines(self) -> None:
         found = loop_deadlines()
         self.assertIs(found, loop_deadlines())
         self.assertIs(found.loop, self.loop)
--- a/tests/node/proxy/test_failures.py
+++ b/tests/node/proxy/test_failures.py
@@ -1,4 +1,4 @@
-"""Back ends that break, shed, cross and stall; callers that go away."""
+"""Back ends that break off, shed, mix up or stall requests; callers that disconnect."""
 
 import asyncio
 import json
@@ -20,17 +20,17 @@
 
 UPLOAD = b"POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 30000000\r\n\r\n"
 POST = request_bytes("POST", "/hold", b"number")
-PATIENT = configuration(route(timeout=60.0))
+LONG_TIMEOUT = configuration(route(timeout=60.0))
 REPEATABLE = configuration(route(repeatable=True, retry_limit=1))
 
 
-async def answer_well(reader: Any, writer: Any, head: str) -> bool:
+async def answer_normally(reader: Any, writer: Any, head: str) -> bool:
     await read_content(reader, head)
     writer.write(answer_bytes(b"ok", b"x-request-id: " + request_id_of(head)))
     return True
 
 
-async def hang_up(reader: Any, writer: Any, head: str) -> bool:
+async def close_without_response(reader: Any, writer: Any, head: str) -> bool:
     return False
 
 
@@ -41,7 +41,7 @@
     return True
 
 
-async def cross(reader: Any, writer: Any, head: str) -> bool:
+async def answer_another_request(reader: Any, writer: Any, head: str) -> bool:
     writer.write(answer_bytes(b"another's", b"x-request-id: someone-else"))
     return True
 
@@ -63,33 +63,33 @@
         self.assertEqual(answer.headers["x-outcome"], outcome)
         self.assertIn("retry-after", answer.headers)
 
-    async def test_what_may_not_be_repeated_is_sent_once(self) -> None:
-        broken, well = RawBackend(hang_up), RawBackend(answer_well)
-        address = await self.start(broken, well)
+    async def test_a_non_repeatable_request_is_sent_once(self) -> None:
+        breaking, healthy = RawBackend(close_without_response), RawBackend(answer_normally)
+        address = await self.start(breaking, healthy)
         answers = [await raw_call(address, POST) for _ in range(12)]
         failed = [answer for answer in answers if answer.status != 200]
-        self.assertEqual(broken.calls, len(failed))
-        self.assertEqual(broken.calls + well.calls, 12)
+        self.assertEqual(breaking.calls, len(failed))
+        self.assertEqual(breaking.calls + healthy.calls, 12)
         self.assertTrue(failed)
         for answer in failed:
             self.assert_failure(answer, 502, "backend-failed", "unknown")
 
-    async def test_what_may_be_repeated_is_repeated_elsewhere(self) -> None:
-        broken, well = RawBackend(hang_up), RawBackend(answer_well)
-        address = await self.start(broken, well, settings=REPEATABLE)
+    async def test_a_repeatable_request_is_retried_at_another_back_end(self) -> None:
+        breaking, healthy = RawBackend(close_without_response), RawBackend(answer_normally)
+        address = await self.start(breaking, healthy, settings=REPEATABLE)
         for _ in range(12):
             self.assertEqual((await raw_call(address, POST)).status, 200)
-        self.assertTrue(broken.calls)
+        self.assertTrue(breaking.calls)
 
-    async def test_a_connection_never_made_did_not_run_and_is_tried_elsewhere(self) -> None:
-        address = await self.start(unused_address(), RawBackend(answer_well))
+    async def test_a_failed_connect_is_not_run_and_another_back_end_is_tried(self) -> None:
+        address = await self.start(unused_address(), RawBackend(answer_normally))
         for _ in range(8):
             self.assertEqual((await raw_call(address, POST)).status, 200)
         address = await self.start(unused_address())
         answer = await raw_call(address, POST)
         self.assert_failure(answer, 503, "backend-unreachable", "not-run")
 
-    async def test_a_shed_request_is_replayed_elsewhere_with_its_body(self) -> None:
+    async def test_a_shed_request_is_replayed_with_its_body_at_another_back_end(self) -> None:
         bodies = []
 
         async def keep(reader: Any, writer: Any, head: str) -> bool:
@@ -105,13 +105,13 @@
         self.assertTrue(shedding.calls)
         self.assertEqual(shedding.connections, 1)
 
-    async def test_a_body_that_still_comes_is_sent_whole_after_an_early_answer_broke_off(
+    async def test_a_body_still_being_received_is_sent_whole_after_an_early_response_broke_off(
         self,
     ) -> None:
-        """What callers would see: 504 at their deadline instead of an answer. Found by reading.
+        """Guards against a 504 at the caller's deadline in place of a response.
 
-        Cause: the rest of a request's body was dropped as soon as the head of an answer had come,
-        since no other attempt was expected then. One whose answer breaks off is repeated.
+        The rest of the request's body was dropped as soon as the head of a response arrived, since
+        no other attempt was expected. But the request is retried if that response breaks off.
         """
         begun = asyncio.Event()
 
@@ -120,11 +120,11 @@
                 lines = b"x-request-id: " + request_id_of(head)
                 writer.write(answer_bytes(b"ok", lines)[:-1])
                 begun.set()
-                await go_on.wait()
+                await resume.wait()
                 return False
-            return await answer_well(reader, writer, head)
+            return await answer_normally(reader, writer, head)
 
-        go_on = asyncio.Event()
+        resume = asyncio.Event()
         address = await self.start(
             RawBackend(break_off_early), RawBackend(break_off_early), settings=REPEATABLE
         )
@@ -135,11 +135,11 @@
             await asyncio.sleep(0.05)
             writer.write(part)
         await asyncio.sleep(0.05)
-        go_on.set()
+        resume.set()
         self.assertEqual(Answer(await reader.read()).status, 200)
         writer.close()
 
-    async def test_a_large_body_is_not_replayed_and_the_caller_is_told_not_run(self) -> None:
+    async def test_a_large_body_is_not_replayed_and_the_outcome_is_not_run(self) -> None:
         shedding = RawBackend(shed)
         address = await self.start(shedding, settings=REPEATABLE)
         answer = await raw_call(address, request_bytes("POST", "/", b"x" * 600_000))
@@ -147,8 +147,8 @@
         self.assertEqual(answer.headers["retry-after"], "7")
         self.assertEqual(shedding.calls, 1)
 
-    async def test_not_run_is_never_claimed_after_an_attempt_that_may_have_run(self) -> None:
-        scripts = [hang_up, shed]
+    async def test_the_outcome_is_unknown_after_any_attempt_that_may_have_run(self) -> None:
+        scripts = [close_without_response, shed]
 
         async def first_break_then_shed(reader: Any, writer: Any, head: str) -> bool:
             return await scripts.pop(0)(reader, writer, head)
@@ -157,17 +157,17 @@
         address = await self.start(backend, settings=REPEATABLE)
         answer = await raw_call(address, POST)
         self.assertEqual(backend.calls, 2)
-        # 502 and not 503: callers may take 503 itself for a promise of "not run"
+        # 502 and not 503, as callers may take the status 503 itself to mean "not run"
         self.assert_failure(answer, 502, "backend-shed", "unknown")
 
-    async def test_an_answer_to_another_request_is_not_passed_on(self) -> None:
-        crossed = RawBackend(cross)
+    async def test_a_response_to_another_request_is_not_relayed(self) -> None:
+        crossed = RawBackend(answer_another_request)
         address = await self.start(crossed)
         for _ in range(2):
             self.assert_failure(await raw_call(address, POST), 502, "crossed-answer", "unknown")
         self.assertEqual(crossed.connections, 2)
 
-    async def test_an_answer_without_an_end_is_not_passed_on(self) -> None:
+    async def test_a_response_without_framing_is_not_relayed(self) -> None:
         async def unframed(reader: Any, writer: Any, head: str) -> bool:
             writer.write(b"HTTP/1.1 200 OK\r\n\r\nhalf of i")
             return False
@@ -175,7 +175,7 @@
         address = await self.start(RawBackend(unframed))
         self.assert_failure(await raw_call(address, POST), 502, "backend-failed", "unknown")
 
-    async def test_a_deadline_in_the_exchange_ends_it_as_unknown(self) -> None:
+    async def test_a_deadline_during_the_exchange_has_unknown_outcome(self) -> None:
         ended = asyncio.Event()
 
         async def stall(reader: Any, writer: Any, head: str) -> bool:
@@ -191,7 +191,7 @@
 
     async def test_an_idle_connection_that_the_back_end_closed_is_not_used(self) -> None:
         async def answer_and_close(reader: Any, writer: Any, head: str) -> bool:
-            await answer_well(reader, writer, head)
+            await answer_normally(reader, writer, head)
             return False
 
         address = await self.start(RawBackend(answer_and_close))
@@ -200,7 +200,7 @@
 
 
 class StreamTest(ProxyTestCase):
-    async def test_a_short_answer_that_breaks_off_is_a_failure_of_unknown_outcome(self) -> None:
+    async def test_a_short_response_that_breaks_off_is_a_failure_of_unknown_outcome(self) -> None:
         async def truncate(reader: Any, writer: Any, head: str) -> bool:
             writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf")
             await writer.drain()
@@ -211,18 +211,20 @@
         self.assertEqual((answer.status, answer.headers["x-outcome"]), (502, "unknown"))
         self.assertNotIn(b"half", answer.body)
 
-    async def test_a_truncated_answer_never_ends_cleanly(self) -> None:
+    async def test_a_truncated_response_never_ends_cleanly(self) -> None:
         framings = {
             "length": b"content-length: 100000\r\n\r\nhalf",
             "chunks": b"transfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n",
         }
-        cases = [("length", PATIENT), ("chunks", PATIENT), ("chunks", REPEATABLE)]
+        cases = [("length", LONG_TIMEOUT), ("chunks", LONG_TIMEOUT), ("chunks", REPEATABLE)]
         for name, settings in cases:
             with self.subTest(name):
-                rest = framings[name]
+                framing = framings[name]
 
-                async def truncate(reader: Any, writer: Any, head: str, rest: bytes = rest) -> bool:
-                    writer.write(b"HTTP/1.1 200 OK\r\n" + rest)
+                async def truncate(
+                    reader: Any, writer: Any, head: str, framing: bytes = framing
+                ) -> bool:
+                    writer.write(b"HTTP/1.1 200 OK\r\n" + framing)
                     await writer.drain()
                     return False
 
@@ -232,7 +234,7 @@
                 self.assertFalse(answer.body.endswith(b"0\r\n\r\n"))
                 self.assertLess(len(answer.body), 100)
 
-    async def test_the_held_back_part_of_a_truncated_answer_reaches_nobody(self) -> None:
+    async def test_the_buffered_start_of_a_truncated_response_is_not_relayed(self) -> None:
         async def truncate(reader: Any, writer: Any, head: str) -> bool:
             writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: 100000\r\n\r\nhalf")
             await writer.drain()
@@ -243,7 +245,7 @@
         self.assertEqual((answer.status, answer.headers["x-outcome"]), (502, "unknown"))
         self.assertNotIn(b"half", answer.body)
 
-    async def test_a_caller_that_goes_ends_the_exchange(self) -> None:
+    async def test_a_caller_that_disconnects_ends_the_exchange(self) -> None:
         for raw in (request_bytes(), UPLOAD.replace(b" / ", b" /early ")):
             with self.subTest(raw):
                 await self.assert_exchange_ends_with_caller(raw)
@@ -260,7 +262,7 @@
             ended.set()
             return False
 
-        address = await self.start(RawBackend(stall), settings=PATIENT)
+        address = await self.start(RawBackend(stall), settings=LONG_TIMEOUT)
         reader, writer = await begin_call(address, raw)
         await asyncio.wait_for(begun.wait(), 5)
         reading = asyncio.create_task(reader.readuntil(b"half"))
@@ -273,13 +275,13 @@
         while self.proxy.in_flight:
             await asyncio.sleep(0.01)
 
-    async def test_an_upload_goes_at_the_pace_of_the_back_end(self) -> None:
-        go_on = asyncio.Event()
+    async def test_an_upload_is_sent_at_the_pace_of_the_back_end(self) -> None:
+        resume = asyncio.Event()
         received = 0
 
         async def slow(reader: Any, writer: Any, head: str) -> bool:
             nonlocal received
-            await go_on.wait()
+            await resume.wait()
             while received < 30_000_000:
                 received += len(await reader.read(1 << 20))
             writer.write(answer_bytes())
@@ -297,13 +299,13 @@
         except TimeoutError:
             pass
         self.assertLess(sent, 16_000_000)
-        go_on.set()
+        resume.set()
         writer.write(b"x" * (30_000_000 - sent))
         self.assertIn(b"200", await asyncio.wait_for(reader.readline(), 10))
         self.assertEqual(received, 30_000_000)
         writer.close()
 
-    async def test_an_early_answer_ends_an_upload(self) -> None:
+    async def test_an_early_response_ends_an_upload(self) -> None:
         async def refuse(reader: Any, writer: Any, head: str) -> bool:
             writer.write(answer_bytes(b"no", status=b"413 Too Large"))
             await writer.drain()
@@ -318,7 +320,7 @@
         self.assertIn(b"413", await asyncio.wait_for(reader.readline(), 10))
         writer.close()
 
-    async def test_answers_without_a_body(self) -> None:
+    async def test_responses_without_a_body(self) -> None:
         async def bodiless(reader: Any, writer: Any, head: str) -> bool:
             status = b"304 Not Modified" if "/304" in head else b"204 No Content"
             length = b"content-length: 9\r\n" if "/204" not in head else b""
@@ -332,13 +334,13 @@
 
 
 class DrainTest(ProxyTestCase):
-    async def test_what_is_in_flight_is_finished_and_new_work_refused(self) -> None:
-        begun, go_on = asyncio.Event(), asyncio.Event()
+    async def test_requests_in_flight_finish_and_new_ones_are_refused(self) -> None:
+        begun, resume = asyncio.Event(), asyncio.Event()
 
         async def wait(reader: Any, writer: Any, head: str) -> bool:
             begun.set()
-            await go_on.wait()
-            return await answer_well(reader, writer, head)
+            await resume.wait()
+            return await answer_normally(reader, writer, head)
 
         address = await self.start(RawBackend(wait))
         running = asyncio.create_task(raw_call(address, POST))
@@ -349,6 +351,6 @@
         self.assertEqual((refused.status, refused.headers["x-outcome"]), (503, "not-run"))
         self.assertEqual(refused.headers["connection"], "close")
         self.assertFalse(drained.done())
-        go_on.set()
+        resume.set()
         self.assertEqual((await running).status, 200)
         await asyncio.wait_for(drained, 5)
--- a/tests/node/proxy/test_forwarding.py
+++ b/tests/node/proxy/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Requests through a real proxy to a real back end, on loopback."""
+"""Requests through a proxy to a back end, over loopback sockets."""
 
 import asyncio
 import json
@@ -22,7 +22,7 @@
 
 
 class Echo:
-    """A back end that answers with the body and keeps what it was asked."""
+    """A back end that responds with the request's body and records its headers."""
 
     def __init__(self) -> None:
         self.headers: dict[str, str] = {}
@@ -39,31 +39,33 @@
 
 
 class ForwardingTest(ProxyTestCase):
-    async def test_a_request_is_answered_whole(self) -> None:
+    async def test_a_request_gets_a_complete_response(self) -> None:
         echo = Echo()
         address = await self.start(echo)
         answer = await raw_call(address, request_bytes("POST", "/qso", b"abc" * 100_000))
         self.assertEqual((answer.status, answer.body), (200, b"abc" * 100_000))
         self.assertEqual(answer.headers["x-request-id"], echo.headers["x-request-id"])
 
-    async def test_a_back_end_s_own_102_says_nothing_of_a_hang(self) -> None:
-        """Found by reading, brought about here: ``102 Processing`` of a back end that has no
-        gateway was taken for a gateway's word that it hangs; the attempt, given up by its caller
-        later, counted against it. Its meaning elsewhere is "I am at work".
+    async def test_a_102_of_a_back_end_without_gateway_is_no_hang_report(self) -> None:
+        """Guards against a healthy back end being counted as hung.
+
+        ``102 Processing`` from a back end without a gateway was taken for a gateway's hang report,
+        and the attempt counted against the back end when the caller cancelled it later. From a
+        back end the status means that it is working.
         """
 
-        async def work(_: Any, writer: Any, head: str) -> bool:
+        async def process(_: Any, writer: Any, head: str) -> bool:
             writer.write(b"HTTP/1.1 102 Processing\r\n\r\n")
             await asyncio.sleep(0.05)
             writer.write(answer_bytes(b"ok", b"x-request-id: " + request_id_of(head)))
             return True
 
-        address = await self.start(RawBackend(work))
-        with unittest.mock.patch.object(self.proxy._context.dispatcher, "note_hung") as told:
+        address = await self.start(RawBackend(process))
+        with unittest.mock.patch.object(self.proxy._context.dispatcher, "note_hung") as note_hung:
             self.assertEqual((await raw_call(address, request_bytes())).status, 200)
-        told.assert_not_called()
+        note_hung.assert_not_called()
 
-    async def test_the_deadline_is_passed_on_shortened(self) -> None:
+    async def test_the_remaining_deadline_is_forwarded(self) -> None:
         echo = Echo()
         address = await self.start(echo)
         await raw_call(address, request_bytes(headers=("x-deadline-ms: 3000",)))
@@ -97,14 +99,14 @@
         self.assertEqual((answer.status, answer.headers["retry-after"]), (503, "1"))
         self.assertEqual(json.loads(answer.body)["type"], "no-backend")
 
-    async def test_a_pause_that_the_node_notices_refuses_the_request(self) -> None:
+    async def test_requests_are_refused_while_the_node_may_not_serve(self) -> None:
         echo = Echo()
         address = await self.start(echo, may_serve=lambda: False)
         answer = await raw_call(address, request_bytes())
         self.assertEqual(json.loads(answer.body)["type"], "not-serving")
         self.assertEqual(echo.calls, 0)
 
-    async def test_small_writes_to_callers_are_not_held_back(self) -> None:
+    async def test_small_writes_to_callers_are_not_delayed(self) -> None:
         address = await self.start(Echo())
         _, writer = await begin_call(address, b"")
         while not self.servers[-1].connections:
@@ -114,7 +116,7 @@
         self.assertTrue(accepted.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
         writer.close()
 
-    async def test_an_unexpected_error_has_a_type_too(self) -> None:
+    async def test_an_unexpected_error_is_a_typed_failure(self) -> None:
         address = await self.start(Echo())
         with unittest.mock.patch.object(Exchange, "run", side_effect=ZeroDivisionError):
             answer = await raw_call(address, request_bytes())
--- a/tests/node/proxy/test_upstream.py
+++ b/tests/node/proxy/test_upstream.py
@@ -1,4 +1,4 @@
-"""Connections that are kept for the next request, and what comes on them meanwhile."""
+"""Idle connections that change before the next request uses them."""
 
 import asyncio
 import socket
@@ -9,15 +9,15 @@
 from pewtertack.node.http.messages import OutgoingRequest
 from pewtertack.node.proxy.upstream import ConnectionPool
 
-ANSWER = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
-PATIENCE = 5.0
+RESPONSE = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
+TIMEOUT_SECONDS = 5.0
 
 
 class IdleConnectionTest(unittest.IsolatedAsyncioTestCase):
-    """The loop has no turn between what the other end does and the next request.
+    """The event loop does not run between the peer's action and the next request.
 
-    What callers saw: 502 for what may not be repeated, though it had reached nobody.
-    Cause: a request was sent on a connection whose end had come, and was not read by the loop.
+    Guards against 502 for a non-repeatable request that reached nobody: it was sent on a
+    connection that the peer had closed, because the loop had not read the close yet.
     """
 
     async def asyncSetUp(self) -> None:
@@ -25,45 +25,45 @@
         self.addCleanup(self.listener.close)
         self.listener.setblocking(False)
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
-        self.store = ConnectionPool(time.monotonic)
-        self.kept, self.other_end = await self.keep_one()
+        self.pool = ConnectionPool(time.monotonic)
+        self.idle_connection, self.peer = await self.make_idle_connection()
 
-    async def keep_one(self) -> tuple[BackendConnection, socket.socket]:
-        """Return a connection that is kept after an exchange, and its other end."""
+    async def make_idle_connection(self) -> tuple[BackendConnection, socket.socket]:
+        """Return a connection that is idle after an exchange, and the peer's socket."""
         loop = asyncio.get_running_loop()
         accepting = asyncio.create_task(loop.sock_accept(self.listener))
-        connection = await self.store.acquire(self.address, PATIENCE)
+        connection = await self.pool.acquire(self.address, TIMEOUT_SECONDS)
         self.addCleanup(connection.abort)
-        other_end, _ = await accepting
-        self.addCleanup(other_end.close)
+        peer, _ = await accepting
+        self.addCleanup(peer.close)
         request = OutgoingRequest(b"GET", b"/", [(b"host", b"a")], None)
         exchange = asyncio.create_task(connection.exchange(request))
-        await loop.sock_recv(other_end, 1000)
-        await loop.sock_sendall(other_end, ANSWER)
+        await loop.sock_recv(peer, 1000)
+        await loop.sock_sendall(peer, RESPONSE)
         await exchange
         await connection.read_body()
-        self.store.release(connection)
-        return connection, other_end
+        self.pool.release(connection)
+        return connection, peer
 
-    async def assert_another_is_taken(self) -> None:
-        taken = await self.store.acquire(self.address, PATIENCE)
-        self.addCleanup(taken.abort)
-        self.assertIsNot(taken, self.kept)
+    async def assert_new_connection_is_used(self) -> None:
+        connection = await self.pool.acquire(self.address, TIMEOUT_SECONDS)
+        self.addCleanup(connection.abort)
+        self.assertIsNot(connection, self.idle_connection)
 
-    async def test_one_on_which_nothing_came_is_used_again(self) -> None:
-        self.assertIs(await self.store.acquire(self.address, PATIENCE), self.kept)
-        self.store.release(self.kept)
-        self.assertIs(await self.store.acquire(self.address, PATIENCE), self.kept)
+    async def test_an_unchanged_connection_is_reused(self) -> None:
+        self.assertIs(await self.pool.acquire(self.address, TIMEOUT_SECONDS), self.idle_connection)
+        self.pool.release(self.idle_connection)
+        self.assertIs(await self.pool.acquire(self.address, TIMEOUT_SECONDS), self.idle_connection)
 
-    async def test_one_that_has_ended_is_not(self) -> None:
-        self.other_end.close()
-        await self.assert_another_is_taken()
+    async def test_a_closed_connection_is_not_reused(self) -> None:
+        self.peer.close()
+        await self.assert_new_connection_is_used()
 
-    async def test_one_that_was_reset_is_not(self) -> None:
-        self.other_end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
-        self.other_end.close()
-        await self.assert_another_is_taken()
+    async def test_a_reset_connection_is_not_reused(self) -> None:
+        self.peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
+        self.peer.close()
+        await self.assert_new_connection_is_used()
 
-    async def test_one_on_which_an_answer_came_that_nobody_asked_for_is_not(self) -> None:
-        self.other_end.send(ANSWER)
-        await self.assert_another_is_taken()
+    async def test_a_connection_with_an_unsolicited_response_is_not_reused(self) -> None:
+        self.peer.send(RESPONSE)
+        await self.assert_new_connection_is_used()
