--- a/src/pewtertack/node/pacing.py
+++ b/src/pewtertack/node/pacing.py
@@ -1,4 +1,4 @@
-"""Paces long bodies over this machine's link (``pewtertack.routing.link``)."""
+"""Paces long bodies on this machine's link (``pewtertack.routing.link``)."""
 
 from __future__ import annotations
 
@@ -8,87 +8,91 @@
 from types import TracebackType
 
 from pewtertack.errors import PewtertackError
-from pewtertack.routing.link import PART_BYTES, LinkShare
-from pewtertack.routing.link_words import link_text
+from pewtertack.routing.link import PART_BYTES, LinkScheduler
+from pewtertack.routing.link_reports import format_link_report
 from pewtertack.routing.long_body import LongBody, Rank
 
 
 class LinkEndsError(PewtertackError):
-    """The node, or the one it is for, stops before a long body could leave."""
+    """The node, or the node that receives the body, shuts down before a long body could be sent."""
 
 
 class LinkPacer:
-    """Lets tasks of the event loop wait until their bodies may be sent.
+    """Lets tasks of the event loop wait until parts of their bodies may be sent.
 
     Args:
         clock: monotonic time in seconds.
-        share: who may send when.
+        scheduler: decides which body may be sent when.
     """
 
-    __slots__ = ("_clock", "share")
+    __slots__ = ("_clock", "scheduler")
 
-    def __init__(self, clock: Callable[[], float], share: LinkShare) -> None:
+    def __init__(self, clock: Callable[[], float], scheduler: LinkScheduler) -> None:
         self._clock = clock
-        self.share = share
+        self.scheduler = scheduler
 
     def now(self) -> float:
         """Return monotonic seconds."""
         return self._clock()
 
     def note_sent(self, size: int) -> None:
-        """Something short was sent."""
-        self.share.note_sent(size, self._clock())
+        """Note a short message that was sent without waiting."""
+        self.scheduler.note_sent(size, self._clock())
 
-    def end_at(self, moment: float) -> None:
-        """See ``LinkShare.end_at``."""
-        self.share.end_at(moment, self._clock())
+    def stop_at(self, moment: float) -> None:
+        """See ``LinkScheduler.stop_at``."""
+        self.scheduler.stop_at(moment, self._clock())
 
-    def ends_before(self, route: str, rank: Rank, run_seconds: float) -> bool:
-        """See ``LinkShare.ends_before``."""
-        return self.share.ends_before(route, rank, self._clock(), run_seconds)
+    def stops_before(self, route: str, rank: Rank, run_seconds: float) -> bool:
+        """See ``LinkScheduler.stops_before``."""
+        return self.scheduler.stops_before(route, rank, self._clock(), run_seconds)
 
-    def answer_time(self, route: str, rank: Rank) -> float:
-        """See ``LinkShare.answer_time``."""
-        return self.share.answer_time(route, rank, self._clock())
+    def delivery_time(self, route: str, rank: Rank) -> float:
+        """See ``LinkScheduler.delivery_time``."""
+        return self.scheduler.delivery_time(route, rank, self._clock())
 
     def link_report(self, route: str) -> str | None:
-        """Return what to tell senders of the link, asked for an answer of the route."""
-        return link_text(self.share.line_time(self._clock()), self.share.own_time(route))
+        """Return the report on the link for senders of requests of this route, if there is one."""
+        return format_link_report(
+            self.scheduler.total_queue_time(self._clock()), self.scheduler.transfer_time(route)
+        )
 
     def queue_body(
         self,
         rank: Rank,
         size: int,
-        wanted: float,
-        begun: bool = False,
-        latest: float = math.inf,
-        returnable: int = 0,
-        only_here: bool = False,
+        target_time: float,
+        started: bool = False,
+        expires_at: float = math.inf,
+        uncommitted_bytes: int = 0,
+        only_source: bool = False,
     ) -> QueuedBody:
-        """Queue one long body; used as a context manager, see ``LinkShare.enter``."""
-        enter = self.share.enter
+        """Queue one long body; the result is a context manager. See ``LinkScheduler.enqueue``."""
+        enqueue = self.scheduler.enqueue
         return QueuedBody(
             self._clock,
-            self.share,
-            lambda wake: enter(rank, size, wanted, wake, begun, latest, returnable, only_here),
+            self.scheduler,
+            lambda wake: enqueue(
+                rank, size, target_time, wake, started, expires_at, uncommitted_bytes, only_source
+            ),
         )
 
 
 class QueuedBody:
-    """The place of one long body in the line, from its entry to its end."""
+    """A long body in the link queue, from its entry to its end."""
 
-    __slots__ = ("_body", "_changed", "_clock", "_share")
+    __slots__ = ("_body", "_changed", "_clock", "_scheduler")
 
     def __init__(
         self,
         clock: Callable[[], float],
-        share: LinkShare,
-        enter: Callable[[Callable[[], None]], LongBody],
+        scheduler: LinkScheduler,
+        enqueue: Callable[[Callable[[], None]], LongBody],
     ) -> None:
         self._clock = clock
-        self._share = share
+        self._scheduler = scheduler
         self._changed = asyncio.Event()
-        self._body = enter(self._changed.set)
+        self._body = enqueue(self._changed.set)
 
     def __enter__(self) -> QueuedBody:
         return self
@@ -99,29 +103,29 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        self._share.leave(self._body, self._clock())
+        self._scheduler.remove(self._body, self._clock())
 
-    def hasten(self, rank: Rank, wanted: float, latest: float) -> None:
-        """Give the body another place (``LinkShare.hasten``)."""
-        self._share.hasten(self._body, rank, wanted, latest, self._clock())
+    def expedite(self, rank: Rank, target_time: float, expires_at: float) -> None:
+        """Move the body in the queue (``LinkScheduler.expedite``)."""
+        self._scheduler.expedite(self._body, rank, target_time, expires_at, self._clock())
 
     async def parts(self, data: bytes) -> AsyncIterator[bytes]:
         """Yield the data in parts, each when it may be sent.
 
         Raises:
-            LinkEndsError: a node stops too early for it (``LinkShare.end_at``).
+            LinkEndsError: a node shuts down too early to send it (``LinkScheduler.stop_at``).
         """
         for start in range(0, len(data), PART_BYTES):
             await self._wait()
             part = data[start : start + PART_BYTES]
-            self._share.note_part(self._body, len(part), self._clock())
+            self._scheduler.note_part(self._body, len(part), self._clock())
             yield part
 
     async def _wait(self) -> None:
         while True:
-            wait = self._share.wait_of(self._body, self._clock())
-            if self._body.given_back:
-                raise LinkEndsError("a node stops before the body could leave")
+            wait = self._scheduler.send_delay(self._body, self._clock())
+            if self._body.handed_back:
+                raise LinkEndsError("a node shuts down before the body could be sent")
             if wait is None:
                 self._changed.clear()
                 await self._changed.wait()
--- a/tests/node/gateway/test_cancelled_crash_checks.py
+++ b/tests/node/gateway/test_cancelled_crash_checks.py
@@ -11,7 +11,7 @@
 from tests.node.proxy.harness import raw_call, request_bytes
 
 CHECK_SECONDS = 0.5
-PATCHED_CHECK = "pewtertack.node.crash_detection.refuses_connections"
+PATCHED_CHECK = "pewtertack.node.crash_watch.refuses_connections"
 
 
 async def check_slowly(address: str) -> bool:
--- a/tests/node/gateway/test_changes_during_body.py
+++ b/tests/node/gateway/test_changes_during_body.py
@@ -110,7 +110,7 @@
     ) -> None:
         task = await self.begin()
         admission = self.gateways[0]._incarnations.get("b0").admission
-        admission._times.note("lookup", SHORT_SECONDS)
+        admission._service_times.note("lookup", SHORT_SECONDS)
         await asyncio.sleep(5 * SHORT_SECONDS)
         await self.proxy.withdraw_waiting()
         self.assert_refused(await self.answer_of(task), 503, "not-run")
--- a/tests/node/gateway/test_hung_requests_at_stop.py
+++ b/tests/node/gateway/test_hung_requests_at_stop.py
@@ -89,8 +89,10 @@
 
     async def test_running_requests_when_the_last_retry_has_been_spent(self) -> None:
         async def spend_retries() -> None:
-            budget = self.proxy._context.dispatcher._budgets.of("logbook", time.monotonic())
-            while budget.withdraw(time.monotonic()):
+            budget = self.proxy._context.dispatcher._budgets.for_service(
+                "logbook", time.monotonic()
+            )
+            while budget.take(time.monotonic()):
                 pass
 
         self.assert_all_answered(await self.statuses_after(spend_retries))
--- a/tests/node/gateway/test_incarnations.py
+++ b/tests/node/gateway/test_incarnations.py
@@ -10,10 +10,10 @@
 
 from pewtertack.core.machines import Machine, MachineList, MachineRole, MachineState
 from pewtertack.node.gateway.incarnations import MAX_UNLISTED_NAMES, Incarnations
+from pewtertack.routing.admission_ticket import AdmissionTicket
 from pewtertack.routing.cold import ColdBounds
 from pewtertack.routing.outcomes import BackendGoneError, BackendLeftError
-from pewtertack.routing.patience import Lateness
-from pewtertack.routing.places import AdmissionTicket
+from pewtertack.routing.wait_policy import WaitPolicy
 from tests.node.gateway.test_gateway import POST, GatewayTestCase, answer_normally, raw_call
 
 FIRST_START, SECOND_START = 1_700_000_000_000, 1_700_000_005_000
@@ -25,7 +25,7 @@
 
 
 def make_ticket() -> AdmissionTicket:
-    return AdmissionTicket("lookup", (0, 0), 5.0, 9.0, Lateness.ALLOWED)
+    return AdmissionTicket("lookup", (0, 0), 5.0, 9.0, WaitPolicy.WAIT)
 
 
 class IncarnationsTest(unittest.TestCase):
@@ -68,7 +68,7 @@
     def test_a_new_incarnation_is_cold_until_it_reports_otherwise(self) -> None:
         self.incarnations.use_bounds(ColdBounds(5.0, 3.0))
         self.incarnations.apply_machine_list(machine_list(FIRST_START))
-        self.incarnations.get("b1").cold.learn(0.0, 0.0, 0.0)
+        self.incarnations.get("b1").cold.note_remaining(0.0, 0.0, 0.0)
         self.assertFalse(self.incarnations.get("b1").cold.is_cold(0.0))
         self.incarnations.apply_machine_list(machine_list(SECOND_START))
         self.assertTrue(self.incarnations.get("b1").cold.is_cold(0.0))
--- a/tests/node/gateway/test_link_check.py
+++ b/tests/node/gateway/test_link_check.py
@@ -6,9 +6,9 @@
 from pewtertack.node.gateway.link_check import LinkCheck
 from pewtertack.node.pacing import LinkPacer
 from pewtertack.routing.admission import Admission
-from pewtertack.routing.link import LinkShare
+from pewtertack.routing.admission_ticket import AdmissionTicket
+from pewtertack.routing.link import LinkScheduler
 from pewtertack.routing.outcomes import DeadlineUnmeetableError
-from pewtertack.routing.places import AdmissionTicket
 
 LINK_MBPS = 10.0
 DOWNLOAD_BYTES = 90_000
@@ -23,14 +23,14 @@
 class LinkCheckTest(unittest.TestCase):
     def setUp(self) -> None:
         self.now = 1000.0
-        self.share = LinkShare(LINK_MBPS)
+        self.scheduler = LinkScheduler(LINK_MBPS)
         self.admission = Admission(4)
-        self.pacer = LinkPacer(lambda: self.now, self.share)
+        self.pacer = LinkPacer(lambda: self.now, self.scheduler)
 
-    def submit(self, objective: float = OBJECTIVE, within: bool = False) -> AdmissionTicket:
+    def submit(self, objective: float = OBJECTIVE, nested: bool = False) -> AdmissionTicket:
         """Check and submit a request as a gateway does."""
         ticket = AdmissionTicket("export", RANK, self.now + objective, self.now + DEADLINE)
-        ticket.within = within
+        ticket.nested = nested
         LinkCheck(self.pacer, self.admission, ticket).check(self.now)
         self.admission.submit(ticket, self.now)
         return ticket
@@ -39,8 +39,8 @@
         ticket = self.submit()
         self.now += seconds
         self.admission.finish(ticket, self.now, True)
-        self.share.note_answer("export", DOWNLOAD_BYTES)
-        self.share.note_sent(DOWNLOAD_BYTES, self.now)
+        self.scheduler.note_answer_size("export", DOWNLOAD_BYTES)
+        self.scheduler.note_sent(DOWNLOAD_BYTES, self.now)
         self.now += 1.0
 
     def test_slow_executions_do_not_block_a_route_forever(self) -> None:
@@ -55,7 +55,7 @@
     def test_a_response_too_long_for_its_deadline_is_refused_except_one_probe_a_second(
         self,
     ) -> None:
-        self.share.note_answer("export", 50_000_000)
+        self.scheduler.note_answer_size("export", 50_000_000)
         granted_count = 0
         for _ in range(100):
             with contextlib.suppress(DeadlineUnmeetableError):
@@ -70,10 +70,10 @@
         was shortly after the objective.
         """
         self.serve(0.05)
-        transfer = self.share.own_time("export")
-        while self.share.time_ahead(RANK, self.now) < 1.0:
-            self.share.enter(RANK, DOWNLOAD_BYTES, self.now + 60.0, wake_nobody)
-        queued = self.share.time_ahead(RANK, self.now)
+        transfer = self.scheduler.transfer_time("export")
+        while self.scheduler.queue_time(RANK, self.now) < 1.0:
+            self.scheduler.enqueue(RANK, DOWNLOAD_BYTES, self.now + 60.0, wake_nobody)
+        queued = self.scheduler.queue_time(RANK, self.now)
         run_seconds = self.admission.expected_time("export")
         for deadline, accepted in (
             (run_seconds + transfer + queued * 1.1, False),
@@ -94,11 +94,11 @@
     ) -> None:
         self.serve(0.05)
         for _ in range(10):
-            self.share.enter(RANK, DOWNLOAD_BYTES, self.now + 1.0, wake_nobody)
+            self.scheduler.enqueue(RANK, DOWNLOAD_BYTES, self.now + 1.0, wake_nobody)
         with self.assertRaises(DeadlineUnmeetableError):
             self.submit()
-        self.assertTrue(self.submit(within=True).granted)
+        self.assertTrue(self.submit(nested=True).granted)
         for _ in range(60):
-            self.share.enter(RANK, DOWNLOAD_BYTES, self.now + 1.0, wake_nobody)
+            self.scheduler.enqueue(RANK, DOWNLOAD_BYTES, self.now + 1.0, wake_nobody)
         with self.assertRaises(DeadlineUnmeetableError):
-            self.submit(within=True)
+            self.submit(nested=True)
--- a/tests/node/gateway/test_link_reports.py
+++ b/tests/node/gateway/test_link_reports.py
@@ -62,8 +62,8 @@
         self.assertEqual([len(item.body) for item in answers], [RESPONSE_BYTES] * 3)
         self.assertEqual([item for item in answers[0].headers if "pewtertack" in item], [])
         (long_route,) = self.proxy._context.dispatcher.service("logbook")._long_routes.values()
-        transfer = RESPONSE_BYTES / self.pacer.share.bytes_per_second
-        self.assertAlmostEqual(long_route.own, transfer, places=2)
+        transfer = RESPONSE_BYTES / self.pacer.scheduler.bytes_per_second
+        self.assertAlmostEqual(long_route.transfer_seconds, transfer, places=2)
         self.assertGreater(self.backend.link_free_at, 0.0)
 
     async def test_a_refusal_reports_the_queue_too(self) -> None:
--- a/tests/node/gateway/test_sending.py
+++ b/tests/node/gateway/test_sending.py
@@ -11,8 +11,8 @@
 from pewtertack.node.gateway.sending import RESPONSE_BUFFER_BYTES, BufferedBytes, ResponseSender
 from pewtertack.node.http.cycle import WHOLE_BODY
 from pewtertack.node.pacing import LinkPacer
-from pewtertack.routing.link import LONG_BYTES, LinkShare
-from pewtertack.routing.places import AdmissionTicket
+from pewtertack.routing.admission_ticket import AdmissionTicket
+from pewtertack.routing.link import LONG_BYTES, LinkScheduler
 from tests.node.gateway.test_gateway import GatewayTestCase, header
 from tests.node.proxy.harness import answer_bytes, raw_call, request_bytes
 
@@ -29,7 +29,7 @@
     def setUp(self) -> None:
         self.sent: list[Any] = []
         self.node_buffer = BufferedBytes()
-        self.pacer = LinkPacer(time.monotonic, LinkShare(LINK_MBPS))
+        self.pacer = LinkPacer(time.monotonic, LinkScheduler(LINK_MBPS))
 
     def make_sender(self, route: str = "export") -> ResponseSender:
         now = time.monotonic()
@@ -82,23 +82,23 @@
         right after two others had 1684 ms left, like the first one, instead of -316 ms.
         """
         size = 50 * LONG_BYTES
-        share = self.pacer.share
-        share.note_answer("export", size)
+        scheduler = self.pacer.scheduler
+        scheduler.note_answer_size("export", size)
         sender = self.make_sender()
         sender.reserve()
-        transfer = share.own_time("export")
-        self.assertAlmostEqual(share.time_ahead(BULK, time.monotonic()), transfer, delta=0.001)
+        transfer = scheduler.transfer_time("export")
+        self.assertAlmostEqual(scheduler.queue_time(BULK, time.monotonic()), transfer, delta=0.001)
         await self.begin(sender, size)
         for _ in range(size // LONG_BYTES):
             part = {"type": "http.response.body", "body": b"x" * LONG_BYTES, "more_body": True}
             await sender(part)
-            ahead = share.time_ahead(BULK, time.monotonic())
-            self.assertGreater(ahead, transfer * 0.9 - LONG_BYTES / share.bytes_per_second)
+            ahead = scheduler.queue_time(BULK, time.monotonic())
+            self.assertGreater(ahead, transfer * 0.9 - LONG_BYTES / scheduler.bytes_per_second)
             if len(self.sent) > 4:
                 break
         sender.close()
         await asyncio.sleep(0.01)
-        self.assertEqual(share.time_ahead(BULK, time.monotonic() + 1.0), 0.0)
+        self.assertEqual(scheduler.queue_time(BULK, time.monotonic() + 1.0), 0.0)
 
     async def test_a_long_response_in_one_message_with_its_head_is_paced(self) -> None:
         data = bytes(index % 251 for index in range(3 * LONG_BYTES))
@@ -109,7 +109,7 @@
         self.assertEqual(self.node_buffer.byte_count, len(data) - len(self.body()))
         await sender.finish()
         self.assertEqual(self.body(), data)
-        self.assertGreater(self.pacer.answer_time("export", BULK), 0.0)
+        self.assertGreater(self.pacer.delivery_time("export", BULK), 0.0)
 
     async def test_a_short_response_in_one_message_with_its_head_is_sent_with_it(self) -> None:
         sender = self.make_sender()
@@ -134,7 +134,7 @@
         await sender.finish()
         self.assertEqual(len(self.body()), received_bytes)
         self.assertEqual(sum(not item.get("more_body", False) for item in self.sent[1:]), 1)
-        self.assertEqual(self.pacer.answer_time("export", BULK), 0.0)
+        self.assertEqual(self.pacer.delivery_time("export", BULK), 0.0)
 
     async def test_an_overdue_response_in_pieces_is_continued_before_a_new_one_is_started(
         self,
@@ -211,7 +211,7 @@
         callers' deadlines passed some seconds later, although their executions had ended early.
         With a due time for overdue responses as the only change, all of them arrived.
         """
-        self.pacer = LinkPacer(time.monotonic, LinkShare(20.0))
+        self.pacer = LinkPacer(time.monotonic, LinkScheduler(20.0))
         now = time.monotonic()
         overdue_ticket = AdmissionTicket("export", BULK, now - 0.1, now + 1.0)
         sender = ResponseSender(self.send, self.pacer, self.node_buffer, overdue_ticket)
@@ -244,8 +244,8 @@
         counted only the first piece, while its reservation was released, so that the rest was not
         counted until that piece had been sent. With this alone changed, fewer responses were late.
         """
-        share = self.pacer.share
-        share.note_sent(RESPONSE_BUFFER_BYTES, time.monotonic())
+        scheduler = self.pacer.scheduler
+        scheduler.note_sent(RESPONSE_BUFFER_BYTES, time.monotonic())
         sender = self.make_sender()
         size = 10 * LONG_BYTES
         await self.begin(sender, size)
@@ -253,28 +253,28 @@
             piece = {"type": "http.response.body", "body": b"x" * 2 * LONG_BYTES}
             await sender(piece | {"more_body": True})
             await asyncio.sleep(0)
-            seconds = share.time_ahead(BULK, time.monotonic() + 60.0)
-            self.assertAlmostEqual(seconds * share.bytes_per_second, size, delta=1)
+            seconds = scheduler.queue_time(BULK, time.monotonic() + 60.0)
+            self.assertAlmostEqual(seconds * scheduler.bytes_per_second, size, delta=1)
         sender.close()
 
     async def test_a_response_of_unknown_length_counts_with_the_usual_length_until_complete(
         self,
     ) -> None:
-        share = self.pacer.share
-        share.note_answer("export", 10 * LONG_BYTES)
-        share.note_sent(RESPONSE_BUFFER_BYTES, time.monotonic())
+        scheduler = self.pacer.scheduler
+        scheduler.note_answer_size("export", 10 * LONG_BYTES)
+        scheduler.note_sent(RESPONSE_BUFFER_BYTES, time.monotonic())
         sender = self.make_sender()
         sender.reserve()
         await sender({"type": "http.response.start", "status": 200, "headers": []})
         piece = {"type": "http.response.body", "body": b"x" * 2 * LONG_BYTES}
         await sender(piece | {"more_body": True})
         await asyncio.sleep(0)
-        seconds = share.time_ahead(BULK, time.monotonic() + 60.0)
-        self.assertAlmostEqual(seconds * share.bytes_per_second, 10 * LONG_BYTES, delta=1)
+        seconds = scheduler.queue_time(BULK, time.monotonic() + 60.0)
+        self.assertAlmostEqual(seconds * scheduler.bytes_per_second, 10 * LONG_BYTES, delta=1)
         await sender({"type": "http.response.body", "body": b""})
         await sender.finish()
         self.assertEqual(len(self.body()), 2 * LONG_BYTES)
-        self.assertEqual(share.time_ahead(BULK, time.monotonic() + 60.0), 0.0)
+        self.assertEqual(scheduler.queue_time(BULK, time.monotonic() + 60.0), 0.0)
 
     async def test_a_back_end_slower_than_the_link_delays_no_other_response(self) -> None:
         slow, fast = self.make_sender(), self.make_sender("other")
@@ -303,18 +303,20 @@
         self.assertEqual(len(self.body()), 4 * len(part))
 
     async def test_a_reservation_counts_until_the_response_is_sent_or_abandoned(self) -> None:
-        share = self.pacer.share
-        share.note_answer("export", RESPONSE_BUFFER_BYTES)
-        base_time = share.answer_time("export", BULK, time.monotonic())
+        scheduler = self.pacer.scheduler
+        scheduler.note_answer_size("export", RESPONSE_BUFFER_BYTES)
+        base_time = scheduler.delivery_time("export", BULK, time.monotonic())
         sent, abandoned = self.make_sender(), self.make_sender()
         sent.reserve()
         abandoned.reserve()
-        self.assertAlmostEqual(share.answer_time("export", BULK, time.monotonic()), 3 * base_time)
+        self.assertAlmostEqual(
+            scheduler.delivery_time("export", BULK, time.monotonic()), 3 * base_time
+        )
         abandoned.close()
         await self.answer(sent, b"x" * LONG_BYTES, b"x" * LONG_BYTES)
         await sent.finish()
         sent.close()
-        after = share.answer_time("export", BULK, time.monotonic() + 1.0)
+        after = scheduler.delivery_time("export", BULK, time.monotonic() + 1.0)
         self.assertLess(after, 1.01 * base_time)
 
     async def test_nothing_stays_counted_however_responses_end(
@@ -322,11 +324,13 @@
     ) -> None:
         for seed in range(30):
             rng = random.Random(seed)
-            self.pacer.share.note_answer("export", 5 * LONG_BYTES)
+            self.pacer.scheduler.note_answer_size("export", 5 * LONG_BYTES)
             await asyncio.gather(*(self.end_at_random(rng) for _ in range(8)))
-            share = self.pacer.share
-            self.assertEqual((share._line, self.node_buffer.byte_count), ([], 0), f"seed {seed}")
-            self.assertLess(sum(share._promised.values()), 0.001, f"seed {seed}")
+            scheduler = self.pacer.scheduler
+            self.assertEqual(
+                (scheduler._queue, self.node_buffer.byte_count), ([], 0), f"seed {seed}"
+            )
+            self.assertLess(sum(scheduler._reserved_bytes.values()), 0.001, f"seed {seed}")
 
     async def end_at_random(self, rng: random.Random) -> None:
         """End a response at random: refused, broken off, abandoned during sending, or complete."""
@@ -381,7 +385,7 @@
 
         address = await self.start_fleet(script, slots=1)
         gateway = self.gateways[0]
-        pacer = LinkPacer(time.monotonic, LinkShare(4.0))
+        pacer = LinkPacer(time.monotonic, LinkScheduler(4.0))
         gateway._context = msgspec.structs.replace(gateway._context, pacer=pacer)
         return address
 
@@ -399,8 +403,8 @@
 
     async def test_a_response_that_would_be_sent_too_late_is_refused_before_it_runs(self) -> None:
         address = await self.start()
-        share = self.gateways[0]._context.pacer.share  # type: ignore[union-attr]
-        share.note_answer("lookup", 50_000_000)
+        scheduler = self.gateways[0]._context.pacer.scheduler  # type: ignore[union-attr]
+        scheduler.note_answer_size("lookup", 50_000_000)
         answer = await raw_call(address, get("/long"))
         self.assert_refused(answer, 503, "not-run")
         self.assertEqual(self.heads, [])
@@ -412,8 +416,8 @@
         self.assertEqual((await raw_call(address, get("/long"))).status, 200)
         self.gateways[0].start_leaving(3.0)
         self.assertEqual((await raw_call(address, get("/short"))).status, 200)
-        share = self.gateways[0]._context.pacer.share  # type: ignore[union-attr]
-        share.note_sent(600_000, time.monotonic())
+        scheduler = self.gateways[0]._context.pacer.scheduler  # type: ignore[union-attr]
+        scheduler.note_sent(600_000, time.monotonic())
         self.assert_refused(await raw_call(address, get("/short")), 503, "not-run")
 
 
--- a/tests/node/gateway/test_stop_notices.py
+++ b/tests/node/gateway/test_stop_notices.py
@@ -19,7 +19,7 @@
 from pewtertack.node.gateway.reception import MAX_EARLY_BODIES
 from pewtertack.node.pacing import LinkPacer
 from pewtertack.node.proxy.stop_time import ShutdownDeadline, notify_gateways
-from pewtertack.routing.link import LinkShare
+from pewtertack.routing.link import LinkScheduler
 from pewtertack.routing.outcomes import BackendUnreachableError
 from tests.node.gateway.test_gateway import GatewayTestCase, header
 from tests.node.proxy.harness import Answer, answer_bytes, begin_call, raw_call, request_bytes
@@ -179,7 +179,7 @@
         self,
     ) -> None:
         """The same for a download, which needs time on the link after its execution."""
-        pacer = LinkPacer(time.monotonic, LinkShare(LINK_MBPS))
+        pacer = LinkPacer(time.monotonic, LinkScheduler(LINK_MBPS))
         gateway = self.gateways[0]
         gateway._context = msgspec.structs.replace(gateway._context, pacer=pacer)
         self.seconds, self.response_bytes = 0.05, DOWNLOAD_BYTES
