--- a/src/pewtertack/core/source_mirror.py
+++ b/src/pewtertack/core/source_mirror.py
@@ -32,7 +32,7 @@
 
     @property
     def made(self) -> int:
-        """The revision at which the item was created."""
+        """The revision at which the item was created; named as in the store's answers."""
 
     def content(self) -> bytes | None:
         """Return the item's bytes; ``None`` if it was deleted."""
--- a/src/pewtertack/core/source_trees.py
+++ b/src/pewtertack/core/source_trees.py
@@ -184,6 +184,6 @@
         return version, tree, (error.finding_for(key),)
     if mirror.era and mirror.last_readable_version > version:
         version, tree = tree_of(mirror.last_readable, evacuated)
-        return version, tree, ()  # was acknowledged before the copy's older one came back
+        return version, tree, ()  # acknowledged before the restore brought an older one back
     mirror.last_readable, mirror.last_readable_version = value, version
     return version, tree, ()
