--- a/src/pewtertack/node/assembly.py
+++ b/src/pewtertack/node/assembly.py
@@ -41,8 +41,7 @@
 STAGE_BUCKETS_SECONDS = (0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0)
 """Upper bounds of the histogram's buckets, in seconds."""
 WIDE_LINK_MBPS = 50.0
-"""A link of at least this speed carries a configuration of 2,000 routes (some 600 KB) within 0.1 s.
-"""
+"""A link of at least this speed carries a tree of 2,000 routes (some 600 KB) within 0.1 s."""
 
 
 class ClosableReader(DocumentReader, Protocol):
--- a/src/pewtertack/node/collector.py
+++ b/src/pewtertack/node/collector.py
@@ -10,8 +10,7 @@
 import gc
 
 YOUNG_THRESHOLD = 20_000
-"""Objects created minus objects freed between collections of the young generation (default: 700).
-"""
+"""Objects created minus objects freed between two collections of young objects (default: 700)."""
 MIDDLE_THRESHOLD = 10
 OLD_THRESHOLD = 10
 
--- a/src/pewtertack/node/http/cycle.py
+++ b/src/pewtertack/node/http/cycle.py
@@ -108,8 +108,7 @@
         self.response_started = False
         """Whether the application has sent a part of the response."""
         self.response_complete = False
-        """Whether the application has sent the whole response, which may still wait for its turn.
-        """
+        """Whether the application has sent the whole response; it may still wait for its turn."""
         self.on_caller_gone: Callable[[], None] | None = None
         self.body = bytearray()
         self._connection = connection
--- a/src/pewtertack/node/http/heads.py
+++ b/src/pewtertack/node/http/heads.py
@@ -17,8 +17,7 @@
 SUPPORTED_CODING = b"chunked"
 """The only supported transfer coding."""
 DEFAULT_HEAD_LIMIT = 32 * 1024
-"""Largest request line and headers together, in bytes, unless the application accepts longer ones.
-"""
+"""Bytes of request line and headers together, unless the application accepts more."""
 CONNECTION_HEADERS = frozenset({b"expect", b"transfer-encoding"})
 """Headers that the connection itself handles."""
 ASGI_VERSIONS = {"version": "3.0", "spec_version": "2.3"}
--- a/src/pewtertack/node/http/protocol.py
+++ b/src/pewtertack/node/http/protocol.py
@@ -33,8 +33,7 @@
 closing then would reset the connection, and the response could be lost.
 """
 HEAD_LIMIT_ATTRIBUTE = "longest_head"
-"""Optional attribute of an application: the largest head in bytes, if above ``DEFAULT_HEAD_LIMIT``.
-"""
+"""Optional attribute of an application: a head limit in bytes above ``DEFAULT_HEAD_LIMIT``."""
 REPEATABLE_METHOD = "may_run_beside"
 """Optional method of an application: whether the request of a scope is repeatable."""
 
--- a/src/pewtertack/node/http/server.py
+++ b/src/pewtertack/node/http/server.py
@@ -37,8 +37,7 @@
 """Pause after such an error: the listener stays readable, which would keep the loop busy with
 nothing else."""
 RELAY_ATTRIBUTE = "callers_relay"
-"""Optional attribute of an application: whether its callers relay responses to their own callers.
-"""
+"""Optional attribute of an application: whether its callers relay responses to others."""
 
 logger = logging.getLogger(LOGGER_NAME)
 
--- a/src/pewtertack/node/runtime.py
+++ b/src/pewtertack/node/runtime.py
@@ -50,8 +50,7 @@
 a node whose clock is further behind cannot tell incarnations apart, as if no start times were
 reported."""
 YIELDS_BETWEEN_SLICES = 2
-"""Iterations of the event loop between two slices of work, so that it polls the sockets in between.
-"""
+"""Event loop iterations between two slices of work, in which it polls the sockets."""
 REFUSAL_LOG_INTERVAL = 1.0
 """Refused frames of one type are logged at most once in this many seconds."""
 
