--- a/tests/routing/samples.py
+++ b/tests/routing/samples.py
@@ -71,10 +71,10 @@
 
 
 def dispatcher(*names: str, seed: int = 1) -> Dispatcher:
-    made = Dispatcher(Random(seed))
-    made.use_zone("ikeja")
-    made.use_machines(machines(*names), 0.0)
-    return made
+    subject = Dispatcher(Random(seed))
+    subject.use_zone("ikeja")
+    subject.use_machines(machines(*names), 0.0)
+    return subject
 
 
 def ticket(
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission at the node beside a back end: exact slots, order of the queue, refusals."""
+"""Admission of requests to a local back end: exact slots, queue order, refusals."""
 
 import contextlib
 import unittest
@@ -28,7 +28,7 @@
 
 
 class AdmissionTest(unittest.TestCase):
-    def test_no_more_run_than_there_are_slots(self) -> None:
+    def test_requests_in_flight_do_not_exceed_the_slots(self) -> None:
         admission = Admission(2)
         tickets = [ticket() for _ in range(5)]
         for item in tickets:
@@ -36,19 +36,19 @@
         self.assertEqual([item.granted for item in tickets], [True, True, False, False, False])
         self.assertEqual((admission.in_flight, admission.load), (2, 5))
 
-    def test_a_freed_slot_goes_to_the_smallest_rank_then_to_the_first_that_came(self) -> None:
+    def test_a_freed_slot_goes_by_rank_then_by_arrival(self) -> None:
         admission = Admission(1)
         running = ticket()
         admission.submit(running, 0.0)
-        late, first, second = ticket(rank=2), ticket(rank=1), ticket(rank=1)
-        for item in (late, first, second):
+        late_ticket, first, second = ticket(rank=2), ticket(rank=1), ticket(rank=1)
+        for item in (late_ticket, first, second):
             admission.submit(item, 0.0)
         admission.finish(running, 0.1, answered=True)
-        self.assertEqual([late.granted, first.granted, second.granted], [False, True, False])
+        self.assertEqual([late_ticket.granted, first.granted, second.granted], [False, True, False])
         admission.finish(first, 0.2, answered=True)
         self.assertTrue(second.granted)
 
-    def test_a_full_queue_lets_the_least_urgent_go_for_what_is_more_urgent(self) -> None:
+    def test_a_full_queue_evicts_the_least_urgent_for_a_more_urgent_request(self) -> None:
         admission = busy(seconds=0.01)
         woken: list[int] = []
         waiting = [
@@ -67,15 +67,15 @@
         with self.assertRaises(QueueFullError):
             admission.submit(ticket(rank=3, deadline=99.0, objective=90.0), 0.0)
 
-    def test_what_cannot_end_in_time_is_refused_at_once_with_the_time_of_its_turn(self) -> None:
+    def test_a_hopeless_request_is_refused_at_once_with_the_expected_wait(self) -> None:
         admission = busy(seconds=0.2)
         with self.assertRaises(DeadlineUnmeetableError) as refused:
             admission.submit(ticket(objective=0.1, deadline=0.3), 0.0)
         self.assertAlmostEqual(refused.exception.retry_after or 0.0, 0.2)
         self.assertEqual(admission.load, 1)
 
-    def test_slow_first_answers_do_not_have_what_can_be_served_refused_later(self) -> None:
-        """Guards against refusals by the first answer's time alone, which weighed for long."""
+    def test_slow_first_answers_do_not_cause_refusals_later(self) -> None:
+        """Requests were refused because a slow first answer kept its weight for long."""
         admission = Admission(2)
         for seconds in (0.24, 0.23, 0.03, 0.03, 0.02, 0.02):
             first = ticket()
@@ -86,7 +86,7 @@
             admission.submit(item, 3.0)
         self.assertEqual(admission.load, 20)
 
-    def test_a_delay_of_this_node_counts_while_it_lasts_and_not_as_the_back_end_s_time(
+    def test_a_delay_of_this_node_is_temporary_and_not_part_of_the_service_time(
         self,
     ) -> None:
         admission = Admission(1)
@@ -106,7 +106,7 @@
             admission.withdraw(waiting)
             admission.finish(running, began + 0.1, answered=True)
 
-    def test_an_objective_beyond_the_deadline_does_not_count(self) -> None:
+    def test_the_deadline_bounds_the_objective(self) -> None:
         admission = busy(seconds=0.2)
         with self.assertRaises(DeadlineUnmeetableError):
             admission.submit(ticket(objective=20.0, deadline=0.1), 0.0)
@@ -118,30 +118,33 @@
         self.assertFalse(waiting.granted)
         self.assertIsNone(waiting.refusal)
 
-    def test_a_request_that_may_not_be_late_is_refused_when_it_would_be(self) -> None:
+    def test_a_request_that_must_not_be_late_is_refused_if_it_would_be(self) -> None:
         admission = busy(seconds=0.2)
         with self.assertRaises(DeadlineUnmeetableError):
             admission.submit(
                 ticket(objective=0.3, deadline=1.0, wait_policy=WaitPolicy.TRY_ANOTHER_GATEWAY), 0.0
             )
 
-    def test_what_can_still_be_in_time_goes_before_what_is_late_whatever_its_rank(self) -> None:
+    def test_timely_requests_precede_late_ones_of_any_rank(self) -> None:
         admission = Admission(1)
         running = ticket()
-        late, timely = ticket(rank=0, objective=0.25, deadline=3.0), ticket(rank=5, deadline=4.0)
-        for item in (running, late, timely):
+        late_ticket, timely = (
+            ticket(rank=0, objective=0.25, deadline=3.0),
+            ticket(rank=5, deadline=4.0),
+        )
+        for item in (running, late_ticket, timely):
             admission.submit(item, 0.0)
         admission.finish(running, 0.3, answered=False)
-        self.assertEqual((late.granted, timely.granted), (False, True))
+        self.assertEqual((late_ticket.granted, timely.granted), (False, True))
 
-    def test_a_waiting_request_is_given_up_while_its_caller_has_half_its_time(self) -> None:
+    def test_a_stalled_request_is_refused_while_its_caller_has_half_its_time(self) -> None:
         admission = busy(seconds=0.2)
         waiting = ticket(objective=0.4, deadline=2.0)
         admission.submit(waiting, 0.0)
         admission.recheck(waiting, 0.91)
         self.assertIsInstance(waiting.refusal, DeadlineUnmeetableError)
 
-    def test_a_request_whose_turn_has_come_too_late_is_refused_and_not_started(self) -> None:
+    def test_a_request_whose_turn_comes_too_late_is_refused_and_not_started(self) -> None:
         admission = busy(seconds=0.2)
         waiting = ticket(objective=0.3, deadline=0.35)
         waiting.submitted_at = -5.0
@@ -150,7 +153,7 @@
         self.assertIsInstance(waiting.refusal, DeadlineUnmeetableError)
         self.assertEqual(admission.load, 1)
 
-    def test_a_back_end_of_which_nothing_is_known_is_taken_to_need_a_third_of_the_objective(
+    def test_an_unknown_back_end_is_assumed_to_need_a_third_of_the_objective(
         self,
     ) -> None:
         admission = Admission(1)
@@ -160,7 +163,7 @@
         with self.assertRaises(DeadlineUnmeetableError):
             admission.submit(ticket(objective=1.0, deadline=1.2), 0.0)
 
-    def test_a_back_end_that_answers_only_what_is_quick_is_known_to_be_slow(self) -> None:
+    def test_unanswered_requests_count_in_the_mean_time(self) -> None:
         admission = Admission(1)
         for _ in range(20):
             quick, cut = ticket(), ticket()
@@ -170,7 +173,7 @@
             admission.finish(cut, 2.0, answered=False)
         self.assertGreater(admission.expected_time("lookup"), 0.4)
 
-    def test_a_request_that_was_cut_early_tells_nothing(self) -> None:
+    def test_a_request_cancelled_early_does_not_change_the_mean_time(self) -> None:
         admission = Admission(1)
         known, cut = ticket(), ticket()
         admission.submit(known, 0.0)
@@ -188,7 +191,7 @@
             for _ in range(1000):
                 admission.submit(ticket(objective=1e6, deadline=1e6), 0.0)
 
-    def test_a_caller_that_goes_leaves_its_place(self) -> None:
+    def test_a_withdrawn_ticket_leaves_the_queue(self) -> None:
         admission = Admission(1)
         running, gone, waiting = ticket(), ticket(), ticket()
         for item in (running, gone, waiting):
@@ -199,13 +202,13 @@
         self.assertFalse(gone.granted)
 
 
-class PatienceTest(unittest.TestCase):
-    """Requests whose callers may come back, beside those that have to wait."""
+class WaitPolicyTest(unittest.TestCase):
+    """Requests whose callers can retry, together with requests that have to wait."""
 
-    def prompt(self, **changes: Any) -> Any:
+    def retry_ticket(self, **changes: Any) -> Any:
         return ticket(**{"deadline": 9.0, "wait_policy": WaitPolicy.RETRY, **changes})
 
-    def test_it_is_refused_at_once_when_its_answer_would_often_be_late(self) -> None:
+    def test_it_is_refused_at_once_if_its_answer_would_often_be_late(self) -> None:
         admission = busy(seconds=0.2)
         for seconds in (0.05, 0.4, 0.05, 0.4):
             other = ticket()
@@ -214,43 +217,43 @@
             admission.finish(other, seconds, answered=True)
             admission.slots -= 1
         with self.assertRaises(DeadlineUnmeetableError):
-            admission.submit(self.prompt(objective=0.6), 0.0)
+            admission.submit(self.retry_ticket(objective=0.6), 0.0)
         admission.submit(ticket(objective=0.6), 0.0)
 
-    def test_it_waits_where_answers_take_the_same_time_always(self) -> None:
+    def test_it_waits_if_answers_always_take_the_same_time(self) -> None:
         admission = busy(seconds=0.2)
-        waiting = self.prompt(objective=0.6)
+        waiting = self.retry_ticket(objective=0.6)
         admission.submit(waiting, 0.0)
         self.assertIsNone(waiting.refusal)
 
-    def test_its_wait_ends_when_its_objective_becomes_unsafe(self) -> None:
+    def test_it_is_refused_when_its_objective_becomes_unsafe(self) -> None:
         admission = busy(seconds=0.2)
-        waiting = self.prompt(objective=0.6)
+        waiting = self.retry_ticket(objective=0.6)
         admission.submit(waiting, 0.0)
         admission.recheck(waiting, 0.39)
         self.assertIsNone(waiting.refusal)
         admission.recheck(waiting, 0.41)
         self.assertIsInstance(waiting.refusal, DeadlineUnmeetableError)
 
-    def test_one_that_came_back_waits_behind_all_that_may_be_in_time(self) -> None:
+    def test_a_retrying_caller_waits_behind_timely_requests(self) -> None:
         admission = busy(seconds=0.2)
-        back = ticket(objective=1.0, deadline=3.0, wait_policy=WaitPolicy.DEFERRED)
-        fresh = self.prompt(objective=1.5)
-        admission.submit(back, 0.0)
-        admission.submit(fresh, 0.0)
+        retrying = ticket(objective=1.0, deadline=3.0, wait_policy=WaitPolicy.DEFERRED)
+        first_call = self.retry_ticket(objective=1.5)
+        admission.submit(retrying, 0.0)
+        admission.submit(first_call, 0.0)
         running = ticket()
         admission._start(running, 0.0)
         admission.finish(running, 0.1, answered=True)
         admission.finish(running, 0.1, answered=True)
-        self.assertEqual((back.granted, fresh.granted), (False, True))
+        self.assertEqual((retrying.granted, first_call.granted), (False, True))
 
-    def test_what_yields_does_not_count_as_load(self) -> None:
+    def test_deferred_requests_do_not_count_as_load(self) -> None:
         admission = busy(seconds=0.2)
-        for lateness in (WaitPolicy.WAIT, WaitPolicy.DEFERRED):
-            admission.submit(ticket(objective=1.0, deadline=9.0, wait_policy=lateness), 0.0)
+        for wait_policy in (WaitPolicy.WAIT, WaitPolicy.DEFERRED):
+            admission.submit(ticket(objective=1.0, deadline=9.0, wait_policy=wait_policy), 0.0)
         self.assertEqual((admission.in_flight, admission.load), (1, 2))
 
-    def test_what_is_short_of_time_goes_before_others_of_its_rank(self) -> None:
+    def test_a_request_short_of_time_precedes_others_of_its_rank(self) -> None:
         admission = Admission(1)
         running = ticket()
         admission.submit(running, 0.0)
@@ -260,7 +263,7 @@
         admission.finish(running, 0.1, answered=True)
         self.assertEqual((long.granted, short.granted), (False, True))
 
-    def test_an_overload_that_lasts_is_taken_to_last_as_long_again(self) -> None:
+    def test_retry_after_grows_with_the_duration_of_an_overload(self) -> None:
         admission = busy(seconds=0.2)
 
         def refused(now: float) -> float:
@@ -268,43 +271,43 @@
                 admission.submit(ticket(objective=now + 0.1, deadline=now + 0.3), now)
             return caught.exception.retry_after or 0.0
 
-        told = [round(refused(now), 3) for now in (0.0, 0.5, 1.0, 1.5, 9.0)]
-        self.assertEqual(told, [0.2, 0.5, 1.0, 1.5, 0.2])
+        pauses = [round(refused(now), 3) for now in (0.0, 0.5, 1.0, 1.5, 9.0)]
+        self.assertEqual(pauses, [0.2, 0.5, 1.0, 1.5, 0.2])
 
 
-class LateTest(unittest.TestCase):
-    """Requests that cannot be in time any longer, beside others that keep coming."""
+class LateRequestTest(unittest.TestCase):
+    """Requests that are already late, while other requests keep arriving."""
 
-    def late(self) -> Any:
+    def late_ticket(self) -> Any:
         return ticket(objective=0.3, deadline=3.0, wait_policy=WaitPolicy.DEFERRED)
 
-    def press(self, admission: Admission, until: float) -> None:
-        """Let requests that go first come 20 times a second, four times what one slot takes."""
+    def add_timely_arrivals(self, admission: Admission, until: float) -> None:
+        """Record timely arrivals at 20 a second, four times the capacity of the one slot."""
         for step in range(round(until * 20)):
             admission._precedence_arrivals.note(step / 20)
             admission._last_progress_at = step / 20
 
-    def test_it_is_refused_at_once_where_others_take_all_there_is(self) -> None:
+    def test_it_is_refused_at_once_if_timely_requests_take_the_whole_capacity(self) -> None:
         admission = busy(seconds=0.2)
-        admission.submit(self.late(), 0.0)
-        self.press(admission, until=1.0)
+        admission.submit(self.late_ticket(), 0.0)
+        self.add_timely_arrivals(admission, until=1.0)
         with self.assertRaises(DeadlineUnmeetableError):
-            admission.submit(self.late(), 1.0)
+            admission.submit(self.late_ticket(), 1.0)
 
-    def test_one_that_waits_is_refused_when_others_have_come_to_take_all(self) -> None:
+    def test_it_is_refused_while_queued_if_timely_requests_take_the_whole_capacity(self) -> None:
         admission = busy(seconds=0.2)
-        waiting = self.late()
+        waiting = self.late_ticket()
         admission.submit(waiting, 0.0)
         admission.recheck(waiting, 0.1)
         self.assertIsNone(waiting.refusal)
-        self.press(admission, until=1.5)
+        self.add_timely_arrivals(admission, until=1.5)
         admission.recheck(waiting, 1.5)
         self.assertIsInstance(waiting.refusal, DeadlineUnmeetableError)
         self.assertEqual(admission.load, 1)
 
-    def test_it_is_kept_for_more_than_half_its_time_while_a_slot_may_come_free(self) -> None:
+    def test_it_stays_queued_while_a_slot_may_become_free(self) -> None:
         admission = busy(seconds=0.2)
-        waiting = self.late()
+        waiting = self.late_ticket()
         admission.submit(waiting, 0.0)
         admission._last_progress_at = 1.6
         admission.recheck(waiting, 1.7)
@@ -313,18 +316,18 @@
         self.assertIsInstance(waiting.refusal, DeadlineUnmeetableError)
 
 
-class CallsWithinTest(unittest.TestCase):
-    """Calls that a back end makes while it runs another request, beside callers' requests.
+class NestedCallTest(unittest.TestCase):
+    """Nested calls together with requests of callers.
 
-    Slots are taken for 0.2 s; a call wants its answer after 0.3 s and has 0.9 s.
+    Slots are occupied for 0.2 s; a call has an objective of 0.3 s and a deadline of 0.9 s.
     """
 
     def call(self, now: float = 0.0, rank: int = 1, **rest: Any) -> Any:
         given = {"objective": now + 0.3, "deadline": now + 0.9, "nested": True, **rest}
         return ticket(rank=rank, **given)
 
-    def order(self, admission: Admission, *waiting: Any) -> list[int]:
-        """Return in which order the waiting get the one slot, a request ending each 0.2 s."""
+    def start_order(self, admission: Admission, *waiting: Any) -> list[int]:
+        """Return the order in which tickets get the one slot, freed every 0.2 s."""
         began: list[int] = []
         for index, item in enumerate(waiting):
             item.wake = lambda index=index: began.append(index)
@@ -339,13 +342,13 @@
         running.started_at = now - 0.2
         admission.finish(running, now, answered=True)
 
-    def test_it_goes_before_requests_of_its_rank_that_came_before_it(self) -> None:
-        fresh = [ticket(rank=rank, objective=0.5, deadline=4.0) for rank in (2, 1)]
-        self.assertEqual(self.order(busy(), *fresh, self.call())[0], 2)
+    def test_it_precedes_earlier_requests_of_its_rank(self) -> None:
+        first_call = [ticket(rank=rank, objective=0.5, deadline=4.0) for rank in (2, 1)]
+        self.assertEqual(self.start_order(busy(), *first_call, self.call())[0], 2)
 
-    def test_it_does_not_go_before_more_urgent_ones(self) -> None:
+    def test_it_does_not_precede_more_urgent_requests(self) -> None:
         urgent = [ticket(rank=0, objective=4.0, deadline=9.0) for _ in range(2)]
-        self.assertEqual(self.order(busy(), self.call(), *urgent), [1, 2, 0])
+        self.assertEqual(self.start_order(busy(), self.call(), *urgent), [1, 2, 0])
 
     def test_its_objective_does_not_make_it_late(self) -> None:
         admission = busy()
@@ -356,14 +359,14 @@
         self.end_one(admission, 0.35)
         self.assertEqual((call.granted, bulk.granted), (True, False))
 
-    def test_what_its_sender_says_of_a_callers_patience_does_not_make_it_yield(self) -> None:
-        for lateness in WaitPolicy:
+    def test_no_wait_policy_defers_it(self) -> None:
+        for wait_policy in WaitPolicy:
             admission = busy()
-            call = self.call(wait_policy=lateness)
+            call = self.call(wait_policy=wait_policy)
             admission.submit(ticket(rank=1, objective=0.5, deadline=9.0), 0.0)
             admission.submit(call, 0.0)
             self.end_one(admission, 0.2)
-            self.assertTrue(call.granted, lateness)
+            self.assertTrue(call.granted, wait_policy)
 
     def test_it_is_refused_only_when_its_deadline_cannot_be_met(self) -> None:
         admission = busy()
@@ -376,7 +379,7 @@
             self.end_one(admission, step * 0.2)
         self.assertTrue(all(call.granted for call in calls))
 
-    def test_it_is_told_to_go_elsewhere_while_there_is_time_when_the_back_end_stalls(self) -> None:
+    def test_it_is_refused_early_when_the_back_end_stalls(self) -> None:
         admission = busy()
         call = self.call(deadline=2.0)
         admission.submit(call, 0.0)
@@ -385,7 +388,7 @@
         admission.recheck(call, 0.81)
         self.assertIsInstance(call.refusal, DeadlineUnmeetableError)
 
-    def test_a_cold_back_end_that_may_begin_nothing_yet_does_not_stall(self) -> None:
+    def test_a_cold_back_end_at_its_rate_limit_is_not_stalled(self) -> None:
         admission = busy()
         call = self.call(deadline=2.0)
         admission.submit(call, 0.0)
@@ -396,7 +399,7 @@
         admission.recheck(call, 0.81)
         self.assertIsNone(call.refusal)
 
-    def test_it_is_told_to_go_elsewhere_when_urgent_ones_have_taken_its_turn(self) -> None:
+    def test_it_is_refused_early_when_urgent_requests_have_taken_its_turn(self) -> None:
         admission = busy()
         call = self.call()
         admission.submit(call, 0.0)
@@ -405,8 +408,8 @@
         admission.recheck(call, 0.06)
         self.assertIsInstance(call.refusal, DeadlineUnmeetableError)
 
-    def test_urgent_requests_keep_their_place_however_many_calls_come(self) -> None:
-        """Two slots take 20 requests a second; 80 calls come, and five urgent requests."""
+    def test_urgent_requests_are_served_however_many_calls_arrive(self) -> None:
+        """Two slots serve 20 requests a second; 80 calls and five urgent requests arrive."""
         admission = busy(slots=2, seconds=0.1)
         running = [ticket(), ticket()]
         calls: list[Any] = []
@@ -421,8 +424,8 @@
             if step % 16 == 0:
                 urgent.append(ticket(rank=0, objective=now + 0.5, deadline=now + 2))
                 admission.submit(urgent[-1], now)
-            begun = [item for item in calls + urgent if item.granted and item not in running]
-            running += [item for item in begun if item.started_at == now]
+            started = [item for item in calls + urgent if item.granted and item not in running]
+            running += [item for item in started if item.started_at == now]
         self.assertEqual(sum(item.granted for item in urgent), 25)
         self.assertLessEqual(max(item.queued_seconds for item in urgent), 0.1)
         self.assertGreater(sum(item.granted for item in calls), 65)
--- a/tests/routing/test_arrivals.py
+++ b/tests/routing/test_arrivals.py
@@ -1,4 +1,4 @@
-"""How often requests come, and how sure that is."""
+"""The lower bound of an estimated rate of arrivals."""
 
 import unittest
 
@@ -6,13 +6,13 @@
 
 
 class ArrivalRateTest(unittest.TestCase):
-    def test_what_few_arrivals_tell_may_be_chance(self) -> None:
+    def test_few_arrivals_give_a_lower_bound_of_zero(self) -> None:
         rate = ArrivalRate()
         for _ in range(4):
             rate.note(0.0)
         self.assertEqual(rate.lower_bound(0.0), 0.0)
 
-    def test_many_at_an_even_pace_are_held_for_sure_less_a_part(self) -> None:
+    def test_many_arrivals_give_a_lower_bound_near_their_rate(self) -> None:
         rate = ArrivalRate()
         for step in range(500):
             rate.note(step / 100)
--- a/tests/routing/test_choice.py
+++ b/tests/routing/test_choice.py
@@ -1,4 +1,4 @@
-"""Where requests go: load, zones, slow start, leaving."""
+"""Choice of a back end: load, zones, slow start, leaving."""
 
 import unittest
 from collections import Counter
@@ -13,7 +13,7 @@
 
 
 def placed(subject: Dispatcher, now: float = 0.0, **settings: float) -> str:
-    """Place one request, let it be answered at once and return where it went."""
+    """Place one request, answer it at once and return the name of its back end."""
     request = ticket(now + 5, service(**settings))
     subject.submit(request, now)
     assert request.backend is not None
@@ -45,7 +45,7 @@
         self.assertEqual(soon[busy.name], 0)
         self.assertGreater(late[busy.name], 20)
 
-    def test_the_own_zone_goes_first_until_it_is_saturated(self) -> None:
+    def test_the_own_zone_is_preferred_until_it_is_saturated(self) -> None:
         subject = Dispatcher(Random(1))
         subject.use_zone("ikeja")
         listed = (backend("near"), backend("far", zone="yaba"), backend("far2", zone="yaba"))
@@ -59,7 +59,7 @@
             {"near", "far", "far2"},
         )
 
-    def test_a_cold_back_end_gets_little_work_first(self) -> None:
+    def test_a_new_back_end_gets_little_work_during_its_slow_start(self) -> None:
         subject = dispatcher("a", "b")
         subject.use_machines(machines("a", "b", "cold", number=2), 100.0)
         early = Counter(placed(subject, 100.0, slow_start=10.0) for _ in range(200))
@@ -67,7 +67,7 @@
         self.assertLess(early["cold"], 20)
         self.assertGreater(late["cold"], 40)
 
-    def test_a_back_end_that_says_so_is_leaving_for_its_incarnation(self) -> None:
+    def test_a_back_end_that_announces_leaving_gets_no_work_in_this_incarnation(self) -> None:
         subject = dispatcher("a")
         request = ticket()
         subject.submit(request, 0.0)
@@ -79,7 +79,7 @@
         subject.use_machines(machines("a", number=3, address="127.0.0.1:2"), 2.0)
         self.assertEqual(placed(subject, 2.0), "a")
 
-    def test_leaving_by_the_list_is_sticky_and_old_lists_are_ignored(self) -> None:
+    def test_leaving_by_the_list_is_permanent_and_old_lists_are_ignored(self) -> None:
         subject = dispatcher("a", "b")
         listed = (backend("a", state=MachineState.LEAVING), backend("b"))
         subject.use_machines(MachineList(3, listed), 1.0)
@@ -88,7 +88,7 @@
         subject.use_machines(machines("a", "b", number=4), 3.0)
         self.assertEqual({placed(subject, 3.0) for _ in range(20)}, {"b"})
 
-    def test_a_back_end_that_stalls_is_avoided(self) -> None:
+    def test_a_stalled_back_end_is_avoided(self) -> None:
         subject = dispatcher("a", "b")
         stuck = ticket(50.0)
         subject.submit(stuck, 0.0)
@@ -100,7 +100,7 @@
         subject.finish(busy, 3.0, AttemptResult.ANSWERED)
         self.assertEqual({placed(subject, 3.0) for _ in range(20)}, {other})
 
-    def test_load_reports_that_make_no_sense_are_ignored(self) -> None:
+    def test_malformed_load_reports_are_ignored(self) -> None:
         self.assertEqual(parse_load("3/6"), LoadReport(3, 6))
         for text in (None, "", "3", "3/0", "-1/6", "a/b", "1/" + "9" * 30):
             self.assertIsNone(parse_load(text))
--- a/tests/routing/test_cold.py
+++ b/tests/routing/test_cold.py
@@ -1,4 +1,4 @@
-"""What a cold back end is given, whoever sends: no second holds more than it bears."""
+"""The rate limit of a cold back end, whoever sends: no second exceeds what it bears."""
 
 import random
 import unittest
@@ -17,11 +17,11 @@
 """A published rate of 6.5 a second; operators count more than 17.75 in a second as a fault."""
 BROKEN_ABOVE = 17
 SECONDS = 0.25
-"""What one request takes."""
+"""Service time of one request."""
 
 
-def ticket(now: float, patience: float = 1.0, rank: int = 1) -> AdmissionTicket:
-    return AdmissionTicket("lookup", (1, rank), now + patience, now + 2 * patience)
+def ticket(now: float, objective: float = 1.0, rank: int = 1) -> AdmissionTicket:
+    return AdmissionTicket("lookup", (1, rank), now + objective, now + 2 * objective)
 
 
 def most_in_a_window(times: list[float]) -> int:
@@ -31,15 +31,15 @@
     )
 
 
-class Played:
-    """Callers that come at random at one gateway, in virtual time."""
+class SimulatedGateway:
+    """Random arrivals at one gateway, in virtual time."""
 
     def __init__(self, cold: ColdStart | None, seed: int) -> None:
         self.random = random.Random(seed)
         self.admission = Admission(SLOTS, cold)
         self.starts: list[float] = []
         self.refused = 0
-        """At once; the others that are refused have waited first."""
+        """Requests refused on arrival; the other refused ones have waited first."""
         self.refused_later = 0
         self.waiting: list[AdmissionTicket] = []
         self.running: list[tuple[float, AdmissionTicket]] = []
@@ -83,14 +83,14 @@
 
 
 class ColdStartTest(unittest.TestCase):
-    def test_a_back_end_of_which_nothing_is_known_is_taken_for_cold(self) -> None:
+    def test_an_unknown_back_end_is_assumed_to_be_cold(self) -> None:
         cold = ColdStart(SLOTS, 10.0, BOUNDS)
         self.assertTrue(cold.is_cold(12.9))
         self.assertFalse(cold.is_cold(13.1))
         cold.note_remaining(10.1, 10.2, 0.0)
         self.assertFalse(cold.is_cold(10.3))
 
-    def test_before_the_service_is_known_it_is_given_one_request_for_each_slot(self) -> None:
+    def test_before_the_settings_are_known_it_gets_one_request_for_each_slot(self) -> None:
         cold = ColdStart(SLOTS, 0.0)
         for _ in range(SLOTS):
             self.assertTrue(cold.may_start(0.5))
@@ -98,7 +98,7 @@
         self.assertFalse(cold.may_start(1.4))
         self.assertTrue(cold.may_start(1.6))
 
-    def test_what_is_granted_and_sent_later_still_fits_below_the_bound(self) -> None:
+    def test_requests_granted_earlier_and_sent_later_stay_below_the_limit(self) -> None:
         self.assertEqual(BOUNDS.max_starts_per_second(SLOTS), 10)
         self.assertLessEqual(BOUNDS.max_starts_per_second(SLOTS) + SLOTS, BROKEN_ABOVE)
         self.assertLessEqual(
@@ -106,14 +106,14 @@
         )
         self.assertEqual(ColdBounds(0.2, 3.0).max_starts_per_second(SLOTS), 1)
 
-    def test_an_answer_to_a_question_of_before_says_nothing(self) -> None:
+    def test_an_answer_to_an_outdated_query_is_ignored(self) -> None:
         cold = ColdStart(SLOTS, 0.0, BOUNDS)
         cold.note_remaining(0.0, 0.1, 0.0)
         cold.assume_cold(5.0)
         cold.note_remaining(4.9, 5.1, 0.0)
         self.assertTrue(cold.is_cold(5.2))
 
-    def test_a_warm_one_is_asked_only_while_it_gets_much(self) -> None:
+    def test_a_warm_back_end_is_queried_only_while_it_gets_many_requests(self) -> None:
         cold = ColdStart(SLOTS, 0.0, BOUNDS)
         self.assertTrue(cold.should_query(0.0))
         self.assertFalse(cold.should_query(0.1))
@@ -125,13 +125,13 @@
         self.assertFalse(cold.should_query(5.3))
         self.assertTrue(cold.should_query(5.7))
 
-    def test_one_whose_health_is_silent_is_asked_no_longer_once_it_counts_as_warm(self) -> None:
+    def test_an_unanswered_query_is_not_repeated_once_it_counts_as_warm(self) -> None:
         cold = ColdStart(SLOTS, 0.0, BOUNDS)
         self.assertEqual(
             [cold.should_query(at) for at in (0.0, 1.0, 2.0, 4.0, 5.0)], [True] * 3 + [False] * 2
         )
 
-    def test_a_service_that_publishes_no_rate_bounds_nothing(self) -> None:
+    def test_a_service_without_a_published_rate_is_not_limited(self) -> None:
         cold = ColdStart(SLOTS, 0.0, ColdBounds(0.0, 0.0))
         for _ in range(100):
             self.assertTrue(cold.may_start(0.0))
@@ -140,43 +140,45 @@
 
 
 class ColdAdmissionTest(unittest.TestCase):
-    def test_no_second_holds_more_than_a_cold_one_bears_on_a_thousand_schedules(self) -> None:
+    def test_no_second_exceeds_the_limit_on_a_thousand_schedules(self) -> None:
         worst = 0
         for seed in range(1000):
             cold = ColdStart(SLOTS, 0.0, BOUNDS)
-            played = Played(cold, seed)
-            played.play(1.5, per_second=30 + seed % 50, step=0.01)
-            worst = max(worst, most_in_a_window(played.starts))
+            gateway = SimulatedGateway(cold, seed)
+            gateway.play(1.5, per_second=30 + seed % 50, step=0.01)
+            worst = max(worst, most_in_a_window(gateway.starts))
         self.assertEqual(worst, BOUNDS.max_starts_per_second(SLOTS))
 
-    def test_without_the_bound_the_same_load_breaks_it(self) -> None:
-        played = Played(None, 1)
-        played.play(3.0, per_second=45)
-        self.assertGreater(most_in_a_window(played.starts), BROKEN_ABOVE)
+    def test_without_the_limit_the_same_load_exceeds_it(self) -> None:
+        gateway = SimulatedGateway(None, 1)
+        gateway.play(3.0, per_second=45)
+        self.assertGreater(most_in_a_window(gateway.starts), BROKEN_ABOVE)
 
-    def test_turning_cold_under_full_load_counts_what_was_given_before(self) -> None:
+    def test_becoming_cold_under_full_load_counts_earlier_starts(self) -> None:
         cold = ColdStart(SLOTS, 0.0, BOUNDS)
         cold.note_remaining(0.0, 0.0, 0.0)
-        played = Played(cold, 3)
-        played.play(2.0, per_second=28)
+        gateway = SimulatedGateway(cold, 3)
+        gateway.play(2.0, per_second=28)
         cold.note_remaining(2.0, 2.0, 3.0)
-        before = list(played.starts)
-        played.play(3.0, per_second=28, begin=2.0)
-        since = [time for time in played.starts if time >= 2.0]
+        before = list(gateway.starts)
+        gateway.play(3.0, per_second=28, begin=2.0)
+        since = [time for time in gateway.starts if time >= 2.0]
         self.assertGreater(most_in_a_window(before), BOUNDS.max_starts_per_second(SLOTS))
         self.assertLessEqual(most_in_a_window(since), BOUNDS.max_starts_per_second(SLOTS))
 
-    def test_what_it_does_not_bear_is_refused_at_once_and_what_it_bears_is_served(self) -> None:
+    def test_the_limit_is_used_fully_and_most_excess_is_refused_on_arrival(self) -> None:
         cold = ColdStart(SLOTS, 0.0, BOUNDS)
-        played = Played(cold, 5)
-        played.play(3.0, per_second=30)
-        self.assertGreaterEqual(len(played.starts), 3 * BOUNDS.max_starts_per_second(SLOTS) - 2)
-        came = len(played.starts) + len(played.waiting) + played.refused + played.refused_later
-        self.assertGreater(played.refused + played.refused_later, came / 2)
-        self.assertGreater(played.refused, played.refused_later)
-        self.assertLess(len(played.waiting), 12)
-
-    def test_the_most_urgent_that_waits_gets_the_next_start(self) -> None:
+        gateway = SimulatedGateway(cold, 5)
+        gateway.play(3.0, per_second=30)
+        self.assertGreaterEqual(len(gateway.starts), 3 * BOUNDS.max_starts_per_second(SLOTS) - 2)
+        arrived = (
+            len(gateway.starts) + len(gateway.waiting) + gateway.refused + gateway.refused_later
+        )
+        self.assertGreater(gateway.refused + gateway.refused_later, arrived / 2)
+        self.assertGreater(gateway.refused, gateway.refused_later)
+        self.assertLess(len(gateway.waiting), 12)
+
+    def test_the_most_urgent_queued_request_gets_the_next_start(self) -> None:
         admission = Admission(SLOTS, ColdStart(SLOTS, 0.0, ColdBounds(1.0, 3.0, 1.0, SLOTS)))
         first, usual, urgent = ticket(0.0), ticket(0.0, 2.0, rank=2), ticket(0.0, 2.0, rank=0)
         for item in (first, usual, urgent):
@@ -187,7 +189,7 @@
         admission.recheck(usual, 1.01)
         self.assertEqual([usual.granted, urgent.granted], [False, True])
 
-    def test_what_waits_is_looked_at_though_no_request_ends(self) -> None:
+    def test_queued_requests_are_checked_though_no_request_ends(self) -> None:
         admission = Admission(SLOTS, ColdStart(SLOTS, 0.0, BOUNDS))
         tickets = [ticket(0.0, 2.0) for _ in range(BOUNDS.max_starts_per_second(SLOTS) + 1)]
         for item in tickets[:SLOTS]:
@@ -202,14 +204,14 @@
             admission.recheck(last, last.check_at)
         self.assertLess(last.started_at, 1.1)
 
-    def test_a_refusal_tells_when_the_cold_one_has_room(self) -> None:
+    def test_a_refusal_gives_the_time_until_the_next_start(self) -> None:
         admission = Admission(SLOTS, ColdStart(SLOTS, 0.0, ColdBounds(1.0, 9.0, 1.0, SLOTS)))
         admission.submit(ticket(0.0), 0.0)
         with self.assertRaises(DeadlineUnmeetableError) as refused:
-            admission.submit(ticket(0.0, patience=0.4), 0.0)
+            admission.submit(ticket(0.0, objective=0.4), 0.0)
         self.assertAlmostEqual(refused.exception.retry_after or 0.0, 1.0)
 
-    def test_it_tells_other_nodes_that_little_fits(self) -> None:
+    def test_a_cold_back_end_advertises_few_slots(self) -> None:
         admission = Admission(SLOTS, ColdStart(SLOTS, 0.0, BOUNDS))
         warm = ticket(0.0)
         admission.submit(warm, 0.0)
@@ -226,12 +228,12 @@
         made.slots = SLOTS
         return made
 
-    def test_a_new_cold_back_end_is_not_everybodys_first_choice(self) -> None:
+    def test_a_new_cold_back_end_is_not_the_first_choice_of_all_senders(self) -> None:
         warm, new = self.backend("warm"), self.backend("new")
         warm.in_flight = 4
         new.assume_cold(10.0)
-        wish = GatewayCriteria(0.2, 0.2, 1.0, frozenset())
-        chosen = choose_gateway([warm, new], [], wish, 10.05, random.Random(1))
+        criteria = GatewayCriteria(0.2, 0.2, 1.0, frozenset())
+        chosen = choose_gateway([warm, new], [], criteria, 10.05, random.Random(1))
         self.assertIs(chosen, warm)
 
 
--- a/tests/routing/test_dispatcher.py
+++ b/tests/routing/test_dispatcher.py
@@ -26,10 +26,10 @@
     return request
 
 
-def end(subject: Dispatcher, request: Ticket, now: float, how: AttemptResult) -> None:
-    if how is AttemptResult.ANSWERED:
+def end(subject: Dispatcher, request: Ticket, now: float, result: AttemptResult) -> None:
+    if result is AttemptResult.ANSWERED:
         subject.note_answer(request, now, None, leaving=False)
-    subject.finish(request, now, how)
+    subject.finish(request, now, result)
 
 
 def fail_until_ejected(subject: Dispatcher, now: float = 0.0) -> None:
@@ -38,7 +38,7 @@
 
 
 class LimitTest(unittest.TestCase):
-    def test_the_limit_grows_to_the_slots_and_shrinks_when_shed(self) -> None:
+    def test_the_limit_grows_to_the_slots_and_shrinks_after_shedding(self) -> None:
         subject = dispatcher("a")
         for turn in range(40):
             requests = [ticket(turn + 5.0) for _ in range(8)]
@@ -62,7 +62,7 @@
         subject.finish(request, 0.1, AttemptResult.ANSWERED)
         self.assertLess(request.backend.limit.value, 2)
 
-    def test_a_back_end_that_sheds_a_single_request_rests(self) -> None:
+    def test_a_back_end_that_sheds_a_single_request_is_paused(self) -> None:
         subject = dispatcher("a")
         for _ in range(2):
             end(subject, submitted(subject, 0.0, ticket()), 0.0, AttemptResult.SHED)
@@ -73,7 +73,7 @@
 
 
 class ServiceLimitTest(unittest.TestCase):
-    def test_many_proxies_of_few_slots_pace_themselves(self) -> None:
+    def test_a_limit_below_one_becomes_a_pause(self) -> None:
         limit = ServiceLimit()
         for turn in range(60):
             limit.note_shed(float(turn), float(turn))
@@ -89,7 +89,7 @@
             limit.note_full(10.0, in_flight=int(limit.value))
         self.assertGreaterEqual(limit.value, 4)
 
-    def test_full_back_ends_that_also_shed_leave_room_for_urgent_work(self) -> None:
+    def test_full_back_ends_that_also_shed_leave_capacity_for_urgent_requests(self) -> None:
         limit = ServiceLimit()
         limit.note_shed(10.0, 10.0)
         for _ in range(100):
@@ -97,7 +97,7 @@
         self.assertLess(limit.value, 3)
         self.assertGreaterEqual(limit.value, 0.1)
 
-    def test_urgent_work_passes_the_head_of_the_queue(self) -> None:
+    def test_urgent_requests_overtake_the_head_of_the_queue(self) -> None:
         subject = dispatcher("a", "b", "c")
         running = [submitted(subject, 0.0, ticket()) for _ in range(5)]
         self.assertEqual(sum(item.backend is not None for item in running), 4)
@@ -112,7 +112,7 @@
         self.subject = dispatcher("a")
         self.running = [submitted(self.subject, 0.0, ticket(50.0)) for _ in range(2)]
 
-    def test_urgent_requests_overtake_and_background_still_moves(self) -> None:
+    def test_urgent_requests_go_first_and_background_still_progresses(self) -> None:
         waiting = [
             submitted(
                 self.subject,
@@ -133,7 +133,7 @@
         self.assertEqual(set(order[:10]), {WorkClass.URGENT})
         self.assertTrue(1 <= order.count(WorkClass.BACKGROUND) <= 4)
 
-    def test_a_full_queue_refuses_at_once_and_says_when_to_come_back(self) -> None:
+    def test_a_full_queue_refuses_at_once_with_retry_after(self) -> None:
         for _ in range(3):
             submitted(self.subject, 0.0, ticket(queue_limit=3))
         with self.assertRaises(QueueFullError) as caught:
@@ -148,15 +148,15 @@
         with self.assertRaises(DeadlineUnmeetableError):
             submitted(self.subject, 1.0, ticket(3.5))
 
-    def test_nothing_waits_without_bound(self) -> None:
+    def test_the_time_in_the_queue_is_bounded(self) -> None:
         waiting = submitted(self.subject, 0.0, ticket(1000.0))
-        look_at = 0.0
-        while waiting.refusal is None and look_at < 20:
-            look_at = self.subject.check(waiting, look_at)
+        check_at = 0.0
+        while waiting.refusal is None and check_at < 20:
+            check_at = self.subject.check(waiting, check_at)
         self.assertIsInstance(waiting.refusal, DeadlineUnmeetableError)
-        self.assertLessEqual(look_at, 3.5)
+        self.assertLessEqual(check_at, 3.5)
 
-    def test_a_request_whose_turn_would_now_come_too_late_is_given_up_at_once(self) -> None:
+    def test_a_request_is_refused_once_its_turn_is_expected_too_late(self) -> None:
         end(self.subject, self.running[0], 1.0, AttemptResult.ANSWERED)
         submitted(self.subject, 1.0, ticket(50.0))
         waiting = submitted(self.subject, 1.0, ticket(50.0))
@@ -166,7 +166,7 @@
         self.subject.check(waiting, 1.2)
         self.assertIsInstance(waiting.refusal, DeadlineUnmeetableError)
 
-    def test_a_caller_that_goes_leaves_the_queue(self) -> None:
+    def test_a_withdrawn_request_leaves_the_queue(self) -> None:
         waiting = submitted(self.subject, 0.0, ticket(50.0))
         self.subject.withdraw(waiting)
         end(self.subject, self.running[0], 0.1, AttemptResult.ANSWERED)
@@ -174,12 +174,12 @@
 
 
 class LeavingTest(unittest.TestCase):
-    def test_a_back_end_that_leaves_is_told_of_once_for_an_incarnation(self) -> None:
-        told: list[BackendEvent] = []
+    def test_leaving_is_reported_once_for_an_incarnation(self) -> None:
+        events: list[BackendEvent] = []
 
         def note(event: BackendEvent) -> None:
             if not isinstance(event, BackendListed):  # what the list says is told apart from it
-                told.append(event)
+                events.append(event)
 
         subject = Dispatcher(Random(1), note)
         subject.use_machines(machines("b1"), 0.0)
@@ -190,16 +190,16 @@
             subject.note_answer(request, 0.1, None, leaving=True)
         first = requests[0].backend
         assert first is not None
-        self.assertEqual(told, [BackendLeaving(first)])
+        self.assertEqual(events, [BackendLeaving(first)])
         subject.use_machines(machines("b1", number=2, address="127.0.0.1:2"), 1.0)
         replaced = ticket()
         subject.submit(replaced, 1.0)
         subject.note_answer(replaced, 1.1, None, leaving=True)
-        self.assertEqual(len(told), 2)
+        self.assertEqual(len(events), 2)
 
 
 class EjectionTest(unittest.TestCase):
-    def test_a_failing_back_end_is_ejected_and_returns_by_one_trial(self) -> None:
+    def test_a_failing_back_end_is_ejected_and_reinstated_by_one_trial(self) -> None:
         subject = dispatcher("a")
         fail_until_ejected(subject)
         with self.assertRaises(NoBackendError) as caught:
@@ -220,7 +220,7 @@
             subject.submit(ticket(20.0), 12.0)
         self.assertTrue(submitted(subject, 16.5, ticket(20.0)).trial)
 
-    def test_a_late_answer_does_not_bring_an_ejected_back_end_back(self) -> None:
+    def test_a_late_answer_does_not_reinstate_an_ejected_back_end(self) -> None:
         subject = dispatcher("a")
         settings = service(ejection_failures=1)
         early, failing = (submitted(subject, 0.0, ticket(50.0, settings)) for _ in range(2))
@@ -236,7 +236,7 @@
         members = {submitted(subject, 0.0, ticket(queue_limit=50)).backend for _ in range(4)}
         self.assertEqual(len({item.name for item in members if item}), 2)
 
-    def test_what_a_back_end_hangs_on_until_the_deadline_does_not_eject_it(self) -> None:
+    def test_requests_marked_as_hung_do_not_eject_the_back_end(self) -> None:
         for hung in (False, True):
             subject = dispatcher("a")
             for _ in range(3):
@@ -263,7 +263,7 @@
         subject.finish(request, now, AttemptResult.BROKEN)
         return subject.retry(request, error, now, replayable)
 
-    def test_only_what_certainly_did_not_run_or_may_be_repeated(self) -> None:
+    def test_only_requests_that_did_not_run_or_are_repeatable_are_retried(self) -> None:
         unknown, not_run = BackendFailedError("x"), BackendUnreachableError("x")
         self.assertIsNone(self.retried(unknown))
         self.assertIsNotNone(self.retried(unknown, repeatable=True))
@@ -280,10 +280,10 @@
             assert request.backend is not None
             tried.append(request.backend.name)
             subject.finish(request, 0.0, AttemptResult.UNREACHABLE)
-            following = subject.retry(request, BackendUnreachableError("x"), 0.0, True)
-            if following is None:
+            next_request = subject.retry(request, BackendUnreachableError("x"), 0.0, True)
+            if next_request is None:
                 break
-            request = submitted(subject, 0.0, following)
+            request = submitted(subject, 0.0, next_request)
         self.assertEqual(sorted(tried), ["a", "b", "c"])
 
     def test_retries_stay_within_the_budget(self) -> None:
--- a/tests/routing/test_link_words.py
+++ b/tests/routing/test_link_words.py
@@ -1,4 +1,4 @@
-"""Senders take a back end whose node's link is free, as far as gateways have told them."""
+"""Senders choose a back end whose node's link is free, according to gateways' reports."""
 
 import unittest
 from random import Random
@@ -21,49 +21,53 @@
 from tests.routing.samples import route, service
 from tests.routing.test_gateway_choice import gated
 
-OWN = 0.15
-"""Seconds that a long answer takes a link alone."""
-RUN = 0.1
+TRANSFER_SECONDS = 0.15
+"""Time for which a long answer alone occupies a link."""
+EXECUTION_SECONDS = 0.1
 OBJECTIVE = 2.0
 
 
-class WordTest(unittest.TestCase):
+class LinkReportTest(unittest.TestCase):
     @given(st.floats(0.0, 100.0), st.floats(0.0, 100.0))
-    def test_what_is_told_is_understood(self, ahead: float, own: float) -> None:
-        told = format_link_report(ahead, own)
-        if told is None:
-            self.assertLess(max(ahead, own), 1 / MILLISECONDS_PER_SECOND)
+    def test_a_formatted_report_is_parsed(
+        self, queue_seconds: float, transfer_seconds: float
+    ) -> None:
+        text = format_link_report(queue_seconds, transfer_seconds)
+        if text is None:
+            self.assertLess(max(queue_seconds, transfer_seconds), 1 / MILLISECONDS_PER_SECOND)
             return
-        word = parse_link_report(told)
-        assert word is not None
+        report = parse_link_report(text)
+        assert report is not None
         longest = MAX_REPORTED_MS / MILLISECONDS_PER_SECOND
         self.assertAlmostEqual(
-            word.queue_seconds, min(ahead, longest), delta=1 / MILLISECONDS_PER_SECOND
+            report.queue_seconds, min(queue_seconds, longest), delta=1 / MILLISECONDS_PER_SECOND
         )
         self.assertAlmostEqual(
-            word.transfer_seconds, min(own, longest), delta=1 / MILLISECONDS_PER_SECOND
+            report.transfer_seconds,
+            min(transfer_seconds, longest),
+            delta=1 / MILLISECONDS_PER_SECOND,
         )
 
-    def test_an_idle_link_of_a_route_of_short_answers_is_told_nothing_of(self) -> None:
+    def test_there_is_no_report_on_an_idle_link_of_short_answers(self) -> None:
         self.assertIsNone(format_link_report(0.0, 0.0))
 
-    def test_what_makes_no_sense_is_no_word(self) -> None:
+    def test_malformed_reports_are_rejected(self) -> None:
         for text in ("", "/", "5", "5/", "/5", "-1/5", "1.5/5", "5/5/5", "x/5", "٣/5", "10001/0"):
             with self.subTest(text):
                 self.assertIsNone(parse_link_report(text))
 
     @given(st.text(max_size=20))
-    def test_no_text_is_too_strange(self, text: str) -> None:
-        word = parse_link_report(text)
-        if word is not None:
+    def test_any_text_can_be_parsed(self, text: str) -> None:
+        report = parse_link_report(text)
+        if report is not None:
             self.assertLessEqual(
-                max(word.queue_seconds, word.transfer_seconds),
+                max(report.queue_seconds, report.transfer_seconds),
                 MAX_REPORTED_MS / MILLISECONDS_PER_SECOND,
             )
 
 
 class FirstOfEquals(Random):
-    """Draws what takes the first of those that are alike."""
+    """Always draws the first of several equal back ends."""
 
     def random(self) -> float:
         return 0.0
@@ -72,123 +76,131 @@
 class LinkChoiceTest(unittest.TestCase):
     def setUp(self) -> None:
         self.now = 0.0
-        self.begin()
+        self.reset()
 
-    def begin(self) -> None:
-        """Know nothing of any back end."""
-        self.made = Dispatcher(FirstOfEquals())
-        self.made.use_zone("ikeja")
+    def reset(self) -> None:
+        """Start with a dispatcher that knows nothing of any back end."""
+        self.subject = Dispatcher(FirstOfEquals())
+        self.subject.use_zone("ikeja")
 
     def use(self, *names: str, far: tuple[str, ...] = ()) -> Dispatcher:
         near = [gated(name) for name in names]
         others = [gated(name, zone="yaba") for name in far]
-        self.made.use_machines(MachineList(2, (*near, *others)), self.now)
-        return self.made
+        self.subject.use_machines(MachineList(2, (*near, *others)), self.now)
+        return self.subject
 
     def submit(self, name: str = "export") -> Ticket:
-        wanted = Ticket(route(name, target_latency=OBJECTIVE), service(), self.now + 6.0)
-        self.made.submit(wanted, self.now)
-        return wanted
+        request = Ticket(route(name, target_latency=OBJECTIVE), service(), self.now + 6.0)
+        self.subject.submit(request, self.now)
+        return request
 
     def chosen(self, name: str = "export") -> str:
         ticket = self.submit(name)
-        self.made.finish(ticket, self.now, AttemptResult.CANCELLED)
+        self.subject.finish(ticket, self.now, AttemptResult.CANCELLED)
         assert ticket.backend is not None
         return ticket.backend.name
 
-    def tell(self, name: str, ahead: float, own: float = OWN) -> None:
-        """Have the back end's gateway tell of its link, with the answer to a request there."""
+    def report_link(
+        self, name: str, queue_seconds: float, transfer_seconds: float = TRANSFER_SECONDS
+    ) -> None:
+        """Let the back end's gateway report on its link, with the answer to a request there."""
         ticket = Ticket(route("export", target_latency=OBJECTIVE), service(), self.now + 6.0)
-        ticket.started_at = self.now - RUN
+        ticket.started_at = self.now - EXECUTION_SECONDS
         ticket.backend = next(item for item in self.backends if item.name == name)
         ticket.backend.note_start(self.now)
-        self.made.service("logbook").in_flight += 1
-        self.made.note_answer(ticket, self.now, LoadReport(1, 2), leaving=False)
-        self.made.note_link_report(ticket, LinkReport(ahead, own), self.now, begun=True)
-        self.made.finish(ticket, self.now, AttemptResult.ANSWERED)
+        self.subject.service("logbook").in_flight += 1
+        self.subject.note_answer(ticket, self.now, LoadReport(1, 2), leaving=False)
+        self.subject.note_link_report(
+            ticket, LinkReport(queue_seconds, transfer_seconds), self.now, begun=True
+        )
+        self.subject.finish(ticket, self.now, AttemptResult.ANSWERED)
 
     @property
     def backends(self) -> tuple[Backend, ...]:
-        """The first is taken where nothing speaks for another."""
-        self.made.service("logbook").configure(service())
-        return self.made.service("logbook").backends
+        """All back ends; the first one is chosen if they are equal."""
+        self.subject.service("logbook").configure(service())
+        return self.subject.service("logbook").backends
 
     def forget_links(self) -> None:
         for item in self.backends:
             item.link_free_at = 0.0
 
-    def test_of_two_the_one_whose_link_is_free_is_taken(self) -> None:
+    def test_the_back_end_with_the_free_link_is_chosen(self) -> None:
         self.use("busy", "free")
         self.assertEqual(self.chosen(), "busy")
-        self.tell("busy", 1.0)
+        self.report_link("busy", 1.0)
         self.assertEqual(self.chosen(), "free")
 
-    def test_what_is_short_does_not_look_at_links(self) -> None:
+    def test_short_answers_ignore_link_reports(self) -> None:
         self.use("busy", "free")
-        self.tell("busy", 5.0)
+        self.report_link("busy", 5.0)
         self.assertEqual(self.chosen("lookup"), "busy")
 
-    def test_a_word_grows_old_as_fast_as_a_link_carries(self) -> None:
+    def test_a_reported_queue_shrinks_at_the_rate_of_the_link(self) -> None:
         self.use("busy", "free")
-        self.tell("busy", 1.0)
+        self.report_link("busy", 1.0)
         self.now = 1.0
         self.assertEqual([item.link_wait(self.now) for item in self.backends], [0.0, 0.0])
         self.assertEqual(self.chosen(), "busy")
 
-    def test_a_gateway_that_dies_with_its_word_out_is_forgotten_like_any_other(self) -> None:
+    def test_a_gateway_that_crashes_after_a_report_is_forgotten(self) -> None:
         self.use("busy", "free")
-        self.tell("busy", MAX_REPORTED_MS / MILLISECONDS_PER_SECOND)
+        self.report_link("busy", MAX_REPORTED_MS / MILLISECONDS_PER_SECOND)
         self.use("free")
         self.assertEqual(self.chosen(), "free")
         self.use("busy", "free")
         self.forget_links()
         self.assertEqual(self.chosen(), "busy")
 
-    def test_a_word_that_lies_holds_until_the_next(self) -> None:
+    def test_a_wrong_report_counts_until_the_next(self) -> None:
         self.use("liar", "free")
-        self.tell("liar", MAX_REPORTED_MS / MILLISECONDS_PER_SECOND)
+        self.report_link("liar", MAX_REPORTED_MS / MILLISECONDS_PER_SECOND)
         self.assertEqual(self.chosen(), "free")
         self.now = 0.1
         ticket = self.submit("lookup")
         ticket.backend = self.backends[0]
-        self.made.note_link_report(ticket, LinkReport(0.0, OWN), self.now, begun=True)
-        self.assertLess(ticket.backend.link_wait(self.now), OWN)
+        self.subject.note_link_report(
+            ticket, LinkReport(0.0, TRANSFER_SECONDS), self.now, begun=True
+        )
+        self.assertLess(ticket.backend.link_wait(self.now), TRANSFER_SECONDS)
 
-    def test_own_requests_count_until_the_next_word(self) -> None:
+    def test_own_requests_count_until_the_next_report(self) -> None:
         self.use("one", "two")
-        self.tell("one", 0.0)
+        self.report_link("one", 0.0)
         names = [self.submit().backend for _ in range(6)]
         self.assertEqual([sum(item is other for item in names) for other in set(names)], [3, 3])
 
-    def test_another_zone_is_asked_where_the_own_links_would_make_it_late(self) -> None:
-        for ahead, expected in ((1.0, "near"), (OBJECTIVE, "far")):
-            with self.subTest(ahead):
-                self.begin()
+    def test_another_zone_is_chosen_if_the_own_links_would_make_it_late(self) -> None:
+        for queue_seconds, expected in ((1.0, "near"), (OBJECTIVE, "far")):
+            with self.subTest(queue_seconds):
+                self.reset()
                 self.use("near", far=("far",))
-                self.tell("near", ahead)
+                self.report_link("near", queue_seconds)
                 self.assertEqual(self.chosen(), expected)
 
-    def test_where_all_links_are_full_the_own_zone_is_taken(self) -> None:
+    def test_the_own_zone_is_chosen_if_all_links_are_full(self) -> None:
         self.use("near", far=("far",))
-        self.tell("near", 2 * OBJECTIVE)
+        self.report_link("near", 2 * OBJECTIVE)
         far = self.backends[1]
         far.note_link_queue(self.now, 3 * OBJECTIVE)
         self.assertEqual(self.chosen(), "near")
 
-    def test_a_route_whose_answers_turn_short_is_chosen_for_as_others_are(self) -> None:
+    def test_a_route_whose_answers_become_short_ignores_links(self) -> None:
         self.use("busy", "free")
-        self.tell("busy", 5.0)
-        self.tell("free", 0.1, own=0.0)
+        self.report_link("busy", 5.0)
+        self.report_link("free", 0.1, transfer_seconds=0.0)
         self.assertEqual(self.chosen(), "busy")
 
-    def test_a_refusal_tells_of_the_link_and_of_no_run(self) -> None:
+    def test_a_refusal_reports_the_link_but_no_execution_time(self) -> None:
         self.use("busy", "free")
         refused = self.submit()
         assert refused.backend is not None
-        self.made.note_link_report(refused, LinkReport(1.0, OWN), self.now, begun=False)
-        self.made.finish(refused, self.now, AttemptResult.REFUSED)
+        self.subject.note_link_report(
+            refused, LinkReport(1.0, TRANSFER_SECONDS), self.now, begun=False
+        )
+        self.subject.finish(refused, self.now, AttemptResult.REFUSED)
         self.assertEqual(refused.backend.link_wait(self.now), 1.0)
-        self.assertEqual(self.made.service("logbook")._long_routes, {})
+        self.assertEqual(self.subject.service("logbook")._long_routes, {})
 
 
 if __name__ == "__main__":
--- a/tests/routing/test_outcomes.py
+++ b/tests/routing/test_outcomes.py
@@ -1,4 +1,4 @@
-"""The status of a failure promises "not run" exactly where that is known."""
+"""The status of a failure means "not run" only where that is certain."""
 
 import unittest
 
@@ -12,8 +12,8 @@
 )
 
 
-class AnswerStatusTest(unittest.TestCase):
-    def test_it_follows_what_is_known(self) -> None:
+class ResponseStatusTest(unittest.TestCase):
+    def test_the_status_follows_the_outcome(self) -> None:
         cases: tuple[tuple[type[RequestFailedError], Outcome, int], ...] = (
             (BackendFailedError, Outcome.UNKNOWN, 502),
             (BackendFailedError, Outcome.NOT_RUN, 503),
--- a/tests/routing/test_policies.py
+++ b/tests/routing/test_policies.py
@@ -1,4 +1,4 @@
-"""The registry of ways of deciding, and the settings that choose among them."""
+"""The registry of policies, and the settings that choose among them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
         settings = {field.name for field in msgspec.structs.fields(Policies)}
         self.assertEqual(settings, {kind.value for kind in PolicyKind})
 
-    def test_every_entry_can_be_chosen(self) -> None:
+    def test_every_registered_policy_can_be_chosen(self) -> None:
         all_policies()
         for kind, name in REGISTRY:
             chosen = msgspec.convert({kind.value: name}, Policies)
--- a/tests/routing/test_properties.py
+++ b/tests/routing/test_properties.py
@@ -1,4 +1,4 @@
-"""Whatever callers and back ends do: counts, limits and places stay right."""
+"""Counts, limits and queue positions are consistent whatever callers and back ends do."""
 
 import unittest
 
@@ -17,7 +17,7 @@
 NAMES = ("a", "b", "c")
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(["submit", "submit", "submit", "finish", "finish", "look", "leave"]),
+        st.sampled_from(["submit", "submit", "submit", "finish", "finish", "recheck", "leave"]),
         st.integers(0, 20),
         st.sampled_from(list(AttemptResult)),
         st.sampled_from(list(WorkClass)),
@@ -30,19 +30,19 @@
 class DispatcherProperties(unittest.TestCase):
     @settings(max_examples=150, deadline=None, derandomize=True)
     @given(STEPS)
-    def test_counts_limits_and_places(self, steps: list) -> None:
+    def test_counts_limits_and_queue_positions(self, steps: list) -> None:
         subject, now = dispatcher(*NAMES), 0.0
         tickets: list[Ticket] = []
         leaving: set[str] = set()
-        for action, pick, how, work_class, pause in steps:
+        for action, pick, result, work_class, pause in steps:
             now += pause
             granted_before = {item for item in tickets if item.backend}
             if action == "submit":
                 self.submit(subject, tickets, ticket(now + 2, work_class=work_class), now)
             elif action == "finish":
-                self.finish(subject, tickets, pick, how, now)
-            elif action == "look":
-                self.look(subject, tickets, now)
+                self.finish(subject, tickets, pick, result, now)
+            elif action == "recheck":
+                self.recheck(subject, tickets, now)
             elif len(leaving) < 2:
                 leaving.add(NAMES[pick % 3])
                 left = [backend(name, state=MachineState.LEAVING) for name in leaving]
@@ -50,11 +50,11 @@
                 subject.use_machines(MachineList(2, (*left, *stay)), now)
             fresh = {item for item in tickets if item.backend} - granted_before
             self.assertFalse(leaving & {item.backend.name for item in fresh if item.backend})
-            self.check(subject, tickets)
-        self.look(subject, tickets, now + 20)
+            self.verify(subject, tickets)
+        self.recheck(subject, tickets, now + 20)
         self.assertTrue(all(item.backend or item.refusal for item in tickets))
 
-    def look(self, subject: Dispatcher, tickets: list[Ticket], now: float) -> None:
+    def recheck(self, subject: Dispatcher, tickets: list[Ticket], now: float) -> None:
         for item in tickets:
             if not (item.backend or item.refusal):
                 subject.check(item, now)
@@ -67,16 +67,16 @@
         tickets.append(item)
 
     def finish(
-        self, subject: Dispatcher, tickets: list, pick: int, how: AttemptResult, now: float
+        self, subject: Dispatcher, tickets: list, pick: int, result: AttemptResult, now: float
     ) -> None:
         running = [item for item in tickets if item.backend and not item.finished]
         if running:
             item = running[pick % len(running)]
-            if how is AttemptResult.ANSWERED:
+            if result is AttemptResult.ANSWERED:
                 subject.note_answer(item, now, LoadReport(pick % 9, 6), leaving=False)
-            subject.finish(item, now, how)
+            subject.finish(item, now, result)
 
-    def check(self, subject: Dispatcher, tickets: list[Ticket]) -> None:
+    def verify(self, subject: Dispatcher, tickets: list[Ticket]) -> None:
         running = [item for item in tickets if item.backend and not item.finished]
         state = subject.service("logbook")
         self.assertEqual(state.in_flight, len(running))
--- a/tests/routing/test_silence.py
+++ b/tests/routing/test_silence.py
@@ -1,4 +1,4 @@
-"""Gateways that give no sign: avoided, ejected, probed and brought back."""
+"""Gateways without any response: avoided, ejected, probed and reinstated."""
 
 import unittest
 
@@ -25,31 +25,31 @@
         for ticket in (first, second):
             report(self.fleet, ticket, load=1)
 
-    def give_up(self, ticket: Ticket, now: float) -> None:
+    def time_out(self, ticket: Ticket, now: float) -> None:
         self.fleet.finish(ticket, now, AttemptResult.TIMED_OUT)
 
-    def test_silence_is_remembered_after_short_deadlines(self) -> None:
-        """Callers that wait less than any limit on silence hid a gateway behind a cut."""
+    def test_a_stall_is_remembered_after_short_deadlines(self) -> None:
+        """Callers that waited less than any limit on silence hid a disconnected gateway."""
         silent = submitted(self.fleet, 10.0)
         for turn in range(3):
-            self.give_up(silent, 12.0 + turn)
-            following = submitted(self.fleet, 12.0 + turn)
-            self.assertIsNot(following.backend, silent.backend)
-            self.fleet.note_answer(following, 12.1 + turn, None, leaving=False)
-            self.fleet.finish(following, 12.1 + turn, AttemptResult.ANSWERED)
+            self.time_out(silent, 12.0 + turn)
+            next_request = submitted(self.fleet, 12.0 + turn)
+            self.assertIsNot(next_request.backend, silent.backend)
+            self.fleet.note_answer(next_request, 12.1 + turn, None, leaving=False)
+            self.fleet.finish(next_request, 12.1 + turn, AttemptResult.ANSWERED)
 
-    def test_one_that_waits_too_long_is_avoided_while_it_waits(self) -> None:
+    def test_a_back_end_is_avoided_while_a_request_waits_too_long(self) -> None:
         waiting = submitted(self.fleet, 10.0)
         self.assertIsNot(submitted(self.fleet, 12.0).backend, waiting.backend)
 
-    def test_a_caller_that_leaves_soon_says_nothing_of_the_back_end(self) -> None:
+    def test_an_early_cancellation_is_no_stall(self) -> None:
         ticket = submitted(self.fleet, 10.0)
         self.fleet.finish(ticket, 10.0 + GATEWAY_STALL_SECONDS / 2, AttemptResult.CANCELLED)
         self.assertFalse(backend_of(ticket).stalled(11.0, ANSWER_TIME))
 
     def test_a_stall_is_forgotten(self) -> None:
         ticket = submitted(self.fleet, 10.0)
-        self.give_up(ticket, 12.0)
+        self.time_out(ticket, 12.0)
         backend = backend_of(ticket)
         self.assertTrue(backend.stalled(12.1, ANSWER_TIME))
         self.assertFalse(backend.stalled(10.1 + STALL_MEMORY_SECONDS, ANSWER_TIME))
@@ -66,13 +66,13 @@
         self.assertFalse(self.backend.usable(0.5))
         self.assertTrue(self.backend.unreachable)
 
-    def test_a_probe_and_not_a_request_tries_it(self) -> None:
+    def test_it_is_tried_by_a_probe_and_not_by_a_request(self) -> None:
         self.assertEqual(self.fleet.probes_due(0.5), [])
         self.assertEqual(self.fleet.probes_due(0.9), [self.backend])
         self.assertEqual(self.fleet.probes_due(0.9), [], "one probe at a time")
         self.assertFalse(self.backend.usable(0.9))
 
-    def test_an_answered_probe_brings_it_back(self) -> None:
+    def test_an_answered_probe_reinstates_it(self) -> None:
         self.fleet.probes_due(0.9)
         self.fleet.note_probe_result(self.backend, 1.0, answered=True)
         self.assertTrue(self.backend.usable(1.0))
@@ -86,10 +86,10 @@
             self.assertFalse(self.backend.usable(now))
             now += 1.7
 
-    def test_without_a_prober_a_request_tries_it_in_the_end(self) -> None:
+    def test_without_probes_a_request_tries_it_eventually(self) -> None:
         self.assertTrue(self.backend.usable(2.0))
 
-    def test_a_service_is_out_of_reach_until_a_probe_is_answered(self) -> None:
+    def test_a_service_is_unreachable_until_a_probe_is_answered(self) -> None:
         other = submitted(self.fleet, 0.5)
         self.fleet.finish(other, 0.9, AttemptResult.SILENT)
         for now in (1.0, 1.3):
--- a/tests/routing/test_splits.py
+++ b/tests/routing/test_splits.py
@@ -1,4 +1,4 @@
-"""Weighted splits keep their shares over any run of requests."""
+"""Weighted splits keep their shares over any sequence of requests."""
 
 import unittest
 from collections import Counter
@@ -23,14 +23,14 @@
         plain = route()
         self.assertIs(SplitPicker().pick(plain), plain)
 
-    def test_changed_weights_hold_at_once(self) -> None:
+    def test_changed_weights_apply_at_once(self) -> None:
         picker = SplitPicker()
         picker.pick(route(split={"old": 1, "new": 1}))
         changed = route(split={"old": 0, "new": 1}, timeout=9.0)
         picked = picker.pick(changed)
         self.assertEqual((picked.service, picked.timeout), ("new", 9.0))
 
-    def test_an_unchanged_split_of_a_changed_route_serves_by_the_new_route(self) -> None:
+    def test_a_changed_route_with_an_unchanged_split_is_used(self) -> None:
         picker = SplitPicker()
         picker.pick(route(split={"old": 1}))
         self.assertEqual(picker.pick(route(split={"old": 1}, timeout=9.0)).timeout, 9.0)
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -28,28 +28,28 @@
         self.assert_route("contest", "x", "/logs/contest")
         self.assert_route("contest", "x", "/logs/contest/a//b/")
 
-    def test_a_named_method_goes_before_every_method(self) -> None:
+    def test_a_named_method_precedes_every_method(self) -> None:
         self.assert_route("upload", "x", "/logs", "POST")
         self.assert_route("upload", "x", "/logs/contest", "POST")
 
-    def test_whichever_of_both_is_first_by_name(self) -> None:
+    def test_method_precedence_does_not_depend_on_route_names(self) -> None:
         for own, every in (("a", "b"), ("b", "a")):
             table = RouteTable(configuration(route(own, methods=("PUT",)), route(every)))
             self.assertEqual(table.match("x", "/", "PUT").name, own)
             self.assertEqual(table.match("x", "/", "GET").name, every)
 
-    def test_a_named_host_goes_before_every_host(self) -> None:
+    def test_a_named_host_precedes_every_host(self) -> None:
         self.assert_route("rig", "rig.example", "/logs/contest")
         self.assert_route("any", "rig.example", "/")
 
-    def test_no_match_is_told_apart_from_a_wrong_method(self) -> None:
+    def test_no_match_is_distinguished_from_a_wrong_method(self) -> None:
         table = RouteTable(configuration(route(path_prefix="/a", methods=("GET",))))
         with self.assertRaises(MethodNotAllowedError):
             table.match("x", "/a/b", "PUT")
         with self.assertRaises(RouteNotFoundError):
             table.match("x", "/b", "GET")
 
-    def test_a_prefix_that_is_percent_encoded_matches_what_it_stands_for(self) -> None:
+    def test_a_percent_encoded_prefix_matches_the_decoded_path(self) -> None:
         paths = {"/a%20b": "/a b/x", "/%C3%BC": "/\u00fc/x", "/%2E%2E": "/../x", "/a/%2F": "/a//x"}
         for prefix, path in paths.items():
             with self.subTest(prefix):
