--- a/src/pewtertack/core/source_mirror.py
+++ b/src/pewtertack/core/source_mirror.py
@@ -32,7 +32,7 @@
 
     @property
     def made(self) -> int:
-        """The revision at which the item was created."""
+        """The revision at which the item was created; named as in the store's answers."""
 
     def content(self) -> bytes | None:
         """Return the item's bytes; ``None`` if it was deleted."""
@@ -156,7 +156,7 @@
         return self._evacuations + zone in self._reported_evacuations
 
     def shows_restored_evacuation(self, zone: str, created_until: float = math.inf) -> bool:
-        """Tell whether the zone's evacuation dates from before the era, created by the revision."""
+        """Tell whether the zone's evacuation, made by ``created_until``, is older than the era."""
         key = self._evacuations + zone
         created = self._restored_evacuations.get(key)
         return created is not None and self.created_revisions.get(key) == created <= created_until
