--- a/src/pewtertack/node/crash_watch.py
+++ b/src/pewtertack/node/crash_watch.py
@@ -45,7 +45,7 @@
     """Ignore the crash."""
 
 
-class _Break:
+class _BreakGroup:
     """Exchanges with one back end that broke together."""
 
     __slots__ = ("broken", "crashed", "task")
@@ -65,32 +65,32 @@
 
     def __init__(self, on_crash: CrashObserver = _ignore_crash) -> None:
         self._on_crash = on_crash
-        self._breaks: dict[tuple[str, str], _Break] = {}
+        self._groups: dict[tuple[str, str], _BreakGroup] = {}
         """Breaks that are still being examined, by the back end's name and address."""
 
     async def has_crashed(self, backend: str, address: str, broken: BrokenExchange) -> bool:
         """Return whether the exchange broke because the back end crashed."""
         key = backend, address
-        current = self._breaks.get(key)
-        if current is None:
-            current = self._breaks[key] = _Break()
-            current.task = asyncio.ensure_future(self._settle(key, current))
-        current.broken.append(broken)
-        return await asyncio.shield(current.crashed)
-
-    async def _settle(self, key: tuple[str, str], current: _Break) -> None:
+        group = self._groups.get(key)
+        if group is None:
+            group = self._groups[key] = _BreakGroup()
+            group.task = asyncio.ensure_future(self._settle(key, group))
+        group.broken.append(broken)
+        return await asyncio.shield(group.crashed)
+
+    async def _settle(self, key: tuple[str, str], group: _BreakGroup) -> None:
         backend, address = key
         crashed = False
         try:
-            current.crashed.set_result(await refuses_connections(address))
+            group.crashed.set_result(await refuses_connections(address))
             await anyio.sleep(GROUPING_SECONDS)
             crashed = await refuses_connections(address)
         finally:
-            if not current.crashed.done():
-                current.crashed.set_result(False)
-            del self._breaks[key]
+            if not group.crashed.done():
+                group.crashed.set_result(False)
+            del self._groups[key]
         if crashed:
-            self._on_crash(backend, tuple(current.broken))
+            self._on_crash(backend, tuple(group.broken))
 
 
 async def refuses_connections(address: str) -> bool:
--- a/src/pewtertack/node/http/connection.py
+++ b/src/pewtertack/node/http/connection.py
@@ -57,7 +57,7 @@
 
 
 class ExchangeLeftError(ExchangeBrokenError):
-    """The peer doubts that it will answer, and the request is abandoned for that."""
+    """The peer reported that it may never answer, and the request was abandoned."""
 
     code = "exchange-left"
 
@@ -140,9 +140,9 @@
         self._ended = True
         self._reusable = False
         self._failure = self._failure or failure
-        for awaited in (self._waiter, self._write_waiter):
-            if awaited is not None:
-                wake(awaited)
+        for waiter in (self._waiter, self._write_waiter):
+            if waiter is not None:
+                wake(waiter)
 
     def pause_writing(self) -> None:
         """Block the sender until ``resume_writing``."""
@@ -160,7 +160,7 @@
     ) -> ResponseHead:
         """Send the request and return the head of its response.
 
-        ``may_abandon`` is called whenever the peer reports that it doubts it will answer.
+        ``may_abandon`` is called whenever the peer reports that it may never answer.
 
         Raises:
             ExchangeLeftError: the request was abandoned for such a report.
@@ -182,7 +182,7 @@
         while self._head is None:
             await self._wait()
             if self._processing_headers is not None:
-                self._abandon_if_doubtful(may_abandon)
+                self._maybe_abandon(may_abandon)
         return self._head
 
     def read_pending(self) -> bool:
@@ -194,10 +194,10 @@
             self._transport.read_now()
         return self._head is not None or self._ended
 
-    def _abandon_if_doubtful(self, may_abandon: MayAbandon) -> None:
+    def _maybe_abandon(self, may_abandon: MayAbandon) -> None:
         headers, self._processing_headers = self._processing_headers, None
         if headers is not None and self._head is None and may_abandon(headers):
-            raise ExchangeLeftError("the peer doubts that it will answer")
+            raise ExchangeLeftError("the peer reported that it may never answer")
 
     async def _send_without_body(self, request: OutgoingRequest) -> None:
         if not self._ended:
--- a/src/pewtertack/node/http/cycle.py
+++ b/src/pewtertack/node/http/cycle.py
@@ -99,7 +99,7 @@
         self.scope = scope
         scope["extensions"] = {CALLER_EXTENSION: self}
         self.started = False
-        self.first = False
+        self.may_write = False
         """Whether the response may be written."""
         self.received = False
         """Whether the whole request has been received."""
@@ -180,7 +180,7 @@
 
     def start_writing(self) -> None:
         """Write the held-back parts of the response, now that earlier requests are answered."""
-        self.first = True
+        self.may_write = True
         if self._failed:
             self._connection.close_broken()
             return
@@ -200,7 +200,7 @@
 
     def send_processing(self, headers: RawHeaders) -> None:
         """Send a provisional 102 (Processing) response: the request may never be answered."""
-        if not self.first or self.response_started or self.gone:
+        if not self.may_write or self.response_started or self.gone:
             return
         lines = [STATUS_LINES[PROCESSING]]
         for name, value in headers:
@@ -229,7 +229,7 @@
         if self.response_complete or self.gone:
             return
         self._failed = True
-        if self.first:
+        if self.may_write:
             self._connection.close_broken()
 
     def _release_references(self) -> None:
@@ -241,7 +241,7 @@
 
     async def receive(self) -> Message:
         """Return the next part of the request (ASGI ``receive``)."""
-        if self._expects_continue and self.first and not self.response_started:
+        if self._expects_continue and self.may_write and not self.response_started:
             self._connection.write(CONTINUE_RESPONSE)
         self._expects_continue = False
         if not self.gone and not self.response_complete:
@@ -258,12 +258,12 @@
         """Write a part of the response, or hold it back (ASGI ``send``)."""
         if self.gone:
             return
-        if self.first and self._connection.write_paused:
+        if self.may_write and self._connection.write_paused:
             await self._connection.wait_writable()
             if self.gone:
                 return
         self._track_response(message)
-        if self.first:
+        if self.may_write:
             self._write(message)
         else:
             await self._hold_back(message)
--- a/src/pewtertack/node/http/protocol.py
+++ b/src/pewtertack/node/http/protocol.py
@@ -212,7 +212,7 @@
         self._newest = cycle
         self._last_request = not self._parser.should_keep_alive()
         self._pipeline.add(cycle)
-        cycle.first = self._pipeline.first is cycle
+        cycle.may_write = self._pipeline.first is cycle
         self._start_requests()
 
     def on_body(self, body: bytes) -> None:
@@ -308,7 +308,7 @@
         """Start requests that waited for ``cycle``, or limit the wait for the next data."""
         waiting = self._pipeline.first
         if waiting is not None:
-            waiting.first = True
+            waiting.may_write = True
             self._start_requests()
         elif not cycle.received:
             cycle.drop_body()
@@ -354,11 +354,11 @@
         self._read_now()
         if self._pipeline.requests or self._head_bytes:
             return
-        left = self._idle_since + self._server.keep_alive - self.loop.time()
-        if left <= 0:
+        remaining = self._idle_since + self._server.keep_alive - self.loop.time()
+        if remaining <= 0:
             self._close_idle_now()
         else:
-            self._idle_timer = self.loop.call_later(left, self._close_idle)
+            self._idle_timer = self.loop.call_later(remaining, self._close_idle)
 
     async def wait_closed(self) -> None:
         """Wait until the connection has ended."""
--- a/src/pewtertack/node/http/response_reading.py
+++ b/src/pewtertack/node/http/response_reading.py
@@ -44,8 +44,8 @@
         self._complete = True
         self._continue_received = False
         self._processing_headers: RawHeaders | None = None
-        """Headers of the last 102 (Processing) response that is not handled yet: the peer doubts
-        that it will answer."""
+        """Headers of the last 102 (Processing) response that is not handled yet: the peer may never
+        answer."""
         self._reusable = True
         """Whether the connection may be reused, as far as is known."""
 
