--- a/tests/node/test_gateway_stop_and_long_answers.py
+++ b/tests/node/test_gateway_shutdown_and_long_responses.py
@@ -14,8 +14,14 @@
 import anyio
 
 from tests.node.processes import TIMEOUT_SECONDS
-from tests.node.stopping_fleet import fleet_with_slow_links
-from tests.node.test_stop_and_long_answers import LIMITS, MEGABITS, SLOTS, TREE, DownloadTestCase
+from tests.node.slow_link_fleet import fleet_with_slow_links
+from tests.node.test_shutdown_and_long_responses import (
+    LIMITS,
+    MEGABITS,
+    SLOTS,
+    TREE,
+    DownloadTestCase,
+)
 
 RESPONSE_BYTES = 220_000
 """The link needs 2.2 s for it: the second in the queue has started, but is not complete, when the
--- a/tests/node/test_stop_and_long_answers.py
+++ b/tests/node/test_shutdown_and_long_responses.py
@@ -19,7 +19,7 @@
 
 from tests.node.processes import TIMEOUT_SECONDS, NodeProcess
 from tests.node.proxy.harness import Answer, ProxyTestCase, begin_call
-from tests.node.stopping_fleet import fleet_with_slow_link
+from tests.node.slow_link_fleet import fleet_with_slow_link
 
 TREE: dict[str, Any] = {
     "services": {"desk": {}},
