--- a/src/pewtertack/node/assembly.py
+++ b/src/pewtertack/node/assembly.py
@@ -174,7 +174,7 @@
             settings.limits.retry_window.seconds,
             settings.limits.retry_slack,
         ),
-        runs=local_runs,
+        executions=local_runs,
     )
 
 
--- a/src/pewtertack/node/gateway/application.py
+++ b/src/pewtertack/node/gateway/application.py
@@ -100,7 +100,7 @@
         registry: where the metrics are registered; ``None`` keeps none.
         reporter: the node's knowledge of requests that crash back ends.
         policies: the policy for each configurable decision.
-        runs: the requests that the local back end runs.
+        executions: the requests that the local back end runs.
     """
 
     callers_relay = True
@@ -117,7 +117,7 @@
         registry: MetricsRegistry | None = None,
         reporter: CrashReporter | None = None,
         policies: Policies = DEFAULT_POLICIES,
-        runs: LocalExecutions | None = None,
+        executions: LocalExecutions | None = None,
     ) -> None:
         self._clock = clock
         self._settings = settings
@@ -127,7 +127,7 @@
         self._reporter = reporter or CrashReporter()
         self._backend_down = False
         """Whether the back end's address refused connections when last used."""
-        runs = runs or LocalExecutions()
+        executions = executions or LocalExecutions()
         self.origins = origin_detector_for(policies)
         """Who calls each route, as far as known; ``None`` if the policies do not need it."""
         self._context = GatewayContext(
@@ -140,8 +140,8 @@
             CrashDetector(self._note_crash),
             self._reporter,
             self.origins,
-            runs,
-            runs.likely_without_result
+            executions,
+            executions.likely_without_result
             if policies.begun_runs is SlotOrderPolicy.FINISHABLE
             else never_without_result,
             self.requests,
--- a/src/pewtertack/node/gateway/context.py
+++ b/src/pewtertack/node/gateway/context.py
@@ -34,7 +34,7 @@
     reporter: CrashReporter
     origins: OriginDetector | None = None
     """Who calls each route; ``None`` if nested calls are treated like all others."""
-    runs: LocalExecutions = msgspec.field(default_factory=LocalExecutions)
+    executions: LocalExecutions = msgspec.field(default_factory=LocalExecutions)
     should_defer: Callable[[str, float], bool] = never_without_result
     """Tells by route and time whether requests should be deferred: their executions often fail
     because nested calls that they make are refused."""
--- a/src/pewtertack/node/gateway/forwarding.py
+++ b/src/pewtertack/node/gateway/forwarding.py
@@ -83,7 +83,7 @@
         self._request = request
         self.request_id = head.request_id
         self._deadline = deadline
-        self._headers = without_names(scope["headers"], head, context.edge.own)
+        self._headers = without_names(scope["headers"], head, context.edge.reserved)
         self._has_body = head.has_body
         self._body = RequestBody(receive, head.has_body, context.bodies)
         content = RequestContent(scope, self._headers, self._body)
@@ -306,7 +306,7 @@
         if self._ticket.nested:
             metrics.note_nested(route, admitted=True)
         answered = False
-        self._context.runs.note_start(route, self._ticket.rank)
+        self._context.executions.note_start(route, self._ticket.rank)
         try:
             await self._attempt()
             answered = True
@@ -315,7 +315,9 @@
             log.answered(request, self._request.backend, self.status, self._ticket)
         finally:
             now = self._context.clock()
-            self._context.runs.note_end(route, self._ticket.rank, now - self._ticket.started_at)
+            self._context.executions.note_end(
+                route, self._ticket.rank, now - self._ticket.started_at
+            )
             self._admission.finish(self._ticket, now, answered, self._read_delay)
 
     async def _wait_for_slot(self) -> None:
@@ -378,12 +380,14 @@
         self, work: Awaitable[None], connection: BackendConnection
     ) -> None:
         """Await the work; report a hang if the sender asked for such reports."""
-        hangs = self._admission.hang_detector
-        if hangs is None or not self._request.report_hangs:
+        detector = self._admission.hang_detector
+        if detector is None or not self._request.report_hangs:
             await work
             return
         clock = self._context.clock
-        checks = HangChecks(hangs, self._ticket, clock, connection.read_pending, self._report_hang)
+        checks = HangChecks(
+            detector, self._ticket, clock, connection.read_pending, self._report_hang
+        )
         await checks.run(work)
 
     def _report_hang(self) -> None:
--- a/src/pewtertack/node/gateway/hang_checks.py
+++ b/src/pewtertack/node/gateway/hang_checks.py
@@ -21,24 +21,24 @@
     """Checks periodically whether the back end hangs on one request.
 
     Args:
-        hangs: detects hung requests of the back end.
+        detector: detects hung requests of the back end.
         ticket: the request's ticket.
         clock: monotonic time in seconds.
         is_answering: tells whether part of the response has arrived, which ends the checks.
         report: reports a hang to the sender, which may then cancel the request.
     """
 
-    __slots__ = ("_clock", "_hangs", "_is_answering", "_report", "_ticket", "_timer")
+    __slots__ = ("_clock", "_detector", "_is_answering", "_report", "_ticket", "_timer")
 
     def __init__(
         self,
-        hangs: HangDetector,
+        detector: HangDetector,
         ticket: AdmissionTicket,
         clock: Callable[[], float],
         is_answering: Callable[[], bool],
         report: Callable[[], None],
     ) -> None:
-        self._hangs = hangs
+        self._detector = detector
         self._ticket = ticket
         self._clock = clock
         self._is_answering = is_answering
@@ -47,7 +47,7 @@
 
     async def run(self, work: Awaitable[None]) -> None:
         """Await the work, with hang checks until it is done."""
-        self._arm(self._hangs.first_check(self._ticket))
+        self._arm(self._detector.first_check(self._ticket))
         try:
             await work
         finally:
@@ -61,9 +61,9 @@
     def _check(self) -> None:
         if self._is_answering():
             return
-        if self._hangs.should_abandon(self._ticket, self._clock()):
+        if self._detector.should_abandon(self._ticket, self._clock()):
             self._ticket.hung = True
             self._report()
-            self._arm(max(REPORT_INTERVAL_SECONDS, self._hangs.next_check(self._ticket)))
+            self._arm(max(REPORT_INTERVAL_SECONDS, self._detector.next_check(self._ticket)))
         else:
-            self._arm(self._hangs.next_check(self._ticket))
+            self._arm(self._detector.next_check(self._ticket))
--- a/src/pewtertack/node/gateway/hop.py
+++ b/src/pewtertack/node/gateway/hop.py
@@ -151,16 +151,16 @@
     wait_policy: WaitPolicy,
     caller: str,
     nested: bool = False,
-    run_rank: Rank | None = None,
+    local_rank: Rank | None = None,
 ) -> Headers:
     """Return the hop headers of a request to the gateway of ``backend``.
 
-    ``run_rank`` is the rank of the requests that the proxy's local back end runs; a nested call
+    ``local_rank`` is the rank of the requests that the proxy's local back end runs; a nested call
     carries it instead of its route's own.
     """
     work_class, priority = _CLASS_RANKS[route.work_class], route.priority
-    if nested and run_rank is not None:
-        work_class, priority = run_rank
+    if nested and local_rank is not None:
+        work_class, priority = local_rank
     rank = f"{work_class}.{priority}"
     custom_limit = route.crash_limit != DEFAULT_CRASH_LIMIT
     return [
--- a/src/pewtertack/node/gateway/metrics.py
+++ b/src/pewtertack/node/gateway/metrics.py
@@ -82,6 +82,6 @@
         """A long response was sent, ``seconds`` after the back end had completed it."""
         self._link_seconds.observe((route,), seconds)
 
-    def note_refused(self, reason: str, offered: bool) -> None:
+    def note_refused(self, reason: str, reached_backend: bool) -> None:
         """A request ended without a response from the back end."""
-        self._refused.inc((reason, str(offered).lower()))
+        self._refused.inc((reason, str(reached_backend).lower()))
--- a/src/pewtertack/node/gateway/sending.py
+++ b/src/pewtertack/node/gateway/sending.py
@@ -217,7 +217,7 @@
 
     async def _send_in_turns(self, data: bytes) -> None:
         self._chunks.clear()
-        begun = self._sent_bytes > 0
+        started = self._sent_bytes > 0
         # Counts the bytes still to be received: without them, more requests would be admitted
         # than the link can serve in time.
         total = self._body_bytes if self._complete else max(self._expected_bytes, self._body_bytes)
@@ -232,7 +232,7 @@
             self._rank,
             size,
             self._objective,
-            begun,
+            started,
             self._deadline,
             retryable_bytes,
             no_alternative,
--- a/src/pewtertack/node/proxy/application.py
+++ b/src/pewtertack/node/proxy/application.py
@@ -96,7 +96,7 @@
         policies: the policy for each configurable decision.
         retry_limits: the operators' limits on a service's retries over all nodes, used if the
             policies call for them.
-        runs: the requests that the local back end runs.
+        executions: the requests that the local back end runs.
     """
 
     def __init__(
@@ -112,7 +112,7 @@
         reporter: CrashReporter | None = None,
         policies: Policies = DEFAULT_POLICIES,
         retry_limits: RetryLimits = NO_RETRY_LIMITS,
-        runs: LocalExecutions | None = None,
+        executions: LocalExecutions | None = None,
     ) -> None:
         self._clock = clock
         self._edge = edge
@@ -139,7 +139,7 @@
             self._metrics,
             self.requests,
             self._reporter,
-            runs or LocalExecutions(),
+            executions or LocalExecutions(),
             CrashDetector(self._note_crash),
         )
         registry.add_collector(lambda: _make_collector(dispatcher, lambda: self.in_flight, clock))
@@ -339,7 +339,7 @@
         finally:
             self._metrics.note_retries(route, forwarding.retries)
             if forwarding.ticket.nested:
-                self._context.runs.note_call(route.name, self._clock(), failed)
+                self._context.executions.note_call(route.name, self._clock(), failed)
 
     async def _wait_for_newer_table(self, head: RequestHead) -> RouteTable:
         """Wait for a newer configuration, which may have the request's route; return its table.
--- a/src/pewtertack/node/proxy/edge.py
+++ b/src/pewtertack/node/proxy/edge.py
@@ -22,17 +22,19 @@
     identified_answers: bool = False
     unframed_answers: bool = False
     fractional_retry_after: bool = False
-    own: frozenset[bytes] = frozenset()
+    reserved: frozenset[bytes] = frozenset()
     """Headers that nodes set themselves; a caller's are dropped. Derived from the fields above."""
-    read: frozenset[bytes] = frozenset()
+    inspected: frozenset[bytes] = frozenset()
     """Request headers that a node reads. Derived from the fields above."""
 
     def __post_init__(self) -> None:
         """Derive once the sets that every request needs."""
         names = (self.request_id, self.deadline, self.expected_backend, self.caller_service)
-        own = frozenset(name for name in names if name)
-        msgspec.structs.force_setattr(self, "own", own)
-        msgspec.structs.force_setattr(self, "read", READ_NAMES | {self.request_id, self.deadline})
+        reserved = frozenset(name for name in names if name)
+        msgspec.structs.force_setattr(self, "reserved", reserved)
+        msgspec.structs.force_setattr(
+            self, "inspected", READ_NAMES | {self.request_id, self.deadline}
+        )
 
 
 DEFAULT_EDGE = EdgeHeaders()
--- a/src/pewtertack/node/proxy/forwarding.py
+++ b/src/pewtertack/node/proxy/forwarding.py
@@ -80,7 +80,7 @@
     metrics: RequestMetrics | None = None
     requests: RequestsInFlight = msgspec.field(default_factory=RequestsInFlight)
     reporter: CrashReporter = msgspec.field(default_factory=CrashReporter)
-    runs: LocalExecutions = msgspec.field(default_factory=LocalExecutions)
+    executions: LocalExecutions = msgspec.field(default_factory=LocalExecutions)
     """The requests that the local back end runs."""
     crashes: CrashDetector = msgspec.field(default_factory=CrashDetector)
     """For back ends without a gateway; gateways detect the crashes of their own back ends."""
@@ -361,24 +361,26 @@
         objective = self._ticket.arrived_at + self._route.objective - now
         wait_policy = self._ticket.wait_policy
         nested = self._ticket.nested
-        run_rank = self._context.runs.usual_rank() if nested else None
-        hop = hop_headers(
-            self._route, backend.name, objective, wait_policy, caller, nested, run_rank
+        local_rank = self._context.executions.usual_rank() if nested else None
+        hop_header_list = hop_headers(
+            self._route, backend.name, objective, wait_policy, caller, nested, local_rank
         )
         if self._may_abandon():
-            hop.append((REPORT_HANGS, b"1"))
+            hop_header_list.append((REPORT_HANGS, b"1"))
         if self._exchange.buffers_start:
-            hop.append((BUFFERS_START, b"1"))
+            hop_header_list.append((BUFFERS_START, b"1"))
             # Short responses do not wait for the link, so they skip the more costly check.
             is_long = self._route.name not in self._context.dispatcher.short_answers
             if is_long and not self._can_repeat(now):
-                hop.append((NO_ALTERNATIVE, b"1"))
+                hop_header_list.append((NO_ALTERNATIVE, b"1"))
         if backend.started_at:
-            hop.append((INCARNATION, b"%d" % backend.started_at))
-        if self._context.shutdown.begun:
+            hop_header_list.append((INCARNATION, b"%d" % backend.started_at))
+        if self._context.shutdown.started:
             seconds_left = self._context.shutdown.seconds_left(now)
-            hop.append((SENDER_STOPS_IN, format_milliseconds_left(seconds_left).encode()))
-        return [*self._headers, *own_headers, *hop]
+            hop_header_list.append(
+                (SENDER_STOPS_IN, format_milliseconds_left(seconds_left).encode())
+            )
+        return [*self._headers, *own_headers, *hop_header_list]
 
     def _can_repeat(self, now: float) -> bool:
         """Tell whether the request could be sent to another gateway if its response broke off."""
@@ -423,14 +425,14 @@
             self._ticket, self._context.clock(), parse_load(response.load), response.leaving
         )
         if response.link is not None:
-            self._note_link(response.link, begun=response.failure is None)
+            self._note_link_report(response.link, started=response.failure is None)
 
-    def _note_link(self, text: str, begun: bool) -> None:
+    def _note_link_report(self, text: str, started: bool) -> None:
         """Record a gateway's report of its link queue; an invalid one is counted and ignored."""
         report = parse_link_report(text)
         if report is not None:
             self._context.dispatcher.note_link_report(
-                self._ticket, report, self._context.clock(), begun
+                self._ticket, report, self._context.clock(), started
             )
         elif self._context.metrics is not None:
             self._context.metrics.note_invalid_link_report()
--- a/src/pewtertack/node/proxy/headers.py
+++ b/src/pewtertack/node/proxy/headers.py
@@ -73,7 +73,7 @@
     """
     head = RequestHead()
     host_count = length_count = coding_count = 0
-    for name, value in _select_names(headers, edge.read):
+    for name, value in _select_names(headers, edge.inspected):
         if name == b"host":
             host_count += 1
             head.host = _parse_host(value)
@@ -145,12 +145,12 @@
     header of that name is dropped.
     """
     if not route.header_secrets:
-        return without_names(headers, head, edge.own)
+        return without_names(headers, head, edge.reserved)
     secrets = {
         name.lower().encode(): configuration.secrets[secret].encode()
         for name, secret in route.header_secrets.items()
     }
-    result = without_names(headers, head, edge.own | secrets.keys())
+    result = without_names(headers, head, edge.reserved | secrets.keys())
     result.extend(secrets.items())
     return result
 
--- a/src/pewtertack/node/proxy/stop_time.py
+++ b/src/pewtertack/node/proxy/stop_time.py
@@ -35,17 +35,17 @@
 class ShutdownDeadline:
     """When the node stops relaying responses, in monotonic seconds; initially never."""
 
-    __slots__ = ("begun", "ends_at")
+    __slots__ = ("ends_at", "started")
 
     def __init__(self) -> None:
         self.ends_at = math.inf
-        self.begun = False
+        self.started = False
         """Whether the node is shutting down at a known time."""
 
     def begin(self, ends_at: float) -> None:
         """Note that the node shuts down and stops relaying responses at ``ends_at``."""
         self.ends_at = ends_at
-        self.begun = ends_at < math.inf
+        self.started = ends_at < math.inf
 
     def seconds_left(self, now: float) -> float:
         """Return how many seconds longer responses are relayed."""
@@ -59,7 +59,7 @@
     requests: RequestsInFlight,
 ) -> None:
     """Notify each gateway that has requests of this node how long their responses are relayed."""
-    if not stop.begun:
+    if not stop.started:
         return  # the node waits for all responses without a time limit
     ids_by_gateway: dict[str, list[str]] = defaultdict(list)
     for request in requests.active:
--- a/tests/lab/test_weakening.py
+++ b/tests/lab/test_weakening.py
@@ -65,7 +65,7 @@
                 asyncio.run(proxy.announce_stop())
             tell.assert_not_called()
             self.assertTrue(proxy.leaving)
-            self.assertFalse(proxy._context.shutdown.begun)
+            self.assertFalse(proxy._context.shutdown.started)
 
     def test_nothing_is_held_after_returns(self) -> None:
         with mock.patch.object(MachineListOverrides, "__init__", MachineListOverrides.__init__):
--- a/tests/node/gateway/test_origins.py
+++ b/tests/node/gateway/test_origins.py
@@ -50,7 +50,7 @@
             "gateway": "10.9.9.9:2",
         }
         self.machines.append(msgspec.structs.replace(listed, **other_machine))
-        self.runs = LocalExecutions()
+        self.executions = LocalExecutions()
         ledger_proxy = await self.start_proxy("ledger", policies)
         return ledger_proxy, await self.start_proxy("logbook", policies)
 
@@ -61,7 +61,7 @@
             edge=EDGE,
             caller_service=service,
             policies=policies,
-            runs=self.runs,
+            executions=self.executions,
         )
         self.proxy.use_configuration(configuration(*ROUTES))
         self.proxy.set_serving(True)
@@ -87,7 +87,7 @@
             answer = await raw_call(ledger_proxy, NESTED_CALL)
         self.assertNotIn("x-pewtertack-origin", answer.headers)
         self.assertEqual(sorted(self.origins), [("fee", "back-ends"), ("verify", "callers")])
-        self.runs.note_start("history", (1, 2))
+        self.executions.note_start("history", (1, 2))
         await raw_call(ledger_proxy, NESTED_CALL)
         await raw_call(ledger_proxy, ORIGINAL_CALL)
         admitted = [(item["within"], item["rank"]) for item in self.admitted]
@@ -114,7 +114,7 @@
     def test_the_header_is_sent_for_nested_calls_only(self) -> None:
         for nested in (True, False):
             headers = hop_headers(
-                ROUTES[1], "b0", 0.3, WaitPolicy.WAIT, "ledger", nested, run_rank=(1, 1)
+                ROUTES[1], "b0", 0.3, WaitPolicy.WAIT, "ledger", nested, local_rank=(1, 1)
             )
             self.assertEqual(NESTED in dict(headers), nested)
             request = read_hop(headers)
