--- a/tests/node/gateway/test_cold_and_evacuated.py
+++ b/tests/node/gateway/test_cold_and_evacuated.py
@@ -68,7 +68,9 @@
     async def start_zone(self, zone: str, cold_milliseconds: str = "0") -> ColdBackend:
         backend = ColdBackend(cold_milliseconds)
         address = await RawBackend(backend.answer).start(self)
-        gateway_settings = GatewaySettings(address, "logbook", zone, cold_overage=1.5, cold_slack=SLOTS)
+        gateway_settings = GatewaySettings(
+            address, "logbook", zone, cold_overage=1.5, cold_slack=SLOTS
+        )
         gateway = GatewayApplication(time.monotonic, gateway_settings, EDGE)
         self.backends.append(backend)
         self.gateways.append(gateway)
