--- a/src/pewtertack/cli/lab.py
+++ b/src/pewtertack/cli/lab.py
@@ -124,11 +124,11 @@
         work_time=work_ms / 1000,
         cold_period=cold_ms / 1000,
     )
-    named = dict(named_address(text) for text in host)
+    named = dict(parse_named_address(text) for text in host)
     anyio.run(BackendProcess(named, parse_address(control), capacity, seed).run)
 
 
-def named_address(text: str) -> tuple[str, Address]:
+def parse_named_address(text: str) -> tuple[str, Address]:
     """Read ``name=ip:port``.
 
     Raises:
@@ -173,7 +173,7 @@
     def record(told: Told) -> None:
         print_line(encode_record(told))
 
-    targets = [Target(*named_address(text)) for text in node]
+    targets = [Target(*parse_named_address(text)) for text in node]
     mix = mix_of_tree(read_json_object(tree))
     print_ready()
     anyio.run(LoadGenerator(targets, mix, rate, seed, prefix, record).run, seconds)
--- a/src/pewtertack/cli/lab_virtual_time.py
+++ b/src/pewtertack/cli/lab_simulations.py
@@ -81,7 +81,7 @@
             load=load,
             burst=burst,
             slowness=slowness,
-            speeds=_speeds_of(speeds),
+            speeds=_parse_speeds(speeds),
             long_share=long_share,
             policies=Policies(margin=margin),
         )
@@ -91,7 +91,7 @@
     _print(result)
 
 
-def _speeds_of(text: str) -> tuple[float, ...]:
+def _parse_speeds(text: str) -> tuple[float, ...]:
     try:
         speeds = tuple(float(part) for part in text.split(","))
     except ValueError:
--- a/src/pewtertack/cli/lab_soak.py
+++ b/src/pewtertack/cli/lab_soak.py
@@ -46,7 +46,7 @@
     """Run callers that keep their connections, and print what each was told."""
     import anyio
 
-    from pewtertack.cli.lab import named_address, read_json_object
+    from pewtertack.cli.lab import parse_named_address, read_json_object
     from pewtertack.lab.load.caller import Target
     from pewtertack.lab.load.mix import mix_of_tree
     from pewtertack.lab.records import Told, encode_record
@@ -57,7 +57,7 @@
     def record(told: Told) -> None:
         print_line(encode_record(told))
 
-    targets = [Target(*named_address(text)) for text in node]
+    targets = [Target(*parse_named_address(text)) for text in node]
     mix = mix_of_tree(read_json_object(tree))
     kind = Downloads if downloads else MixedRequests
     print_ready()
--- a/src/pewtertack/cli/lab_proofs.py
+++ b/src/pewtertack/cli/lab_verification.py
@@ -14,7 +14,7 @@
     from pewtertack.lab.history.verdicts import Verdict
     from pewtertack.lab.simulation.exploration import BatchResult
 
-OFFENCES_SHOWN = 10
+MAX_OFFENCES_SHOWN = 10
 
 
 def check(
@@ -41,9 +41,9 @@
 
 def _print_verdict(verdict: Verdict) -> None:
     typer.echo(f"{verdict.judgement:9} {verdict.promise:34} {verdict.judged} judged")
-    for offence in verdict.offences[:OFFENCES_SHOWN]:
+    for offence in verdict.offences[:MAX_OFFENCES_SHOWN]:
         typer.echo(f"          {offence.time:.3f} {offence.subject}: {offence.message}")
-    hidden = len(verdict.offences) - OFFENCES_SHOWN
+    hidden = len(verdict.offences) - MAX_OFFENCES_SHOWN
     if hidden > 0:
         typer.echo(f"          and {hidden} more")
 
--- a/src/pewtertack/cli/main.py
+++ b/src/pewtertack/cli/main.py
@@ -13,12 +13,12 @@
     lab_convergence,
     lab_cost,
     lab_depth,
-    lab_proofs,
-    lab_returns,
+    lab_restores,
     lab_scale,
+    lab_simulations,
     lab_slow_source,
     lab_soak,
-    lab_virtual_time,
+    lab_verification,
     policies,
     rollout,
     status,
@@ -58,22 +58,22 @@
 app.command("explain")(tree.explain)
 app.command("diff")(tree.diff)
 app.command("policies")(policies.policies)
-lab.app.command("check")(lab_proofs.check)
-lab.app.command("explore")(lab_proofs.explore)
+lab.app.command("check")(lab_verification.check)
+lab.app.command("explore")(lab_verification.explore)
 lab.app.command("node-cost")(lab_cost.node_cost)
 lab.app.command("request-cost")(lab_cost.request_cost)
 lab.app.command("parts")(lab_cost.parts)
 lab.app.command("cost-caller", hidden=True)(lab_cost.cost_caller)
-lab.app.command("crashes")(lab_virtual_time.crashes)
-lab.app.command("overload")(lab_virtual_time.overload)
+lab.app.command("crashes")(lab_simulations.crashes)
+lab.app.command("overload")(lab_simulations.overload)
 lab.app.command("depth")(lab_depth.depth)
 lab.app.command("depth-latency")(lab_depth.depth_latency)
 lab.app.command("scale")(lab_scale.scale)
 lab.app.command("report")(lab_scale.report)
 lab.app.command("soak")(lab_soak.soak)
 lab.app.command("soak-callers", hidden=True)(lab_soak.soak_callers)
-lab.app.command("returns")(lab_returns.returns)
+lab.app.command("returns")(lab_restores.returns)
 lab.app.command("convergence")(lab_convergence.convergence)
 lab.app.command("slow-source")(lab_slow_source.slow_source)
-lab.app.command("store-node", hidden=True)(lab_returns.store_node)
+lab.app.command("store-node", hidden=True)(lab_restores.store_node)
 app.add_typer(lab.app, name="lab")
--- a/src/pewtertack/cli/rollout.py
+++ b/src/pewtertack/cli/rollout.py
@@ -13,7 +13,7 @@
 from pewtertack.cli.status import AdminOption, OthersArgument, TimeoutOption
 
 if TYPE_CHECKING:
-    from pewtertack.cli.rollout_causes import NodeLack
+    from pewtertack.cli.rollout_lag import LaggingNode
     from pewtertack.cli.rollout_reports import RolloutReport, StageSummary
     from pewtertack.node.status import ReadStatus
 
@@ -30,8 +30,8 @@
 JsonOption = Annotated[bool, typer.Option("--json", help="Print one JSON object.")]
 
 STAGE_HEADERS = ("STAGE", "NODES", "FIRST", "MEDIAN", "LAST")
-LACK_HEADERS = ("NODE", "ZONE", "IN FORCE", "HELD", "WHY", "DETAIL")
-NOTHING = "-"
+LAGGING_HEADERS = ("NODE", "ZONE", "IN FORCE", "HELD", "WHY", "DETAIL")
+NO_VALUE = "-"
 
 
 def rollout(
@@ -49,13 +49,13 @@
     """
     import msgspec
 
-    from pewtertack.cli.rollout_watch import follow_rollout
+    from pewtertack.cli.rollout_polling import follow_rollout
     from pewtertack.cli.status_reports import read_reports
 
     admins = tuple(dict.fromkeys((*admin, *(others or ()))))
 
     async def follow() -> RolloutReport:
-        show = _progress() if wait > 0 else _show_nothing
+        show = _progress_printer() if wait > 0 else _ignore_progress
         return await follow_rollout(lambda: read_reports(admins, timeout), version, wait, show)
 
     report = anyio.run(follow)
@@ -63,10 +63,10 @@
         typer.echo(msgspec.json.format(msgspec.json.encode(report), indent=2).decode())
     else:
         typer.echo(format_rollout(report))
-    raise typer.Exit(exit_code_of(report))
+    raise typer.Exit(exit_code_for(report))
 
 
-def exit_code_of(report: RolloutReport) -> ExitCode:
+def exit_code_for(report: RolloutReport) -> ExitCode:
     """Return the exit code that tells a rollout's outcome."""
     from pewtertack.cli.rollout_reports import Outcome
 
@@ -79,11 +79,11 @@
     return codes[report.outcome]
 
 
-def _show_nothing(waited: float, report: RolloutReport) -> None:
+def _ignore_progress(waited: float, report: RolloutReport) -> None:
     """Show no progress."""
 
 
-def _progress() -> Callable[[float, RolloutReport], None]:
+def _progress_printer() -> Callable[[float, RolloutReport], None]:
     """Return what prints a line on standard error when the counts have changed."""
     last = ""
 
@@ -99,8 +99,10 @@
 
 def format_progress(report: RolloutReport) -> str:
     """Return the counts of nodes on one line."""
-    counts = [f"{_words(item.stage)} {item.nodes}" for item in report.stages]
-    return f"revision {_shown(report.revision)} of {report.nodes} nodes: {', '.join(counts)}"
+    counts = [f"{_stage_label(item.stage)} {item.nodes}" for item in report.stages]
+    return (
+        f"revision {_format_revision(report.revision)} of {report.nodes} nodes: {', '.join(counts)}"
+    )
 
 
 def format_rollout(report: RolloutReport) -> str:
@@ -109,56 +111,56 @@
 
     in_force = report.stages[-1].nodes
     lines = [
-        f"revision {_shown(report.revision)}: {report.outcome}, in force on {in_force} of "
-        f"{report.nodes} nodes",
-        *_origin(report),
+        f"revision {_format_revision(report.revision)}: {report.outcome}, in force on "
+        f"{in_force} of {report.nodes} nodes",
+        *_arrival_lines(report),
         "",
         format_table(STAGE_HEADERS, [_stage_row(item, report.nodes) for item in report.stages]),
     ]
     if report.lacking:
-        rows = [_lack_row(lack) for lack in report.lacking]
-        lines += ["", format_table(LACK_HEADERS, rows)]
+        rows = [_lagging_row(lack) for lack in report.lacking]
+        lines += ["", format_table(LAGGING_HEADERS, rows)]
     return "\n".join([*lines, *_findings(report)])
 
 
-def _origin(report: RolloutReport) -> list[str]:
+def _arrival_lines(report: RolloutReport) -> list[str]:
     if report.first_heard is None:
         return []
     first = datetime.fromtimestamp(report.first_heard, UTC).isoformat(timespec="milliseconds")
-    ways = ", ".join(f"{way} {count}" for way, count in report.ways.items()) or NOTHING
+    ways = ", ".join(f"{way} {count}" for way, count in report.ways.items()) or NO_VALUE
     return [f"first heard at {first}; came by: {ways}"]
 
 
 def _stage_row(item: StageSummary, nodes: int) -> tuple[str, ...]:
     moments = (item.first, item.median, item.last)
-    times = (NOTHING if value is None else f"{value:.2f} s" for value in moments)
-    return (_words(item.stage), f"{item.nodes}/{nodes}", *times)
+    times = (NO_VALUE if value is None else f"{value:.2f} s" for value in moments)
+    return (_stage_label(item.stage), f"{item.nodes}/{nodes}", *times)
 
 
-def _lack_row(lack: NodeLack) -> tuple[str, ...]:
+def _lagging_row(lack: LaggingNode) -> tuple[str, ...]:
     return (
         lack.node or lack.admin,
-        lack.zone or NOTHING,
-        _shown(lack.in_force),
-        _shown(lack.held),
+        lack.zone or NO_VALUE,
+        _format_revision(lack.in_force),
+        _format_revision(lack.held),
         lack.why,
-        _detail(lack),
+        _format_detail(lack),
     )
 
 
-def _detail(lack: NodeLack) -> str:
+def _format_detail(lack: LaggingNode) -> str:
     parts = [lack.problem] if lack.problem else []
     if lack.phase and lack.phase != "serving":
         parts.append(lack.phase)
     if lack.heard_for is not None:
-        parts.append(f"heard {_seconds(lack.heard_for)} ago")
+        parts.append(f"heard {_format_seconds(lack.heard_for)} ago")
     if lack.read is not None:
         parts += _read_details(lack.read)
         if lack.answer_seconds is not None:
-            parts.append(f"answers take {_seconds(lack.answer_seconds)}")
+            parts.append(f"answers take {_format_seconds(lack.answer_seconds)}")
     if lack.source_age is not None:
-        parts.append(f"source answered {_seconds(lack.source_age)} ago")
-    return ", ".join(parts) or NOTHING
+        parts.append(f"source answered {_format_seconds(lack.source_age)} ago")
+    return ", ".join(parts) or NO_VALUE
 
 
 def _read_details(read: ReadStatus) -> list[str]:
@@ -169,7 +171,7 @@
         )
     if read.open_for is not None:
         reads = "read" if read.open_reads < 2 else f"{read.open_reads} reads, the oldest"
-        parts.append(f"{reads} open for {_seconds(read.open_for)} of {read.may_wait:g} s")
+        parts.append(f"{reads} open for {_format_seconds(read.open_for)} of {read.may_wait:g} s")
     return parts
 
 
@@ -184,19 +186,19 @@
     return ["", *lines] if lines else []
 
 
-def _shown(revision: int) -> str:
+def _format_revision(revision: int) -> str:
     """Return a revision as operators know it: of a store's the version, and its moment if any."""
     from pewtertack.core.eras import TREE_NUMBERS_PER_VERSION, split_tree_number
 
     if revision < TREE_NUMBERS_PER_VERSION:
-        return str(revision or NOTHING)
+        return str(revision or NO_VALUE)
     version, moment = split_tree_number(revision)
     return f"{version}+{moment}" if moment else str(version)
 
 
-def _words(stage: str) -> str:
+def _stage_label(stage: str) -> str:
     return stage.replace("_", " ")
 
 
-def _seconds(value: float) -> str:
+def _format_seconds(value: float) -> str:
     return f"{value:.1f} s"
--- a/src/pewtertack/cli/rollout_causes.py
+++ b/src/pewtertack/cli/rollout_lag.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from pewtertack.cli.rollout_stages import moments_of, newest_heard, number_at
+from pewtertack.cli.rollout_stages import newest_reported_revision, revision_at_stage, stage_times
 from pewtertack.cli.status_reports import NodeReport
 from pewtertack.core.replication.answer_times import SLOW_ANSWER_SECONDS
 from pewtertack.core.replication.stages import Stage
@@ -14,13 +14,13 @@
 from pewtertack.node.status import FindingStatus, NodeStatus, ReadStatus
 
 CONFIGURATION = "configuration"
-SLOW_FAILURES = frozenset({ReadFailure.SLOW.value, ReadFailure.UNFINISHED.value})
-ANSWER_SECONDS = 1.0
+TIMEOUT_FAILURES = frozenset({ReadFailure.SLOW.value, ReadFailure.UNFINISHED.value})
+OVERDUE_READ_SECONDS = 1.0
 """A read that is open for so much longer than the source may wait is called slow."""
 LEAVING_PHASES = ("leaving", "superseded")
 
 
-class Lack(StrEnum):
+class LagReason(StrEnum):
     """Why a node does not have a revision in force."""
 
     UNREACHABLE = "unreachable"
@@ -43,11 +43,11 @@
     """The revision is committed there; a node that joins waits until it may serve."""
 
 
-class NodeLack(msgspec.Struct, frozen=True):
+class LaggingNode(msgspec.Struct, frozen=True):
     """A node without the revision in force. Ages are seconds before its answer."""
 
     admin: str
-    why: Lack
+    why: LagReason
     node: str = ""
     zone: str = ""
     phase: str = ""
@@ -67,17 +67,17 @@
     """Why the admin interface does not answer."""
 
 
-def lack_of(revision: int, report: NodeReport) -> NodeLack | None:
+def lagging_node(revision: int, report: NodeReport) -> LaggingNode | None:
     """Return why a node does not have ``revision`` or a newer one in force, if so."""
     node = report.status
     if node is None:
-        return NodeLack(report.admin, Lack.UNREACHABLE, problem=report.problem)
+        return LaggingNode(report.admin, LagReason.UNREACHABLE, problem=report.problem)
     if node.in_force.number >= revision:
         return None
-    why = _why(revision, node)
-    heard = moments_of(revision, node).get(Stage.REPORTED)
+    why = _lag_reason(revision, node)
+    heard = stage_times(revision, node).get(Stage.REPORTED)
     rejection = node.last_rejection
-    return NodeLack(
+    return LaggingNode(
         report.admin,
         why,
         node.name,
@@ -89,36 +89,38 @@
         node.source_age,
         node.source_answer_seconds,
         node.reads.get(CONFIGURATION) if node.reading else None,
-        rejection.findings if rejection is not None and why is Lack.REJECTED else (),
+        rejection.findings if rejection is not None and why is LagReason.REJECTED else (),
     )
 
 
-def _why(revision: int, node: NodeStatus) -> Lack:
+def _lag_reason(revision: int, node: NodeStatus) -> LagReason:
     if node.phase in LEAVING_PHASES:
-        return Lack.LEAVING
-    if number_at(node, Stage.HELD) < revision:
-        return _why_not_held(revision, node)
+        return LagReason.LEAVING
+    if revision_at_stage(node, Stage.HELD) < revision:
+        return _reason_not_held(revision, node)
     if node.committed.number < revision:
-        return Lack.NOT_COMMITTED
-    return Lack.NOT_IN_FORCE
+        return LagReason.NOT_COMMITTED
+    return LagReason.NOT_IN_FORCE
 
 
-def _why_not_held(revision: int, node: NodeStatus) -> Lack:
+def _reason_not_held(revision: int, node: NodeStatus) -> LagReason:
     rejection = node.last_rejection
     if rejection is not None and rejection.revision.number >= revision:
-        return Lack.REJECTED
-    if newest_heard(node) >= revision:
-        return Lack.NOT_HELD
+        return LagReason.REJECTED
+    if newest_reported_revision(node) >= revision:
+        return LagReason.NOT_HELD
     read = node.reads.get(CONFIGURATION) if node.reading else None
     if read is None:
-        return Lack.NOT_HEARD
-    return _why_not_read(read, node.source_answer_seconds or 0.0)
+        return LagReason.NOT_HEARD
+    return _reason_not_read(read, node.source_answer_seconds or 0.0)
 
 
-def _why_not_read(read: ReadStatus, usual: float) -> Lack:
+def _reason_not_read(read: ReadStatus, usual: float) -> LagReason:
     """Return why a reader has not heard of the revision; ``usual``: what its reads take."""
     if read.failures:
-        return Lack.SOURCE_SLOW if read.failure in SLOW_FAILURES else Lack.SOURCE_FAILING
-    if read.open_for is not None and read.open_for > read.may_wait + ANSWER_SECONDS:
-        return Lack.SOURCE_SLOW
-    return Lack.SOURCE_SLOW if usual > SLOW_ANSWER_SECONDS else Lack.NOT_HEARD
+        return (
+            LagReason.SOURCE_SLOW if read.failure in TIMEOUT_FAILURES else LagReason.SOURCE_FAILING
+        )
+    if read.open_for is not None and read.open_for > read.may_wait + OVERDUE_READ_SECONDS:
+        return LagReason.SOURCE_SLOW
+    return LagReason.SOURCE_SLOW if usual > SLOW_ANSWER_SECONDS else LagReason.NOT_HEARD
--- a/src/pewtertack/cli/rollout_watch.py
+++ b/src/pewtertack/cli/rollout_polling.py
@@ -45,11 +45,11 @@
             if report.settled or waited >= wait:
                 return report
         elif waited >= wait:
-            raise _nothing_heard(reports)
+            raise _no_revision_error(reports)
         await anyio.sleep(min(POLL_SECONDS, max(wait - waited, 0.0)))
 
 
-def _nothing_heard(reports: Sequence[NodeReport]) -> NoRevisionError:
+def _no_revision_error(reports: Sequence[NodeReport]) -> NoRevisionError:
     mute = [report for report in reports if report.status is None]
     text = f"none of {len(reports) - len(mute)} nodes that answer has heard of a revision"
     problems = "; ".join(f"{report.admin}: {report.problem}" for report in mute)
--- a/src/pewtertack/cli/rollout_reports.py
+++ b/src/pewtertack/cli/rollout_reports.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from pewtertack.cli.rollout_causes import Lack, NodeLack, lack_of
-from pewtertack.cli.rollout_stages import moments_of, newest_heard, number_at
+from pewtertack.cli.rollout_lag import LaggingNode, LagReason, lagging_node
+from pewtertack.cli.rollout_stages import newest_reported_revision, revision_at_stage, stage_times
 from pewtertack.cli.status_reports import NodeReport
 from pewtertack.core.eras import TREE_NUMBERS_PER_VERSION, tree_number
 from pewtertack.core.replication.stages import Stage
@@ -67,21 +67,23 @@
     stages: tuple[StageSummary, ...]
     ways: dict[str, int]
     """How it came, by the number of nodes."""
-    lacking: tuple[NodeLack, ...]
+    lacking: tuple[LaggingNode, ...]
 
     @property
     def settled(self) -> bool:
         """Whether waiting for longer cannot change the outcome."""
-        pending = {lack.why for lack in self.lacking} - {Lack.LEAVING}
-        if pending <= {Lack.REJECTED}:
+        pending = {lack.why for lack in self.lacking} - {LagReason.LEAVING}
+        if pending <= {LagReason.REJECTED}:
             return True
         held = next(item.nodes for item in self.stages if item.stage is Stage.HELD)
-        return Lack.REJECTED in pending and held == 0
+        return LagReason.REJECTED in pending and held == 0
 
 
 def newest_revision(reports: Iterable[NodeReport]) -> int:
     """Return the newest revision that any node has heard of; 0 without one."""
-    return max((newest_heard(report.status) for report in reports if report.status), default=0)
+    return max(
+        (newest_reported_revision(report.status) for report in reports if report.status), default=0
+    )
 
 
 def revision_of_version(version: int, reports: Iterable[NodeReport]) -> int:
@@ -98,12 +100,12 @@
     """Return how far ``revision``, or a newer one, has come."""
     nodes = [report for report in reports if report.status is not None]
     moments = {
-        report.admin: moments_of(revision, report.status) for report in nodes if report.status
+        report.admin: stage_times(revision, report.status) for report in nodes if report.status
     }
     heard = [times[Stage.REPORTED] for times in moments.values() if Stage.REPORTED in times]
     first_heard = min(heard, default=None)
     lacking = tuple(
-        lack for lack in (lack_of(revision, report) for report in reports) if lack is not None
+        lack for lack in (lagging_node(revision, report) for report in reports) if lack is not None
     )
     counted = [moments[report.admin] for report in nodes if _was_running(report, first_heard)]
     return RolloutReport(
@@ -112,7 +114,7 @@
         len(reports),
         first_heard,
         tuple(_summary(revision, stage, nodes, counted, first_heard) for stage in Stage),
-        _ways(revision, nodes),
+        _delivery_counts(revision, nodes),
         lacking,
     )
 
@@ -132,7 +134,7 @@
     first_heard: float | None,
 ) -> StageSummary:
     reached = sum(
-        report.status is not None and number_at(report.status, stage) >= revision
+        report.status is not None and revision_at_stage(report.status, stage) >= revision
         for report in nodes
     )
     times = [moments[stage] for moments in counted if stage in moments]
@@ -142,7 +144,7 @@
     return StageSummary(stage, reached, min(seconds), round(median(seconds), 3), max(seconds))
 
 
-def _ways(revision: int, nodes: Sequence[NodeReport]) -> dict[str, int]:
+def _delivery_counts(revision: int, nodes: Sequence[NodeReport]) -> dict[str, int]:
     ways: Counter[str] = Counter()
     for report in nodes:
         kept = report.status.stages if report.status is not None else ()
@@ -152,12 +154,12 @@
     return dict(sorted(ways.items()))
 
 
-def _outcome(lacking: Sequence[NodeLack], asked: int) -> Outcome:
-    reasons = {lack.why for lack in lacking} - {Lack.LEAVING}
+def _outcome(lacking: Sequence[LaggingNode], asked: int) -> Outcome:
+    reasons = {lack.why for lack in lacking} - {LagReason.LEAVING}
     if not reasons:
         return Outcome.COMPLETE if len(lacking) < asked else Outcome.INCOMPLETE
-    if Lack.REJECTED in reasons:
+    if LagReason.REJECTED in reasons:
         return Outcome.REJECTED
-    if reasons == {Lack.UNREACHABLE} and len(lacking) < asked:
+    if reasons == {LagReason.UNREACHABLE} and len(lacking) < asked:
         return Outcome.UNREACHABLE
     return Outcome.INCOMPLETE
--- a/src/pewtertack/cli/rollout_stages.py
+++ b/src/pewtertack/cli/rollout_stages.py
@@ -6,15 +6,15 @@
 from pewtertack.node.status import NodeStatus, StagesStatus
 
 
-def newest_heard(node: NodeStatus) -> int:
+def newest_reported_revision(node: NodeStatus) -> int:
     """Return the newest revision that a node has heard of."""
     return max(node.newest_heard, node.held.number, node.committed.number)
 
 
-def number_at(node: NodeStatus, stage: Stage) -> int:
+def revision_at_stage(node: NodeStatus, stage: Stage) -> int:
     """Return the newest revision that has reached a stage at a node."""
     numbers = {
-        Stage.REPORTED: newest_heard(node),
+        Stage.REPORTED: newest_reported_revision(node),
         Stage.HELD: max(node.held.number, node.in_force.number),
         Stage.COMMITTED: node.committed.number,
         Stage.IN_FORCE: node.in_force.number,
@@ -22,7 +22,7 @@
     return numbers[stage]
 
 
-def moments_of(revision: int, node: NodeStatus) -> dict[Stage, float]:
+def stage_times(revision: int, node: NodeStatus) -> dict[Stage, float]:
     """Return the Unix times at which ``revision`` or a newer one reached its stages."""
     kept = node.stages
     if len(kept) >= MAX_TRACKED_REVISIONS and kept[-1].number > revision:
--- a/src/pewtertack/cli/status.py
+++ b/src/pewtertack/cli/status.py
@@ -28,7 +28,7 @@
     *("NODE", "ZONE", "PHASE", "HELD", "COMMITTED", "IN FORCE", "SINCE"),
     *("SOURCE AGE", "READER", "PEERS", "IN FLIGHT", "REJECTED"),
 )
-NOTHING = "-"
+NO_VALUE = "-"
 UTC_TIME = "%Y-%m-%d %H:%M:%S UTC"
 
 
@@ -63,7 +63,7 @@
 def _row(report: NodeReport) -> tuple[str, ...]:
     node = report.status
     if node is None:
-        return (report.admin, NOTHING, "unreachable", *[NOTHING] * (len(HEADERS) - 3))
+        return (report.admin, NO_VALUE, "unreachable", *[NO_VALUE] * (len(HEADERS) - 3))
     rejection = node.last_rejection
     return (
         node.name,
@@ -72,17 +72,17 @@
         str(node.held.number),
         str(node.committed.number),
         str(node.in_force.number),
-        _age(None if node.in_force_since is None else report.read_at - node.in_force_since),
-        _age(node.source_age),
+        _format_age(None if node.in_force_since is None else report.read_at - node.in_force_since),
+        _format_age(node.source_age),
         "yes" if node.reading else "no",
-        " ".join(f"{count} {status}" for status, count in sorted(node.peers.items())) or NOTHING,
+        " ".join(f"{count} {status}" for status, count in sorted(node.peers.items())) or NO_VALUE,
         str(node.in_flight),
-        str(rejection.revision.number) if rejection is not None else NOTHING,
+        str(rejection.revision.number) if rejection is not None else NO_VALUE,
     )
 
 
-def _age(seconds: float | None) -> str:
-    return NOTHING if seconds is None else f"{max(seconds, 0.0):.1f} s"
+def _format_age(seconds: float | None) -> str:
+    return NO_VALUE if seconds is None else f"{max(seconds, 0.0):.1f} s"
 
 
 def _notes(report: NodeReport) -> list[str]:
--- a/src/pewtertack/cli/trace.py
+++ b/src/pewtertack/cli/trace.py
@@ -13,7 +13,7 @@
     logs: Annotated[list[Path], typer.Argument(help="Log files of nodes.")],
     as_json: Annotated[bool, typer.Option("--json", help="Print JSON.")] = False,
 ) -> None:
-    """Show a request's way over all nodes, and what each believed at that moment."""
+    """Show a request's way over all nodes, and what each believed at that timed_line."""
     import msgspec
 
     from pewtertack.tracing.reading import ReadCounts, read_logs
--- a/src/pewtertack/lab/store_fleet/simulated_source.py
+++ b/src/pewtertack/lab/store_fleet/simulated_source.py
@@ -18,7 +18,7 @@
     ServiceUnreachableError,
 )
 from pewtertack.node.http.framing import RawHeaders
-from pewtertack.platform.store import ANSWER_BYTES, StoreReader
+from pewtertack.platform.store import MAX_RESPONSE_BYTES, StoreReader
 
 NOWHERE = "127.0.0.1:1"
 ONE_WAY_SECONDS = 0.001
@@ -67,7 +67,7 @@
     """Gets answers from a stand-in in this process, within the time that a client allows."""
 
     def __init__(self, source: SimulatedSource) -> None:
-        super().__init__(NOWHERE, ANSWER_BYTES)
+        super().__init__(NOWHERE, MAX_RESPONSE_BYTES)
         self._source = source
         self._fresh = True
 
--- a/src/pewtertack/lab/weakening.py
+++ b/src/pewtertack/lab/weakening.py
@@ -245,7 +245,7 @@
 
 def _give_up_slow_answers() -> None:
     """Give up an answer of the store after a second."""
-    setattr(store, "ANSWER_SECONDS", HASTY_ANSWER_SECONDS)  # noqa: B010 (a constant is replaced)
+    setattr(store, "RESPONSE_HEAD_TIMEOUT_SECONDS", HASTY_ANSWER_SECONDS)  # noqa: B010 (a constant is replaced)
 
 
 REQUEST_MECHANISMS: Mapping[str, Callable[[], None]] = {
--- a/src/pewtertack/platform/documents.py
+++ b/src/pewtertack/platform/documents.py
@@ -12,7 +12,7 @@
 from pewtertack.core.items import ParsedItems, parse_item
 
 REPEATABLE_KINDS = frozenset({"safe", "download"})
-KnownRoutes = ParsedItems[tuple[str, dict[str, Any]]]
+RouteCache = ParsedItems[tuple[str, dict[str, Any]]]
 
 _Number = Annotated[float, msgspec.Meta(ge=-1e15, le=1e15)]
 _Weight = Annotated[float, msgspec.Meta(ge=0, le=1e15)]
@@ -58,8 +58,8 @@
     limits: _Limits
 
 
-def tree_of(
-    value: bytes, zones: Sequence[str] = (), known: KnownRoutes | None = None
+def parse_configuration(
+    value: bytes, zones: Sequence[str] = (), known: RouteCache | None = None
 ) -> tuple[int, dict[str, Any]]:
     """Return the version and the tree of a configuration while some zones are evacuated.
 
@@ -70,7 +70,7 @@
     """
     given = parse_item(value, _Configuration)
     version = int(given.version.removeprefix("r"))
-    routes = (known or KnownRoutes()).parse(given.routes or (), _read_route)
+    routes = (known or RouteCache()).parse(given.routes or (), _read_route)
     tree: dict[str, Any] = {
         "services": {item.name: _service_of(item) for item in given.services or ()},
         "routes": conversion.unique_routes(routes),
--- a/src/pewtertack/platform/entries.py
+++ b/src/pewtertack/platform/entries.py
@@ -48,7 +48,7 @@
     )
 
 
-def machines_of(
+def machine_list_from_entries(
     entries: Mapping[str, bytes],
     gateway_port: int,
     peer_port: int,
--- a/src/pewtertack/platform/items.py
+++ b/src/pewtertack/platform/items.py
@@ -34,7 +34,7 @@
             return UNREADABLE
 
 
-def items_of(parts: Iterable[msgspec.Raw]) -> list[StoreItem]:
+def parse_items(parts: Iterable[msgspec.Raw]) -> list[StoreItem]:
     """Return the items of an answer; one in no known form is ``UNREADABLE``, or nobody's."""
     items: list[StoreItem] = []
     for part in parts:
--- a/src/pewtertack/platform/store.py
+++ b/src/pewtertack/platform/store.py
@@ -24,9 +24,9 @@
     ServiceTimeouts,
     ServiceUnreachableError,
 )
-from pewtertack.platform.documents import KnownRoutes, tree_of
-from pewtertack.platform.entries import machines_of
-from pewtertack.platform.items import items_of
+from pewtertack.platform.documents import RouteCache, parse_configuration
+from pewtertack.platform.entries import machine_list_from_entries
+from pewtertack.platform.items import parse_items
 from pewtertack.settings import Settings
 from pewtertack.wire.messages import DocumentKind
 
@@ -41,12 +41,12 @@
 STATUS_BUSY = (429, 503)
 STATUS_OF_STORE = (STATUS_OK, STATUS_HISTORY_GONE)
 """What the store itself answers: with its era, where it has any."""
-CONNECT_SECONDS = 1.0
-ANSWER_SECONDS = 8.0
+CONNECT_TIMEOUT_SECONDS = 1.0
+RESPONSE_HEAD_TIMEOUT_SECONDS = 8.0
 """For the head of an answer, beyond the time for which a watch may wait."""
-PART_SECONDS = 3.0
+RESPONSE_CHUNK_TIMEOUT_SECONDS = 3.0
 """Without a further part of an answer that has begun."""
-ANSWER_BYTES = 4 * 1024 * 1024
+MAX_RESPONSE_BYTES = 4 * 1024 * 1024
 """The longest answer that is read, of each of the reads under way. A list follows a watch whose
 answer is longer."""
 
@@ -123,12 +123,12 @@
         self._hold_after_return = hold_after_return
         self._now = now
         self._era = SourceEra(ERA_HEADER)
-        self._routes = KnownRoutes()
+        self._routes = RouteCache()
         self._mirrors = {
             DocumentKind.CONFIGURATION: Mirror(OPERATOR_PREFIX, EVACUATIONS_PREFIX),
             DocumentKind.MACHINE_LIST: Mirror(BACKENDS_PREFIX),
         }
-        self._client = HttpClient(address, ANSWER_BYTES)
+        self._client = HttpClient(address, MAX_RESPONSE_BYTES)
         self._took: float | None = None
         """Seconds that the store needed for the last answer whose time is known."""
 
@@ -210,7 +210,7 @@
                 f"&after={quote(after)}" if after else ""
             )
             page = _decode(await self._get(path + ("&stale=1" if stale else "")), _Range)
-            items = items_of(page.items)
+            items = parse_items(page.items)
             fresh.apply_page(items, page.at)
             if not page.more or not items:
                 break
@@ -229,10 +229,14 @@
             self._took = None  # a change has ended the wait
         if mirror.watch_revision == 0:
             return await self._refresh(mirror, 0.0)  # another read has found the history gone
-        return mirror.apply_changes(after, found.at, items_of(found.events))
+        return mirror.apply_changes(after, found.at, parse_items(found.events))
 
     async def _get(self, path: str, wait: float = 0.0) -> bytes:
-        timeouts = ServiceTimeouts(CONNECT_SECONDS, wait + ANSWER_SECONDS, PART_SECONDS)
+        timeouts = ServiceTimeouts(
+            CONNECT_TIMEOUT_SECONDS,
+            wait + RESPONSE_HEAD_TIMEOUT_SECONDS,
+            RESPONSE_CHUNK_TIMEOUT_SECONDS,
+        )
         sent_in = self._era.known
         try:
             answer = await self._client.get(path, timeouts)
@@ -269,11 +273,13 @@
     ) -> DocumentRead | DocumentUnchanged:
         if effect.kind is DocumentKind.CONFIGURATION:
             holds = self._holds(effect)
-            read = partial(tree_of, known=self._routes)
+            read = partial(parse_configuration, known=self._routes)
             return tree_document(effect, mirror, CONFIGURATION_KEY, read, holds, stale)
         entries = mirror.values_by_age(BACKENDS_PREFIX)
         made = {name: mirror.created_revisions.get(BACKENDS_PREFIX + name, 0) for name in entries}
-        machines, findings = machines_of(entries, self._gateway_port, self._peer_port, made)
+        machines, findings = machine_list_from_entries(
+            entries, self._gateway_port, self._peer_port, made
+        )
         number = list_number(mirror.era or 0, mirror.change_revision)
         return DocumentRead(effect.kind, number, machines, stale, findings)
 
--- a/src/pewtertack/tracing/ends.py
+++ b/src/pewtertack/tracing/crashes.py
@@ -8,12 +8,12 @@
 from pewtertack.tracing.reading import LogLine
 
 BACKEND_CRASHED = "BACKEND_CRASHED"
-ENDS_BACKENDS = "request-ends-back-ends"
+CRASH_REFUSAL_TYPE = "request-ends-back-ends"
 """Type of a refusal whose detail names the fingerprint."""
 FINGERPRINT = re.compile(r"\b[0-9a-f]{32}\b")
 
 
-def ends_under(lines: Sequence[LogLine], request: str) -> tuple[LogLine, ...]:
+def crashes_during(lines: Sequence[LogLine], request: str) -> tuple[LogLine, ...]:
     """Return the ends of back ends that speak against ``request``, in the order of time.
 
     Also those that ran another attempt of the same request, under another id.
@@ -21,7 +21,7 @@
     ends = [line for line in lines if line.event == BACKEND_CRASHED]
     known = _fingerprints(lines, ends, request)
     found = [
-        line for line in ends if known & {fingerprint for _, fingerprint in requests_run(line)}
+        line for line in ends if known & {fingerprint for _, fingerprint in running_requests(line)}
     ]
     return tuple(sorted(found, key=lambda line: line.time))
 
@@ -30,18 +30,21 @@
     lines: Iterable[LogLine], ends: Iterable[LogLine], request: str
 ) -> frozenset[str]:
     ran = {
-        fingerprint for line in ends for name, fingerprint in requests_run(line) if name == request
+        fingerprint
+        for line in ends
+        for name, fingerprint in running_requests(line)
+        if name == request
     }
     told = {
         fingerprint
         for line in lines
-        if line.request == request and line.fields.get("type") == ENDS_BACKENDS
+        if line.request == request and line.fields.get("type") == CRASH_REFUSAL_TYPE
         for fingerprint in FINGERPRINT.findall(str(line.fields.get("detail", "")))
     }
     return frozenset(ran | told) - {""}
 
 
-def requests_run(line: LogLine) -> list[tuple[str, str]]:
+def running_requests(line: LogLine) -> list[tuple[str, str]]:
     """Return id and fingerprint of each request that the line says was running."""
     requests = line.fields.get("requests")
     if not isinstance(requests, list):
--- a/src/pewtertack/tracing/report.py
+++ b/src/pewtertack/tracing/report.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterator
 from typing import Any
 
-from pewtertack.tracing.ends import requests_run
+from pewtertack.tracing.crashes import running_requests
 from pewtertack.tracing.reading import ReadCounts
-from pewtertack.tracing.timeline import Moment, Timeline
+from pewtertack.tracing.timeline import TimedLine, Timeline
 
 ORDER_NOTE = (
     "Ordered within a node by its steady clock, between nodes by cause;"
@@ -31,36 +31,36 @@
 
 
 def _timeline_lines(timeline: Timeline, indent: str) -> Iterator[str]:
-    for moment in timeline.moments:
-        yield indent + _moment_line(moment)
+    for timed_line in timeline.timed_lines:
+        yield indent + _timed_line_line(timed_line)
     for node, seconds in sorted(timeline.uncertainty.items()):
         yield f"{indent}lines of {node} may be off by {seconds * 1000:.1f} ms"
-    if timeline.beliefs:
+    if timeline.state_changes:
         yield f"{indent}what these nodes came to believe, from 3 s before:"
-        for moment in timeline.beliefs:
-            yield indent + INDENT + _moment_line(moment)
-    if timeline.ends:
+        for timed_line in timeline.state_changes:
+            yield indent + INDENT + _timed_line_line(timed_line)
+    if timeline.crashes:
         yield f"{indent}back ends that ended while they ran this request, under whichever id:"
-        for line in timeline.ends:
-            ran = ", ".join(name for name, _ in requests_run(line))
+        for line in timeline.crashes:
+            ran = ", ".join(name for name, _ in running_requests(line))
             ended = f"{line.time:.3f}  {line.node:<15} {line.fields.get('backend')} ran {ran}"
             yield indent + INDENT + ended
-    for inner in timeline.inner:
-        yield f"{indent}call within it: request {inner.request}"
-        yield from _timeline_lines(inner, indent + INDENT)
+    for nested in timeline.nested:
+        yield f"{indent}call within it: request {nested.request}"
+        yield from _timeline_lines(nested, indent + INDENT)
 
 
-def _moment_line(moment: Moment) -> str:
-    line = moment.line
+def _timed_line_line(timed_line: TimedLine) -> str:
+    line = timed_line.line
     fields = " ".join(
-        f"{name}={_shown(value)}"
+        f"{name}={_format_value(value)}"
         for name, value in line.fields.items()
         if name not in LONG_FIELDS and value not in (None, "")
     )
-    return f"{moment.at * 1000:10.1f} ms  {line.node:<15} {line.event:<20} {fields}"
+    return f"{timed_line.at * 1000:10.1f} ms  {line.node:<15} {line.event:<20} {fields}"
 
 
-def _shown(value: Any) -> str:
+def _format_value(value: Any) -> str:
     text = str(value)
     return repr(text) if " " in text else text
 
@@ -78,18 +78,20 @@
 def _timeline_data(timeline: Timeline) -> dict[str, Any]:
     return {
         "request": timeline.request,
-        "lines": [_moment_data(moment) for moment in timeline.moments],
-        "beliefs": [_moment_data(moment) for moment in timeline.beliefs],
+        "lines": [_timed_line_data(timed_line) for timed_line in timeline.timed_lines],
+        "beliefs": [_timed_line_data(timed_line) for timed_line in timeline.state_changes],
         "uncertainty": timeline.uncertainty,
-        "ends": [{"time": line.time, "node": line.node, **line.fields} for line in timeline.ends],
-        "inner": [_timeline_data(inner) for inner in timeline.inner],
+        "ends": [
+            {"time": line.time, "node": line.node, **line.fields} for line in timeline.crashes
+        ],
+        "inner": [_timeline_data(nested) for nested in timeline.nested],
     }
 
 
-def _moment_data(moment: Moment) -> dict[str, Any]:
-    line = moment.line
+def _timed_line_data(timed_line: TimedLine) -> dict[str, Any]:
+    line = timed_line.line
     return {
-        "at": round(moment.at, 6),
+        "at": round(timed_line.at, 6),
         "node": line.node,
         "incarnation": line.incarnation,
         "event": line.event,
--- a/src/pewtertack/tracing/timeline.py
+++ b/src/pewtertack/tracing/timeline.py
@@ -11,19 +11,19 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from pewtertack.tracing.ends import ends_under
+from pewtertack.tracing.crashes import crashes_during
 from pewtertack.tracing.errors import RequestUnknownError
 from pewtertack.tracing.reading import LogLine
 
-ROUTED = "REQUEST_ROUTED"
-ATTEMPT_ENDS = frozenset(
+ROUTED_EVENT = "REQUEST_ROUTED"
+ATTEMPT_END_EVENTS = frozenset(
     {
         *("REQUEST_RETRIED", "REQUEST_NOT_RETRIED", "REQUEST_ANSWERED", "REQUEST_CUT"),
         *("REQUEST_CANCELLED", "REQUEST_REFUSED"),
     }
 )
 GATEWAY_PREFIX = "GATEWAY_"
-BELIEF_EVENTS = frozenset(
+STATE_CHANGE_EVENTS = frozenset(
     {
         *("REVISION_IN_FORCE", "BACKEND_SEEN", "BACKEND_LEAVING", "BACKEND_GONE"),
         *("BACKEND_EJECTED", "BACKEND_RETURNED", "SOURCE_LOST", "SOURCE_REGAINED"),
@@ -31,9 +31,9 @@
         *("NODE_DRAINING",),
     }
 )
-INNER_SEPARATOR = "."
+NESTED_ID_SEPARATOR = "."
 """A call within a request has the request's id, this and an id of its own."""
-BELIEF_SECONDS = 3.0
+STATE_CHANGE_LOOKBACK_SECONDS = 3.0
 """Changes of belief this long before the request's first line are shown with it."""
 
 Process = tuple[str, int]
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Moment:
+class TimedLine:
     """A line at its place on the common time line; ``at`` in seconds from the first line."""
 
     at: float
@@ -53,14 +53,14 @@
     """One request's way."""
 
     request: str
-    moments: tuple[Moment, ...]
-    beliefs: tuple[Moment, ...]
+    timed_lines: tuple[TimedLine, ...]
+    state_changes: tuple[TimedLine, ...]
     """What the nodes on the way had come to believe shortly before, and meanwhile."""
     uncertainty: dict[str, float]
     """Seconds by which a node's lines may be off against the first node's."""
-    inner: tuple[Timeline, ...] = ()
+    nested: tuple[Timeline, ...] = ()
     """Calls that the back end made while it ran the request."""
-    ends: tuple[LogLine, ...] = ()
+    crashes: tuple[LogLine, ...] = ()
     """Ends of back ends that speak against the request, whichever id it came under."""
 
 
@@ -87,11 +87,11 @@
     clocks = _set_clocks(own)
     ordered = sorted(own, key=clocks.at)
     begin = clocks.at(ordered[0])
-    moments = tuple(Moment(clocks.at(line) - begin, line) for line in ordered)
-    beliefs = _beliefs(lines, clocks, begin, moments[-1].at)
-    inner = tuple(build_timeline(lines, name) for name in _inner_requests(lines, request))
-    ends = ends_under(lines, request)
-    return Timeline(request, moments, beliefs, clocks.uncertainty, inner, ends)
+    timed_lines = tuple(TimedLine(clocks.at(line) - begin, line) for line in ordered)
+    state_changes = _state_changes(lines, clocks, begin, timed_lines[-1].at)
+    nested = tuple(build_timeline(lines, name) for name in _nested_requests(lines, request))
+    crashes = crashes_during(lines, request)
+    return Timeline(request, timed_lines, state_changes, clocks.uncertainty, nested, crashes)
 
 
 def _process(line: LogLine) -> Process:
@@ -134,27 +134,29 @@
     ordered = sorted(proxy_lines, key=lambda line: line.uptime)
     chosen: float | None = None
     for line in ordered:
-        if line.event == ROUTED and line.fields.get("backend") == backend:
+        if line.event == ROUTED_EVENT and line.fields.get("backend") == backend:
             chosen = line.uptime
-        elif chosen is not None and line.event in ATTEMPT_ENDS:
+        elif chosen is not None and line.event in ATTEMPT_END_EVENTS:
             return chosen, line.uptime
     return None
 
 
-def _beliefs(
+def _state_changes(
     lines: Iterable[LogLine], clocks: _Clocks, begin: float, end: float
-) -> tuple[Moment, ...]:
+) -> tuple[TimedLine, ...]:
     found = [
-        Moment(clocks.at(line) - begin, line)
+        TimedLine(clocks.at(line) - begin, line)
         for line in lines
-        if line.event in BELIEF_EVENTS and _process(line) in clocks.offsets
+        if line.event in STATE_CHANGE_EVENTS and _process(line) in clocks.offsets
     ]
-    near = [moment for moment in found if -BELIEF_SECONDS <= moment.at <= end]
-    return tuple(sorted(near, key=lambda moment: moment.at))
+    near = [
+        timed_line for timed_line in found if -STATE_CHANGE_LOOKBACK_SECONDS <= timed_line.at <= end
+    ]
+    return tuple(sorted(near, key=lambda timed_line: timed_line.at))
 
 
-def _inner_requests(lines: Sequence[LogLine], request: str) -> list[str]:
+def _nested_requests(lines: Sequence[LogLine], request: str) -> list[str]:
     """Return the ids of the calls that the back end made: its request's id and more."""
-    prefix = request + INNER_SEPARATOR
+    prefix = request + NESTED_ID_SEPARATOR
     named = (line.request for line in lines if line.request.startswith(prefix))
-    return [name for name in dict.fromkeys(named) if INNER_SEPARATOR not in name[len(prefix) :]]
+    return [name for name in dict.fromkeys(named) if NESTED_ID_SEPARATOR not in name[len(prefix) :]]
--- a/tests/cli/test_rollout.py
+++ b/tests/cli/test_rollout.py
@@ -7,11 +7,11 @@
 
 from typer.testing import CliRunner
 
-from pewtertack.cli import rollout_watch, status_reports
+from pewtertack.cli import rollout_polling, status_reports
 from pewtertack.cli.main import app
-from pewtertack.cli.rollout import exit_code_of, format_progress, format_rollout
+from pewtertack.cli.rollout import exit_code_for, format_progress, format_rollout
+from pewtertack.cli.rollout_polling import follow_rollout
 from pewtertack.cli.rollout_reports import NoRevisionError, RolloutReport, rollout_report
-from pewtertack.cli.rollout_watch import follow_rollout
 from pewtertack.cli.status_reports import NodeReport
 from pewtertack.core.eras import tree_number
 from pewtertack.node.status import ReadStatus, StagesStatus
@@ -45,7 +45,7 @@
         def show(waited: float, found: RolloutReport) -> None:
             self.shown.append(format_progress(found))
 
-        with mock.patch.object(rollout_watch, "POLL_SECONDS", 0.01):
+        with mock.patch.object(rollout_polling, "POLL_SECONDS", 0.01):
             return await follow_rollout(read, version, wait, show)
 
     async def test_it_waits_until_the_newest_revision_is_in_force(self) -> None:
@@ -121,7 +121,7 @@
             ([done, refused, LATE], 3),
             ([done, unreachable("gone")], 4),
         ):
-            self.assertEqual(exit_code_of(rollout_report(8, reports)), code)
+            self.assertEqual(exit_code_for(rollout_report(8, reports)), code)
 
 
 class CommandTest(unittest.TestCase):
--- a/tests/cli/test_rollout_reports.py
+++ b/tests/cli/test_rollout_reports.py
@@ -3,7 +3,7 @@
 import unittest
 from typing import Any
 
-from pewtertack.cli.rollout_causes import Lack
+from pewtertack.cli.rollout_lag import LagReason
 from pewtertack.cli.rollout_reports import (
     Outcome,
     RolloutReport,
@@ -42,7 +42,7 @@
     def rollout(self, *reports: NodeReport, revision: int = 8) -> RolloutReport:
         return rollout_report(revision, reports)
 
-    def check_why(self, why: Lack, **fields: Any) -> None:
+    def check_why(self, why: LagReason, **fields: Any) -> None:
         found = self.rollout(current("a", 900.0, 901.0), lacking(**fields))
         (lack,) = found.lacking
         self.assertEqual((lack.why, lack.node, lack.in_force), (why, "late", 7))
@@ -83,37 +83,39 @@
         self.assertEqual((found.stages[-1].nodes, found.stages[-1].last), (1, None))
 
     def test_a_node_that_nobody_told(self) -> None:
-        self.check_why(Lack.NOT_HEARD)
-        self.check_why(Lack.NOT_HEARD, reading=True, reads={"configuration": ReadStatus(5.0, 5.0)})
+        self.check_why(LagReason.NOT_HEARD)
+        self.check_why(
+            LagReason.NOT_HEARD, reading=True, reads={"configuration": ReadStatus(5.0, 5.0)}
+        )
 
     def test_a_reader_whose_source_is_slow_or_fails(self) -> None:
         for read, why in (
-            (ReadStatus(failures=2, failure="slow"), Lack.SOURCE_SLOW),
-            (ReadStatus(failures=1, failure="unfinished"), Lack.SOURCE_SLOW),
-            (ReadStatus(open_for=6.5, may_wait=5.0), Lack.SOURCE_SLOW),
-            (ReadStatus(failures=1, failure="silent"), Lack.SOURCE_FAILING),
-            (ReadStatus(failures=1, failure="refused"), Lack.SOURCE_FAILING),
-            (ReadStatus(failures=1), Lack.SOURCE_FAILING),
+            (ReadStatus(failures=2, failure="slow"), LagReason.SOURCE_SLOW),
+            (ReadStatus(failures=1, failure="unfinished"), LagReason.SOURCE_SLOW),
+            (ReadStatus(open_for=6.5, may_wait=5.0), LagReason.SOURCE_SLOW),
+            (ReadStatus(failures=1, failure="silent"), LagReason.SOURCE_FAILING),
+            (ReadStatus(failures=1, failure="refused"), LagReason.SOURCE_FAILING),
+            (ReadStatus(failures=1), LagReason.SOURCE_FAILING),
         ):
             with self.subTest(read):
                 self.check_why(why, reading=True, reads={"configuration": read})
-                self.check_why(Lack.NOT_HEARD, reading=False, reads={"configuration": read})
+                self.check_why(LagReason.NOT_HEARD, reading=False, reads={"configuration": read})
 
     def test_a_reader_whose_answers_take_long_has_a_slow_source(self) -> None:
         reads = {"configuration": ReadStatus(open_for=0.2, may_wait=2.0, open_reads=2)}
         slow = {"reading": True, "reads": reads}
-        self.check_why(Lack.SOURCE_SLOW, source_answer_seconds=3.8, **slow)
-        self.check_why(Lack.NOT_HEARD, source_answer_seconds=0.01, **slow)
-        self.check_why(Lack.NOT_HEARD, source_answer_seconds=3.8)
+        self.check_why(LagReason.SOURCE_SLOW, source_answer_seconds=3.8, **slow)
+        self.check_why(LagReason.NOT_HEARD, source_answer_seconds=0.01, **slow)
+        self.check_why(LagReason.NOT_HEARD, source_answer_seconds=3.8)
 
     def test_a_node_that_waits_at_a_later_stage(self) -> None:
-        self.check_why(Lack.NOT_HELD, newest_heard=8)
-        self.check_why(Lack.NOT_COMMITTED, held=8)
-        self.check_why(Lack.NOT_IN_FORCE, held=8, committed=8, phase="joining")
+        self.check_why(LagReason.NOT_HELD, newest_heard=8)
+        self.check_why(LagReason.NOT_COMMITTED, held=8)
+        self.check_why(LagReason.NOT_IN_FORCE, held=8, committed=8, phase="joining")
 
     def test_a_node_that_heard_of_it_waits_for_a_peer_and_not_for_the_source(self) -> None:
         reads = {"configuration": ReadStatus(failures=2, failure="slow")}
-        self.check_why(Lack.NOT_HELD, newest_heard=8, reading=True, reads=reads)
+        self.check_why(LagReason.NOT_HELD, newest_heard=8, reading=True, reads=reads)
 
     def test_it_is_told_for_how_long_a_node_knows_of_the_revision(self) -> None:
         stages = (StagesStatus(8, "unknown", NOW - 3.2),)
@@ -125,11 +127,11 @@
         found = self.rollout(current("a", 900.0, 900.0), late)
         self.assertEqual(found.outcome, Outcome.REJECTED)
         (lack,) = found.lacking
-        self.assertEqual((lack.why, lack.findings), (Lack.REJECTED, (FINDING,)))
+        self.assertEqual((lack.why, lack.findings), (LagReason.REJECTED, (FINDING,)))
 
     def test_an_older_rejection_is_no_reason(self) -> None:
         old = RejectionStatus(RevisionStatus(6), (FINDING,))
-        self.check_why(Lack.NOT_HEARD, last_rejection=old)
+        self.check_why(LagReason.NOT_HEARD, last_rejection=old)
 
     def test_waiting_is_of_no_use_once_nobody_holds_what_was_rejected(self) -> None:
         refused = lacking(newest_heard=8, last_rejection=REJECTION)
@@ -143,7 +145,7 @@
         self.assertEqual(found.outcome, Outcome.UNREACHABLE)
         self.assertFalse(found.settled)
         (lack,) = found.lacking
-        self.assertEqual((lack.why, lack.problem), (Lack.UNREACHABLE, "no answer within 3 s"))
+        self.assertEqual((lack.why, lack.problem), (LagReason.UNREACHABLE, "no answer within 3 s"))
         self.assertEqual(self.rollout(unreachable("gone")).outcome, Outcome.INCOMPLETE)
         both = self.rollout(current("a", 900.0, 900.0), unreachable("gone"), lacking())
         self.assertEqual(both.outcome, Outcome.INCOMPLETE)
@@ -151,7 +153,9 @@
     def test_a_node_that_leaves_does_not_keep_a_rollout_from_being_complete(self) -> None:
         leaving = lacking(phase="leaving")
         found = self.rollout(current("a", 900.0, 900.0), leaving)
-        self.assertEqual((found.outcome, found.lacking[0].why), (Outcome.COMPLETE, Lack.LEAVING))
+        self.assertEqual(
+            (found.outcome, found.lacking[0].why), (Outcome.COMPLETE, LagReason.LEAVING)
+        )
         self.assertEqual(self.rollout(leaving).outcome, Outcome.INCOMPLETE)
 
     def test_the_newest_revision_is_that_which_any_node_has_heard_of(self) -> None:
--- a/tests/lab/test_weakening.py
+++ b/tests/lab/test_weakening.py
@@ -41,11 +41,14 @@
                     self.assertFalse(getattr(timing.mechanisms, name))
 
     def test_slow_sources_are_read_as_quick_ones(self) -> None:
-        with mock.patch.dict(profile.PROFILES), mock.patch.object(store, "ANSWER_SECONDS", 8.0):
+        with (
+            mock.patch.dict(profile.PROFILES),
+            mock.patch.object(store, "RESPONSE_HEAD_TIMEOUT_SECONDS", 8.0),
+        ):
             switch_off("overlapping_reads")
             switch_off("slow_answers")
             self.assertEqual({item.read_patience for item in profile.PROFILES.values()}, {0.0})
-            self.assertEqual(store.ANSWER_SECONDS, HASTY_ANSWER_SECONDS)
+            self.assertEqual(store.RESPONSE_HEAD_TIMEOUT_SECONDS, HASTY_ANSWER_SECONDS)
 
     def test_the_answers_identity_is_no_longer_read(self) -> None:
         with mock.patch.dict(vars(exchange)):
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -9,8 +9,8 @@
 from pewtertack.core.items import ItemFormatError
 from pewtertack.core.machines import MachineRole, MachineState, machine_list_from_document
 from pewtertack.core.revision import revision_id_of
-from pewtertack.platform.documents import KnownRoutes, tree_of
-from pewtertack.platform.entries import machines_of
+from pewtertack.platform.documents import RouteCache, parse_configuration
+from pewtertack.platform.entries import machine_list_from_entries
 
 ROUTE = {
     "Name": "r-1",
@@ -62,7 +62,7 @@
 
 class TreeTest(unittest.TestCase):
     def test_a_configuration_becomes_a_valid_tree(self) -> None:
-        number, tree = tree_of(encoded(CONFIGURATION))
+        number, tree = parse_configuration(encoded(CONFIGURATION))
         self.assertEqual(number, 12)
         self.assertEqual(check_document(tree), ())
         resolved = resolve_document(tree, revision_id_of(number, tree), "garia")
@@ -74,7 +74,9 @@
     def test_a_download_may_be_repeated_as_what_is_safe_may(self) -> None:
         kinds = {"safe": True, "download": True, "unsafe": False, "upload": False, "Safe": False}
         for kind, repeatable in kinds.items():
-            _, tree = tree_of(encoded({**CONFIGURATION, "Routes": [{**ROUTE, "Kind": kind}]}))
+            _, tree = parse_configuration(
+                encoded({**CONFIGURATION, "Routes": [{**ROUTE, "Kind": kind}]})
+            )
             self.assertEqual(tree["routes"]["r-1"]["repeatable"], repeatable, kind)
 
     def test_a_configuration_that_is_wrong_is_refused_with_its_place(self) -> None:
@@ -87,36 +89,38 @@
         ]
         for value in broken:
             with self.subTest(value[:40]), self.assertRaises(ItemFormatError):
-                tree_of(value)
+                parse_configuration(value)
 
     def test_routes_that_are_written_as_before_are_the_same_tables(self) -> None:
-        known = KnownRoutes()
-        _, before = tree_of(encoded(CONFIGURATION), (), known)
+        known = RouteCache()
+        _, before = parse_configuration(encoded(CONFIGURATION), (), known)
         edited = {**ROUTE, "Timeout": "900ms"}
         value = encoded({**CONFIGURATION, "Version": "r13", "Routes": [edited, SPLIT_ROUTE]})
-        number, after = tree_of(value, (), known)
-        self.assertEqual((number, after), tree_of(value))
+        number, after = parse_configuration(value, (), known)
+        self.assertEqual((number, after), parse_configuration(value))
         self.assertIs(after["routes"]["r-2"], before["routes"]["r-2"])
         self.assertEqual(after["routes"]["r-1"]["timeout"], "900ms")
         twice = encoded({**CONFIGURATION, "Routes": [SPLIT_ROUTE, ROUTE, SPLIT_ROUTE]})
-        self.assertEqual(tree_of(twice, (), known), tree_of(twice))
+        self.assertEqual(parse_configuration(twice, (), known), parse_configuration(twice))
 
     def test_a_wrong_route_changes_nothing_for_the_next(self) -> None:
-        known = KnownRoutes()
-        _, before = tree_of(encoded(CONFIGURATION), (), known)
+        known = RouteCache()
+        _, before = parse_configuration(encoded(CONFIGURATION), (), known)
         with self.assertRaises(ItemFormatError):
-            tree_of(encoded({**CONFIGURATION, "Routes": [SPLIT_ROUTE, {"Name": "x"}]}), (), known)
-        self.assertEqual(tree_of(encoded(CONFIGURATION), (), known)[1], before)
+            parse_configuration(
+                encoded({**CONFIGURATION, "Routes": [SPLIT_ROUTE, {"Name": "x"}]}), (), known
+            )
+        self.assertEqual(parse_configuration(encoded(CONFIGURATION), (), known)[1], before)
 
     def test_a_route_to_an_unknown_service_is_found_by_validation(self) -> None:
         route = {**ROUTE, "Service": "nobody"}
-        _, tree = tree_of(encoded({**CONFIGURATION, "Routes": [route]}))
+        _, tree = parse_configuration(encoded({**CONFIGURATION, "Routes": [route]}))
         self.assertEqual([item.code.label for item in check_document(tree)], ["missing-service"])
 
 
 class MachinesTest(unittest.TestCase):
     def test_an_entry_becomes_a_back_end_and_the_node_beside_it(self) -> None:
-        document, _ = machines_of({"i-1": encoded(ENTRY)}, 8146, 7380)
+        document, _ = machine_list_from_entries({"i-1": encoded(ENTRY)}, 8146, 7380)
         machines = machine_list_from_document(3, document).machines
         node, backend = sorted(machines, key=lambda machine: machine.role, reverse=True)
         self.assertEqual((node.role, node.name), (MachineRole.NODE, "10.1.0.8"))
@@ -125,23 +129,29 @@
         self.assertEqual((backend.slots, backend.state), (6, MachineState.LIVE))
 
     def test_a_draining_back_end_is_leaving(self) -> None:
-        document, _ = machines_of({"i-1": encoded({**ENTRY, "State": "draining"})}, 1, 2)
+        document, _ = machine_list_from_entries(
+            {"i-1": encoded({**ENTRY, "State": "draining"})}, 1, 2
+        )
         self.assertEqual(document["i-1"]["state"], "leaving")
 
     def test_the_start_is_told_where_the_entry_has_it(self) -> None:
-        document, _ = machines_of({"i-1": encoded(ENTRY)}, 1, 2)
+        document, _ = machine_list_from_entries({"i-1": encoded(ENTRY)}, 1, 2)
         self.assertNotIn("started_at", document["i-1"])
-        document, _ = machines_of({"i-1": encoded({**ENTRY, "born": 1_700_000_000_000})}, 1, 2)
+        document, _ = machine_list_from_entries(
+            {"i-1": encoded({**ENTRY, "born": 1_700_000_000_000})}, 1, 2
+        )
         machine = machine_list_from_document(3, {"i-1": document["i-1"]}).machines[0]
         self.assertEqual(machine.started_at, 1_700_000_000_000)
 
     def test_a_start_that_is_no_whole_number_names_no_back_end(self) -> None:
         for born in (None, "1700000000000", 1.5, -1, True, 2**60, [5]):
             with self.subTest(born=born):
-                document, findings = machines_of({"i-1": encoded({**ENTRY, "born": born})}, 1, 2)
+                document, findings = machine_list_from_entries(
+                    {"i-1": encoded({**ENTRY, "born": born})}, 1, 2
+                )
                 self.assertEqual((document, len(findings)), ({}, 1))
 
     def test_an_entry_that_is_wrong_is_a_finding_with_its_name(self) -> None:
-        document, findings = machines_of({"i-1": b'{"Service": "desk"}'}, 1, 2)
+        document, findings = machine_list_from_entries({"i-1": b'{"Service": "desk"}'}, 1, 2)
         self.assertEqual(document, {})
         self.assertEqual([item.item for item in findings], ["i-1"])
--- a/tests/platform/test_largest_configuration.py
+++ b/tests/platform/test_largest_configuration.py
@@ -9,7 +9,7 @@
 from pewtertack.core.configuration.structure import GUARANTEED_DOCUMENT_BYTES
 from pewtertack.core.configuration.validation import check_document
 from pewtertack.core.revision import Document, revision_id_of
-from pewtertack.platform.documents import tree_of
+from pewtertack.platform.documents import parse_configuration
 from pewtertack.routing.table import RouteTable
 from pewtertack.wire.frames import Envelope, FrameReader, encode_frame
 from pewtertack.wire.messages import DocumentKind, SnapshotAnswer
@@ -47,7 +47,7 @@
     def trees(self) -> list[Document]:
         values = [largest(usual_route), largest(short_route)]
         self.assertTrue(all(0.9 * VALUE_BYTES < len(value) <= VALUE_BYTES for value in values))
-        return [tree_of(value)[1] for value in values]
+        return [parse_configuration(value)[1] for value in values]
 
     def test_no_node_refuses_it(self) -> None:
         for tree in self.trees():
--- a/tests/platform/test_spoilt_items.py
+++ b/tests/platform/test_malformed_items.py
@@ -19,8 +19,8 @@
 from pewtertack.core.machines import SLOTS_MAX, machine_list_from_document
 from pewtertack.core.revision import revision_id_of
 from pewtertack.lab.metadata_store.application import MetadataStore
-from pewtertack.platform.documents import tree_of
-from pewtertack.platform.entries import machines_of
+from pewtertack.platform.documents import parse_configuration
+from pewtertack.platform.entries import machine_list_from_entries
 from pewtertack.platform.store import StoreReader
 from pewtertack.wire.messages import DocumentKind
 from tests.node.proxy.harness import ProxyTestCase
@@ -58,8 +58,10 @@
 
 class SpoiltEntryTest(unittest.TestCase):
     def check_passed_over(self, value: bytes, problem: ItemProblem, name: str = "i-1") -> None:
-        alone, _ = machines_of(GOOD, 8146, 7380)
-        document, findings = machines_of({"i-0": GOOD["i-0"], name: value, **GOOD}, 8146, 7380)
+        alone, _ = machine_list_from_entries(GOOD, 8146, 7380)
+        document, findings = machine_list_from_entries(
+            {"i-0": GOOD["i-0"], name: value, **GOOD}, 8146, 7380
+        )
         self.assertEqual(document, alone)
         self.assertEqual([(item.item, item.problem) for item in findings], [(name, problem)])
 
@@ -110,14 +112,14 @@
 
     def test_the_zone_of_a_machine_is_what_its_first_entry_said(self) -> None:
         claim = encoded({**ENTRY, "Zone": "elsewhere"})
-        document, findings = machines_of({**GOOD, "i-5": claim}, 8146, 7380)
+        document, findings = machine_list_from_entries({**GOOD, "i-5": claim}, 8146, 7380)
         self.assertEqual(document["10.1.0.8"]["zone"], ENTRY["Zone"])
         self.assertIn("i-0", document)
         self.assertEqual([item.problem for item in findings], [ItemProblem.CLAIMED])
 
     def test_an_address_that_is_used_again_is_no_finding(self) -> None:
         heir = encoded({**ENTRY, "Service": "vault"})
-        document, findings = machines_of({**GOOD, "i-5": heir}, 8146, 7380)
+        document, findings = machine_list_from_entries({**GOOD, "i-5": heir}, 8146, 7380)
         self.assertEqual(
             (document["i-5"]["service"], document["i-0"]["service"]), ("vault", "desk")
         )
@@ -127,8 +129,8 @@
     def test_no_entry_raises_or_costs_a_good_one(self, value: bytes, name: str) -> None:
         if name in GOOD:
             name += "x"
-        document, findings = machines_of({**GOOD, name: value}, 8146, 7380)
-        alone, _ = machines_of(GOOD, 8146, 7380)
+        document, findings = machine_list_from_entries({**GOOD, name: value}, 8146, 7380)
+        alone, _ = machine_list_from_entries(GOOD, 8146, 7380)
         for good in alone:
             self.assertEqual(document[good], alone[good])
         self.assertTrue(name in document or len(findings) == 1)
@@ -140,7 +142,7 @@
     @given(st.binary(max_size=300) | json_values.map(lambda value: json.dumps(value).encode()))
     def test_bytes_of_any_kind_give_a_tree_or_a_typed_finding(self, value: bytes) -> None:
         try:
-            version, _ = tree_of(value)
+            version, _ = parse_configuration(value)
         except ItemFormatError as error:
             self.assertIn(error.problem, ItemProblem)
         else:
@@ -149,7 +151,7 @@
     def test_a_version_that_no_number_can_tell_is_refused(self) -> None:
         for version in ("r-5", "r1_0", "r" + "9" * 30, "r\u0663", "rr1", "", "r1\n"):
             with self.subTest(version), self.assertRaises(ItemFormatError):
-                tree_of(encoded({**CONFIGURATION, "Version": version}))
+                parse_configuration(encoded({**CONFIGURATION, "Version": version}))
 
     def test_names_that_would_have_the_tree_refused_are_passed_over(self) -> None:
         zones, findings = valid_evacuated_zones(["garia", "Garia", "..", "a/b"])
--- a/tests/platform/test_returns_in_series.py
+++ b/tests/platform/test_random_restores.py
@@ -12,7 +12,7 @@
 
 from pewtertack.core.profile import LEASED
 from pewtertack.lab.metadata_store.application import StoreCopy
-from tests.platform.returning_fleet import (
+from tests.platform.restored_fleet import (
     FEW_READERS,
     FleetNode,
     ReturningFleet,
--- a/tests/platform/test_returned_evacuations.py
+++ b/tests/platform/test_restored_evacuations.py
@@ -6,7 +6,7 @@
 import unittest
 
 from pewtertack.lab.metadata_store.application import StoreCopy
-from tests.platform.returning_fleet import ReturningFleet, configuration, entry
+from tests.platform.restored_fleet import ReturningFleet, configuration, entry
 
 USUAL_BOUND = 1.5
 TAKEN_OVER = 2.0
--- a/tests/platform/test_returned_store.py
+++ b/tests/platform/test_restored_store.py
@@ -10,7 +10,7 @@
 
 from pewtertack.core.profile import LEASED, TimingProfile
 from pewtertack.lab.metadata_store.application import StoreCopy
-from tests.platform.returning_fleet import FEW_READERS, ReturningFleet, configuration, entry
+from tests.platform.restored_fleet import FEW_READERS, ReturningFleet, configuration, entry
 
 
 class ReturnedStoreTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/platform/test_starts_after_return.py
+++ b/tests/platform/test_starts_after_restore.py
@@ -5,7 +5,7 @@
 from pewtertack.core.profile import LEASED, TimingProfile
 from pewtertack.lab.metadata_store.application import StoreCopy
 from pewtertack.wire.messages import ListOverrides
-from tests.platform.returning_fleet import (
+from tests.platform.restored_fleet import (
     FEW_READERS,
     FleetNode,
     ReturningFleet,
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -58,7 +58,7 @@
         self.assertEqual(found[0].document["i-1"]["state"], "leaving")
 
     async def test_many_changes_beyond_the_longest_answer_lead_to_a_list(self) -> None:
-        with mock.patch.object(store, "ANSWER_BYTES", 16 * 1024):
+        with mock.patch.object(store, "MAX_RESPONSE_BYTES", 16 * 1024):
             reader = StoreReader(await self.serve(self.store.application), 8146, 7380)
         self.addAsyncCleanup(reader.close)
         self.assertEqual(
--- a/tests/platform/test_unusual_configurations.py
+++ b/tests/platform/test_unusual_configurations.py
@@ -12,8 +12,8 @@
 from pewtertack.core.configuration.validation import check_document
 from pewtertack.core.machines import machine_list_from_document
 from pewtertack.core.revision import revision_id_of
-from pewtertack.platform.documents import tree_of
-from pewtertack.platform.entries import machines_of
+from pewtertack.platform.documents import parse_configuration
+from pewtertack.platform.entries import machine_list_from_entries
 from pewtertack.routing.outcomes import RouteNotFoundError
 from pewtertack.routing.splits import SplitPicker
 from pewtertack.routing.table import RouteTable
@@ -25,7 +25,7 @@
 
 def resolved(**fields: Any) -> ResolvedConfiguration:
     """Return what a node makes of the sample configuration with other ``fields``."""
-    number, tree = tree_of(encoded({**CONFIGURATION, **fields}))
+    number, tree = parse_configuration(encoded({**CONFIGURATION, **fields}))
     return resolve_document(tree, revision_id_of(number, tree), "garia")
 
 
@@ -53,7 +53,9 @@
                 services = [{"Name": name, "HealthPath": "/health", "ConnectionLimit": 130}]
                 found = resolved(Routes=[{**ROUTE, "Service": name}], Services=services)
                 self.assertEqual(found.routes[0].service, name)
-                document, findings = machines_of({"i-1": encoded({**ENTRY, "Service": name})}, 1, 2)
+                document, findings = machine_list_from_entries(
+                    {"i-1": encoded({**ENTRY, "Service": name})}, 1, 2
+                )
                 self.assertEqual(findings, ())
                 self.assertEqual(machine_list_from_document(1, document).machines[1].service, name)
 
@@ -62,7 +64,7 @@
             with self.subTest(text):
                 self.assertEqual(route_with(Timeout=text).timeout, seconds)
                 self.assertEqual(route_with(TargetLatency=text).objective, seconds)
-                document, findings = machines_of(
+                document, findings = machine_list_from_entries(
                     {"i-1": encoded({**ENTRY, "ColdRemaining": text})}, 1, 2
                 )
                 self.assertEqual((document["i-1"].get("cold"), findings), (True, ()))
@@ -114,7 +116,7 @@
 
     def test_a_version_may_have_many_digits(self) -> None:
         for version in (1_764_753_600, 1_764_753_600_000, 20_261_203_093_000):
-            number, _ = tree_of(encoded({**CONFIGURATION, "Version": f"r{version}"}))
+            number, _ = parse_configuration(encoded({**CONFIGURATION, "Version": f"r{version}"}))
             self.assertEqual(number, version)
 
     def test_a_longer_head_than_usual_is_allowed_to_callers(self) -> None:
@@ -204,7 +206,9 @@
         )
         for fields in bad:
             with self.subTest(fields):
-                _, tree = tree_of(encoded({**CONFIGURATION, "Routes": [{**ROUTE, **fields}]}))
+                _, tree = parse_configuration(
+                    encoded({**CONFIGURATION, "Routes": [{**ROUTE, **fields}]})
+                )
                 self.assertNotEqual(check_document(tree), ())
 
 
@@ -294,7 +298,7 @@
     def test_each_is_accepted_and_matched_as_the_pages_say(
         self, configuration: dict[str, Any], data: st.DataObject
     ) -> None:
-        number, tree = tree_of(encoded(configuration))
+        number, tree = parse_configuration(encoded(configuration))
         self.assertEqual(check_document(tree), ())
         table = RouteTable(resolve_document(tree, revision_id_of(number, tree), "garia"))
         routes = configuration["Routes"]
--- a/tests/platform/test_watches_at_return.py
+++ b/tests/platform/test_watches_during_restore.py
@@ -11,7 +11,7 @@
 from pewtertack.platform.store import StoreReader
 from pewtertack.wire.messages import DocumentKind
 from tests.node.proxy.harness import ProxyTestCase
-from tests.platform.returning_fleet import configuration, entry
+from tests.platform.restored_fleet import configuration, entry
 
 KINDS = (DocumentKind.CONFIGURATION, DocumentKind.MACHINE_LIST)
 READS = 3
--- a/tests/tracing/test_trace.py
+++ b/tests/tracing/test_trace.py
@@ -1,4 +1,4 @@
-"""Traces from logs of several nodes: order, beliefs, missing and damaged input."""
+"""Traces from logs of several nodes: order, state_changes, missing and damaged input."""
 
 import json
 import tempfile
@@ -74,14 +74,16 @@
             ),
         ]
         lines = read_logs([self.write("a.log", [refused, *ends])], ReadCounts())
-        found = [item.fields["backend"] for item in build_timeline(lines, "r9").ends]
+        found = [item.fields["backend"] for item in build_timeline(lines, "r9").crashes]
         self.assertEqual(found, ["b2", "b3"])
         printed = CliRunner().invoke(app, ["trace", "r9", str(self.directory / "a.log")])
         self.assertIn("b3 ran r4", printed.output)
 
     def test_lines_are_ordered_by_cause_where_clocks_disagree(self) -> None:
         timeline = build_timeline(read_logs(self.write_all(), ReadCounts()), "r1")
-        events = [(moment.line.node, moment.line.event) for moment in timeline.moments]
+        events = [
+            (timed_line.line.node, timed_line.line.event) for timed_line in timeline.timed_lines
+        ]
         self.assertEqual(
             events,
             [
@@ -95,7 +97,9 @@
             ],
         )
         self.assertAlmostEqual(timeline.uncertainty["c"], 0.05)
-        self.assertEqual([moment.line.event for moment in timeline.beliefs], ["BACKEND_SEEN"])
+        self.assertEqual(
+            [timed_line.line.event for timed_line in timeline.state_changes], ["BACKEND_SEEN"]
+        )
 
     def test_calls_within_a_request_are_told_below_it(self) -> None:
         inner = [
@@ -105,8 +109,8 @@
         ]
         paths = [*self.write_all(), self.write("d.log", inner)]
         timeline = build_timeline(read_logs(paths, ReadCounts()), "r1")
-        self.assertEqual([call.request for call in timeline.inner], ["r1.x"])
-        self.assertEqual([call.request for call in timeline.inner[0].inner], ["r1.x.y"])
+        self.assertEqual([call.request for call in timeline.nested], ["r1.x"])
+        self.assertEqual([call.request for call in timeline.nested[0].nested], ["r1.x.y"])
 
     def test_an_id_that_is_nowhere_is_a_typed_error(self) -> None:
         lines = read_logs(self.write_all(), ReadCounts())
--- a/tools/measure_change.py
+++ b/tools/measure_change.py
@@ -33,7 +33,7 @@
 from pewtertack.node import collector
 from pewtertack.node.proxy.application import ProxyApplication
 from pewtertack.platform import items
-from pewtertack.platform.documents import KnownRoutes, tree_of
+from pewtertack.platform.documents import RouteCache, parse_configuration
 from pewtertack.routing.dispatcher import Dispatcher
 from pewtertack.wire.frames import Envelope, FrameReader, encode_frame
 from pewtertack.wire.messages import DocumentKind, Message, Pull
@@ -163,7 +163,7 @@
         self.core = NodeCore(self.identity, LEASED, Random(1), 0.0, (), source)
         self.proxy = ProxyApplication(lambda: 0.0, Random(1))
         self.reader = FrameReader(KEY)
-        self.known = KnownRoutes()
+        self.known = RouteCache()
         self._now = 0.0
         self.feed(Ticked())
 
@@ -181,10 +181,10 @@
 
     def read(self, event: bytes) -> None:
         """Take in the source's event."""
-        item = items.items_of((msgspec.Raw(event),))[0]
+        item = items.parse_items((msgspec.Raw(event),))[0]
         value = item.content() or b""
         PARTS.note_turn()
-        version, tree = tree_of(value, (), self.known)
+        version, tree = parse_configuration(value, (), self.known)
         PARTS.note_turn()
         self.feed(DocumentRead(DocumentKind.CONFIGURATION, tree_number(version), tree))
 
@@ -269,9 +269,9 @@
 def main() -> None:
     """Measure changes of the size given, or of the usual sizes."""
     for owner, name in (
-        (items, "items_of"),
+        (items, "parse_items"),
         (items.StoreItem, "content"),
-        (sys.modules[__name__], "tree_of"),
+        (sys.modules[__name__], "parse_configuration"),
         (FrameReader, "read"),
         (sys.modules[__name__], "encode_frame"),
         (sys.modules["pewtertack.core.node"], "unpack"),
