--- a/src/pewtertack/routing/admission.py
+++ b/src/pewtertack/routing/admission.py
@@ -55,7 +55,7 @@
 
 
 Precedence = tuple[bool, tuple[int, int, bool, float, int]]
-"""Whether the ticket is late or deferred, then its ``sort_key``; the smallest goes first."""
+"""Whether the ticket is late or deferred, and its ``sort_key``; the smallest goes first."""
 
 
 class Admission:
--- a/src/pewtertack/routing/backend.py
+++ b/src/pewtertack/routing/backend.py
@@ -71,7 +71,7 @@
     in_flight: int = 0
     """Requests of this proxy at the back end."""
     leaving: bool = False
-    """Gets no new work, according to the machine list or its own answers. Never reset."""
+    """Gets no new work, by the machine list or its own answers; permanent for an incarnation."""
     removed: bool = False
     """Gone from the list, or replaced by another incarnation."""
     silent_since: float | None = None
--- a/src/pewtertack/routing/dispatcher.py
+++ b/src/pewtertack/routing/dispatcher.py
@@ -252,9 +252,11 @@
         if leaving:
             self._note_leaving(backend)
 
-    def note_link_report(self, ticket: Ticket, report: LinkReport, now: float, begun: bool) -> None:
+    def note_link_report(
+        self, ticket: Ticket, report: LinkReport, now: float, with_answer: bool
+    ) -> None:
         """Record a gateway's report on its link; see ``ServiceDispatcher.note_link_report``."""
-        self.service(ticket.route.service).note_link_report(ticket, report, now, begun)
+        self.service(ticket.route.service).note_link_report(ticket, report, now, with_answer)
 
     def note_hung(self, ticket: Ticket, now: float, report: LoadReport | None) -> None:
         """Record that the gateway, which still responds, takes its back end to hang."""
@@ -278,7 +280,7 @@
             return
         ticket.finished = True
         if ticket.hung and result in (AttemptResult.TIMED_OUT, AttemptResult.CANCELLED):
-            result = AttemptResult.HUNG  # it was only awaited because no other place was better
+            result = AttemptResult.HUNG  # it was only awaited because no other back end was better
         service = self.service(ticket.route.service)
         backend.note_end(now, service.mean_time)
         service.in_flight -= 1
--- a/src/pewtertack/routing/link.py
+++ b/src/pewtertack/routing/link.py
@@ -86,7 +86,7 @@
         self._probed_at: dict[str, float] = {}
         """When a request of a route of too long answers was last let through, or first refused."""
         self._mean_sizes: dict[str, float] = {}
-        """Mean length in bytes of the long answers of each route."""
+        """Mean length in bytes of the long answers of each route; none for routes of short ones."""
 
     def note_sent(self, size: int, now: float) -> None:
         """Record bytes that were sent without being queued."""
--- a/src/pewtertack/routing/patience.py
+++ b/src/pewtertack/routing/patience.py
@@ -141,8 +141,8 @@
 
     __slots__ = ("_retry_time_factor", "_routes")
 
-    def __init__(self, returning: RetryLaterPolicy = RetryLaterPolicy.FOUR) -> None:
-        self._retry_time_factor = RETRY_TIME_FACTORS[returning]
+    def __init__(self, policy: RetryLaterPolicy = RetryLaterPolicy.FOUR) -> None:
+        self._retry_time_factor = RETRY_TIME_FACTORS[policy]
         self._routes: dict[str, _CallerTimes] = {}
 
     def keep_only(self, routes: Container[str]) -> None:
--- a/src/pewtertack/routing/service.py
+++ b/src/pewtertack/routing/service.py
@@ -26,8 +26,8 @@
 TIME_UNCERTAINTY_FACTOR = 1.5
 """Answers take up to this multiple of the mean often enough to plan for it."""
 CROSSING_SHARE = 0.05
-"""Share of its objective that a request would have to wait to go to another zone, since bytes
-between zones cost money."""
+"""A request goes to another zone, which costs bytes between zones, if it would wait for this share
+of its objective."""
 LARGE_BODY_BYTES = 16 * 1024
 """A request with a longer body goes to another zone only to meet its deadline."""
 OWN_ZONE = "own-zone"
@@ -107,14 +107,16 @@
         self.mean_time = smoothed(self.mean_time, seconds)
         self._route_times[route] = smoothed(self._route_times.get(route, 0.0), seconds)
 
-    def note_link_report(self, ticket: Ticket, report: LinkReport, now: float, begun: bool) -> None:
+    def note_link_report(
+        self, ticket: Ticket, report: LinkReport, now: float, with_answer: bool
+    ) -> None:
         """Record a gateway's report on its link, received with an answer or a refusal."""
         assert ticket.backend is not None
         ticket.backend.note_link_queue(now, report.queue_seconds)
         route = ticket.route.name
         if not report.transfer_seconds:
             self._long_routes.pop(route, None)
-        elif begun:
+        elif with_answer:
             execution_seconds = max(0.0, now - ticket.started_at - ticket.queued_seconds)
             self._long_routes.setdefault(route, LongRouteTimes()).note(
                 report.transfer_seconds, execution_seconds
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -193,13 +193,13 @@
 
     def test_a_withdrawn_ticket_leaves_the_queue(self) -> None:
         admission = Admission(1)
-        running, gone, waiting = ticket(), ticket(), ticket()
-        for item in (running, gone, waiting):
+        running, withdrawn, waiting = ticket(), ticket(), ticket()
+        for item in (running, withdrawn, waiting):
             admission.submit(item, 0.0)
-        admission.withdraw(gone)
+        admission.withdraw(withdrawn)
         admission.finish(running, 0.1, answered=False)
         self.assertTrue(waiting.granted)
-        self.assertFalse(gone.granted)
+        self.assertFalse(withdrawn.granted)
 
 
 class WaitPolicyTest(unittest.TestCase):
--- a/tests/routing/test_cold.py
+++ b/tests/routing/test_cold.py
@@ -223,10 +223,10 @@
 
 class PlacementTest(unittest.TestCase):
     def backend(self, name: str) -> Any:
-        made = Backend(name, "logbook", "127.0.0.1:1", "ikeja", 0.0, gateway="127.0.0.1:2")
-        made.configure(service())
-        made.slots = SLOTS
-        return made
+        backend = Backend(name, "logbook", "127.0.0.1:1", "ikeja", 0.0, gateway="127.0.0.1:2")
+        backend.configure(service())
+        backend.slots = SLOTS
+        return backend
 
     def test_a_new_cold_back_end_is_not_the_first_choice_of_all_senders(self) -> None:
         warm, new = self.backend("warm"), self.backend("new")
--- a/tests/routing/test_dispatcher.py
+++ b/tests/routing/test_dispatcher.py
@@ -178,7 +178,7 @@
         events: list[BackendEvent] = []
 
         def note(event: BackendEvent) -> None:
-            if not isinstance(event, BackendListed):  # what the list says is told apart from it
+            if not isinstance(event, BackendListed):  # changes of the list are separate events
                 events.append(event)
 
         subject = Dispatcher(Random(1), note)
--- a/tests/routing/test_link_properties.py
+++ b/tests/routing/test_link_properties.py
@@ -260,7 +260,7 @@
                 continue  # another rank goes first, or it cannot end in time any longer
             waiting.bytes_ahead -= size
             if waiting.bytes_ahead < 0:
-                raise AssertionError("what has begun is passed over")
+                raise AssertionError("a started body is passed over")
 
     def note_short(self) -> None:
         self.scheduler.note_sent(SHORT, self.now)
@@ -311,10 +311,10 @@
         moment = 0.0
         for entry in entries:
             moment += entry.gap
-            patient = msgspec.structs.replace(
+            lasting_entry = msgspec.structs.replace(
                 entry, time_to_expiry=1000.0, cancel_after=None, expedite_after=None
             )
-            link.at(moment, lambda entry=patient: link.add(entry))  # type: ignore[misc]
+            link.at(moment, lambda entry=lasting_entry: link.add(entry))  # type: ignore[misc]
         link.run()
         self.assertEqual([item for item in link.answers if not item.ended], [])
 
--- a/tests/routing/test_link_stop.py
+++ b/tests/routing/test_link_stop.py
@@ -81,10 +81,12 @@
         """
         seconds = self.link.seconds
         self.link.enqueue(400_000, uncommitted_bytes=0)
-        own = self.link.enqueue(100_000)
-        self.scheduler.expedite(own, RECEIVER_STOPPING, seconds(200_000), seconds(200_000), 0.0)
+        expedited = self.link.enqueue(100_000)
+        self.scheduler.expedite(
+            expedited, RECEIVER_STOPPING, seconds(200_000), seconds(200_000), 0.0
+        )
         self.scheduler.stop_at(seconds(600_000), 0.0)
-        self.assertTrue(own.handed_back)
+        self.assertTrue(expedited.handed_back)
 
     def test_bodies_that_cannot_be_sent_are_handed_back_at_once(self) -> None:
         bodies = [self.link.enqueue(100_000) for _ in range(5)]
--- a/tests/routing/test_link_words.py
+++ b/tests/routing/test_link_words.py
@@ -111,7 +111,7 @@
         self.subject.service("logbook").in_flight += 1
         self.subject.note_answer(ticket, self.now, LoadReport(1, 2), leaving=False)
         self.subject.note_link_report(
-            ticket, LinkReport(queue_seconds, transfer_seconds), self.now, begun=True
+            ticket, LinkReport(queue_seconds, transfer_seconds), self.now, with_answer=True
         )
         self.subject.finish(ticket, self.now, AttemptResult.ANSWERED)
 
@@ -160,7 +160,7 @@
         ticket = self.submit("lookup")
         ticket.backend = self.backends[0]
         self.subject.note_link_report(
-            ticket, LinkReport(0.0, TRANSFER_SECONDS), self.now, begun=True
+            ticket, LinkReport(0.0, TRANSFER_SECONDS), self.now, with_answer=True
         )
         self.assertLess(ticket.backend.link_wait(self.now), TRANSFER_SECONDS)
 
@@ -196,7 +196,7 @@
         refused = self.submit()
         assert refused.backend is not None
         self.subject.note_link_report(
-            refused, LinkReport(1.0, TRANSFER_SECONDS), self.now, begun=False
+            refused, LinkReport(1.0, TRANSFER_SECONDS), self.now, with_answer=False
         )
         self.subject.finish(refused, self.now, AttemptResult.REFUSED)
         self.assertEqual(refused.backend.link_wait(self.now), 1.0)
--- a/tests/routing/test_properties.py
+++ b/tests/routing/test_properties.py
@@ -81,9 +81,9 @@
         state = subject.service("logbook")
         self.assertEqual(state.in_flight, len(running))
         for item in state.backends:
-            own = sum(one.backend is item for one in running)
-            self.assertEqual(item.in_flight, own)
-            self.assertLessEqual(own, service().slots_per_backend)
+            in_flight = sum(one.backend is item for one in running)
+            self.assertEqual(item.in_flight, in_flight)
+            self.assertLessEqual(in_flight, service().slots_per_backend)
         waiting = [item for item in tickets if not (item.backend or item.refusal)]
         self.assertEqual(len(state.queue), len(waiting))
         self.assertLessEqual(len(waiting), 20)
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -33,10 +33,10 @@
         self.assert_route("upload", "x", "/logs/contest", "POST")
 
     def test_method_precedence_does_not_depend_on_route_names(self) -> None:
-        for own, every in (("a", "b"), ("b", "a")):
-            table = RouteTable(configuration(route(own, methods=("PUT",)), route(every)))
-            self.assertEqual(table.match("x", "/", "PUT").name, own)
-            self.assertEqual(table.match("x", "/", "GET").name, every)
+        for by_method, any_method in (("a", "b"), ("b", "a")):
+            table = RouteTable(configuration(route(by_method, methods=("PUT",)), route(any_method)))
+            self.assertEqual(table.match("x", "/", "PUT").name, by_method)
+            self.assertEqual(table.match("x", "/", "GET").name, any_method)
 
     def test_a_named_host_precedes_every_host(self) -> None:
         self.assert_route("rig", "rig.example", "/logs/contest")
