--- a/src/pewtertack/routing/patience.py
+++ b/src/pewtertack/routing/patience.py
@@ -112,7 +112,7 @@
 MIN_FIRST_CALLS = 10
 """Number of calls, while nobody can be retrying, after which their times are known."""
 ASSUMED_SHORTEST_SHARE = 0.85
-"""Before that the shortest time is assumed to be at most this share of the longest. Assumed."""
+"""Before that the shortest time is taken to be at most this share of the longest. Assumed."""
 
 
 class _CallerTimes:
