--- a/src/pewtertack/node/http/protocol.py
+++ b/src/pewtertack/node/http/protocol.py
@@ -33,8 +33,7 @@
 closing then would reset the connection, and the response could be lost.
 """
 HEAD_LIMIT_ATTRIBUTE = "longest_head"
-"""Optional attribute of an application: the largest head in bytes, if above ``DEFAULT_HEAD_LIMIT``.
-"""
+"""Optional attribute of an application: a head limit in bytes above ``DEFAULT_HEAD_LIMIT``."""
 REPEATABLE_METHOD = "may_run_beside"
 """Optional method of an application: whether the request of a scope is repeatable."""
 
@@ -213,7 +212,7 @@
         self._newest = cycle
         self._last_request = not self._parser.should_keep_alive()
         self._pipeline.add(cycle)
-        cycle.first = self._pipeline.first is cycle
+        cycle.may_write = self._pipeline.first is cycle
         self._start_requests()
 
     def on_body(self, body: bytes) -> None:
@@ -309,7 +308,7 @@
         """Start requests that waited for ``cycle``, or limit the wait for the next data."""
         waiting = self._pipeline.first
         if waiting is not None:
-            waiting.first = True
+            waiting.may_write = True
             self._start_requests()
         elif not cycle.received:
             cycle.drop_body()
@@ -355,11 +354,11 @@
         self._read_now()
         if self._pipeline.requests or self._head_bytes:
             return
-        left = self._idle_since + self._server.keep_alive - self.loop.time()
-        if left <= 0:
+        remaining = self._idle_since + self._server.keep_alive - self.loop.time()
+        if remaining <= 0:
             self._close_idle_now()
         else:
-            self._idle_timer = self.loop.call_later(left, self._close_idle)
+            self._idle_timer = self.loop.call_later(remaining, self._close_idle)
 
     async def wait_closed(self) -> None:
         """Wait until the connection has ended."""
