--- a/src/pewtertack/core/configuration/conversion.py
+++ b/src/pewtertack/core/configuration/conversion.py
@@ -31,7 +31,7 @@
 HOST_NAME_CACHE_SIZE = 1024
 """Number of different host names that are cached; a configuration has few."""
 NAME_DIGEST_BYTES = 8
-"""Length of the digest that replaces a route name which the tree does not allow."""
+"""Bytes of the digest that replaces a route name that is not allowed or already taken."""
 
 Table = dict[str, Any]
 
@@ -63,43 +63,46 @@
     """
     timeout, target_latency = times
     return {
-        "timeout": nearest_duration(ROUTE_SETTINGS["timeout"], timeout),
-        "target_latency": nearest_duration(ROUTE_SETTINGS["target_latency"], target_latency),
-        "priority": nearest_integer(ROUTE_SETTINGS["priority"], priority),
-        "retry_limit": nearest_integer(ROUTE_SETTINGS["retry_limit"], attempts - 1),
+        "timeout": clamped_duration(ROUTE_SETTINGS["timeout"], timeout),
+        "target_latency": clamped_duration(ROUTE_SETTINGS["target_latency"], target_latency),
+        "priority": clamped_integer(ROUTE_SETTINGS["priority"], priority),
+        "retry_limit": clamped_integer(ROUTE_SETTINGS["retry_limit"], attempts - 1),
     }
 
 
-def service_settings(connections: float, cold_rate: float, cold: tuple[str, str] | None) -> Table:
-    """Return a service's settings; ``cold`` is the health path and the duration of a cold start."""
+def service_settings(
+    connections: float, cold_rate: float, cold_start: tuple[str, str] | None
+) -> Table:
+    """Return a service's settings; ``cold_start`` is the health path and duration of a cold start."""
     connection_limit, rate = (
         SERVICE_SETTINGS["connections_per_backend"],
         SERVICE_SETTINGS["cold_rate"],
     )
-    table: Table = {connection_limit.name: nearest_integer(connection_limit, connections)}
-    if cold is not None:
-        table["health_path"] = normalized_request_target(cold[0])
-        table["cold_start"] = nearest_duration(SERVICE_SETTINGS["cold_start"], cold[1])
-        table[rate.name] = nearest_ratio(rate, cold_rate)
+    table: Table = {connection_limit.name: clamped_integer(connection_limit, connections)}
+    if cold_start is not None:
+        table["health_path"] = normalized_request_target(cold_start[0])
+        table["cold_start"] = clamped_duration(SERVICE_SETTINGS["cold_start"], cold_start[1])
+        table[rate.name] = clamped_number(rate, cold_rate)
     return table
 
 
-def nearest_integer(setting: Setting, value: float) -> int:
-    """Return the integer nearest to ``value`` that the setting allows."""
+def clamped_integer(setting: Setting, value: float) -> int:
+    """Return ``value`` truncated to an integer, or the nearest bound of the setting."""
     if setting.minimum <= value <= setting.maximum:
         return int(value)
-    return int(nearest_ratio(setting, value))
+    return int(clamped_number(setting, value))
 
 
-def nearest_ratio(setting: Setting, value: float) -> float:
-    """Return the number nearest to ``value`` that the setting allows."""
+def clamped_number(setting: Setting, value: float) -> float:
+    """Return ``value``, or the nearest bound of the setting if it is out of range."""
     return min(max(value, setting.minimum), setting.maximum)
 
 
-def nearest_duration(setting: Setting, text: str) -> str:
-    """Return the duration nearest to ``text`` that the setting allows.
+def clamped_duration(setting: Setting, text: str) -> str:
+    """Return ``text``, or the nearest bound of the setting if it is out of range.
 
-    If the setting does not allow zero, zero means no limit and becomes the longest duration.
+    If the setting does not allow zero, zero means no limit and becomes the longest duration. A text
+    that is not a duration is returned unchanged.
     """
     seconds = duration_seconds(text)
     if seconds is None or setting.minimum <= seconds <= setting.maximum:
@@ -161,7 +164,7 @@
     """Return the root's limit on the size of a head if it exceeds what nodes always accept."""
     if value <= GUARANTEED_HEAD_BYTES:
         return {}
-    return {HEAD_BYTES_SETTING.name: nearest_integer(HEAD_BYTES_SETTING, value)}
+    return {HEAD_BYTES_SETTING.name: clamped_integer(HEAD_BYTES_SETTING, value)}
 
 
 def unique_routes(named_routes: Iterable[tuple[str, Table]]) -> dict[str, Table]:
--- a/src/pewtertack/core/configuration/explanation.py
+++ b/src/pewtertack/core/configuration/explanation.py
@@ -68,7 +68,7 @@
 
 
 def _scopes(document: Document, zone: str) -> tuple[Scope, Scope]:
-    """Return the zone's scope with its deletions applied, and without."""
+    """Return the zone's scope, first with its deletions applied and then without."""
     findings = check_document(document)
     if findings:
         raise TreeRejectedError(findings)
--- a/src/pewtertack/core/configuration/memory.py
+++ b/src/pewtertack/core/configuration/memory.py
@@ -191,9 +191,9 @@
         self._pending_scopes = {}
         self._pending_bytes = {}
 
-    def add_pending_bytes(self, table: Table, size: int) -> None:
+    def add_pending_bytes(self, table: Table, table_bytes: int) -> None:
         """Keep the estimated bytes of a table of the document under validation."""
-        self._pending_bytes[id(table)] = size
+        self._pending_bytes[id(table)] = table_bytes
 
     def accepted_scope(self, zone: str | None) -> ValidatedScope | None:
         """Return the validated scope of ``zone``, or of the root if ``zone`` is None."""
@@ -211,7 +211,10 @@
                 self._interner.intern(table)
 
     def accepted_bytes(self, table: Table, path: tuple[str, ...]) -> int | None:
-        """Return the estimated bytes of a table if it was accepted at a location like ``path``."""
+        """Return the estimated bytes of a table accepted before, else None.
+
+        It must have been accepted in the same section and at the same depth as ``path``.
+        """
         if len(path) not in (ROOT_PATH_LENGTH, ZONE_PATH_LENGTH):
             return None
         found = self._accepted_tables.get((path[-2], len(path)), {}).get(id(table))
@@ -221,24 +224,30 @@
         """Return the estimated bytes of a document that differs from the newest by ``edit``."""
         old, new = self._routes_of(self.document), self._routes_of(document)
         accepted = self._accepted_tables[_ROOT_ROUTES]
-        size, empty = self.document_bytes, estimate("")
+        total_bytes, empty_bytes = self.document_bytes, estimate("")
         for name in edit.changed:
             table = new[name]
-            size += estimate(name) - empty + (self._pending_bytes.get(id(table)) or estimate(table))
+            total_bytes += (
+                estimate(name)
+                - empty_bytes
+                + (self._pending_bytes.get(id(table)) or estimate(table))
+            )
         for name in (*edit.changed, *edit.removed):
             if name in old:
                 known = accepted.get(id(old[name]))
-                size -= estimate(name) - empty + (known[1] if known else estimate(old[name]))
-        return size
+                total_bytes -= (
+                    estimate(name) - empty_bytes + (known[1] if known else estimate(old[name]))
+                )
+        return total_bytes
 
     def store_edit(
-        self, document: Document, edit: RouteEdit, size: int, estimate: EstimateBytes
+        self, document: Document, edit: RouteEdit, document_bytes: int, estimate: EstimateBytes
     ) -> None:
         """Make an accepted document, which differs by ``edit``, the newest one.
 
-        ``size`` is its estimated bytes.
+        ``document_bytes`` are its estimated bytes.
         """
-        self.document_bytes = size
+        self.document_bytes = document_bytes
         old, new = self._routes_of(self.document), self._routes_of(document)
         tables = self._accepted_tables[_ROOT_ROUTES]
         for name in (*edit.changed, *edit.removed):
--- a/src/pewtertack/core/configuration/structure.py
+++ b/src/pewtertack/core/configuration/structure.py
@@ -61,8 +61,8 @@
 INTEGER_LIMIT = 2**63
 """Not every codec can represent integers beyond 64 bits."""
 
-TABLES_PER_STEP = 50
-"""Tables, or values of any kind, that are checked in one step."""
+VALUES_PER_STEP = 50
+"""Values, or named tables, that are checked in one step."""
 
 Steps = Iterator[Finding | None]
 """Findings, with None at the end of each step."""
@@ -92,8 +92,8 @@
 def check_plain(document: Any, cache: ValidationCache = EMPTY_CACHE) -> Iterator[Finding]:
     """Yield a finding for each value that JSON cannot represent or that is too large or too deep.
 
-    Stops at the first finding of a tree that is too large. Does not recurse, so any nesting is
-    safe. Tables that the ``cache`` has accepted and tables that are seen to be plain only add
+    Stops as soon as the tree is found to be too large. Does not recurse, so any nesting is safe.
+    Tables that the ``cache`` has accepted and tables that are seen to be plain only add
     their size.
     """
     return (finding for finding in check_plain_in_steps(document, cache) if finding is not None)
@@ -105,18 +105,18 @@
     total_bytes = count = 0
     while pending:
         count += 1
-        if count % TABLES_PER_STEP == 0:
+        if count % VALUES_PER_STEP == 0:
             yield None
         value, path = pending.pop()
-        known = _known_bytes(value, path, cache) if isinstance(value, dict) else None
-        total_bytes += VALUE_BYTES + _text_bytes(value) if known is None else known
+        known_bytes = _known_bytes(value, path, cache) if isinstance(value, dict) else None
+        total_bytes += VALUE_BYTES + _text_bytes(value) if known_bytes is None else known_bytes
         total_bytes += _text_bytes(path[-1]) if path else 0
         if total_bytes > DOCUMENT_BYTES_LIMIT:
             yield Finding(
                 FindingCode.TOO_LARGE, (), "too large", f"at most {DOCUMENT_BYTES_LIMIT} bytes"
             )
             return
-        if known is not None:
+        if known_bytes is not None:
             continue
         if not isinstance(value, dict | list | tuple):
             yield from _check_plain_value(value, path)
@@ -138,12 +138,12 @@
     """Return the estimated bytes of a named table that was accepted or is plain, else None."""
     if len(path) not in (ROOT_PATH_LENGTH, ZONE_PATH_LENGTH):
         return None
-    known = cache.accepted_bytes(table, path)
-    if known is None:
-        known = _plain_bytes(table, NESTING_LIMIT - len(path))
-        if known is not None and cache is not EMPTY_CACHE:
-            cache.add_pending_bytes(table, known)
-    return known
+    known_bytes = cache.accepted_bytes(table, path)
+    if known_bytes is None:
+        known_bytes = _plain_bytes(table, NESTING_LIMIT - len(path))
+        if known_bytes is not None and cache is not EMPTY_CACHE:
+            cache.add_pending_bytes(table, known_bytes)
+    return known_bytes
 
 
 def _plain_bytes(table: Table, levels: int) -> int | None:
@@ -279,9 +279,9 @@
         check_route = partial(_check_settings, ROUTE_SETTINGS)
         yield from _check_named_tables(value, path, check_route, cache=cache)
     else:
-        known = [section.value for section in Section]
-        known += [DELETE] if scope else [ZONES, *(section.value for section in RootSection)]
-        yield _unknown_key(path, known)
+        known_keys = [section.value for section in Section]
+        known_keys += [DELETE] if scope else [ZONES, *(section.value for section in RootSection)]
+        yield _unknown_key(path, known_keys)
 
 
 def _check_named_tables(
@@ -297,7 +297,7 @@
         return
     yield from _check_count(value, path, limit)
     for count, (name, table) in enumerate(value.items(), 1):
-        if count % TABLES_PER_STEP == 0:
+        if count % VALUES_PER_STEP == 0:
             yield None
         item_path = (*path, name)
         if not is_name(name):
@@ -361,8 +361,8 @@
     )
 
 
-def _unknown_key(path: Path, known: Sequence[str]) -> Finding:
-    accepted = "one of " + ", ".join(known)
+def _unknown_key(path: Path, known_keys: Sequence[str]) -> Finding:
+    accepted = "one of " + ", ".join(known_keys)
     return Finding(
         FindingCode.UNKNOWN_KEY, path, f"{short_repr(path[-1])} is not known here", accepted
     )
--- a/src/pewtertack/core/configuration/validation.py
+++ b/src/pewtertack/core/configuration/validation.py
@@ -42,7 +42,7 @@
 FINDINGS_LIMIT = 1_000
 """Bounds the memory that a replica needs for the findings of a rejected tree."""
 
-MATCH_LIMIT = 20_000
+COMBINATIONS_LIMIT = 20_000
 """Combinations of host and method over all routes of one scope; bounds the time of validation."""
 
 LISTED_NAMES_LIMIT = 20
@@ -139,14 +139,14 @@
     matches = yield from _check_changed_routes(document, edit, cache, scope)
     if matches is None:
         return False
-    size = cache.size_after_edit(document, edit, estimated_bytes)
-    if size > DOCUMENT_BYTES_LIMIT:
+    document_bytes = cache.size_after_edit(document, edit, estimated_bytes)
+    if document_bytes > DOCUMENT_BYTES_LIMIT:
         return False
     yield len(edit.changed) / ROUTES_SIZED_PER_UNIT
     if not _has_no_conflicts(cache.match_index, edit, scope, matches):
         return False
     yield len(edit.changed) / ROUTES_SIZED_PER_UNIT
-    yield from _store_edit_in_slices(document, edit, size, cache, scope, matches)
+    yield from _store_edit_in_slices(document, edit, document_bytes, cache, scope, matches)
     return True
 
 
@@ -204,7 +204,7 @@
     count = match_index.combination_count + sum(
         match.combination_count for match in matches.values()
     )
-    if count > MATCH_LIMIT:
+    if count > COMBINATIONS_LIMIT:
         return False
     replaced = {*edit.changed, *edit.removed}
     changed_by_prefix: dict[str, list[RouteMatch]] = {}
@@ -228,7 +228,7 @@
 def _store_edit_in_slices(
     document: Document,
     edit: RouteEdit,
-    size: int,
+    document_bytes: int,
     cache: ValidationCache,
     scope: ValidatedScope,
     matches: Mapping[str, RouteMatch],
@@ -249,7 +249,7 @@
             tables, defaults = root_scope.route_tables(name), root_scope.inherited_values(name)
             scope.routes.store(name, tables, defaults, match)
         yield len(names) / ROUTES_SIZED_PER_UNIT
-    cache.store_edit(document, edit, size, estimated_bytes)
+    cache.store_edit(document, edit, document_bytes, estimated_bytes)
     yield len(edit.changed) / ROUTES_SIZED_PER_UNIT
 
 
@@ -369,9 +369,9 @@
     scope: Scope, routes_by_prefix: Mapping[str, Sequence[_NamedMatch]]
 ) -> Iterator[Finding]:
     """Yield a finding for each route that matches a request that an earlier route matches."""
-    if _count_combinations(routes_by_prefix) > MATCH_LIMIT:
+    if _count_combinations(routes_by_prefix) > COMBINATIONS_LIMIT:
         message = "too many combinations of host and method over all routes"
-        accepted = f"at most {MATCH_LIMIT}"
+        accepted = f"at most {COMBINATIONS_LIMIT}"
         yield Finding(FindingCode.TOO_LARGE, (Section.ROUTES.value,), message, accepted, scope.zone)
         return
     for routes in routes_by_prefix.values():
--- a/src/pewtertack/core/configuration/values.py
+++ b/src/pewtertack/core/configuration/values.py
@@ -29,10 +29,12 @@
 )
 
 REPR_CHARACTERS_LIMIT = 60
-"""Characters of a value that a message quotes."""
+"""Maximum number of characters of a value that a message quotes."""
 DURATION_CACHE_SIZE = 1024
 """Number of different durations that are cached."""
-ACCEPTED_ZONE_NAMES = f"a list of at most {LIST_LENGTH_LIMIT} different zones, as nodes name theirs"
+ACCEPTED_ZONE_NAMES = (
+    f"a list of at most {LIST_LENGTH_LIMIT} different zones, named as in the settings of nodes"
+)
 
 _NAME = re.compile(NAME_PATTERN)
 _ZONE_NAME = re.compile(ZONE_NAME_PATTERN)
--- a/tests/core/configuration/test_memory.py
+++ b/tests/core/configuration/test_memory.py
@@ -197,11 +197,11 @@
         cache = ValidationCache()
         self.assertEqual(check_document(decoded, cache), ())
         self.assertEqual(decoded, document)
-        edited = {**decoded, "routes": {**decoded["routes"], "new": idle_route(52)}}
-        self.assertEqual(check_document(edited, cache), ())
+        edited_document = {**decoded, "routes": {**decoded["routes"], "new": idle_route(52)}}
+        self.assertEqual(check_document(edited_document, cache), ())
         for setting, different in (("timeout", 1), ("service", 1), ("hosts", 7), ("split", 1)):
             with self.subTest(setting):
-                values = [route[setting] for route in edited["routes"].values()]
+                values = [route[setting] for route in edited_document["routes"].values()]
                 self.assertEqual(len({id(value) for value in values}), different)
 
     def test_validation_without_a_cache_does_not_modify_the_document(self) -> None:
