--- a/src/pewtertack/core/configuration/conversion.py
+++ b/src/pewtertack/core/configuration/conversion.py
@@ -73,7 +73,10 @@
 def service_settings(
     connections: float, cold_rate: float, cold_start: tuple[str, str] | None
 ) -> Table:
-    """Return a service's settings; ``cold_start`` is the health path and duration of a cold start."""
+    """Return a service's settings.
+
+    ``cold_start`` is the health path and the duration of a cold start, if the service has one.
+    """
     connection_limit, rate = (
         SERVICE_SETTINGS["connections_per_backend"],
         SERVICE_SETTINGS["cold_rate"],
--- a/src/pewtertack/core/configuration/memory.py
+++ b/src/pewtertack/core/configuration/memory.py
@@ -234,9 +234,11 @@
             )
         for name in (*edit.changed, *edit.removed):
             if name in old:
-                known = accepted.get(id(old[name]))
+                accepted_entry = accepted.get(id(old[name]))
                 total_bytes -= (
-                    estimate(name) - empty_bytes + (known[1] if known else estimate(old[name]))
+                    estimate(name)
+                    - empty_bytes
+                    + (accepted_entry[1] if accepted_entry else estimate(old[name]))
                 )
         return total_bytes
 
@@ -269,8 +271,8 @@
         locations: dict[_Location, dict[int, tuple[Table, int]]] = {_ROOT_ROUTES: {}}
         for location, table in _named_tables(document):
             key = id(table)
-            known = self._accepted_tables.get(location, {}).get(key)
-            entry = known or (table, self._pending_bytes.get(key) or estimate(table))
+            accepted_entry = self._accepted_tables.get(location, {}).get(key)
+            entry = accepted_entry or (table, self._pending_bytes.get(key) or estimate(table))
             locations.setdefault(location, {})[key] = entry
         self._accepted_tables = locations
         sizes = (size for tables in locations.values() for _, size in tables.values())
