--- a/src/pewtertack/cli/lab.py
+++ b/src/pewtertack/cli/lab.py
@@ -17,7 +17,7 @@
 from pewtertack.cli.exit_codes import ExitCode
 from pewtertack.errors import LabError
 from pewtertack.lab.address import parse_address
-from pewtertack.lab.errors import LabUsageError, leaves_of
+from pewtertack.lab.errors import LabUsageError, flatten_exception_group
 from pewtertack.settings import Address
 
 app = typer.Typer(no_args_is_help=True, help="Stand-ins, fleets, load and scenarios.")
@@ -54,7 +54,7 @@
     try:
         return anyio.run(function, *arguments)
     except BaseExceptionGroup as group:
-        errors = [error for error in leaves_of(group) if isinstance(error, LabError)]
+        errors = [error for error in flatten_exception_group(group) if isinstance(error, LabError)]
         if not errors:
             raise
         raise errors[0] from group
@@ -167,10 +167,10 @@
     from pewtertack.lab.load.caller import Target
     from pewtertack.lab.load.generator import LoadGenerator
     from pewtertack.lab.load.mix import mix_of_tree
-    from pewtertack.lab.records import Told, encode_record
+    from pewtertack.lab.records import CallResult, encode_record
     from pewtertack.lab.serving import print_line, print_ready
 
-    def record(told: Told) -> None:
+    def record(told: CallResult) -> None:
         print_line(encode_record(told))
 
     targets = [Target(*parse_named_address(text)) for text in node]
@@ -201,10 +201,10 @@
 ) -> None:
     """Run a scenario in real processes; exit code 1 when anything is off."""
     from pewtertack.lab.deployments import shape_of
+    from pewtertack.lab.disabled_mechanisms import check_mechanism
     from pewtertack.lab.report.table import format_report
     from pewtertack.lab.scenarios.catalogue import find_scenario
     from pewtertack.lab.scenarios.runner import run_scenario
-    from pewtertack.lab.weakening import check_mechanism
 
     found = find_scenario(scenario)
     if without:
@@ -272,9 +272,9 @@
 ) -> None:
     """Run a node with one mechanism switched off, to prove a scenario."""
     from pewtertack.cli.node import run as run_node
-    from pewtertack.lab.weakening import switch_off
+    from pewtertack.lab.disabled_mechanisms import disable_mechanism
 
-    switch_off(without)
+    disable_mechanism(without)
     raise typer.Exit(run_node(["--settings", str(settings)]))
 
 
@@ -284,10 +284,10 @@
     without: Annotated[str, typer.Option(help="The mechanism that is switched off.")] = "",
 ) -> None:
     """Run a node that reads the eras of the lab's platform."""
+    from pewtertack.lab.disabled_mechanisms import disable_mechanism
     from pewtertack.lab.source.era_reader import make_era_reader
-    from pewtertack.lab.weakening import switch_off
     from pewtertack.node.start import start_node
 
     if without:
-        switch_off(without)
+        disable_mechanism(without)
     raise typer.Exit(start_node(str(settings), {}, make_era_reader))
--- a/src/pewtertack/cli/lab_restores.py
+++ b/src/pewtertack/cli/lab_restores.py
@@ -31,10 +31,10 @@
     without: Annotated[str, typer.Option(help="The mechanism that is switched off.")] = "",
 ) -> None:
     """Run a node that reads the platform's store, until it is told to stop."""
-    from pewtertack.lab.weakening import switch_off
+    from pewtertack.lab.disabled_mechanisms import disable_mechanism
     from pewtertack.node.start import start_node
     from pewtertack.platform.store import make_reader
 
     if without:
-        switch_off(without)
+        disable_mechanism(without)
     raise typer.Exit(start_node(str(settings), {}, make_reader))
--- a/src/pewtertack/cli/lab_soak.py
+++ b/src/pewtertack/cli/lab_soak.py
@@ -49,12 +49,12 @@
     from pewtertack.cli.lab import parse_named_address, read_json_object
     from pewtertack.lab.load.caller import Target
     from pewtertack.lab.load.mix import mix_of_tree
-    from pewtertack.lab.records import Told, encode_record
+    from pewtertack.lab.records import CallResult, encode_record
     from pewtertack.lab.serving import print_line, print_ready
     from pewtertack.lab.soak.callers import LastingCallers
     from pewtertack.lab.soak.mix import Downloads, MixedRequests
 
-    def record(told: Told) -> None:
+    def record(told: CallResult) -> None:
         print_line(encode_record(told))
 
     targets = [Target(*parse_named_address(text)) for text in node]
--- a/src/pewtertack/cli/lab_verification.py
+++ b/src/pewtertack/cli/lab_verification.py
@@ -26,11 +26,11 @@
     leaving: Annotated[float, typer.Option(help="Seconds until no new work arrives.")] = 5.0,
 ) -> None:
     """Judge a history; exit code 1 when a promise is broken or was not put to the test."""
-    from pewtertack.lab.history.checker import all_held, check_files, check_group
+    from pewtertack.lab.history.checker import all_held, check_files, parse_check_group
     from pewtertack.lab.history.verdicts import CheckBounds
 
     bounds = CheckBounds(convergence=convergence, recovery=recovery, leaving=leaving)
-    verdicts = check_files(history, bounds, check_group(promises))
+    verdicts = check_files(history, bounds, parse_check_group(promises))
     if as_json:
         typer.echo(msgspec.json.format(msgspec.json.encode(verdicts)).decode())
     else:
--- a/src/pewtertack/lab/asgi.py
+++ b/src/pewtertack/lab/asgi.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class Response:
     """One answer with its whole body."""
 
     status: int
@@ -38,14 +38,14 @@
     headers: Mapping[str, str] = field(default_factory=dict)
 
 
-Handler = Callable[[Request], Awaitable[Answer]]
+Handler = Callable[[Request], Awaitable[Response]]
 
 
-def json_answer(value: object, status: int = 200, **headers: str) -> Answer:
+def json_response(value: object, status: int = 200, **headers: str) -> Response:
     """Return ``value`` as a JSON answer."""
     encoded = msgspec.json.encode(value)
     named = {name.replace("_", "-"): text for name, text in headers.items()}
-    return Answer(status, encoded, {"content-type": "application/json", **named})
+    return Response(status, encoded, {"content-type": "application/json", **named})
 
 
 def read_head(scope: Scope) -> Request:
@@ -66,7 +66,7 @@
     return b"".join(parts)
 
 
-async def send_answer(send: Send, answer: Answer) -> None:
+async def send_response(send: Send, answer: Response) -> None:
     """Send the whole ``answer``."""
     headers = {**answer.headers, "content-length": str(len(answer.body))}
     await send_head(send, answer.status, headers)
@@ -98,20 +98,20 @@
         request = Request(head.method, head.path, head.query, head.headers, body)
         await self._deliver(await self.answer(request), receive, send)
 
-    async def _deliver(self, answer: Answer, receive: Receive, send: Send) -> None:
-        await send_answer(send, answer)
+    async def _deliver(self, answer: Response, receive: Receive, send: Send) -> None:
+        await send_response(send, answer)
 
-    async def answer(self, request: Request) -> Answer:
+    async def answer(self, request: Request) -> Response:
         """Return the answer to ``request``."""
         handler = self._find(request)
         if handler is None:
-            return json_answer({"error": "not-found"}, 404)
+            return json_response({"error": "not-found"}, 404)
         try:
             return await handler(request)
         except NumberConflictError as error:
-            return json_answer({"error": error.code, "message": str(error)}, 409)
+            return json_response({"error": error.code, "message": str(error)}, 409)
         except (LabUsageError, msgspec.MsgspecError) as error:
-            return json_answer({"error": "bad-request", "message": str(error)}, 400)
+            return json_response({"error": "bad-request", "message": str(error)}, 400)
 
     def _find(self, request: Request) -> Handler | None:
         exact = self._handlers.get((request.method, request.path))
--- a/src/pewtertack/lab/backend/application.py
+++ b/src/pewtertack/lab/backend/application.py
@@ -9,15 +9,15 @@
 import anyio
 
 from pewtertack.lab.asgi import (
-    Answer,
     Receive,
     Request,
+    Response,
     Scope,
     Send,
-    json_answer,
+    json_response,
     read_head,
-    send_answer,
     send_head,
+    send_response,
 )
 from pewtertack.lab.backend.answers import DEFAULT_BODY_BYTES, checksum, expected_body
 from pewtertack.lab.backend.crossing import AnswerExchange
@@ -69,10 +69,10 @@
             return
         request = read_head(scope)
         if request.path == HEALTH_PATH:
-            await send_answer(send, self._health())
+            await send_response(send, self._health())
             return
         if not self.state.admits(self._random.random()):
-            await send_answer(send, self._shed())
+            await send_response(send, self._shed())
             return
         self.state.admitted += 1
         try:
@@ -84,7 +84,7 @@
         """Run the request once a slot is free; shed it when its deadline comes first."""
         deadline = _deadline(request)
         if not await self._take_slot(deadline):
-            await send_answer(send, self._shed())
+            await send_response(send, self._shed())
             return
         try:
             await self._execute(request, receive, send, deadline)
@@ -127,7 +127,7 @@
         if not await _stays_connected(receive, min(seconds, left)):
             return ExecutionResult.CANCELLED
         if seconds > left:
-            await send_answer(send, self._answer(request, 504, b""))
+            await send_response(send, self._answer(request, 504, b""))
             return ExecutionResult.DEADLINE
         if ENDS_BACKEND in request.path:
             self.end()
@@ -146,7 +146,7 @@
         breaks = self._random.random() < faults.die_mid_answer_share
         return await _send_in_chunks(send, answer, breaks)
 
-    def _answer(self, request: Request, status: int, body: bytes) -> Answer:
+    def _answer(self, request: Request, status: int, body: bytes) -> Response:
         headers = {
             "content-type": "text/plain",
             "x-request-id": request.headers.get("x-request-id", ""),
@@ -154,7 +154,7 @@
             "x-backend": self.name,
             **self._state_headers(),
         }
-        return Answer(status, body, headers)
+        return Response(status, body, headers)
 
     def _state_headers(self) -> dict[str, str]:
         headers = {"x-backend-load": self.state.reported_load()}
@@ -162,14 +162,14 @@
             headers["x-backend-state"] = "leaving"
         return headers
 
-    def _shed(self) -> Answer:
+    def _shed(self) -> Response:
         headers = {"x-outcome": "not-run", "retry-after": "1", **self._state_headers()}
-        return Answer(503, b"", headers)
+        return Response(503, b"", headers)
 
-    def _health(self) -> Answer:
+    def _health(self) -> Response:
         well = self.state.is_reported_well(time.monotonic())
         load = self.state.reported_load()
-        return json_answer({"well": well, "load": load}, 200 if well else 503)
+        return json_response({"well": well, "load": load}, 200 if well else 503)
 
 
 def _go_on() -> None:
@@ -209,7 +209,7 @@
     return True
 
 
-async def _send_in_chunks(send: Send, answer: Answer, breaks: bool) -> ExecutionResult:
+async def _send_in_chunks(send: Send, answer: Response, breaks: bool) -> ExecutionResult:
     """Send the answer.
 
     Raises:
--- a/src/pewtertack/lab/backend/crossing.py
+++ b/src/pewtertack/lab/backend/crossing.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from pewtertack.lab.asgi import Answer
+from pewtertack.lab.asgi import Response
 
 PARTNER_WAIT = 0.05
 
@@ -18,7 +18,7 @@
     def __init__(self) -> None:
         self._waiting: _Offer | None = None
 
-    async def exchange(self, own: Answer) -> Answer:
+    async def exchange(self, own: Response) -> Response:
         """Return a partner's answer in place of ``own``."""
         partner = self._waiting
         if partner is not None:
@@ -38,7 +38,7 @@
 class _Offer:
     """An answer that waits to be exchanged."""
 
-    def __init__(self, answer: Answer) -> None:
+    def __init__(self, answer: Response) -> None:
         self.answer = answer
         self.taken = anyio.Event()
-        self.taken_for: Answer | None = None
+        self.taken_for: Response | None = None
--- a/src/pewtertack/lab/backend/process.py
+++ b/src/pewtertack/lab/backend/process.py
@@ -10,7 +10,7 @@
 import anyio.abc
 import msgspec
 
-from pewtertack.lab.asgi import Answer, HandlerTable, Request, json_answer
+from pewtertack.lab.asgi import HandlerTable, Request, Response, json_response
 from pewtertack.lab.backend.application import BackendApplication
 from pewtertack.lab.backend.state import BackendFaults, BackendState, Capacity
 from pewtertack.lab.errors import LabUsageError
@@ -82,14 +82,14 @@
         if self._tasks is not None and not hosted.listener.is_open:
             await hosted.listener.open(self._tasks)
 
-    async def _set_faults(self, request: Request) -> Answer:
+    async def _set_faults(self, request: Request) -> Response:
         faults = msgspec.json.decode(request.body, type=BackendFaults)
         self._find(request).application.state.set_faults(faults, time.monotonic())
-        return json_answer(faults)
+        return json_response(faults)
 
-    async def _close(self, request: Request) -> Answer:
+    async def _close(self, request: Request) -> Response:
         self._find(request).listener.close()
-        return json_answer({})
+        return json_response({})
 
     def _find(self, request: Request) -> HostedBackend:
         name = request.path.rpartition("/")[2]
--- a/src/pewtertack/lab/convergence/options.py
+++ b/src/pewtertack/lab/convergence/options.py
@@ -7,11 +7,11 @@
 
 import msgspec
 
+from pewtertack.lab.disabled_mechanisms import check_mechanism
 from pewtertack.lab.errors import ConvergenceOptionError
 from pewtertack.lab.metadata_store.application import StoreFaults
 from pewtertack.lab.store_fleet.fleet import BYTES_PER_MEGABIT
 from pewtertack.lab.store_fleet.simulated import MOST_WITH_FRAMES
-from pewtertack.lab.weakening import check_mechanism
 
 MOST_PROCESSES = 24
 """Nodes in a process each."""
--- a/src/pewtertack/lab/convergence/run.py
+++ b/src/pewtertack/lab/convergence/run.py
@@ -10,7 +10,7 @@
 from pewtertack.lab.convergence.measurement import measure_processes, measure_virtually
 from pewtertack.lab.convergence.options import ConvergenceOptions, Point
 from pewtertack.lab.convergence.recording import PointResult
-from pewtertack.lab.weakening import switch_off
+from pewtertack.lab.disabled_mechanisms import disable_mechanism
 
 Progress = Callable[[PointResult], None]
 
@@ -33,7 +33,7 @@
         LabError: a fleet could not be started or did not form.
     """
     if options.virtual and options.without:
-        switch_off(options.without)
+        disable_mechanism(options.without)
     results = []
     for point in options.points:
         results.append(await _measure(point, options))
--- a/src/pewtertack/lab/cost/measurement.py
+++ b/src/pewtertack/lab/cost/measurement.py
@@ -14,7 +14,7 @@
 from pewtertack.lab.fleet.fleet import Fleet
 from pewtertack.lab.fleet.history import HistoryRecorder
 from pewtertack.lab.fleet.plan import FleetShape, plan_fleet
-from pewtertack.lab.records import Told, ToldOutcome
+from pewtertack.lab.records import CallOutcome, CallResult
 from pewtertack.lab.report.traffic import sample_traffic, traffic_between
 
 SETTLING_SECONDS = 1.0
@@ -109,7 +109,7 @@
         await self.fleet.stop_load(load)
         await anyio.sleep(SETTLING_SECONDS)
         return _window(
-            State.LOADED, first, last, [line for line in lines if isinstance(line, Told)]
+            State.LOADED, first, last, [line for line in lines if isinstance(line, CallResult)]
         )
 
     def _sample(self, node: str) -> ProcessSample:
@@ -139,8 +139,10 @@
         )
 
 
-def _window(state: State, first: ProcessSample, last: ProcessSample, told: list[Told]) -> Window:
-    answered = sum(line.outcome is ToldOutcome.ANSWERED for line in told)
+def _window(
+    state: State, first: ProcessSample, last: ProcessSample, told: list[CallResult]
+) -> Window:
+    answered = sum(line.outcome is CallOutcome.ANSWERED for line in told)
     return Window(
         state=state,
         seconds=round(last.time - first.time, 3),
--- a/src/pewtertack/lab/demo.py
+++ b/src/pewtertack/lab/demo.py
@@ -20,7 +20,7 @@
 from pewtertack.lab.fleet.plan import FleetShape, plan_fleet
 from pewtertack.lab.history.verdicts import CheckBounds, Judgement, Verdict
 from pewtertack.lab.load.mix import CallKind, mix_of_tree
-from pewtertack.lab.records import Edit, HistoryLine, Told, ToldOutcome
+from pewtertack.lab.records import CallOutcome, CallResult, Edit, HistoryLine
 from pewtertack.lab.report.convergence import Convergence
 from pewtertack.lab.report.report import convergence_of, judge_lines
 from pewtertack.lab.report.statistics import distribution_of
@@ -48,7 +48,7 @@
     work_milliseconds=2.0,
     answer_bytes=256,
     body_bytes=0,
-    patience=5.0,
+    client_timeout=5.0,
 )
 
 
@@ -70,21 +70,25 @@
     edit: Edit
     in_force_at: float
     """When the lab saw the edit in force on every node; Unix time."""
-    new_route_before: list[Told]
-    new_route_after: list[Told]
+    new_route_before: list[CallResult]
+    new_route_after: list[CallResult]
     convergence: Convergence
     traffic: PeerTraffic
     tree_bytes: int
     lines: Sequence[HistoryLine]
     verdicts: list[Verdict]
 
-    def told(self, phase: Phase) -> Iterator[Told]:
+    def told(self, phase: Phase) -> Iterator[CallResult]:
         """Yield what the load's callers were told in one phase."""
         for line in self.lines:
-            if isinstance(line, Told) and line.route != NEW_ROUTE and self._phase(line) is phase:
+            if (
+                isinstance(line, CallResult)
+                and line.route != NEW_ROUTE
+                and self._phase(line) is phase
+            ):
                 yield line
 
-    def _phase(self, told: Told) -> Phase:
+    def _phase(self, told: CallResult) -> Phase:
         if told.time < self.edit.time:
             return Phase.BEFORE
         began = told.time - told.latency
@@ -95,14 +99,14 @@
         found = []
         for phase in Phase:
             told = list(self.told(phase))
-            failed = [line for line in told if not is_good_answer(line)]
+            failed = [line for line in told if not is_correct_response(line)]
             if failed:
                 found.append(f"{len(failed)} of {len(told)} requests failed {phase} the edit")
             if not told:
                 found.append(f"no requests {phase} the edit")
-        if not all(line.outcome is ToldOutcome.NOT_RUN for line in self.new_route_before):
+        if not all(line.outcome is CallOutcome.NOT_RUN for line in self.new_route_before):
             found.append("the new route was served before the edit")
-        if not all(is_good_answer(line) for line in self.new_route_after):
+        if not all(is_correct_response(line) for line in self.new_route_after):
             found.append("the new route failed on a node after the edit")
         if self.convergence.missing:
             found.append("the edit is not in force on every node")
@@ -110,9 +114,9 @@
         return found + [f"violated: {promise}" for promise in violated]
 
 
-def is_good_answer(told: Told) -> bool:
+def is_correct_response(told: CallResult) -> bool:
     """Tell whether a caller got the whole answer to its own request."""
-    answered = told.outcome is ToldOutcome.ANSWERED and told.status == STATUS_OK
+    answered = told.outcome is CallOutcome.ANSWERED and told.status == STATUS_OK
     return answered and told.checksum_ok and told.own_answer
 
 
@@ -171,7 +175,7 @@
         "methods": ["GET"],
         "repeatable": True,
     }
-    return TreeEditor(shape.tree, 0).with_route(NEW_ROUTE, route)
+    return TreeEditor(shape.tree, 0).add_route(NEW_ROUTE, route)
 
 
 def _start_spanning_calls(fleet: Fleet, tasks: anyio.abc.TaskGroup) -> None:
@@ -183,7 +187,7 @@
             tasks.start_soon(fleet.ask, name, call, f"spanning-{name}-{index}")
 
 
-async def _ask_every_node(fleet: Fleet, prefix: str) -> list[Told]:
+async def _ask_every_node(fleet: Fleet, prefix: str) -> list[CallResult]:
     """Ask every node once for the route that the edit adds."""
     names = sorted(fleet.plan.nodes)
     return [await fleet.ask(name, NEW_CALL, f"{prefix}-{name}") for name in names]
@@ -219,9 +223,9 @@
             [
                 phase,
                 len(told),
-                sum(map(is_good_answer, told)),
-                counts[ToldOutcome.NOT_RUN],
-                counts[ToldOutcome.UNKNOWN],
+                sum(map(is_correct_response, told)),
+                counts[CallOutcome.NOT_RUN],
+                counts[CallOutcome.UNKNOWN],
                 sum(counts[outcome] for outcome in _BROKEN),
                 f"{latency.p50:.1f}",
                 f"{latency.p99:.1f}",
@@ -231,4 +235,4 @@
     return format_table(header, rows)
 
 
-_BROKEN = (ToldOutcome.NOT_CONNECTED, ToldOutcome.CUT, ToldOutcome.TIMED_OUT)
+_BROKEN = (CallOutcome.NOT_CONNECTED, CallOutcome.CUT, CallOutcome.TIMED_OUT)
--- a/src/pewtertack/lab/weakening.py
+++ b/src/pewtertack/lab/disabled_mechanisms.py
@@ -43,7 +43,7 @@
 
 ConfigurationUser = Callable[[Any, ResolvedConfiguration], None]
 
-HASTY_ANSWER_SECONDS = 1.0
+SHORT_RESPONSE_TIMEOUT_SECONDS = 1.0
 
 CORE_MECHANISMS = tuple(field.name for field in msgspec.structs.fields(Mechanisms))
 
@@ -245,7 +245,7 @@
 
 def _give_up_slow_answers() -> None:
     """Give up an answer of the store after a second."""
-    setattr(store, "RESPONSE_HEAD_TIMEOUT_SECONDS", HASTY_ANSWER_SECONDS)  # noqa: B010 (a constant is replaced)
+    setattr(store, "RESPONSE_HEAD_TIMEOUT_SECONDS", SHORT_RESPONSE_TIMEOUT_SECONDS)  # noqa: B010 (a constant is replaced)
 
 
 REQUEST_MECHANISMS: Mapping[str, Callable[[], None]] = {
@@ -279,7 +279,7 @@
         raise LabUsageError(f"no mechanism {name!r}; there are {', '.join(MECHANISMS)}")
 
 
-def switch_off(name: str) -> None:
+def disable_mechanism(name: str) -> None:
     """Switch one mechanism off in this process, before its node is put together.
 
     Raises:
--- a/src/pewtertack/lab/errors.py
+++ b/src/pewtertack/lab/errors.py
@@ -67,9 +67,11 @@
     code: ClassVar[str] = "fleet-interrupted"
 
 
-def leaves_of(group: BaseExceptionGroup[BaseException]) -> list[BaseException]:
+def flatten_exception_group(group: BaseExceptionGroup[BaseException]) -> list[BaseException]:
     """Return the exceptions of a group that are no groups themselves."""
     found: list[BaseException] = []
     for error in group.exceptions:
-        found += leaves_of(error) if isinstance(error, BaseExceptionGroup) else [error]
+        found += (
+            flatten_exception_group(error) if isinstance(error, BaseExceptionGroup) else [error]
+        )
     return found
--- a/src/pewtertack/lab/fleet/fleet.py
+++ b/src/pewtertack/lab/fleet/fleet.py
@@ -25,8 +25,9 @@
 from pewtertack.lab.load.mix import CallKind
 from pewtertack.lab.records import (
     BackendFault,
+    BackendLeaveCancelled,
     BackendLeaving,
-    BackendReturn,
+    CallResult,
     NodeExit,
     NodeKill,
     NodePause,
@@ -34,7 +35,6 @@
     NodeResume,
     NodeStart,
     NodeStop,
-    Told,
 )
 
 SERVING_SECONDS = 40.0
@@ -237,7 +237,7 @@
     async def stay_by_list(self, backend: str) -> None:
         """Mark a back end that was leaving as live again in the machine list."""
         async with self.platform.writing:
-            self.recorder.record(BackendReturn(time=time.time(), backend=backend))
+            self.recorder.record(BackendLeaveCancelled(time=time.time(), backend=backend))
             await self.platform.add_machine(backend)
 
     async def kill_backend_process(self, name: str) -> None:
@@ -283,10 +283,10 @@
         await self._start([process])
         return process
 
-    async def ask(self, node: str, kind: CallKind, request_id: str) -> Told:
+    async def ask(self, node: str, kind: CallKind, request_id: str) -> CallResult:
         """Send one request to a node and record what the caller was told."""
         caller = Caller(Target(node, self.plan.nodes[node].proxy))
-        told = await caller.ask(kind, request_id)
+        told = await caller.call(kind, request_id)
         await caller.close()
         self.recorder.record(told)
         return told
--- a/src/pewtertack/lab/fleet/plan.py
+++ b/src/pewtertack/lab/fleet/plan.py
@@ -38,7 +38,7 @@
     separate_backends: bool = False
     """A process for each back end rather than for each service."""
     without: str = ""
-    """A mechanism that is switched off in all nodes, see ``lab.weakening``."""
+    """A mechanism that is switched off in all nodes, see ``lab.disabled_mechanisms``."""
     eras: bool = False
     """Nodes read the eras of the platform's services (`lab.source.era_reader`)."""
     nodes_without_proxy: tuple[str, ...] = ()
--- a/src/pewtertack/lab/history/acceptance_checks.py
+++ b/src/pewtertack/lab/history/acceptance_checks.py
@@ -11,8 +11,8 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 
-from pewtertack.lab.history.timeline import Interval, Life, Timeline
-from pewtertack.lab.history.verdicts import CheckBounds, Offence, Promise, Verdict, judge
+from pewtertack.lab.history.timeline import Incarnation, Interval, Timeline
+from pewtertack.lab.history.verdicts import CheckBounds, Guarantee, Verdict, Violation, judge
 
 
 def check_in_force_everywhere(timeline: Timeline, bounds: CheckBounds) -> Verdict:
@@ -20,65 +20,69 @@
     accepted = _deadlines_of_accepted(timeline, bounds)
     edited = _deadlines_of_edits(timeline, bounds)
     judged = 0
-    offences: list[Offence] = []
-    for life, number, deadline in (*accepted, *edited):
+    offences: list[Violation] = []
+    for incarnation, number, deadline in (*accepted, *edited):
         judged += 1
-        has = life.number_at(deadline)
+        has = incarnation.number_at(deadline)
         if has < number:
             message = f"revision {has} in force where {number} is due"
-            offences.append(Offence(deadline, life.node, message))
-    return judge(Promise.IN_FORCE_EVERYWHERE, judged, offences)
+            offences.append(Violation(deadline, incarnation.node, message))
+    return judge(Guarantee.IN_FORCE_EVERYWHERE, judged, offences)
 
 
 def _deadlines_of_accepted(
     timeline: Timeline, bounds: CheckBounds
-) -> Iterator[tuple[Life, int, float]]:
+) -> Iterator[tuple[Incarnation, int, float]]:
     no_majority = timeline.without_majority(bounds.recovery)
     for number, accepted_at in timeline.first_in_force().items():
-        for life in timeline.lives:
-            disturbances = [*life.pauses, *timeline.cuts_around(life.zone), *no_majority]
-            start = _undisturbed(accepted_at, life, disturbances, bounds.convergence)
+        for incarnation in timeline.incarnations:
+            disturbances = [
+                *incarnation.pauses,
+                *timeline.cuts_around(incarnation.zone),
+                *no_majority,
+            ]
+            start = _undisturbed(accepted_at, incarnation, disturbances, bounds.convergence)
             if start + bounds.convergence <= timeline.end:
-                yield life, number, start + bounds.convergence
+                yield incarnation, number, start + bounds.convergence
 
 
 def _deadlines_of_edits(
     timeline: Timeline, bounds: CheckBounds
-) -> Iterator[tuple[Life, int, float]]:
+) -> Iterator[tuple[Incarnation, int, float]]:
     disturbances = list(_all_disturbances(timeline))
     digests = timeline.edited_digests()
     for edit in timeline.edits:
         if not edit.valid or len(digests[edit.revision]) > 1:
             continue  # two trees under one number: a newer number ends the conflict
-        for life in timeline.lives:
-            start = _undisturbed(edit.time, life, disturbances, bounds.recovery)
+        for incarnation in timeline.incarnations:
+            start = _undisturbed(edit.time, incarnation, disturbances, bounds.recovery)
             if start + bounds.recovery <= timeline.end:
-                yield life, edit.revision, start + bounds.recovery
+                yield incarnation, edit.revision, start + bounds.recovery
 
 
 def _all_disturbances(timeline: Timeline) -> Iterator[Interval]:
     yield from timeline.source_faults
     for cut in timeline.cuts:
         yield cut.span
-    for life in timeline.lives:
-        yield from life.pauses
-        yield Interval(life.span.start, life.span.start)
-        if life.span.end <= timeline.end:
-            yield Interval(life.span.end, life.span.end)
+    for incarnation in timeline.incarnations:
+        yield from incarnation.pauses
+        yield Interval(incarnation.span.start, incarnation.span.start)
+        if incarnation.span.end <= timeline.end:
+            yield Interval(incarnation.span.end, incarnation.span.end)
 
 
 def _undisturbed(
-    earliest: float, life: Life, disturbances: Iterable[Interval], length: float
+    earliest: float, incarnation: Incarnation, disturbances: Iterable[Interval], length: float
 ) -> float:
     """Return when the first undisturbed stretch of ``length`` within ``life`` begins.
 
     Infinite when the life ends before such a stretch.
     """
-    start = max(earliest, life.span.start)
+    start = max(earliest, incarnation.span.start)
     for span in sorted(disturbances, key=lambda item: item.start):
         if span.start < start + length and span.end >= start:
             start = span.end
-    return start if start + length < life.span.end else float("inf")
+    return start if start + length < incarnation.span.end else float("inf")
 
 
 def check_never_reverted(timeline: Timeline, bounds: CheckBounds) -> Verdict:
@@ -89,14 +93,14 @@
     """
     accepted = sorted(timeline.first_in_force().items(), key=lambda item: item[1])
     judged = 0
-    offences: list[Offence] = []
-    for life, start in _beginnings(timeline, bounds):
+    offences: list[Violation] = []
+    for incarnation, start in _beginnings(timeline, bounds):
         due = _newest_before(accepted, start.known_since - bounds.convergence)
         judged += 1
         if start.number < due:
             message = f"serves by revision {start.number} though {due} was accepted"
-            offences.append(Offence(start.time, life.node, message))
-    return judge(Promise.NEVER_REVERTED, judged, offences)
+            offences.append(Violation(start.time, incarnation.node, message))
+    return judge(Guarantee.NEVER_REVERTED, judged, offences)
 
 
 @dataclass(frozen=True, slots=True)
@@ -111,23 +115,25 @@
     number: int
 
 
-def _beginnings(timeline: Timeline, bounds: CheckBounds) -> Iterator[tuple[Life, _Beginning]]:
-    for life in timeline.lives:
-        starts = [_Beginning(span.start, span.start, span.number) for span in life.serving]
-        starts += _wakings(life, bounds)
-        cuts = timeline.cuts_around(life.zone)
+def _beginnings(
+    timeline: Timeline, bounds: CheckBounds
+) -> Iterator[tuple[Incarnation, _Beginning]]:
+    for incarnation in timeline.incarnations:
+        starts = [_Beginning(span.start, span.start, span.number) for span in incarnation.serving]
+        starts += _wakings(incarnation, bounds)
+        cuts = timeline.cuts_around(incarnation.zone)
         for start in starts:
             earliest = start.known_since - bounds.convergence
             if not any(span.overlaps(earliest, start.time) for span in cuts):
-                yield life, start
+                yield incarnation, start
 
 
-def _wakings(life: Life, bounds: CheckBounds) -> Iterator[_Beginning]:
+def _wakings(incarnation: Incarnation, bounds: CheckBounds) -> Iterator[_Beginning]:
     """Yield the ends of pauses after which the process serves."""
-    for pause in life.pauses:
+    for pause in incarnation.pauses:
         moment = pause.end + bounds.wake_grace
-        if life.is_serving_at(moment):
-            yield _Beginning(moment, pause.end, life.number_at(moment))
+        if incarnation.is_serving_at(moment):
+            yield _Beginning(moment, pause.end, incarnation.number_at(moment))
 
 
 def _newest_before(accepted: list[tuple[int, float]], time: float) -> int:
--- a/src/pewtertack/lab/history/broken_off.py
+++ b/src/pewtertack/lab/history/broken_off.py
@@ -11,13 +11,13 @@
 
 from pewtertack.lab.history.timeline import Interval, Timeline
 from pewtertack.lab.records import (
+    CallOutcome,
+    CallResult,
     ExecutionStart,
     NodeKill,
     NodePause,
     NodeResume,
     NodeStart,
-    Told,
-    ToldOutcome,
 )
 
 
@@ -49,7 +49,7 @@
         if pauses and pauses[-1].end == inf:
             pauses[-1].end = line.time
 
-    def broke_off(self, told: Told, recovery: float, stopped_at: float | None = None) -> bool:
+    def broke_off(self, told: CallResult, recovery: float, stopped_at: float | None = None) -> bool:
         """Tell whether a kill can have broken an answer off, or a pause during a planned stop.
 
         Args:
@@ -57,7 +57,7 @@
             recovery: seconds after its end for which a pause may still be felt.
             stopped_at: when its caller's node was asked to stop; ``None`` if it was not.
         """
-        if told.outcome is not ToldOutcome.CUT or told.broken_off_after is None:
+        if told.outcome is not CallOutcome.CUT or told.broken_off_after is None:
             return False
         gateway = self._gateways.get(told.request_id, "")
         began = told.time - told.latency
--- a/src/pewtertack/lab/history/checker.py
+++ b/src/pewtertack/lab/history/checker.py
@@ -44,28 +44,28 @@
 
 
 CONFIGURATION_CHECKS: tuple[Check, ...] = (
-    configuration_checks.check_never_back,
+    configuration_checks.check_revisions_monotonic,
     configuration_checks.check_routes_complete,
-    configuration_checks.check_revisions_whole,
-    configuration_checks.check_rejected_unused,
+    configuration_checks.check_revisions_intact,
+    configuration_checks.check_rejected_never_in_force,
     acceptance_checks.check_in_force_everywhere,
     acceptance_checks.check_never_reverted,
 )
 REQUEST_CHECKS: tuple[Check, ...] = (
-    request_checks.check_answers_whole_and_own,
-    request_checks.check_not_run_is_true,
+    request_checks.check_responses_intact_and_matching,
+    request_checks.check_not_run_is_accurate,
     request_checks.check_at_most_once,
-    request_checks.check_leaving_unused,
-    request_checks.check_stop_cuts_nothing,
-    stop_checks.check_stop_answers_all,
-    stop_checks.check_sent_is_answered,
+    request_checks.check_leaving_gets_no_work,
+    request_checks.check_shutdown_cuts_nothing,
+    stop_checks.check_shutdown_answers_all,
+    stop_checks.check_running_node_answers_all,
 )
 CHECKS = {
     CheckGroup.ALL: (
         *CONFIGURATION_CHECKS,
         *REQUEST_CHECKS,
-        crash_checks.check_ending_requests_held,
-        evacuation_checks.check_evacuated_unused,
+        crash_checks.check_crashing_requests_limited,
+        evacuation_checks.check_evacuated_gets_no_requests,
     ),
     CheckGroup.CONFIGURATION: CONFIGURATION_CHECKS,
     CheckGroup.REQUESTS: REQUEST_CHECKS,
@@ -108,7 +108,7 @@
     return all(verdict.judgement is Judgement.HELD for verdict in verdicts)
 
 
-def check_group(name: str) -> CheckGroup:
+def parse_check_group(name: str) -> CheckGroup:
     """Return the group called ``name``.
 
     Raises:
--- a/src/pewtertack/lab/history/evacuation_checks.py
+++ b/src/pewtertack/lab/history/evacuation_checks.py
@@ -4,29 +4,29 @@
 
 import msgspec
 
-from pewtertack.lab.history.timeline import Life, Timeline
-from pewtertack.lab.history.verdicts import CheckBounds, Offence, Promise, Verdict, judge
-from pewtertack.lab.records import ExecutionStart, ZoneEvacuated, ZoneTakenBack
+from pewtertack.lab.history.timeline import Incarnation, Timeline
+from pewtertack.lab.history.verdicts import CheckBounds, Guarantee, Verdict, Violation, judge
+from pewtertack.lab.records import ExecutionStart, ZoneEvacuated, ZoneEvacuationEnded
 
 
 class _Evacuation(msgspec.Struct):
     """A zone's back ends, the revision that evacuates them and the one that ends it."""
 
     begun: ZoneEvacuated
-    ended: ZoneTakenBack | None = None
+    ended: ZoneEvacuationEnded | None = None
 
-    def holds_on(self, life: Life, begin: float, end: float) -> bool:
+    def holds_on(self, incarnation: Incarnation, begin: float, end: float) -> bool:
         """Tell whether the process ran and served by the evacuation all the while."""
-        if not (life.is_running_at(begin) and life.is_running_at(end)):
+        if not (incarnation.is_running_at(begin) and incarnation.is_running_at(end)):
             return False
-        if any(pause.overlaps(begin, end) for pause in life.pauses):
+        if any(pause.overlaps(begin, end) for pause in incarnation.pauses):
             return False
-        number = life.number_at(end)
+        number = incarnation.number_at(end)
         lasts = self.ended is None or number < self.ended.revision
-        return life.number_at(begin) >= self.begun.revision and lasts
+        return incarnation.number_at(begin) >= self.begun.revision and lasts
 
 
-def check_evacuated_unused(timeline: Timeline, bounds: CheckBounds) -> Verdict:
+def check_evacuated_gets_no_requests(timeline: Timeline, bounds: CheckBounds) -> Verdict:
     """Where all nodes serve by an evacuation, no request reaches a back end of the zone.
 
     Judged is what begins anywhere while every node that lives has had the evacuation in force
@@ -34,7 +34,7 @@
     """
     evacuations = _evacuations(timeline)
     judged = 0
-    offences: list[Offence] = []
+    offences: list[Violation] = []
     for line in timeline.lines:
         if not isinstance(line, ExecutionStart):
             continue
@@ -44,8 +44,8 @@
             judged += 1
             if line.backend in evacuation.begun.backends:
                 message = f"request {line.request_id} while {evacuation.begun.zone} is evacuated"
-                offences.append(Offence(line.time, line.backend, message))
-    return judge(Promise.EVACUATED_UNUSED, judged, offences)
+                offences.append(Violation(line.time, line.backend, message))
+    return judge(Guarantee.EVACUATED_GETS_NO_REQUESTS, judged, offences)
 
 
 def _evacuations(timeline: Timeline) -> list[_Evacuation]:
@@ -53,7 +53,7 @@
     for line in timeline.lines:
         if isinstance(line, ZoneEvacuated):
             found.append(_Evacuation(line))
-        elif isinstance(line, ZoneTakenBack):
+        elif isinstance(line, ZoneEvacuationEnded):
             for evacuation in found:
                 if evacuation.begun.zone == line.zone and evacuation.ended is None:
                     evacuation.ended = line
@@ -67,5 +67,11 @@
         return False
     if evacuation.ended is not None and time >= evacuation.ended.time:
         return False
-    lives = [life for life in timeline.lives if life.span.overlaps(time - seconds, time)]
-    return bool(lives) and all(evacuation.holds_on(life, time - seconds, time) for life in lives)
+    incarnations = [
+        incarnation
+        for incarnation in timeline.incarnations
+        if incarnation.span.overlaps(time - seconds, time)
+    ]
+    return bool(incarnations) and all(
+        evacuation.holds_on(incarnation, time - seconds, time) for incarnation in incarnations
+    )
--- a/src/pewtertack/lab/history/request_checks.py
+++ b/src/pewtertack/lab/history/request_checks.py
@@ -8,44 +8,44 @@
 
 from pewtertack.lab.history.broken_off import DisturbedGateways
 from pewtertack.lab.history.timeline import Timeline
-from pewtertack.lab.history.verdicts import CheckBounds, Offence, Promise, Verdict, judge
+from pewtertack.lab.history.verdicts import CheckBounds, Guarantee, Verdict, Violation, judge
 from pewtertack.lab.records import (
+    BackendLeaveCancelled,
     BackendLeaving,
-    BackendReturn,
+    CallOutcome,
+    CallResult,
     ExecutionStart,
     NodeKill,
     NodeStop,
-    Told,
-    ToldOutcome,
 )
 
-NEVER_BEGUN = (ToldOutcome.NOT_RUN, ToldOutcome.NOT_CONNECTED)
+NEVER_BEGUN = (CallOutcome.NOT_RUN, CallOutcome.NOT_CONNECTED)
 
 
-def check_answers_whole_and_own(timeline: Timeline, _bounds: CheckBounds) -> Verdict:
+def check_responses_intact_and_matching(timeline: Timeline, _bounds: CheckBounds) -> Verdict:
     """Every answer arrives whole and belongs to the request that got it."""
-    answered = [told for told in _told(timeline) if told.outcome is ToldOutcome.ANSWERED]
-    offences: list[Offence] = []
+    answered = [told for told in _told(timeline) if told.outcome is CallOutcome.ANSWERED]
+    offences: list[Violation] = []
     for told in answered:
         if not told.checksum_ok:
-            offences.append(Offence(told.time, told.request_id, "answer with a wrong checksum"))
+            offences.append(Violation(told.time, told.request_id, "answer with a wrong checksum"))
         if not told.own_answer:
-            offences.append(Offence(told.time, told.request_id, "answer to another request"))
-    return judge(Promise.ANSWERS_WHOLE_AND_OWN, len(answered), offences)
+            offences.append(Violation(told.time, told.request_id, "answer to another request"))
+    return judge(Guarantee.RESPONSES_INTACT_AND_MATCHING, len(answered), offences)
 
 
-def check_not_run_is_true(timeline: Timeline, _bounds: CheckBounds) -> Verdict:
+def check_not_run_is_accurate(timeline: Timeline, _bounds: CheckBounds) -> Verdict:
     """A request refused as not run was never executed by any back end."""
     refused = [told for told in _told(timeline) if told.outcome in NEVER_BEGUN]
     executed = {start.request_id: start.backend for start in _executions(timeline)}
     offences = (
-        Offence(
+        Violation(
             told.time, told.request_id, f"{told.outcome}, but ran on {executed[told.request_id]}"
         )
         for told in refused
         if told.request_id in executed
     )
-    return judge(Promise.NOT_RUN_IS_TRUE, len(refused), offences)
+    return judge(Guarantee.NOT_RUN_IS_ACCURATE, len(refused), offences)
 
 
 def check_at_most_once(timeline: Timeline, _bounds: CheckBounds) -> Verdict:
@@ -53,49 +53,49 @@
     single = {told.request_id: told.time for told in _told(timeline) if not told.repeatable}
     runs = Counter(start.request_id for start in _executions(timeline))
     offences = (
-        Offence(time, request_id, f"ran {runs[request_id]} times")
+        Violation(time, request_id, f"ran {runs[request_id]} times")
         for request_id, time in single.items()
         if runs[request_id] > 1
     )
-    return judge(Promise.AT_MOST_ONCE, sum(1 for name in single if runs[name]), offences)
+    return judge(Guarantee.AT_MOST_ONCE, sum(1 for name in single if runs[name]), offences)
 
 
-def check_leaving_unused(timeline: Timeline, bounds: CheckBounds) -> Verdict:
+def check_leaving_gets_no_work(timeline: Timeline, bounds: CheckBounds) -> Verdict:
     """A leaving back end gets no new work after the bound."""
     leaving: dict[str, float] = {}
     judged = 0
-    offences: list[Offence] = []
+    offences: list[Violation] = []
     for line in timeline.lines:
         match line:
             case BackendLeaving():
                 leaving[line.backend] = line.time
                 judged += 1
-            case BackendReturn():
+            case BackendLeaveCancelled():
                 leaving.pop(line.backend, None)
             case ExecutionStart() if line.time > leaving.get(line.backend, inf) + bounds.leaving:
                 message = f"request {line.request_id} after it began to leave"
-                offences.append(Offence(line.time, line.backend, message))
-    return judge(Promise.LEAVING_UNUSED, judged, offences)
+                offences.append(Violation(line.time, line.backend, message))
+    return judge(Guarantee.LEAVING_GETS_NO_WORK, judged, offences)
 
 
-def check_stop_cuts_nothing(timeline: Timeline, bounds: CheckBounds) -> Verdict:
+def check_shutdown_cuts_nothing(timeline: Timeline, bounds: CheckBounds) -> Verdict:
     """No exchange that was in flight when its node was asked to stop breaks off."""
     judged = 0
-    offences: list[Offence] = []
+    offences: list[Violation] = []
     gateways = DisturbedGateways(timeline)
     for told, stop in _in_flight_at_stop(timeline):
         if gateways.broke_off(told, bounds.unplanned, stop.time):
             continue
         judged += 1
-        if told.outcome is ToldOutcome.CUT:
+        if told.outcome is CallOutcome.CUT:
             message = f"cut {told.time - stop.time:.3f} s into the stop of {stop.node}"
             if told.begun_for is not None:
                 message += f", its first byte sent {told.begun_for:.4f} s before"
-            offences.append(Offence(told.time, told.request_id, message))
-    return judge(Promise.STOP_CUTS_NOTHING, judged, offences)
+            offences.append(Violation(told.time, told.request_id, message))
+    return judge(Guarantee.SHUTDOWN_CUTS_NOTHING, judged, offences)
 
 
-def _in_flight_at_stop(timeline: Timeline) -> Iterator[tuple[Told, NodeStop]]:
+def _in_flight_at_stop(timeline: Timeline) -> Iterator[tuple[CallResult, NodeStop]]:
     stops = [line for line in timeline.lines if isinstance(line, NodeStop)]
     kills = [line for line in timeline.lines if isinstance(line, NodeKill)]
     for stop in stops:
@@ -107,13 +107,13 @@
                 yield told, stop
 
 
-def _sent_at(told: Told) -> float:
+def _sent_at(told: CallResult) -> float:
     """Return when its first byte was sent; when its call began where that was not measured."""
     return told.time - (told.latency if told.begun_for is None else told.begun_for)
 
 
-def _told(timeline: Timeline) -> Iterator[Told]:
-    return (line for line in timeline.lines if isinstance(line, Told))
+def _told(timeline: Timeline) -> Iterator[CallResult]:
+    return (line for line in timeline.lines if isinstance(line, CallResult))
 
 
 def _executions(timeline: Timeline) -> Iterator[ExecutionStart]:
--- a/src/pewtertack/lab/history/stop_checks.py
+++ b/src/pewtertack/lab/history/stop_checks.py
@@ -13,22 +13,22 @@
 
 from pewtertack.lab.history.broken_off import DisturbedGateways
 from pewtertack.lab.history.timeline import Interval, Timeline
-from pewtertack.lab.history.verdicts import CheckBounds, Offence, Promise, Verdict, judge
+from pewtertack.lab.history.verdicts import CheckBounds, Guarantee, Verdict, Violation, judge
 from pewtertack.lab.records import (
+    CallOutcome,
+    CallResult,
     NodeExit,
     NodeKill,
     NodePause,
     NodeResume,
     NodeStart,
     NodeStop,
-    Told,
-    ToldOutcome,
 )
 
 EXIT_GRACE = 1.0
 """How much later than the process's end a caller may see its connection end, in seconds."""
 
-LEFT_WITHOUT = (ToldOutcome.CUT, ToldOutcome.TIMED_OUT)
+LEFT_WITHOUT = (CallOutcome.CUT, CallOutcome.TIMED_OUT)
 """Ends without an answer. The callers that are judged here wait longer than any node may take."""
 
 
@@ -41,7 +41,7 @@
         self.stops: list[Interval] = []
         self.disturbances: list[Interval] = []
 
-    def stop_around(self, told: Told) -> Interval | None:
+    def stop_around(self, told: CallResult) -> Interval | None:
         """Return the planned stop during which an exchange was under way."""
         began = told.time - told.latency
         for stop in self.stops:
@@ -49,16 +49,16 @@
                 return stop
         return None
 
-    def disturbed(self, told: Told, unplanned: float) -> bool:
+    def disturbed(self, told: CallResult, unplanned: float) -> bool:
         """Tell whether the node was killed or paused during an exchange or just before."""
         began = told.time - told.latency - unplanned
         return any(span.overlaps(began, told.time) for span in self.disturbances)
 
 
-def check_stop_answers_all(timeline: Timeline, bounds: CheckBounds) -> Verdict:
+def check_shutdown_answers_all(timeline: Timeline, bounds: CheckBounds) -> Verdict:
     """What a node had read when it was stopped by plan, or read since, is answered or refused."""
     judged = 0
-    offences: list[Offence] = []
+    offences: list[Violation] = []
     for told, stop in _read_exchanges(timeline, bounds):
         if stop is None:
             continue
@@ -66,24 +66,24 @@
         if told.outcome in LEFT_WITHOUT:
             after = told.time - stop.start
             message = f"{_lacking(told)}, {after:.3f} s after SIGTERM"
-            offences.append(Offence(told.time, told.request_id, message))
-    return judge(Promise.STOP_ANSWERS_ALL, judged, offences)
+            offences.append(Violation(told.time, told.request_id, message))
+    return judge(Guarantee.SHUTDOWN_ANSWERS_ALL, judged, offences)
 
 
-def check_sent_is_answered(timeline: Timeline, bounds: CheckBounds) -> Verdict:
+def check_running_node_answers_all(timeline: Timeline, bounds: CheckBounds) -> Verdict:
     """What a node read while it ran undisturbed is answered or refused."""
     judged = 0
-    offences: list[Offence] = []
+    offences: list[Violation] = []
     for told, stop in _read_exchanges(timeline, bounds):
         if stop is not None:
             continue
         judged += 1
         if told.outcome in LEFT_WITHOUT:
-            offences.append(Offence(told.time, told.request_id, _lacking(told)))
-    return judge(Promise.SENT_IS_ANSWERED, judged, offences)
+            offences.append(Violation(told.time, told.request_id, _lacking(told)))
+    return judge(Guarantee.RUNNING_NODE_ANSWERS_ALL, judged, offences)
 
 
-def _lacking(told: Told) -> str:
+def _lacking(told: CallResult) -> str:
     """Say what the caller did not get."""
     came = told.broken_off_after
     what = "no answer" if came is None else f"answer broken off after {came} bytes"
@@ -93,12 +93,12 @@
 
 def _read_exchanges(
     timeline: Timeline, bounds: CheckBounds
-) -> Iterator[tuple[Told, Interval | None]]:
+) -> Iterator[tuple[CallResult, Interval | None]]:
     """Yield the exchanges that are judged, with the planned stop that they fell into."""
     spans = _spans_by_node(timeline)
     gateways = DisturbedGateways(timeline)
     for told in timeline.lines:
-        if not isinstance(told, Told) or not _was_read(told, bounds):
+        if not isinstance(told, CallResult) or not _was_read(told, bounds):
             continue
         node = spans.get(told.node, _NodeSpans())
         stop = node.stop_around(told)
@@ -109,11 +109,11 @@
             yield told, stop
 
 
-def _was_read(told: Told, bounds: CheckBounds) -> bool:
+def _was_read(told: CallResult, bounds: CheckBounds) -> bool:
     """Tell whether the node has certainly read the request."""
     if told.outcome in LEFT_WITHOUT:
         return told.whole_for is not None and told.whole_for >= bounds.unread
-    return told.outcome is not ToldOutcome.NOT_CONNECTED
+    return told.outcome is not CallOutcome.NOT_CONNECTED
 
 
 def _spans_by_node(timeline: Timeline) -> dict[str, _NodeSpans]:
--- a/src/pewtertack/lab/history/timeline.py
+++ b/src/pewtertack/lab/history/timeline.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(slots=True)
-class Life:
+class Incarnation:
     """One process of a node, from its start to its kill, stop or the history's end."""
 
     node: str
@@ -79,8 +79,8 @@
 
     def is_running_at(self, time: float) -> bool:
         """Tell whether the process lived and was not paused at ``time``."""
-        lives = self.span.start <= time < self.span.end
-        return lives and not any(span.start <= time < span.end for span in self.pauses)
+        incarnations = self.span.start <= time < self.span.end
+        return incarnations and not any(span.start <= time < span.end for span in self.pauses)
 
     def end(self, time: float) -> None:
         """Close every span that is open."""
@@ -103,11 +103,11 @@
 
     def __init__(self, lines: Iterable[HistoryLine]) -> None:
         self.lines = sorted(lines, key=lambda line: line.time)
-        self.lives: list[Life] = []
+        self.incarnations: list[Incarnation] = []
         self.cuts: list[ZoneCut] = []
         self.source_faults: list[Interval] = []
         self.edits: list[Edit] = []
-        self._current: dict[str, Life] = {}
+        self._current: dict[str, Incarnation] = {}
         self._recorded = {line.node for line in self.lines if isinstance(line, NodeStart)}
         self._open_faults: dict[str, Interval] = {}
         for line in self.lines:
@@ -136,9 +136,9 @@
             digests.setdefault(edit.revision, set()).add(edit.digest)
         return digests
 
-    def lives_of(self, node: str) -> list[Life]:
+    def incarnations_of(self, node: str) -> list[Incarnation]:
         """Return the processes of ``node`` in the order of their starts."""
-        return [life for life in self.lives if life.node == node]
+        return [incarnation for incarnation in self.incarnations if incarnation.node == node]
 
     def cuts_around(self, zone: str) -> list[Interval]:
         """Return the spans during which ``zone`` could not talk with every other."""
@@ -151,21 +151,25 @@
         less than ``forgotten_after`` seconds ago. Without a majority a node that
         starts cannot learn what is in force, and refuses callers until it can.
         """
-        moments = {time for life in self.lives for time in _changes_of(life, forgotten_after)}
+        moments = {
+            time
+            for incarnation in self.incarnations
+            for time in _changes_of(incarnation, forgotten_after)
+        }
         found: list[Interval] = []
         for start, end in itertools.pairwise([*sorted(moments), math.inf]):
             members = self._members_at(start, forgotten_after)
-            running = sum(1 for life in members.values() if life.is_running_at(start))
+            running = sum(1 for incarnation in members.values() if incarnation.is_running_at(start))
             if members and 2 * running <= len(members):
                 found.append(Interval(start, end))
         return found
 
-    def _members_at(self, time: float, forgotten_after: float) -> dict[str, Life]:
+    def _members_at(self, time: float, forgotten_after: float) -> dict[str, Incarnation]:
         """Return the newest process of each member."""
         return {
-            life.node: life
-            for life in self.lives
-            if life.span.start <= time < life.span.end + forgotten_after
+            incarnation.node: incarnation
+            for incarnation in self.incarnations
+            if incarnation.span.start <= time < incarnation.span.end + forgotten_after
         }
 
     def _take(self, line: HistoryLine) -> None:
@@ -173,9 +177,9 @@
             case NodeEvent():
                 self._take_node_event(line)
             case NodeStart():
-                self._start_life(line.node, line.zone, line.time)
+                self._start_incarnation(line.node, line.zone, line.time)
             case NodeKill() | NodeExit() | NodeStop():
-                self._end_life(line.node, line.time, isinstance(line, NodeKill))
+                self._end_incarnation(line.node, line.time, isinstance(line, NodeKill))
             case NodePause():
                 self._pause(line.node, line.time)
             case NodeResume():
@@ -187,23 +191,23 @@
             case SourceFault():
                 self._take_source_fault(line)
 
-    def _life(self, node: str, time: float) -> Life:
+    def _incarnation(self, node: str, time: float) -> Incarnation:
         """Return the running process of ``node``; one begins if no start was recorded."""
         if node not in self._current:
-            self._start_life(node, "", time)
+            self._start_incarnation(node, "", time)
         return self._current[node]
 
-    def _start_life(self, node: str, zone: str, time: float) -> None:
-        self._end_life(node, time, killed=False)
-        life = Life(node, zone, Interval(time))
-        self.lives.append(life)
-        self._current[node] = life
+    def _start_incarnation(self, node: str, zone: str, time: float) -> None:
+        self._end_incarnation(node, time, killed=False)
+        incarnation = Incarnation(node, zone, Interval(time))
+        self.incarnations.append(incarnation)
+        self._current[node] = incarnation
 
-    def _end_life(self, node: str, time: float, killed: bool) -> None:
-        life = self._current.pop(node, None)
-        if life is not None:
-            life.killed = killed
-            life.end(time)
+    def _end_incarnation(self, node: str, time: float, killed: bool) -> None:
+        incarnation = self._current.pop(node, None)
+        if incarnation is not None:
+            incarnation.killed = killed
+            incarnation.end(time)
 
     def _pause(self, node: str, time: float) -> None:
         if node in self._current:
@@ -218,14 +222,14 @@
     def _take_node_event(self, event: NodeEvent) -> None:
         if event.node not in self._current and event.node in self._recorded:
             return  # the process drains, or its last lines came after its end
-        life = self._life(event.node, event.time)
+        incarnation = self._incarnation(event.node, event.time)
         if isinstance(event, RevisionInForce):
-            life.in_force.append(event)
+            incarnation.in_force.append(event)
         elif event.event == Event.NODE_SERVING.name:
-            number = life.in_force[-1].revision if life.in_force else 0
-            life.serving.append(ServingSpan(event.time, number=number))
+            number = incarnation.in_force[-1].revision if incarnation.in_force else 0
+            incarnation.serving.append(ServingSpan(event.time, number=number))
         elif event.event in STOPS_SERVING:
-            for span in life.serving:
+            for span in incarnation.serving:
                 span.end = min(span.end, event.time)
 
     def _take_cut(self, line: Cut | Heal) -> None:
@@ -244,11 +248,11 @@
             self.source_faults.append(self._open_faults[line.service])
 
 
-def _changes_of(life: Life, forgotten_after: float) -> Iterator[float]:
+def _changes_of(incarnation: Incarnation, forgotten_after: float) -> Iterator[float]:
     """Yield when the process started, ended, was forgotten, was paused and ran on."""
-    for span in (life.span, *life.pauses):
+    for span in (incarnation.span, *incarnation.pauses):
         yield span.start
         if span.end != math.inf:
             yield span.end
-    if life.span.end != math.inf:
-        yield life.span.end + forgotten_after
+    if incarnation.span.end != math.inf:
+        yield incarnation.span.end + forgotten_after
--- a/src/pewtertack/lab/history/verdicts.py
+++ b/src/pewtertack/lab/history/verdicts.py
@@ -8,24 +8,24 @@
 import msgspec
 
 
-class Promise(StrEnum):
+class Guarantee(StrEnum):
     """The promises that a history is judged by."""
 
-    NEVER_BACK = "no-proxy-goes-back"
+    REVISIONS_MONOTONIC = "no-proxy-goes-back"
     ROUTES_COMPLETE = "routes-have-service-and-secrets"
-    REVISIONS_WHOLE = "no-revision-in-part"
-    REJECTED_UNUSED = "rejected-never-in-force"
+    REVISIONS_INTACT = "no-revision-in-part"
+    REJECTED_NEVER_IN_FORCE = "rejected-never-in-force"
     IN_FORCE_EVERYWHERE = "accepted-in-force-everywhere"
     NEVER_REVERTED = "accepted-never-reverted"
-    ANSWERS_WHOLE_AND_OWN = "answers-whole-and-own"
-    NOT_RUN_IS_TRUE = "not-run-is-true"
+    RESPONSES_INTACT_AND_MATCHING = "answers-whole-and-own"
+    NOT_RUN_IS_ACCURATE = "not-run-is-true"
     AT_MOST_ONCE = "non-repeatable-at-most-once"
-    LEAVING_UNUSED = "leaving-gets-no-new-work"
-    STOP_CUTS_NOTHING = "planned-stop-cuts-nothing"
-    STOP_ANSWERS_ALL = "planned-stop-answers-what-was-sent"
-    SENT_IS_ANSWERED = "answered-while-node-runs"
-    ENDING_REQUESTS_HELD = "ending-requests-held"
-    EVACUATED_UNUSED = "evacuated-gets-nothing"
+    LEAVING_GETS_NO_WORK = "leaving-gets-no-new-work"
+    SHUTDOWN_CUTS_NOTHING = "planned-stop-cuts-nothing"
+    SHUTDOWN_ANSWERS_ALL = "planned-stop-answers-what-was-sent"
+    RUNNING_NODE_ANSWERS_ALL = "answered-while-node-runs"
+    CRASHING_REQUESTS_LIMITED = "ending-requests-held"
+    EVACUATED_GETS_NO_REQUESTS = "evacuated-gets-nothing"
 
 
 class Judgement(StrEnum):
@@ -33,11 +33,11 @@
 
     HELD = "held"
     VIOLATED = "violated"
-    TOO_THIN = "too-thin"
+    UNTESTED = "too-thin"
     """Nothing in the history put the promise to the test."""
 
 
-class Offence(msgspec.Struct, frozen=True):
+class Violation(msgspec.Struct, frozen=True):
     """One event that breaks a promise. ``time`` is the history's, in seconds."""
 
     time: float
@@ -49,10 +49,10 @@
 class Verdict(msgspec.Struct, frozen=True):
     """The result of one check; ``judged`` counts the events that it weighed."""
 
-    promise: Promise
+    promise: Guarantee
     judgement: Judgement
     judged: int
-    offences: tuple[Offence, ...] = ()
+    offences: tuple[Violation, ...] = ()
 
 
 class CheckBounds(msgspec.Struct, frozen=True):
@@ -74,10 +74,10 @@
     """What was sent within this time of a pause of its node is not judged by its cut."""
 
 
-def judge(promise: Promise, judged: int, offences: Iterable[Offence]) -> Verdict:
+def judge(promise: Guarantee, judged: int, offences: Iterable[Violation]) -> Verdict:
     """Return the verdict that follows from the offences found among ``judged`` events."""
     found = tuple(offences)
     if found:
         return Verdict(promise, Judgement.VIOLATED, judged, found)
-    judgement = Judgement.HELD if judged else Judgement.TOO_THIN
+    judgement = Judgement.HELD if judged else Judgement.UNTESTED
     return Verdict(promise, judgement, judged)
--- a/src/pewtertack/lab/load/caller.py
+++ b/src/pewtertack/lab/load/caller.py
@@ -10,7 +10,7 @@
 
 from pewtertack.lab.backend.answers import checksum, expected_body
 from pewtertack.lab.load.mix import CallKind
-from pewtertack.lab.records import Told, ToldOutcome
+from pewtertack.lab.records import CallOutcome, CallResult
 from pewtertack.settings import Address
 
 CONNECT_SECONDS = 2.0
@@ -28,10 +28,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Conclusion:
+class ExchangeResult:
     """What one exchange came to."""
 
-    outcome: ToldOutcome
+    outcome: CallOutcome
     status: int = 0
     checksum_ok: bool = True
     own_answer: bool = True
@@ -53,29 +53,31 @@
         """Close the connections."""
         await self._pool.aclose()
 
-    async def ask(self, kind: CallKind, request_id: str) -> Told:
+    async def call(self, kind: CallKind, request_id: str) -> CallResult:
         """Send one request and return what the caller was told."""
         began = time.monotonic()
         conclusion = await self._exchange(kind, request_id)
-        return told_of(self._target, kind, request_id, conclusion, time.monotonic() - began)
+        return make_call_result(
+            self._target, kind, request_id, conclusion, time.monotonic() - began
+        )
 
-    async def _exchange(self, kind: CallKind, request_id: str) -> Conclusion:
+    async def _exchange(self, kind: CallKind, request_id: str) -> ExchangeResult:
         try:
             answer = await self._send(kind, request_id)
         except (httpcore.ConnectError, httpcore.ConnectTimeout, httpcore.PoolTimeout):
-            return Conclusion(ToldOutcome.NOT_CONNECTED)
+            return ExchangeResult(CallOutcome.NOT_CONNECTED)
         except httpcore.TimeoutException:
-            return Conclusion(ToldOutcome.TIMED_OUT)
+            return ExchangeResult(CallOutcome.TIMED_OUT)
         except (httpcore.NetworkError, httpcore.ProtocolError):
-            return Conclusion(ToldOutcome.CUT)
-        return conclude(kind, request_id, answer.status, answer.headers, answer.content)
+            return ExchangeResult(CallOutcome.CUT)
+        return interpret_response(kind, request_id, answer.status, answer.headers, answer.content)
 
     async def _send(self, kind: CallKind, request_id: str) -> httpcore.Response:
         timeouts = {
             "connect": CONNECT_SECONDS,
             "pool": CONNECT_SECONDS,
-            "read": kind.patience,
-            "write": kind.patience,
+            "read": kind.client_timeout,
+            "write": kind.client_timeout,
         }
         return await self._pool.request(
             kind.method,
@@ -97,17 +99,17 @@
     ]
 
 
-def told_of(
+def make_call_result(
     target: Target,
     kind: CallKind,
     request_id: str,
-    conclusion: Conclusion,
+    conclusion: ExchangeResult,
     latency: float,
     whole_for: float | None = None,
     begun_for: float | None = None,
-) -> Told:
+) -> CallResult:
     """Return the record of an exchange that ends now."""
-    return Told(
+    return CallResult(
         time=time.time(),
         request_id=request_id,
         node=target.name,
@@ -125,23 +127,23 @@
     )
 
 
-def conclude(
+def interpret_response(
     kind: CallKind,
     request_id: str,
     status: int,
     raw_headers: Iterable[tuple[bytes, bytes]],
     body: bytes,
-) -> Conclusion:
+) -> ExchangeResult:
     """Return what a whole answer to a request comes to."""
     headers = {
         name.decode("latin-1").lower(): value.decode("latin-1") for name, value in raw_headers
     }
     if OUTCOME_HEADER in headers:
-        outcome = ToldOutcome(headers[OUTCOME_HEADER])
-        return Conclusion(outcome, status, retry_after=_retry_after(headers))
+        outcome = CallOutcome(headers[OUTCOME_HEADER])
+        return ExchangeResult(outcome, status, retry_after=_retry_after(headers))
     expected = expected_body(request_id, kind.answer_bytes) if status == STATUS_OK else b""
-    return Conclusion(
-        ToldOutcome.ANSWERED,
+    return ExchangeResult(
+        CallOutcome.ANSWERED,
         status,
         checksum_ok=headers.get("x-checksum") == checksum(body),
         own_answer=headers.get("x-request-id") == request_id and body == expected,
--- a/src/pewtertack/lab/load/generator.py
+++ b/src/pewtertack/lab/load/generator.py
@@ -13,7 +13,7 @@
 
 from pewtertack.lab.load.caller import Caller, Target
 from pewtertack.lab.load.mix import CallKind
-from pewtertack.lab.records import Told
+from pewtertack.lab.records import CallResult
 
 
 class LoadGenerator:
@@ -35,7 +35,7 @@
         rate: float,
         seed: int,
         prefix: str,
-        record: Callable[[Told], None],
+        record: Callable[[CallResult], None],
     ) -> None:
         self._callers = [Caller(target) for target in targets]
         self._mix = mix
@@ -73,4 +73,4 @@
             requests.start_soon(self._ask, caller, kind, f"{self._prefix}-{self._begun}")
 
     async def _ask(self, caller: Caller, kind: CallKind, request_id: str) -> None:
-        self._record(await caller.ask(kind, request_id))
+        self._record(await caller.call(kind, request_id))
--- a/src/pewtertack/lab/load/mix.py
+++ b/src/pewtertack/lab/load/mix.py
@@ -8,7 +8,7 @@
 from pewtertack.core.configuration.resolved import ResolvedRoute, WorkClass
 from pewtertack.core.revision import Document, revision_id_of
 
-PATIENCE_SECONDS = 2.0
+EXTRA_TIMEOUT_SECONDS = 2.0
 """How much longer than the route's timeout a caller waits."""
 
 
@@ -42,7 +42,7 @@
     work_milliseconds: float
     answer_bytes: int
     body_bytes: int
-    patience: float
+    client_timeout: float
 
 
 def mix_of_tree(tree: Document) -> tuple[CallKind, ...]:
@@ -69,5 +69,5 @@
         work_milliseconds=load.work_milliseconds,
         answer_bytes=load.answer_bytes,
         body_bytes=max(load.body_bytes, least_body),
-        patience=route.timeout + PATIENCE_SECONDS,
+        client_timeout=route.timeout + EXTRA_TIMEOUT_SECONDS,
     )
--- a/src/pewtertack/lab/machines/service.py
+++ b/src/pewtertack/lab/machines/service.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from pewtertack.core.machines import MachineState, machine_list_from_document
-from pewtertack.lab.asgi import Answer, Request, json_answer
+from pewtertack.lab.asgi import Request, Response, json_response
 from pewtertack.lab.errors import LabUsageError
 from pewtertack.lab.platform.application import ReadApplication
 from pewtertack.lab.platform.control import PlatformService
@@ -55,45 +55,45 @@
             self._store, reading, READ_PATH, listen, control, dict(handlers)
         )
 
-    async def _replace(self, request: Request) -> Answer:
+    async def _replace(self, request: Request) -> Response:
         return self._put(msgspec.json.decode(request.body, type=dict[str, Any]))
 
-    async def _put_machine(self, request: Request) -> Answer:
+    async def _put_machine(self, request: Request) -> Response:
         return self._put_entry(_name(request), msgspec.json.decode(request.body, type=dict))
 
-    async def _remove(self, request: Request) -> Answer:
+    async def _remove(self, request: Request) -> Response:
         name = _name(request)
         if name not in self._truth:
             raise LabUsageError(f"no machine {name}")
         return self._put_entry(name, None)
 
-    async def _mark_leaving(self, request: Request) -> Answer:
+    async def _mark_leaving(self, request: Request) -> Response:
         name = _name(request)
         if name not in self._truth:
             raise LabUsageError(f"no machine {name}")
         return self._put_entry(name, {**self._truth[name], "state": MachineState.LEAVING})
 
-    async def _come_back(self, request: Request) -> Answer:
+    async def _come_back(self, request: Request) -> Response:
         lost = self._store.come_back(float(request.query["copied_at"]))
-        return json_answer({"lost": len(lost)})
+        return json_response({"lost": len(lost)})
 
-    async def _write_again(self, request: Request) -> Answer:
+    async def _write_again(self, request: Request) -> Response:
         """Write one after the other what the store lacks since it has come back."""
         listed = self._store.newest.document
         for name in self._truth.keys() | listed.keys():
             if self._truth.get(name) != listed.get(name):
                 self._put_entry(name, self._truth.get(name))
-        return json_answer({})
+        return json_response({})
 
-    def _put_entry(self, name: str, entry: dict[str, Any] | None) -> Answer:
+    def _put_entry(self, name: str, entry: dict[str, Any] | None) -> Response:
         """Write a machine's entry, or its removal."""
         self._truth = _checked(_with(self._truth, name, entry))
         machines = _with(self._store.newest.document, name, entry)
-        return json_answer({"number": self._store.put(machines, time.time())})
+        return json_response({"number": self._store.put(machines, time.time())})
 
-    def _put(self, machines: dict[str, Any]) -> Answer:
+    def _put(self, machines: dict[str, Any]) -> Response:
         self._truth = _checked(machines)
-        return json_answer({"number": self._store.put(machines, time.time())})
+        return json_response({"number": self._store.put(machines, time.time())})
 
 
 def _with(machines: dict[str, Any], name: str, entry: dict[str, Any] | None) -> dict[str, Any]:
--- a/src/pewtertack/lab/metadata_store/application.py
+++ b/src/pewtertack/lab/metadata_store/application.py
@@ -13,8 +13,8 @@
 import anyio
 import msgspec
 
-from pewtertack.lab.asgi import Answer, Request, json_answer
-from pewtertack.lab.paced_answers import PacedHandlerTable, Pacing
+from pewtertack.lab.asgi import Request, Response, json_response
+from pewtertack.lab.paced_responses import PacedHandlerTable, Pacing
 
 WATCH_PATH = "/kv-watch"
 PAGE_ITEMS = 50
@@ -169,18 +169,18 @@
     def _use_up(self, **left: int) -> None:
         self.faults = msgspec.structs.replace(self.faults, **left)
 
-    async def _delayed(self, answer: Answer) -> Answer:
+    async def _delayed(self, answer: Response) -> Response:
         """Return ``answer`` after the time that answers take."""
         if self.faults.delay:
             await anyio.sleep(self.faults.delay)
         return answer
 
-    def _told(self, value: object, status: int = 200) -> Answer:
+    def _told(self, value: object, status: int = 200) -> Response:
         """Return an answer with the era, where there are eras."""
         era = self.faults.era if self.faults.era is not None else self.era
-        return json_answer(value, status, **({} if era is None else {ERA_HEADER: str(era)}))
+        return json_response(value, status, **({} if era is None else {ERA_HEADER: str(era)}))
 
-    async def _answer_key(self, request: Request) -> Answer:
+    async def _answer_key(self, request: Request) -> Response:
         await self._take_call()
         if self.faults.status:
             return await self._delayed(self._told({}, self.faults.status))
@@ -189,7 +189,7 @@
             return await self._delayed(self._told({"at": self._revision}, 404))
         return await self._delayed(self._told({**_encoded(found), "at": self._revision}))
 
-    async def _answer_range(self, request: Request) -> Answer:
+    async def _answer_range(self, request: Request) -> Response:
         await self._take_call()
         if self.faults.status:
             return await self._delayed(self._told({}, self.faults.status))
@@ -207,7 +207,7 @@
         page = {"items": items, "more": len(keys) > self._page_items, "at": newest}
         return await self._delayed(self._told(page))
 
-    async def _answer_watch(self, request: Request) -> Answer:
+    async def _answer_watch(self, request: Request) -> Response:
         await self._take_call()
         if self.faults.gone_watches:
             self._use_up(gone_watches=self.faults.gone_watches - 1)
@@ -221,7 +221,7 @@
                 await self._changed.wait()
         return await self._delayed(self._watch_answer(prefix, after))
 
-    def _watch_answer(self, prefix: str, after: int) -> Answer:
+    def _watch_answer(self, prefix: str, after: int) -> Response:
         if self.faults.status:
             return self._told({}, self.faults.status)
         if not self._has(after):
--- a/src/pewtertack/lab/paced_answers.py
+++ b/src/pewtertack/lab/paced_responses.py
@@ -8,13 +8,13 @@
 import anyio
 
 from pewtertack.lab.asgi import (
-    Answer,
     Handler,
     HandlerTable,
     Receive,
+    Response,
     Send,
-    send_answer,
     send_head,
+    send_response,
 )
 
 SLICE_SECONDS = 0.02
@@ -43,10 +43,10 @@
         super().__init__(handlers)
         self._pacing = pacing
 
-    async def _deliver(self, answer: Answer, receive: Receive, send: Send) -> None:
+    async def _deliver(self, answer: Response, receive: Receive, send: Send) -> None:
         pacing = self._pacing()
         if pacing == Pacing():
-            await send_answer(send, answer)
+            await send_response(send, answer)
             return
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(_cancel_when_left, receive, tasks.cancel_scope)
@@ -61,7 +61,7 @@
     scope.cancel()
 
 
-async def _send_paced(send: Send, answer: Answer, pacing: Pacing) -> None:
+async def _send_paced(send: Send, answer: Response, pacing: Pacing) -> None:
     length = {} if pacing.endless else {"content-length": str(len(answer.body))}
     await send_head(send, answer.status, {**answer.headers, **length})
     await _send_pieces(send, answer.body, pacing.rate)
--- a/src/pewtertack/lab/platform/application.py
+++ b/src/pewtertack/lab/platform/application.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from pewtertack.lab.asgi import Answer, Handler, Request, json_answer
+from pewtertack.lab.asgi import Handler, Request, Response, json_response
 from pewtertack.lab.errors import LabUsageError
 from pewtertack.lab.platform.store import Availability, DocumentStore
 
@@ -48,7 +48,7 @@
         """The handler of the one read path."""
         return self._read
 
-    async def _read(self, request: Request) -> Answer:
+    async def _read(self, request: Request) -> Response:
         counters = self.counters
         counters.readers += 1
         counters.peak_readers = max(counters.peak_readers, counters.readers)
@@ -60,7 +60,7 @@
         finally:
             counters.readers -= 1
 
-    async def _poll(self, known: int | None, wait: float) -> Answer:
+    async def _poll(self, known: int | None, wait: float) -> Response:
         deadline = time.monotonic() + wait
         while True:
             if self._store.away or self._store.faults.availability is not Availability.UP:
@@ -72,16 +72,16 @@
                 self.counters.changed += 1
                 body = {"number": shown.number, self._body_key: shown.document}
                 era = str(self._store.era)
-                return self._counted(json_answer(body, etag=f'"{shown.number}"', store_era=era))
+                return self._counted(json_response(body, etag=f'"{shown.number}"', store_era=era))
             if left <= 0:
                 self.counters.unchanged += 1
                 headers = {"etag": f'"{shown.number}"', ERA_HEADER: str(self._store.era)}
-                return Answer(304, b"", headers)
+                return Response(304, b"", headers)
             await self._store.wait_for_change(
                 min(left, self._store.next_visibility(time.time()) + 0.001)
             )
 
-    def _counted(self, answer: Answer) -> Answer:
+    def _counted(self, answer: Response) -> Response:
         self.counters.bytes_served += len(answer.body)
         return answer
 
@@ -105,5 +105,5 @@
     return min(max(wait, 0.0), LONGEST_WAIT)
 
 
-def _come_back(reason: str) -> Answer:
-    return json_answer({"error": reason}, 503, retry_after=str(RETRY_AFTER_SECONDS))
+def _come_back(reason: str) -> Response:
+    return json_response({"error": reason}, 503, retry_after=str(RETRY_AFTER_SECONDS))
--- a/src/pewtertack/lab/platform/control.py
+++ b/src/pewtertack/lab/platform/control.py
@@ -6,7 +6,7 @@
 import anyio.abc
 import msgspec
 
-from pewtertack.lab.asgi import Answer, Handler, HandlerTable, Request, json_answer
+from pewtertack.lab.asgi import Handler, HandlerTable, Request, Response, json_response
 from pewtertack.lab.platform.application import ReadApplication
 from pewtertack.lab.platform.store import Availability, DocumentStore, Faults
 from pewtertack.lab.serving import Listener, print_ready
@@ -58,7 +58,7 @@
             print_ready(listen=self.readers.address, control=self.control.address)
             await anyio.sleep_forever()
 
-    async def _set_faults(self, request: Request) -> Answer:
+    async def _set_faults(self, request: Request) -> Response:
         faults = msgspec.json.decode(request.body, type=Faults)
         self._store.set_faults(faults)
         closed = faults.availability is Availability.CLOSED
@@ -66,11 +66,11 @@
             self.readers.close()
         elif not self.readers.is_open and self._task_group is not None:
             await self.readers.open(self._task_group)
-        return json_answer(faults)
+        return json_response(faults)
 
-    async def _go_away(self, request: Request) -> Answer:
+    async def _go_away(self, request: Request) -> Response:
         self._store.go_away()
-        return json_answer({})
+        return json_response({})
 
-    async def _counters(self, request: Request) -> Answer:
-        return json_answer(self._reading.counters)
+    async def _counters(self, request: Request) -> Response:
+        return json_response(self._reading.counters)
--- a/src/pewtertack/lab/records.py
+++ b/src/pewtertack/lab/records.py
@@ -22,7 +22,7 @@
     code: ClassVar[str] = "history-format"
 
 
-class ToldOutcome(StrEnum):
+class CallOutcome(StrEnum):
     """What a caller was told, or what it can conclude, about its request."""
 
     ANSWERED = "answered"
@@ -139,7 +139,7 @@
     revision: int
 
 
-class ZoneTakenBack(LabRecord, frozen=True, kw_only=True, tag="zone-taken-back"):
+class ZoneEvacuationEnded(LabRecord, frozen=True, kw_only=True, tag="zone-taken-back"):
     """From ``revision`` on, the back ends of the zone may be sent requests again."""
 
     zone: str
@@ -153,7 +153,7 @@
     fault: str
 
 
-class BackendReturn(LabRecord, frozen=True, kw_only=True, tag="backend-return"):
+class BackendLeaveCancelled(LabRecord, frozen=True, kw_only=True, tag="backend-return"):
     """A back end that was leaving stays after all: it may get new work."""
 
     backend: str
@@ -174,7 +174,7 @@
     result: ExecutionResult = ExecutionResult.FINISHED
 
 
-class Told(LabRecord, frozen=True, kw_only=True, tag="told"):
+class CallResult(LabRecord, frozen=True, kw_only=True, tag="told"):
     """What a caller was told. ``time`` is the end of the exchange.
 
     ``status`` is 0 without an answer. ``checksum_ok`` says that the whole body
@@ -187,7 +187,7 @@
     node: str
     route: str
     status: int
-    outcome: ToldOutcome
+    outcome: CallOutcome
     checksum_ok: bool
     own_answer: bool
     repeatable: bool
@@ -216,13 +216,13 @@
     | Heal
     | SourceFault
     | BackendLeaving
-    | BackendReturn
+    | BackendLeaveCancelled
     | BackendFault
     | ZoneEvacuated
-    | ZoneTakenBack
+    | ZoneEvacuationEnded
     | ExecutionStart
     | ExecutionEnd
-    | Told
+    | CallResult
 )
 
 
--- a/src/pewtertack/lab/relay/service.py
+++ b/src/pewtertack/lab/relay/service.py
@@ -10,7 +10,7 @@
 import anyio.abc
 import msgspec
 
-from pewtertack.lab.asgi import Answer, HandlerTable, Request, json_answer
+from pewtertack.lab.asgi import HandlerTable, Request, Response, json_response
 from pewtertack.lab.relay.links import LinkSettings, LinkTable, RelayedNode
 from pewtertack.lab.serving import Listener, print_ready
 from pewtertack.settings import Address
@@ -183,10 +183,10 @@
         while self._links.is_cut(from_zone, to_zone):
             await self._changed.wait()
 
-    async def _set_links(self, request: Request) -> Answer:
+    async def _set_links(self, request: Request) -> Response:
         settings = msgspec.json.decode(request.body, type=LinkSettings)
         self.set_links(settings)
-        return json_answer(settings)
+        return json_response(settings)
 
-    async def _get_counters(self, request: Request) -> Answer:
-        return json_answer(self.counters)
+    async def _get_counters(self, request: Request) -> Response:
+        return json_response(self.counters)
--- a/src/pewtertack/lab/report/convergence.py
+++ b/src/pewtertack/lab/report/convergence.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from pewtertack.lab.history.timeline import Interval, Life, Timeline
+from pewtertack.lab.history.timeline import Incarnation, Interval, Timeline
 from pewtertack.lab.records import Edit
 from pewtertack.lab.report.statistics import Distribution, distribution_of
 
@@ -48,37 +48,39 @@
     """Return the delays of one edit, the disturbed pairs and the missing ones."""
     delays: list[float] = []
     disturbed = missing = 0
-    for life in timeline.lives:
-        if not life.span.start < edit.time < life.span.end or not _had_any(life, edit.time):
+    for incarnation in timeline.incarnations:
+        if not incarnation.span.start < edit.time < incarnation.span.end or not _had_any(
+            incarnation, edit.time
+        ):
             continue
-        reached = _reached(life, edit.revision)
-        if _is_disturbed(timeline, life, edit.time, reached):
+        reached = _reached(incarnation, edit.revision)
+        if _is_disturbed(timeline, incarnation, edit.time, reached):
             disturbed += 1
         elif reached != math.inf:
             delays.append(reached - edit.time)
-        elif life.span.end < math.inf:
+        elif incarnation.span.end < math.inf:
             disturbed += 1
         else:
             missing += 1
     return delays, disturbed, missing
 
 
-def _had_any(life: Life, time: float) -> bool:
+def _had_any(incarnation: Incarnation, time: float) -> bool:
     """Tell whether the process had joined: something was in force on it."""
-    return life.number_at(time) > 0
+    return incarnation.number_at(time) > 0
 
 
-def _reached(life: Life, revision: int) -> float:
-    times = (event.time for event in life.in_force if event.revision >= revision)
+def _reached(incarnation: Incarnation, revision: int) -> float:
+    times = (event.time for event in incarnation.in_force if event.revision >= revision)
     return min(times, default=math.inf)
 
 
-def _is_disturbed(timeline: Timeline, life: Life, start: float, end: float) -> bool:
-    spans = _disturbances(timeline, life)
+def _is_disturbed(timeline: Timeline, incarnation: Incarnation, start: float, end: float) -> bool:
+    spans = _disturbances(timeline, incarnation)
     return any(span.overlaps(start, end) for span in spans)
 
 
-def _disturbances(timeline: Timeline, life: Life) -> Iterator[Interval]:
-    yield from life.pauses
-    yield from timeline.cuts_around(life.zone)
+def _disturbances(timeline: Timeline, incarnation: Incarnation) -> Iterator[Interval]:
+    yield from incarnation.pauses
+    yield from timeline.cuts_around(incarnation.zone)
     yield from timeline.source_faults
--- a/src/pewtertack/lab/report/report.py
+++ b/src/pewtertack/lab/report/report.py
@@ -9,9 +9,9 @@
 
 from pewtertack.lab.history.checker import check_history
 from pewtertack.lab.history.timeline import Timeline
-from pewtertack.lab.history.verdicts import CheckBounds, Judgement, Promise, Verdict
+from pewtertack.lab.history.verdicts import CheckBounds, Guarantee, Judgement, Verdict
 from pewtertack.lab.platform.application import Counters
-from pewtertack.lab.records import HistoryLine, Told, ToldOutcome
+from pewtertack.lab.records import CallOutcome, CallResult, HistoryLine
 from pewtertack.lab.report.convergence import Convergence, measure_convergence
 from pewtertack.lab.report.resources import NodeResources
 from pewtertack.lab.report.statistics import Distribution, distribution_of
@@ -43,7 +43,7 @@
     source: Counters
     routes: dict[str, RouteOutcomes]
     verdicts: list[Verdict]
-    required: list[Promise]
+    required: list[Guarantee]
     """Promises that the scenario must put to the test."""
     problems: list[str]
     """Conditions of the scenario that did not hold."""
@@ -65,15 +65,15 @@
 
 def routes_of(lines: Sequence[HistoryLine]) -> dict[str, RouteOutcomes]:
     """Return the outcomes by route."""
-    by_route: dict[str, list[Told]] = {}
+    by_route: dict[str, list[CallResult]] = {}
     for line in lines:
-        if isinstance(line, Told):
+        if isinstance(line, CallResult):
             by_route.setdefault(line.route, []).append(line)
     return {route: _outcomes_of(told) for route, told in sorted(by_route.items())}
 
 
-def _outcomes_of(told: Sequence[Told]) -> RouteOutcomes:
-    answered = (line.latency for line in told if line.outcome is ToldOutcome.ANSWERED)
+def _outcomes_of(told: Sequence[CallResult]) -> RouteOutcomes:
+    answered = (line.latency for line in told if line.outcome is CallOutcome.ANSWERED)
     return RouteOutcomes(
         outcomes=dict(Counter(str(line.outcome) for line in told)),
         statuses=dict(Counter(str(line.status) for line in told)),
--- a/src/pewtertack/lab/returns/world.py
+++ b/src/pewtertack/lab/returns/world.py
@@ -11,8 +11,8 @@
 import anyio.abc
 import msgspec
 
-from pewtertack.lab.asgi import Answer as HttpAnswer
-from pewtertack.lab.asgi import Receive, Scope, Send, read_body, send_answer
+from pewtertack.lab.asgi import Receive, Scope, Send, read_body, send_response
+from pewtertack.lab.asgi import Response as HttpAnswer
 from pewtertack.lab.metadata_store.application import MetadataStore, StoreCopy
 from pewtertack.lab.serving import Listener
 from pewtertack.settings import Address
@@ -128,7 +128,7 @@
             caller = dict(scope["headers"]).get(CALLER_HEADER, b"").decode()
             asked = LateRequest(self.host, now, now - self._left_at, caller.partition("/")[0])
             self.late_requests.append(asked)
-        await send_answer(send, HttpAnswer(200 if self.name else 503, b"done"))
+        await send_response(send, HttpAnswer(200 if self.name else 503, b"done"))
 
 
 class StoreWorld:
--- a/src/pewtertack/lab/scenarios/catalogue.py
+++ b/src/pewtertack/lab/scenarios/catalogue.py
@@ -7,11 +7,11 @@
 from pewtertack.lab.backend.state import Capacity
 from pewtertack.lab.errors import UnknownScenarioError
 from pewtertack.lab.fleet.plan import FleetShape
-from pewtertack.lab.history.verdicts import Promise
+from pewtertack.lab.history.verdicts import Guarantee
 from pewtertack.lab.scenarios import configuration, requests, storm
 from pewtertack.lab.scenarios.scenario import (
-    CONFIGURATION_PROMISES,
-    REQUEST_PROMISES,
+    CONFIGURATION_GUARANTEES,
+    REQUEST_GUARANTEES,
     Body,
     Scenario,
 )
@@ -33,13 +33,13 @@
     return (body.__doc__ or "").strip().splitlines()[0]
 
 
-def _configuration(name: str, body: Body, *promises: Promise) -> Scenario:
-    required = (*CONFIGURATION_PROMISES, *REQUEST_PROMISES, *promises)
+def _configuration(name: str, body: Body, *promises: Guarantee) -> Scenario:
+    required = (*CONFIGURATION_GUARANTEES, *REQUEST_GUARANTEES, *promises)
     return Scenario(name, _describe(body), body, required)
 
 
-def _requests(name: str, body: Body, *promises: Promise) -> Scenario:
-    required = (*REQUEST_PROMISES, *promises)
+def _requests(name: str, body: Body, *promises: Guarantee) -> Scenario:
+    required = (*REQUEST_GUARANTEES, *promises)
     return Scenario(name, _describe(body), body, required, _separate_backends, REQUEST_RATE)
 
 
@@ -57,20 +57,20 @@
         "source-crowded",
         _describe(configuration.source_crowded),
         configuration.source_crowded,
-        (*CONFIGURATION_PROMISES, *REQUEST_PROMISES),
+        (*CONFIGURATION_GUARANTEES, *REQUEST_GUARANTEES),
         _crowd_source,
     ),
     _configuration("machine-list-down", configuration.machine_list_down),
-    _configuration("bad-revisions", configuration.bad_revisions, Promise.REJECTED_UNUSED),
+    _configuration("bad-revisions", configuration.bad_revisions, Guarantee.REJECTED_NEVER_IN_FORCE),
     _requests("backends-killed", requests.backends_killed),
     _requests("backends-frozen", requests.backends_frozen),
     _requests("backends-shedding", requests.backends_shedding),
-    _requests("backends-leaving", requests.backends_leaving, Promise.LEAVING_UNUSED),
+    _requests("backends-leaving", requests.backends_leaving, Guarantee.LEAVING_GETS_NO_WORK),
     _requests("backends-lying", requests.backends_lying),
     _requests("answers-late-and-crossed", requests.answers_late_and_crossed),
-    _requests("nodes-stopped", requests.nodes_stopped, Promise.STOP_CUTS_NOTHING),
-    _requests("routes-moved", requests.routes_moved, *CONFIGURATION_PROMISES),
-    _requests("storm", storm.storm, *CONFIGURATION_PROMISES),
+    _requests("nodes-stopped", requests.nodes_stopped, Guarantee.SHUTDOWN_CUTS_NOTHING),
+    _requests("routes-moved", requests.routes_moved, *CONFIGURATION_GUARANTEES),
+    _requests("storm", storm.storm, *CONFIGURATION_GUARANTEES),
 )
 
 SCENARIOS = {scenario.name: scenario for scenario in _ALL}
--- a/src/pewtertack/lab/scenarios/configuration.py
+++ b/src/pewtertack/lab/scenarios/configuration.py
@@ -44,7 +44,9 @@
 
     async def operate() -> None:
         try:
-            edit = await context.fleet.platform.put_tree(context.editor.good(), expected=number)
+            edit = await context.fleet.platform.put_tree(
+                context.editor.make_valid_edit(), expected=number
+            )
         except NumberConflictError as error:
             conflicts.append(error)
         else:
@@ -196,9 +198,9 @@
     """Bad edits between good ones; half of the fleet is replaced while a bad one is newest."""
     for _ in range(3):
         await context.edit()
-        await context.edit_badly()
+        await context.make_invalid_edit()
         await context.edit()
         await context.wait_for_newest()
-    await context.edit_badly()
+    await context.make_invalid_edit()
     await _replace(context, context.half_of_the_nodes())
     await context.wait_for_newest()
--- a/src/pewtertack/lab/scenarios/context.py
+++ b/src/pewtertack/lab/scenarios/context.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from pewtertack.lab.fleet.fleet import Fleet
-from pewtertack.lab.load.mix import PATIENCE_SECONDS, CallKind, mix_of_tree
-from pewtertack.lab.records import Edit, ZoneEvacuated, ZoneTakenBack
+from pewtertack.lab.load.mix import EXTRA_TIMEOUT_SECONDS, CallKind, mix_of_tree
+from pewtertack.lab.records import Edit, ZoneEvacuated, ZoneEvacuationEnded
 from pewtertack.lab.scenarios.edits import TreeEditor
 
 
@@ -27,19 +27,21 @@
 
     async def edit(self) -> Edit:
         """Make a good edit."""
-        return self._remember(await self.fleet.platform.put_tree(self.editor.good()))
+        return self._remember(await self.fleet.platform.put_tree(self.editor.make_valid_edit()))
 
-    async def edit_moving_a_route(self) -> Edit:
+    async def move_route(self) -> Edit:
         """Make an edit that moves a route to another service."""
-        return self._remember(await self.fleet.platform.put_tree(self.editor.moved()))
+        return self._remember(await self.fleet.platform.put_tree(self.editor.move_route()))
 
-    async def edit_badly(self) -> Edit:
+    async def make_invalid_edit(self) -> Edit:
         """Make an edit that must be rejected."""
-        return self._remember(await self.fleet.platform.put_tree(self.editor.bad()))
+        return self._remember(await self.fleet.platform.put_tree(self.editor.make_invalid_edit()))
 
     async def evacuate(self, zone: str) -> None:
         """Ask that nothing more be sent to a zone's back ends."""
-        edit = self._remember(await self.fleet.platform.put_tree(self.editor.evacuated(zone)))
+        edit = self._remember(
+            await self.fleet.platform.put_tree(self.editor.set_evacuated_zones(zone))
+        )
         backends = tuple(
             sorted(item.name for item in self.fleet.plan.backends.values() if item.zone == zone)
         )
@@ -47,11 +49,13 @@
             ZoneEvacuated(time=edit.time, zone=zone, backends=backends, revision=edit.revision)
         )
 
-    async def take_back(self, zone: str) -> None:
+    async def end_evacuation(self, zone: str) -> None:
         """End the evacuation of a zone."""
         before = time.time()
-        edit = self._remember(await self.fleet.platform.put_tree(self.editor.evacuated()))
-        self.fleet.recorder.record(ZoneTakenBack(time=before, zone=zone, revision=edit.revision))
+        edit = self._remember(await self.fleet.platform.put_tree(self.editor.set_evacuated_zones()))
+        self.fleet.recorder.record(
+            ZoneEvacuationEnded(time=before, zone=zone, revision=edit.revision)
+        )
 
     def _remember(self, edit: Edit) -> Edit:
         if edit.valid:
@@ -92,7 +96,7 @@
                 body_bytes=upload_bytes if kind.body_bytes else 0,
             )
             for kind in kinds
-            if kind.patience - PATIENCE_SECONDS >= 2 * work_milliseconds / 1000
+            if kind.client_timeout - EXTRA_TIMEOUT_SECONDS >= 2 * work_milliseconds / 1000
         ]
 
     def expect(self, holds: bool, problem: str) -> None:
--- a/src/pewtertack/lab/scenarios/edits.py
+++ b/src/pewtertack/lab/scenarios/edits.py
@@ -23,16 +23,16 @@
         self._random = random.Random(f"edits:{seed}")
         self._count = 0
 
-    def good(self) -> Tree:
+    def make_valid_edit(self) -> Tree:
         """Make a valid edit and return the whole tree."""
         edits = (self._change_default, self._add_route, self._rotate_secret, self._override_zone)
         return self._edit(self._random.choice(edits))
 
-    def moved(self) -> Tree:
+    def move_route(self) -> Tree:
         """Move a route to another service, valid, and return the whole tree."""
         return self._edit(self._move_route)
 
-    def bad(self) -> Tree:
+    def make_invalid_edit(self) -> Tree:
         """Return the newest good tree with a mistake; the editor forgets it."""
         kept = self._tree
         mistakes = (_lose_service, _lose_secret, _break_unit, _add_unknown_key)
@@ -40,7 +40,7 @@
         self._tree = kept
         return tree
 
-    def with_route(self, name: str, route: Mapping[str, Any]) -> Tree:
+    def add_route(self, name: str, route: Mapping[str, Any]) -> Tree:
         """Add a route of the caller's choice and return the whole tree."""
 
         def add(tree: Tree) -> None:
@@ -48,7 +48,7 @@
 
         return self._edit(add)
 
-    def evacuated(self, *zones: str) -> Tree:
+    def set_evacuated_zones(self, *zones: str) -> Tree:
         """Evacuate just these zones, none to take all back, and return the whole tree."""
 
         def evacuate(tree: Tree) -> None:
--- a/src/pewtertack/lab/scenarios/requests.py
+++ b/src/pewtertack/lab/scenarios/requests.py
@@ -148,6 +148,6 @@
     with anyio.move_on_after(3 * FAULT_SECONDS):
         while True:
             with anyio.CancelScope(shield=True):
-                await context.edit_moving_a_route()
+                await context.move_route()
             await anyio.sleep(EDIT_PAUSE)
     await context.wait_for_newest()
--- a/src/pewtertack/lab/scenarios/runner.py
+++ b/src/pewtertack/lab/scenarios/runner.py
@@ -11,7 +11,7 @@
 import anyio
 
 from pewtertack.errors import LabError
-from pewtertack.lab.errors import leaves_of
+from pewtertack.lab.errors import flatten_exception_group
 from pewtertack.lab.fleet.fleet import Fleet
 from pewtertack.lab.fleet.history import HistoryRecorder
 from pewtertack.lab.fleet.plan import FleetPlan, FleetShape, plan_fleet
@@ -56,7 +56,7 @@
     ):
         async with Fleet(plan, Path(directory), recorder) as fleet:
             outcome = await _run(scenario, fleet, seed)
-        problems = [*outcome.problems, *errors_written(plan, Path(directory))]
+        problems = [*outcome.problems, *stderr_problems(plan, Path(directory))]
     lines = recorder.lines
     return Report(
         scenario=scenario.name,
@@ -105,10 +105,12 @@
         with anyio.fail_after(SCENARIO_SECONDS):
             await scenario.body(context)
     except* (LabError, TimeoutError) as group:
-        context.problems += [f"{type(error).__name__}: {error}" for error in leaves_of(group)]
+        context.problems += [
+            f"{type(error).__name__}: {error}" for error in flatten_exception_group(group)
+        ]
 
 
-def errors_written(plan: FleetPlan, directory: Path) -> list[str]:
+def stderr_problems(plan: FleetPlan, directory: Path) -> list[str]:
     """Return what nodes wrote to standard error."""
     found = []
     for name in plan.nodes:
--- a/src/pewtertack/lab/scenarios/scenario.py
+++ b/src/pewtertack/lab/scenarios/scenario.py
@@ -6,19 +6,19 @@
 from dataclasses import dataclass
 
 from pewtertack.lab.fleet.plan import FleetShape
-from pewtertack.lab.history.verdicts import Promise
+from pewtertack.lab.history.verdicts import Guarantee
 from pewtertack.lab.scenarios.context import ScenarioContext
 
 Body = Callable[[ScenarioContext], Awaitable[None]]
 
-CONFIGURATION_PROMISES = (
-    Promise.NEVER_BACK,
-    Promise.ROUTES_COMPLETE,
-    Promise.REVISIONS_WHOLE,
-    Promise.IN_FORCE_EVERYWHERE,
-    Promise.NEVER_REVERTED,
+CONFIGURATION_GUARANTEES = (
+    Guarantee.REVISIONS_MONOTONIC,
+    Guarantee.ROUTES_COMPLETE,
+    Guarantee.REVISIONS_INTACT,
+    Guarantee.IN_FORCE_EVERYWHERE,
+    Guarantee.NEVER_REVERTED,
 )
-REQUEST_PROMISES = (Promise.ANSWERS_WHOLE_AND_OWN, Promise.AT_MOST_ONCE)
+REQUEST_GUARANTEES = (Guarantee.RESPONSES_INTACT_AND_MATCHING, Guarantee.AT_MOST_ONCE)
 
 
 def _as_it_is(shape: FleetShape) -> FleetShape:
@@ -32,7 +32,7 @@
     name: str
     description: str
     body: Body
-    required: tuple[Promise, ...]
+    required: tuple[Guarantee, ...]
     """Promises that must have been put to the test."""
     adjust: Callable[[FleetShape], FleetShape] = _as_it_is
     rate: float = 40.0
--- a/src/pewtertack/lab/serving.py
+++ b/src/pewtertack/lab/serving.py
@@ -122,7 +122,7 @@
         self._server.should_exit = True
         self._server = None
 
-    def cut_waiting(self, path: str) -> int:
+    def abort_unanswered(self, path: str) -> int:
         """Reset the connections on which a request for ``path`` has no answer yet.
 
         Returns:
--- a/src/pewtertack/lab/slow_source/options.py
+++ b/src/pewtertack/lab/slow_source/options.py
@@ -4,8 +4,8 @@
 
 import math
 
+from pewtertack.lab.disabled_mechanisms import check_mechanism
 from pewtertack.lab.errors import SlowSourceOptionError
-from pewtertack.lab.weakening import check_mechanism
 
 FEWEST_NODES = 4
 """Three zones, and a majority that lives on while one node is stopped."""
--- a/src/pewtertack/lab/slow_source/run.py
+++ b/src/pewtertack/lab/slow_source/run.py
@@ -14,6 +14,7 @@
 import msgspec
 
 from pewtertack.events import Event
+from pewtertack.lab.disabled_mechanisms import disable_mechanism
 from pewtertack.lab.errors import FleetTimeoutError
 from pewtertack.lab.simulation.virtual_loop import run_virtually
 from pewtertack.lab.slow_source.judging import (
@@ -26,7 +27,6 @@
 from pewtertack.lab.slow_source.options import SlowSourceOptions
 from pewtertack.lab.store_fleet.fleet import EventHandler, NodeFleet, NodeLine, StoreFleet
 from pewtertack.lab.store_fleet.simulated import SimulatedStoreFleet
-from pewtertack.lab.weakening import switch_off
 
 ANSWER_SECONDS = (0.004, 4.0)
 """Seconds of a quick answer, and of the slowest."""
@@ -248,6 +248,6 @@
         LabError: the fleet did not form.
     """
     if options.without:
-        switch_off(options.without)
+        disable_mechanism(options.without)
     result: SlowSourceResult = run_virtually(_run_simulated, options)
     return result
--- a/src/pewtertack/lab/soak/callers.py
+++ b/src/pewtertack/lab/soak/callers.py
@@ -10,13 +10,13 @@
 
 from pewtertack.lab.load.caller import Target
 from pewtertack.lab.load.mix import CallKind
-from pewtertack.lab.records import Told
+from pewtertack.lab.records import CallResult
 from pewtertack.lab.soak.connection import Call, LastingConnection, connect
 from pewtertack.lab.soak.lag import LagMeter
 from pewtertack.lab.soak.mix import MixedRequests, Requests
 
 RECONNECT_SECONDS = 0.2
-Recorder = Callable[[Told], None]
+Recorder = Callable[[CallResult], None]
 
 
 class LastingCaller:
--- a/src/pewtertack/lab/soak/connection.py
+++ b/src/pewtertack/lab/soak/connection.py
@@ -13,14 +13,14 @@
 
 from pewtertack.lab.load.caller import (
     CONNECT_SECONDS,
-    Conclusion,
+    ExchangeResult,
     Target,
-    conclude,
+    interpret_response,
+    make_call_result,
     request_headers,
-    told_of,
 )
 from pewtertack.lab.load.mix import CallKind
-from pewtertack.lab.records import Told, ToldOutcome
+from pewtertack.lab.records import CallOutcome, CallResult
 from pewtertack.lab.soak.answers import AnswerReader, WholeAnswer
 from pewtertack.lab.soak.lag import LagMeter
 
@@ -80,10 +80,10 @@
         self.usable = False
         await anyio.aclose_forcefully(self._stream)
 
-    async def ask(self, calls: Sequence[Call]) -> list[Told]:
+    async def ask(self, calls: Sequence[Call]) -> list[CallResult]:
         """Send requests one behind the other, and return what each came to."""
-        told: list[Told] = []
-        patience = EXTRA_SECONDS + sum(call.kind.patience for call in calls)
+        told: list[CallResult] = []
+        patience = EXTRA_SECONDS + sum(call.kind.client_timeout for call in calls)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._send, calls)
             for call in calls:
@@ -113,26 +113,28 @@
             await self._stream.send(raw[start : start + CHUNK_BYTES])
         call.whole_at = time.monotonic()
 
-    async def _conclude(self, call: Call, patience: float) -> Conclusion:
+    async def _conclude(self, call: Call, patience: float) -> ExchangeResult:
         """Wait for the answer that is due."""
         try:
             with anyio.fail_after(patience):
                 answer = await self._next_answer()
         except TimeoutError:
             self.usable = False
-            return self._broken_off(ToldOutcome.TIMED_OUT)
+            return self._broken_off(CallOutcome.TIMED_OUT)
         except httptools.HttpParserError:
             self.usable = False
-            return Conclusion(ToldOutcome.ANSWERED, checksum_ok=False, own_answer=False)
+            return ExchangeResult(CallOutcome.ANSWERED, checksum_ok=False, own_answer=False)
         except STREAM_ERRORS:
             self.usable = False
-            return self._broken_off(ToldOutcome.CUT)
+            return self._broken_off(CallOutcome.CUT)
         if answer.closes:
             self.usable = False
-        return conclude(call.kind, call.request_id, answer.status, answer.headers, answer.body)
+        return interpret_response(
+            call.kind, call.request_id, answer.status, answer.headers, answer.body
+        )
 
-    def _broken_off(self, outcome: ToldOutcome) -> Conclusion:
-        return Conclusion(outcome, broken_off_after=self._answers.part_bytes)
+    def _broken_off(self, outcome: CallOutcome) -> ExchangeResult:
+        return ExchangeResult(outcome, broken_off_after=self._answers.part_bytes)
 
     async def _next_answer(self) -> WholeAnswer:
         while not self._answers.whole:
@@ -141,7 +143,7 @@
                 await anyio.sleep(self._pause)
         return self._answers.whole.popleft()
 
-    def _told(self, call: Call, conclusion: Conclusion) -> Told:
+    def _told(self, call: Call, conclusion: ExchangeResult) -> CallResult:
         now = time.monotonic()
         whole_for = None
         if call.whole_at is not None:
@@ -149,7 +151,7 @@
             whole_for = max(0.0, now - call.whole_at - lag)
         begun_for = None if call.sent_at is None else now - call.sent_at
         latency = now - call.began
-        return told_of(
+        return make_call_result(
             self._target, call.kind, call.request_id, conclusion, latency, whole_for, begun_for
         )
 
--- a/src/pewtertack/lab/soak/options.py
+++ b/src/pewtertack/lab/soak/options.py
@@ -4,8 +4,8 @@
 
 import math
 
+from pewtertack.lab.disabled_mechanisms import check_mechanism
 from pewtertack.lab.errors import SoakOptionError
-from pewtertack.lab.weakening import check_mechanism
 
 MOST_MINUTES = 24 * 60.0
 ZONES = ("ikeja", "yaba")
--- a/src/pewtertack/lab/soak/platform_faults.py
+++ b/src/pewtertack/lab/soak/platform_faults.py
@@ -97,7 +97,7 @@
 @fault("move-route", Lane.EDITS)
 async def move_route(soak: SoakContext, chooser: random.Random) -> None:
     """An operator moves a route to the other service."""
-    await soak.scenario.edit_moving_a_route()
+    await soak.scenario.move_route()
 
 
 @fault("evacuation", Lane.EDITS, weight=1.5)
@@ -106,10 +106,10 @@
     zone = chooser.choice(soak.fleet.plan.shape.zones)
     await soak.scenario.evacuate(zone)
     await anyio.sleep(EVACUATED_SECONDS)
-    await soak.scenario.take_back(zone)
+    await soak.scenario.end_evacuation(zone)
 
 
 @fault("edit-badly", Lane.EDITS)
-async def edit_badly(soak: SoakContext, chooser: random.Random) -> None:
+async def make_invalid_edit(soak: SoakContext, chooser: random.Random) -> None:
     """An operator makes an edit that must be rejected."""
-    await soak.scenario.edit_badly()
+    await soak.scenario.make_invalid_edit()
--- a/src/pewtertack/lab/soak/progress.py
+++ b/src/pewtertack/lab/soak/progress.py
@@ -12,7 +12,7 @@
 from pewtertack.lab.history.checker import REQUEST_CHECKS
 from pewtertack.lab.history.timeline import Timeline
 from pewtertack.lab.history.verdicts import CheckBounds, Judgement
-from pewtertack.lab.records import HistoryLine, Told
+from pewtertack.lab.records import CallResult, HistoryLine
 
 PROGRESS_SECONDS = 10.0
 CHECK_SHARE = 0.1
@@ -56,7 +56,7 @@
 
     def _describe(self, lines: list[HistoryLine]) -> str:
         elapsed = time.monotonic() - self._started
-        outcomes = Counter(str(line.outcome) for line in lines if isinstance(line, Told))
+        outcomes = Counter(str(line.outcome) for line in lines if isinstance(line, CallResult))
         told = ", ".join(f"{name} {count}" for name, count in sorted(outcomes.items()))
         faults = sum(self._made.values())
         return f"{elapsed:6.0f} s  {faults} faults  {told}  {self._violations(lines)}"
--- a/src/pewtertack/lab/soak/request_faults.py
+++ b/src/pewtertack/lab/soak/request_faults.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from pewtertack.lab.backend.application import ENDS_BACKEND
-from pewtertack.lab.history.crash_checks import ENDING_PREFIX
+from pewtertack.lab.history.crash_checks import CRASHING_REQUEST_PREFIX
 from pewtertack.lab.load.mix import CallKind, mix_of_tree
 from pewtertack.lab.soak.context import SoakContext
 from pewtertack.lab.soak.faults import Lane, fault
@@ -29,7 +29,7 @@
     with anyio.move_on_after(chooser.uniform(*LASTS_SECONDS)):
         while True:
             sent += 1
-            name = f"{ENDING_PREFIX}{number}-{sent}"
+            name = f"{CRASHING_REQUEST_PREFIX}{number}-{sent}"
             await soak.fleet.ask(chooser.choice(nodes), kind, name)
             await anyio.sleep(REPEAT_SECONDS)
 
--- a/src/pewtertack/lab/soak/result.py
+++ b/src/pewtertack/lab/soak/result.py
@@ -5,19 +5,19 @@
 import msgspec
 
 from pewtertack.cli.exit_codes import ExitCode
-from pewtertack.lab.history.verdicts import Judgement, Promise, Verdict
+from pewtertack.lab.history.verdicts import Guarantee, Judgement, Verdict
 from pewtertack.lab.report.report import RouteOutcomes
 
 REQUIRED = (
-    Promise.NEVER_BACK,
-    Promise.REVISIONS_WHOLE,
-    Promise.IN_FORCE_EVERYWHERE,
-    Promise.ANSWERS_WHOLE_AND_OWN,
-    Promise.AT_MOST_ONCE,
-    Promise.NOT_RUN_IS_TRUE,
-    Promise.STOP_ANSWERS_ALL,
-    Promise.SENT_IS_ANSWERED,
-    Promise.ENDING_REQUESTS_HELD,
+    Guarantee.REVISIONS_MONOTONIC,
+    Guarantee.REVISIONS_INTACT,
+    Guarantee.IN_FORCE_EVERYWHERE,
+    Guarantee.RESPONSES_INTACT_AND_MATCHING,
+    Guarantee.AT_MOST_ONCE,
+    Guarantee.NOT_RUN_IS_ACCURATE,
+    Guarantee.SHUTDOWN_ANSWERS_ALL,
+    Guarantee.RUNNING_NODE_ANSWERS_ALL,
+    Guarantee.CRASHING_REQUESTS_LIMITED,
 )
 """Promises that a soak must put to the test."""
 
@@ -49,7 +49,7 @@
         return broken or bool(self.problems)
 
     @property
-    def untested(self) -> list[Promise]:
+    def untested(self) -> list[Guarantee]:
         """Return the required promises that nothing put to the test."""
         held = {verdict.promise for verdict in self.verdicts if verdict.judged}
         return [promise for promise in REQUIRED if promise not in held]
--- a/src/pewtertack/lab/soak/run.py
+++ b/src/pewtertack/lab/soak/run.py
@@ -13,7 +13,7 @@
 import anyio
 
 from pewtertack.errors import LabError
-from pewtertack.lab.errors import leaves_of
+from pewtertack.lab.errors import flatten_exception_group
 from pewtertack.lab.fleet.fleet import Fleet
 from pewtertack.lab.fleet.history import HistoryRecorder
 from pewtertack.lab.fleet.plan import plan_fleet
@@ -23,7 +23,7 @@
 from pewtertack.lab.report.report import routes_of
 from pewtertack.lab.scenarios.context import ScenarioContext
 from pewtertack.lab.scenarios.edits import TreeEditor
-from pewtertack.lab.scenarios.runner import errors_written
+from pewtertack.lab.scenarios.runner import stderr_problems
 from pewtertack.lab.soak.context import CALLERS_PER_NODE, SoakContext
 from pewtertack.lab.soak.faults import DrawnFault, Lane, draw_faults
 from pewtertack.lab.soak.options import SoakOptions
@@ -109,7 +109,8 @@
             await drawn.kind.body(self.context, random.Random(drawn.seed))
         except* (LabError, TimeoutError) as group:
             self.context.scenario.problems += [
-                f"{drawn.kind.name}: {type(error).__name__}: {error}" for error in leaves_of(group)
+                f"{drawn.kind.name}: {type(error).__name__}: {error}"
+                for error in flatten_exception_group(group)
             ]
 
     async def _settle(self, callers: LabProcess) -> None:
@@ -136,7 +137,7 @@
         await context.evacuate(zone)
         await context.wait_for_newest()
         await anyio.sleep(2 * BOUNDS.evacuated)
-        await context.take_back(zone)
+        await context.end_evacuation(zone)
         await context.wait_for_newest()
 
 
@@ -158,7 +159,7 @@
                 *run.context.scenario.problems,
                 *run.watch.problems(),
                 *recorder.stray_lines,
-                *errors_written(plan, directory),
+                *stderr_problems(plan, directory),
             ]
     return _result(run, recorder, problems, time.monotonic() - began)
 
--- a/src/pewtertack/lab/source/service.py
+++ b/src/pewtertack/lab/source/service.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from pewtertack.lab.asgi import Answer, Request, json_answer
+from pewtertack.lab.asgi import Request, Response, json_response
 from pewtertack.lab.platform.application import ReadApplication
 from pewtertack.lab.platform.control import PlatformService
 from pewtertack.lab.platform.store import DocumentStore, NumberedDocument
@@ -50,21 +50,21 @@
             self._store, reading, READ_PATH, listen, control, dict(handlers)
         )
 
-    async def _put_tree(self, request: Request) -> Answer:
+    async def _put_tree(self, request: Request) -> Response:
         tree = msgspec.json.decode(request.body, type=dict[str, Any])
         self._put_lost()  # operators write what was lost before anything else
         expected = request.query.get("expected")
         number = self._store.put(tree, time.time(), int(expected) if expected else None)
-        return json_answer({"number": number})
+        return json_response({"number": number})
 
-    async def _come_back(self, request: Request) -> Answer:
+    async def _come_back(self, request: Request) -> Response:
         lost = self._store.come_back(float(request.query["copied_at"]))
         self._lost = [*lost, *self._lost]
-        return json_answer({"lost": len(lost)})
+        return json_response({"lost": len(lost)})
 
-    async def _write_again(self, request: Request) -> Answer:
+    async def _write_again(self, request: Request) -> Response:
         self._put_lost()
-        return json_answer({})
+        return json_response({})
 
     def _put_lost(self) -> None:
         """Write lost trees again, in their order: each gets the number that it had."""
@@ -72,6 +72,6 @@
             self._store.put(version.document, time.time())
         self._lost = []
 
-    async def _get_tree(self, request: Request) -> Answer:
+    async def _get_tree(self, request: Request) -> Response:
         newest = self._store.newest
-        return json_answer({"number": newest.number, "tree": newest.document})
+        return json_response({"number": newest.number, "tree": newest.document})
--- a/src/pewtertack/lab/store_fleet/fleet.py
+++ b/src/pewtertack/lab/store_fleet/fleet.py
@@ -192,7 +192,7 @@
 
     def cut_watches(self) -> int:
         """Reset the connections of all watches that wait; return how many there were."""
-        return self._listener.cut_waiting(WATCH_PATH)
+        return self._listener.abort_unanswered(WATCH_PATH)
 
     async def _open_relay(self, tasks: anyio.abc.TaskGroup) -> None:
         nodes = [self._relayed(index) for index in range(len(self._hosts))]
--- a/src/pewtertack/lab/store_fleet/simulated_source.py
+++ b/src/pewtertack/lab/store_fleet/simulated_source.py
@@ -8,7 +8,7 @@
 import anyio
 
 from pewtertack.errors import ReadFailure
-from pewtertack.lab.asgi import Answer, Request
+from pewtertack.lab.asgi import Request, Response
 from pewtertack.lab.metadata_store.application import WATCH_PATH, MetadataStore
 from pewtertack.node.http.client import (
     BODY_TIMEOUT_FACTOR,
@@ -39,7 +39,7 @@
         self._watches: dict[anyio.CancelScope, None] = {}
         """In the order of their calls, so that a run repeats itself."""
 
-    async def answer(self, request: Request) -> Answer:
+    async def answer(self, request: Request) -> Response:
         """Return the answer to ``request``.
 
         Raises:
@@ -97,7 +97,7 @@
         named = [(name.encode(), value.encode()) for name, value in answer.headers.items()]
         return ServiceResponse(answer.status, named, answer.body, fresh, took)
 
-    async def _answer(self, request: Request, seconds: float) -> Answer:
+    async def _answer(self, request: Request, seconds: float) -> Response:
         try:
             with anyio.fail_after(seconds):
                 await anyio.sleep(ONE_WAY_SECONDS)
@@ -108,7 +108,7 @@
             reason = f"no answer within {seconds:g} s"
             raise ServiceUnreachableError(reason, ReadFailure.SLOW) from error
 
-    async def _carry(self, answer: Answer, seconds: float) -> None:
+    async def _carry(self, answer: Response, seconds: float) -> None:
         """Let the body pass; its parts come in turn, so that only the whole can take too long."""
         faults = self._source.store.faults
         try:
--- a/tests/lab/fleet/test_fleet.py
+++ b/tests/lab/fleet/test_fleet.py
@@ -9,7 +9,7 @@
 
 import anyio
 
-from pewtertack.lab.demo import NEW_CALL, is_good_answer
+from pewtertack.lab.demo import NEW_CALL, is_correct_response
 from pewtertack.lab.deployments import shape_of
 from pewtertack.lab.errors import FleetInterruptedError
 from pewtertack.lab.fleet.fleet import Fleet
@@ -17,7 +17,7 @@
 from pewtertack.lab.fleet.plan import FleetPlan, plan_fleet
 from pewtertack.lab.load.caller import Caller, Target
 from pewtertack.lab.platform.store import Availability, Faults
-from pewtertack.lab.records import Told
+from pewtertack.lab.records import CallResult
 from pewtertack.lab.scenarios.edits import TreeEditor
 
 EXAMPLES = Path(__file__).resolve().parents[3] / "examples"
@@ -45,8 +45,8 @@
                 await fleet.wait_serving(first)
                 await self.edit_under_load(fleet, first)
                 await self.start_without_source(fleet, last)
-            told = [line for line in recorder.lines if isinstance(line, Told)]
-            self.assertEqual([line for line in told if not is_good_answer(line)], [])
+            told = [line for line in recorder.lines if isinstance(line, CallResult)]
+            self.assertEqual([line for line in told if not is_correct_response(line)], [])
             self.assertEqual(recorder.stray_lines, [])
 
     async def test_sigterm_to_the_lab_ends_all_processes(self) -> None:
@@ -71,7 +71,7 @@
         load = await fleet.start_load("callers", 40.0, nodes=nodes)
         await self.wait_for_requests(fleet, ENOUGH_REQUESTS)
         route = {"service": "logbook", "hosts": ["demo.example"], "path_prefix": "/demo"}
-        tree = TreeEditor(fleet.plan.shape.tree, 1).with_route("demo", route)
+        tree = TreeEditor(fleet.plan.shape.tree, 1).add_route("demo", route)
         edit = await fleet.platform.put_tree(tree)
         await fleet.wait_in_force(edit.revision, nodes, SECONDS)
         await self.wait_for_requests(fleet, 2 * ENOUGH_REQUESTS)
@@ -79,7 +79,7 @@
 
     async def wait_for_requests(self, fleet: Fleet, count: int) -> None:
         def enough(_: object) -> bool:
-            return sum(isinstance(line, Told) for line in fleet.recorder.lines) >= count
+            return sum(isinstance(line, CallResult) for line in fleet.recorder.lines) >= count
 
         await fleet.recorder.wait_until(enough, SECONDS, f"{count} requests")
 
@@ -89,5 +89,5 @@
         await fleet.start_nodes([name])
         await fleet.wait_serving([name], SECONDS)
         caller = Caller(Target(name, fleet.plan.nodes[name].proxy))
-        fleet.recorder.record(await caller.ask(NEW_CALL, "from-a-peer"))
+        fleet.recorder.record(await caller.call(NEW_CALL, "from-a-peer"))
         await caller.close()
--- a/tests/lab/history/test_planted_violations.py
+++ b/tests/lab/history/test_planted_violations.py
@@ -5,9 +5,11 @@
 
 from pewtertack.events import Event
 from pewtertack.lab.history.checker import all_held, check_history
-from pewtertack.lab.history.verdicts import CheckBounds, Judgement, Promise
+from pewtertack.lab.history.verdicts import CheckBounds, Guarantee, Judgement
 from pewtertack.lab.records import (
     BackendLeaving,
+    CallOutcome,
+    CallResult,
     Cut,
     Edit,
     ExecutionEnd,
@@ -24,10 +26,8 @@
     RevisionInForce,
     RouteInForce,
     SourceFault,
-    Told,
-    ToldOutcome,
     ZoneEvacuated,
-    ZoneTakenBack,
+    ZoneEvacuationEnded,
 )
 
 BOUNDS = CheckBounds(convergence=5.0, recovery=20.0, wake_grace=1.0, leaving=5.0)
@@ -58,7 +58,7 @@
     return NodeEvent(time=time, number=name.number, event=name.name, node=node, incarnation=1)
 
 
-def told(time: float, request: str, outcome: ToldOutcome, **changes: object) -> Told:
+def told(time: float, request: str, outcome: CallOutcome, **changes: object) -> CallResult:
     values: dict = {
         "node": "b",
         "route": "lookup",
@@ -69,7 +69,7 @@
         "latency": 1.0,
         **changes,
     }
-    return Told(time=time, request_id=request, outcome=outcome, **values)
+    return CallResult(time=time, request_id=request, outcome=outcome, **values)
 
 
 def ended(time: float, request: str) -> ExecutionEnd:
@@ -95,26 +95,26 @@
         in_force(32.0, "a", 3),
         in_force(33.0, "b", 3),
         ExecutionStart(time=40.0, request_id="r1", backend="x"),
-        told(41.0, "r1", ToldOutcome.ANSWERED),
-        told(42.0, "r2", ToldOutcome.NOT_RUN, status=503),
+        told(41.0, "r1", CallOutcome.ANSWERED),
+        told(42.0, "r2", CallOutcome.NOT_RUN, status=503),
         BackendLeaving(time=43.0, backend="x"),
         *(ended(44.0 + attempt, f"ending-1-{attempt}") for attempt in range(6)),
         ExecutionStart(time=59.8, request_id="r3", backend="y"),
         NodeStop(time=60.0, node="b"),
-        told(60.5, "r3", ToldOutcome.ANSWERED),
+        told(60.5, "r3", CallOutcome.ANSWERED),
         event(61.0, "b", Event.NODE_STOPPED),
     ]
 
 
 @dataclass
 class Planted:
-    promise: Promise
+    promise: Guarantee
     lines: list[HistoryLine]
 
 
 PLANTED = {
     "a replacement serves by an older revision": Planted(
-        Promise.NEVER_BACK,
+        Guarantee.REVISIONS_MONOTONIC,
         [
             NodeKill(time=34.0, node="a"),
             NodeStart(time=34.1, node="a", zone="zone-a"),
@@ -123,33 +123,33 @@
         ],
     ),
     "a route lacks its service": Planted(
-        Promise.ROUTES_COMPLETE, [in_force(34.0, "a", 3, services=())]
+        Guarantee.ROUTES_COMPLETE, [in_force(34.0, "a", 3, services=())]
     ),
     "a route lacks its secret": Planted(
-        Promise.ROUTES_COMPLETE, [in_force(34.0, "a", 3, secrets=())]
+        Guarantee.ROUTES_COMPLETE, [in_force(34.0, "a", 3, secrets=())]
     ),
     "a revision is in force in part": Planted(
-        Promise.REVISIONS_WHOLE, [in_force(34.0, "a", 3, digest="other")]
+        Guarantee.REVISIONS_INTACT, [in_force(34.0, "a", 3, digest="other")]
     ),
     "one number is in force with two digests": Planted(
-        Promise.REVISIONS_WHOLE,
+        Guarantee.REVISIONS_INTACT,
         [
             Edit(time=31.0, revision=3, digest="other", valid=True),
             in_force(34.0, "a", 3, digest="other"),
         ],
     ),
     "an invalid revision is in force": Planted(
-        Promise.REJECTED_UNUSED, [in_force(30.5, "a", 2), in_force(30.5, "b", 2)]
+        Guarantee.REJECTED_NEVER_IN_FORCE, [in_force(30.5, "a", 2), in_force(30.5, "b", 2)]
     ),
     "an accepted revision does not reach a node": Planted(
-        Promise.IN_FORCE_EVERYWHERE,
+        Guarantee.IN_FORCE_EVERYWHERE,
         [Edit(time=34.0, revision=4, digest="d4", valid=True), in_force(35.0, "a", 4)],
     ),
     "a valid edit is never in force": Planted(
-        Promise.IN_FORCE_EVERYWHERE, [Edit(time=34.0, revision=4, digest="d4", valid=True)]
+        Guarantee.IN_FORCE_EVERYWHERE, [Edit(time=34.0, revision=4, digest="d4", valid=True)]
     ),
     "a valid edit is not in force after a source fault and a cut": Planted(
-        Promise.IN_FORCE_EVERYWHERE,
+        Guarantee.IN_FORCE_EVERYWHERE,
         [
             SourceFault(time=33.5, service="source", fault="outage"),
             Cut(time=33.6, from_zone="zone-a", to_zone="zone-b"),
@@ -159,7 +159,7 @@
         ],
     ),
     "a new node serves without what was accepted": Planted(
-        Promise.NEVER_REVERTED,
+        Guarantee.NEVER_REVERTED,
         [
             NodeStart(time=45.0, node="c", zone="zone-c"),
             in_force(45.5, "c", 1),
@@ -168,7 +168,7 @@
         ],
     ),
     "a woken node serves by what it had": Planted(
-        Promise.NEVER_REVERTED,
+        Guarantee.NEVER_REVERTED,
         [
             NodePause(time=33.5, node="b"),
             Edit(time=34.0, revision=4, digest="d4", valid=True),
@@ -178,7 +178,7 @@
         ],
     ),
     "a new node serves and catches up in the same instant": Planted(
-        Promise.NEVER_REVERTED,
+        Guarantee.NEVER_REVERTED,
         [
             Edit(time=34.0, revision=4, digest="d4", valid=True),
             in_force(34.5, "a", 4),
@@ -190,40 +190,40 @@
         ],
     ),
     "an answer is damaged": Planted(
-        Promise.ANSWERS_WHOLE_AND_OWN,
-        [told(41.0, "r4", ToldOutcome.ANSWERED, checksum_ok=False)],
+        Guarantee.RESPONSES_INTACT_AND_MATCHING,
+        [told(41.0, "r4", CallOutcome.ANSWERED, checksum_ok=False)],
     ),
     "an answer belongs to another request": Planted(
-        Promise.ANSWERS_WHOLE_AND_OWN,
-        [told(41.0, "r4", ToldOutcome.ANSWERED, own_answer=False)],
+        Guarantee.RESPONSES_INTACT_AND_MATCHING,
+        [told(41.0, "r4", CallOutcome.ANSWERED, own_answer=False)],
     ),
     "a request refused as not run has run": Planted(
-        Promise.NOT_RUN_IS_TRUE, [ExecutionStart(time=42.5, request_id="r2", backend="x")]
+        Guarantee.NOT_RUN_IS_ACCURATE, [ExecutionStart(time=42.5, request_id="r2", backend="x")]
     ),
     "a request that may not be repeated runs twice": Planted(
-        Promise.AT_MOST_ONCE, [ExecutionStart(time=40.5, request_id="r1", backend="y")]
+        Guarantee.AT_MOST_ONCE, [ExecutionStart(time=40.5, request_id="r1", backend="y")]
     ),
     "a leaving back end gets new work": Planted(
-        Promise.LEAVING_UNUSED, [ExecutionStart(time=49.0, request_id="r5", backend="x")]
+        Guarantee.LEAVING_GETS_NO_WORK, [ExecutionStart(time=49.0, request_id="r5", backend="x")]
     ),
     "a planned stop cuts a request": Planted(
-        Promise.STOP_CUTS_NOTHING, [told(60.6, "r6", ToldOutcome.CUT, status=0)]
+        Guarantee.SHUTDOWN_CUTS_NOTHING, [told(60.6, "r6", CallOutcome.CUT, status=0)]
     ),
     "a request sent during a planned stop gets no answer": Planted(
-        Promise.STOP_ANSWERS_ALL,
-        [told(62.0, "r6", ToldOutcome.CUT, status=0, latency=0.5, whole_for=0.4)],
+        Guarantee.SHUTDOWN_ANSWERS_ALL,
+        [told(62.0, "r6", CallOutcome.CUT, status=0, latency=0.5, whole_for=0.4)],
     ),
     "a request sent to a node that runs gets no answer": Planted(
-        Promise.SENT_IS_ANSWERED,
-        [told(50.0, "r6", ToldOutcome.TIMED_OUT, status=0, whole_for=0.9)],
+        Guarantee.RUNNING_NODE_ANSWERS_ALL,
+        [told(50.0, "r6", CallOutcome.TIMED_OUT, status=0, whole_for=0.9)],
     ),
     "an answer breaks off in the middle at the end of a planned stop": Planted(
-        Promise.STOP_ANSWERS_ALL,
+        Guarantee.SHUTDOWN_ANSWERS_ALL,
         [
             told(
                 62.0,
                 "r6",
-                ToldOutcome.CUT,
+                CallOutcome.CUT,
                 status=0,
                 latency=0.5,
                 whole_for=0.4,
@@ -232,13 +232,13 @@
         ],
     ),
     "an answer breaks off in the middle while its node runs": Planted(
-        Promise.SENT_IS_ANSWERED,
+        Guarantee.RUNNING_NODE_ANSWERS_ALL,
         [
             ExecutionStart(time=49.5, request_id="r6", backend="y"),
             told(
                 50.0,
                 "r6",
-                ToldOutcome.CUT,
+                CallOutcome.CUT,
                 status=0,
                 whole_for=0.9,
                 broken_off_after=49_152,
@@ -246,10 +246,11 @@
         ],
     ),
     "a back end of an evacuated zone gets a request": Planted(
-        Promise.EVACUATED_UNUSED, [ExecutionStart(time=50.0, request_id="r7", backend="z")]
+        Guarantee.EVACUATED_GETS_NO_REQUESTS,
+        [ExecutionStart(time=50.0, request_id="r7", backend="z")],
     ),
     "a request ends one back end after the other": Planted(
-        Promise.ENDING_REQUESTS_HELD,
+        Guarantee.CRASHING_REQUESTS_LIMITED,
         [ended(50.0 + attempt, f"ending-2-{attempt}") for attempt in range(7)],
     ),
 }
@@ -258,7 +259,7 @@
 class PlantedViolationTest(unittest.TestCase):
     def test_every_promise_holds_on_a_sound_history(self) -> None:
         verdicts = check_history(sound_history(), BOUNDS)
-        self.assertEqual({verdict.promise for verdict in verdicts}, set(Promise))
+        self.assertEqual({verdict.promise for verdict in verdicts}, set(Guarantee))
         self.assertTrue(all_held(verdicts), verdicts)
 
     def test_each_planted_violation_breaks_its_promise_and_no_other(self) -> None:
@@ -269,11 +270,11 @@
                 self.assertEqual(broken, [planted.promise])
 
     def test_every_promise_has_a_planted_violation(self) -> None:
-        self.assertEqual({planted.promise for planted in PLANTED.values()}, set(Promise))
+        self.assertEqual({planted.promise for planted in PLANTED.values()}, set(Guarantee))
 
     def test_an_empty_history_is_too_thin_for_every_promise(self) -> None:
         verdicts = check_history([], BOUNDS)
-        self.assertEqual({v.judgement for v in verdicts}, {Judgement.TOO_THIN})
+        self.assertEqual({v.judgement for v in verdicts}, {Judgement.UNTESTED})
 
 
 class EvacuationTest(unittest.TestCase):
@@ -282,7 +283,9 @@
     def verdict(self, time: float, *lines: HistoryLine) -> Judgement:
         reached = ExecutionStart(time=time, request_id="r7", backend="z")
         verdicts = check_history([*sound_history(), reached, *lines], BOUNDS)
-        return next(v.judgement for v in verdicts if v.promise is Promise.EVACUATED_UNUSED)
+        return next(
+            v.judgement for v in verdicts if v.promise is Guarantee.EVACUATED_GETS_NO_REQUESTS
+        )
 
     def test_before_every_node_has_it_in_force_for_long_enough(self) -> None:
         self.assertEqual(self.verdict(32.5), Judgement.HELD)
@@ -290,7 +293,7 @@
         self.assertEqual(self.verdict(34.1), Judgement.VIOLATED)
 
     def test_once_it_is_taken_back(self) -> None:
-        back = ZoneTakenBack(time=45.0, zone="zone-z", revision=4)
+        back = ZoneEvacuationEnded(time=45.0, zone="zone-z", revision=4)
         self.assertEqual(self.verdict(46.0, back), Judgement.HELD)
         self.assertEqual(self.verdict(44.0, back), Judgement.VIOLATED)
 
@@ -304,7 +307,7 @@
 class ObligationTest(unittest.TestCase):
     """Who does not owe a revision: the paused, the cut off, the short-lived."""
 
-    def verdict(self, promise: Promise, lines: list[HistoryLine]) -> Judgement:
+    def verdict(self, promise: Guarantee, lines: list[HistoryLine]) -> Judgement:
         verdicts = check_history([*sound_history(), *lines], BOUNDS)
         return next(v.judgement for v in verdicts if v.promise is promise)
 
@@ -316,8 +319,8 @@
             NodeResume(time=58.0, node="b"),
             event(58.1, "b", Event.NODE_WOKE),
         ]
-        self.assertIs(self.verdict(Promise.IN_FORCE_EVERYWHERE, lines), Judgement.HELD)
-        self.assertIs(self.verdict(Promise.NEVER_REVERTED, lines), Judgement.HELD)
+        self.assertIs(self.verdict(Guarantee.IN_FORCE_EVERYWHERE, lines), Judgement.HELD)
+        self.assertIs(self.verdict(Guarantee.NEVER_REVERTED, lines), Judgement.HELD)
 
     def test_a_cut_off_zone_owes_nothing_until_it_heals(self) -> None:
         lines = [
@@ -326,11 +329,11 @@
             in_force(34.5, "a", 4),
             Heal(time=58.0),
         ]
-        self.assertIs(self.verdict(Promise.IN_FORCE_EVERYWHERE, lines), Judgement.HELD)
+        self.assertIs(self.verdict(Guarantee.IN_FORCE_EVERYWHERE, lines), Judgement.HELD)
 
     def test_a_process_paused_while_it_stops_owes_nothing(self) -> None:
         lines = [NodePause(time=61.2, node="b"), NodeResume(time=61.3, node="b"), Heal(time=99.0)]
-        self.assertIs(self.verdict(Promise.IN_FORCE_EVERYWHERE, lines), Judgement.HELD)
+        self.assertIs(self.verdict(Guarantee.IN_FORCE_EVERYWHERE, lines), Judgement.HELD)
 
     def test_who_starts_while_half_of_the_fleet_is_paused_owes_nothing_until_it_wakes(self) -> None:
         lines = [
@@ -340,16 +343,16 @@
             NodeResume(time=58.0, node="a"),
             NodeResume(time=58.0, node="b"),
         ]
-        self.assertIs(self.verdict(Promise.IN_FORCE_EVERYWHERE, lines), Judgement.HELD)
+        self.assertIs(self.verdict(Guarantee.IN_FORCE_EVERYWHERE, lines), Judgement.HELD)
         lines.append(Heal(time=63.1))
-        self.assertIs(self.verdict(Promise.IN_FORCE_EVERYWHERE, lines), Judgement.VIOLATED)
+        self.assertIs(self.verdict(Guarantee.IN_FORCE_EVERYWHERE, lines), Judgement.VIOLATED)
 
     def test_a_killed_process_owes_nothing(self) -> None:
         lines = [
             NodeStart(time=34.0, node="c", zone="zone-c"),
             NodeKill(time=38.0, node="c"),
         ]
-        self.assertIs(self.verdict(Promise.IN_FORCE_EVERYWHERE, lines), Judgement.HELD)
+        self.assertIs(self.verdict(Guarantee.IN_FORCE_EVERYWHERE, lines), Judgement.HELD)
 
 
 if __name__ == "__main__":
--- a/tests/lab/load/test_caller.py
+++ b/tests/lab/load/test_caller.py
@@ -12,7 +12,7 @@
 from pewtertack.lab.demo import NEW_CALL
 from pewtertack.lab.load.caller import Caller, Target
 from pewtertack.lab.load.generator import LoadGenerator
-from pewtertack.lab.records import Record, Told, ToldOutcome
+from pewtertack.lab.records import CallOutcome, CallResult, Record
 from pewtertack.lab.serving import Listener
 from pewtertack.settings import Address
 
@@ -39,23 +39,23 @@
         self.state = BackendState(Capacity(), 0.0)
         self.backend = BackendApplication("b1", self.state, self.records.append)
 
-    async def ask(self, application: Application) -> Told:
+    async def ask(self, application: Application) -> CallResult:
         async with caller_of(application) as caller:
-            return await caller.ask(NEW_CALL, "r1")
+            return await caller.call(NEW_CALL, "r1")
 
     async def test_a_whole_answer(self) -> None:
         told = await self.ask(self.backend)
-        self.assertEqual((told.outcome, told.status), (ToldOutcome.ANSWERED, 200))
+        self.assertEqual((told.outcome, told.status), (CallOutcome.ANSWERED, 200))
         self.assertTrue(told.checksum_ok and told.own_answer)
 
     async def test_a_shed_request_is_not_run(self) -> None:
         self.state.set_faults(BackendFaults(shedding_share=1.0), 0.0)
         told = await self.ask(self.backend)
-        self.assertEqual((told.outcome, told.retry_after), (ToldOutcome.NOT_RUN, 1.0))
+        self.assertEqual((told.outcome, told.retry_after), (CallOutcome.NOT_RUN, 1.0))
 
     async def test_a_broken_answer_is_cut(self) -> None:
         self.state.set_faults(BackendFaults(die_mid_answer_share=1.0), 0.0)
-        self.assertIs((await self.ask(self.backend)).outcome, ToldOutcome.CUT)
+        self.assertIs((await self.ask(self.backend)).outcome, CallOutcome.CUT)
 
     async def test_anothers_answer_is_noticed(self) -> None:
         told = await self.ask(mixed_up)
@@ -63,11 +63,11 @@
 
     async def test_nobody_listens(self) -> None:
         caller = Caller(Target("n1", Address("127.0.0.1", 1)))
-        told = await caller.ask(NEW_CALL, "r1")
-        self.assertIs(told.outcome, ToldOutcome.NOT_CONNECTED)
+        told = await caller.call(NEW_CALL, "r1")
+        self.assertIs(told.outcome, CallOutcome.NOT_CONNECTED)
 
     async def test_the_load_finishes_what_it_began(self) -> None:
-        told: list[Told] = []
+        told: list[CallResult] = []
         listener = Listener(self.backend, Address("127.0.0.1", 0))
         async with anyio.create_task_group() as task_group:
             await listener.open(task_group)
@@ -76,4 +76,4 @@
             await load.run(seconds=0.2)
             listener.close()
         self.assertGreater(len(told), 0)
-        self.assertEqual({line.outcome for line in told}, {ToldOutcome.ANSWERED})
+        self.assertEqual({line.outcome for line in told}, {CallOutcome.ANSWERED})
--- a/tests/lab/metadata_store/test_store_faults.py
+++ b/tests/lab/metadata_store/test_store_faults.py
@@ -198,7 +198,7 @@
             with anyio.fail_after(LONGEST):
                 while self.store.calls < 2:
                     await anyio.sleep(0.001)
-            self.assertEqual(self.listener.cut_waiting(WATCH_PATH), 1)
+            self.assertEqual(self.listener.abort_unanswered(WATCH_PATH), 1)
         self.assertEqual(len(broken), 1)
-        self.assertEqual(self.listener.cut_waiting(WATCH_PATH), 0)
+        self.assertEqual(self.listener.abort_unanswered(WATCH_PATH), 0)
         self.assertEqual((await self.ask(RANGE)).value["at"], 1)
--- a/tests/lab/report/test_report.py
+++ b/tests/lab/report/test_report.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from pewtertack.lab.history.verdicts import Judgement, Offence, Promise, Verdict
+from pewtertack.lab.history.verdicts import Guarantee, Judgement, Verdict, Violation
 from pewtertack.lab.platform.application import Counters
-from pewtertack.lab.records import Told, ToldOutcome
+from pewtertack.lab.records import CallOutcome, CallResult
 from pewtertack.lab.report.convergence import Convergence
 from pewtertack.lab.report.report import Report, routes_of
 from pewtertack.lab.report.resources import NodeResources
@@ -17,8 +17,8 @@
 NOTHING = distribution_of([])
 
 
-def told(request_id: str, outcome: ToldOutcome, latency: float) -> Told:
-    return Told(
+def told(request_id: str, outcome: CallOutcome, latency: float) -> CallResult:
+    return CallResult(
         time=1.0,
         request_id=request_id,
         node="n1",
@@ -33,7 +33,7 @@
 
 
 def report(judgement: Judgement, *problems: str) -> Report:
-    offence = Offence(1.0, "n1", "revision 1 in force after 2")
+    offence = Violation(1.0, "n1", "revision 1 in force after 2")
     offences = (offence,) if judgement is Judgement.VIOLATED else ()
     return Report(
         scenario="quiet",
@@ -48,10 +48,10 @@
         resources=NodeResources(NOTHING, NOTHING),
         source=Counters(),
         routes=routes_of(
-            [told("a", ToldOutcome.ANSWERED, 0.2), told("b", ToldOutcome.NOT_RUN, 9.0)]
+            [told("a", CallOutcome.ANSWERED, 0.2), told("b", CallOutcome.NOT_RUN, 9.0)]
         ),
-        verdicts=[Verdict(Promise.NEVER_BACK, judgement, 1, offences)],
-        required=[Promise.NEVER_BACK],
+        verdicts=[Verdict(Guarantee.REVISIONS_MONOTONIC, judgement, 1, offences)],
+        required=[Guarantee.REVISIONS_MONOTONIC],
         problems=list(problems),
         stray_lines=[],
     )
@@ -61,7 +61,7 @@
     def test_only_a_judged_and_held_promise_passes(self) -> None:
         self.assertTrue(report(Judgement.HELD).passed)
         self.assertFalse(report(Judgement.VIOLATED).passed)
-        self.assertFalse(report(Judgement.TOO_THIN).passed)
+        self.assertFalse(report(Judgement.UNTESTED).passed)
         self.assertFalse(report(Judgement.HELD, "n1 does not run at the end").passed)
 
     def test_the_text_names_offences_and_problems(self) -> None:
--- a/tests/lab/scenarios/test_edits.py
+++ b/tests/lab/scenarios/test_edits.py
@@ -18,16 +18,16 @@
             tree = read_tree(EXAMPLES / name / "tree.toml")
             editor = TreeEditor(tree, seed=3)
             for _ in range(30):
-                self.assertEqual(check_document(editor.good()), ())
-                self.assertEqual(check_document(editor.moved()), ())
-                self.assertNotEqual(check_document(editor.bad()), ())
+                self.assertEqual(check_document(editor.make_valid_edit()), ())
+                self.assertEqual(check_document(editor.move_route()), ())
+                self.assertNotEqual(check_document(editor.make_invalid_edit()), ())
             self.assertEqual(tree, read_tree(EXAMPLES / name / "tree.toml"))
 
     def test_every_edit_differs_and_the_seed_decides(self) -> None:
         tree = shape_of("lagos", EXAMPLES).tree
         first, second = TreeEditor(tree, 5), TreeEditor(tree, 5)
-        edits = [first.good() for _ in range(20)]
-        self.assertEqual(edits, [second.good() for _ in range(20)])
+        edits = [first.make_valid_edit() for _ in range(20)]
+        self.assertEqual(edits, [second.make_valid_edit() for _ in range(20)])
         self.assertTrue(all(a != b for a, b in zip(edits, edits[1:], strict=False)))
 
 
--- a/tests/lab/simulation/test_durable_source.py
+++ b/tests/lab/simulation/test_durable_source.py
@@ -5,7 +5,7 @@
 
 from pewtertack.core.profile import DIRECT, FAST, SourceProperties, TimingProfile
 from pewtertack.lab.history.checker import CheckGroup, check_history
-from pewtertack.lab.history.verdicts import Judgement, Promise
+from pewtertack.lab.history.verdicts import Guarantee, Judgement
 from pewtertack.lab.simulation.documents import broken_tree_for_edit, tree_for_edit
 from pewtertack.lab.simulation.execution import SIMULATION_BOUNDS, without_mechanism
 from pewtertack.lab.simulation.fleet import FleetSettings, SimulatedFleet
@@ -29,7 +29,7 @@
     return {process.core.replication.replica.in_force_number for process in made.processes.values()}
 
 
-def violated(made: SimulatedFleet) -> list[Promise]:
+def violated(made: SimulatedFleet) -> list[Guarantee]:
     verdicts = check_history(made.lines, SIMULATION_BOUNDS, CheckGroup.CONFIGURATION)
     return [verdict.promise for verdict in verdicts if verdict.judgement is Judgement.VIOLATED]
 
@@ -90,7 +90,7 @@
     def test_the_check_notices_a_fleet_that_goes_back(self) -> None:
         weakened = without_mechanism(DIRECT, "monotonic_numbers")
         weakened = without_mechanism(weakened, "quorum_gate")  # commit marks would cover for it
-        self.assertIn(Promise.NEVER_BACK, violated(self.after_a_stale_read(weakened)))
+        self.assertIn(Guarantee.REVISIONS_MONOTONIC, violated(self.after_a_stale_read(weakened)))
 
 
 class RandomFaultsTest(unittest.TestCase):
--- a/tests/lab/simulation/test_mechanisms.py
+++ b/tests/lab/simulation/test_mechanisms.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from pewtertack.core.profile import PROFILES, Mechanisms
-from pewtertack.lab.history.verdicts import Promise
+from pewtertack.lab.history.verdicts import Guarantee
 from pewtertack.lab.simulation.execution import run_schedule, without_mechanism
 from pewtertack.lab.simulation.schedules import decode_schedule
 
@@ -25,21 +25,23 @@
     two revisions may have either in force when a bound ends.
     """
 
-    broken: frozenset[Promise]
+    broken: frozenset[Guarantee]
     also_off: tuple[str, ...] = ()
 
 
 PROOFS = {
-    "quorum_gate": Proof(frozenset({Promise.NEVER_BACK, Promise.IN_FORCE_EVERYWHERE})),
-    "join_before_serving": Proof(frozenset({Promise.NEVER_REVERTED})),
-    "pause_detection": Proof(frozenset({Promise.NEVER_REVERTED})),
-    "validation": Proof(frozenset({Promise.ROUTES_COMPLETE, Promise.REJECTED_UNUSED})),
-    "monotonic_numbers": Proof(frozenset({Promise.NEVER_BACK}), also_off=("quorum_gate",)),
-    "lazy_repair": Proof(frozenset({Promise.IN_FORCE_EVERYWHERE})),
+    "quorum_gate": Proof(frozenset({Guarantee.REVISIONS_MONOTONIC, Guarantee.IN_FORCE_EVERYWHERE})),
+    "join_before_serving": Proof(frozenset({Guarantee.NEVER_REVERTED})),
+    "pause_detection": Proof(frozenset({Guarantee.NEVER_REVERTED})),
+    "validation": Proof(frozenset({Guarantee.ROUTES_COMPLETE, Guarantee.REJECTED_NEVER_IN_FORCE})),
+    "monotonic_numbers": Proof(
+        frozenset({Guarantee.REVISIONS_MONOTONIC}), also_off=("quorum_gate",)
+    ),
+    "lazy_repair": Proof(frozenset({Guarantee.IN_FORCE_EVERYWHERE})),
 }
 
 
-def broken_promises(name: str, switched_off: tuple[str, ...]) -> frozenset[Promise]:
+def broken_promises(name: str, switched_off: tuple[str, ...]) -> frozenset[Guarantee]:
     schedule = decode_schedule((DIRECTORY / f"{name}.json").read_bytes())
     profile = PROFILES[schedule.profile]
     for mechanism in switched_off:
--- a/tests/lab/simulation/test_total_loss.py
+++ b/tests/lab/simulation/test_total_loss.py
@@ -3,13 +3,13 @@
 import unittest
 
 from pewtertack.lab.history.checker import CheckGroup, check_history
-from pewtertack.lab.history.verdicts import Judgement, Promise
+from pewtertack.lab.history.verdicts import Guarantee, Judgement
 from pewtertack.lab.simulation.documents import tree_for_edit
 from pewtertack.lab.simulation.execution import SIMULATION_BOUNDS
 from pewtertack.lab.simulation.fleet import FleetSettings, SimulatedFleet
 
 
-def violated(fleet: SimulatedFleet) -> list[Promise]:
+def violated(fleet: SimulatedFleet) -> list[Guarantee]:
     verdicts = check_history(fleet.lines, SIMULATION_BOUNDS, CheckGroup.CONFIGURATION)
     return [verdict.promise for verdict in verdicts if verdict.judgement is Judgement.VIOLATED]
 
@@ -55,7 +55,7 @@
         self.replace_all()
         self.fleet.run(10.0)
         self.fleet.heal()
-        self.assertIn(Promise.NEVER_BACK, violated(self.fleet))
+        self.assertIn(Guarantee.REVISIONS_MONOTONIC, violated(self.fleet))
 
 
 class RegionCutTest(unittest.TestCase):
--- a/tests/lab/soak/test_connection.py
+++ b/tests/lab/soak/test_connection.py
@@ -10,7 +10,7 @@
 from pewtertack.lab.backend.answers import checksum, expected_body
 from pewtertack.lab.demo import NEW_CALL
 from pewtertack.lab.load.caller import Target
-from pewtertack.lab.records import Told, ToldOutcome
+from pewtertack.lab.records import CallOutcome, CallResult
 from pewtertack.lab.soak.connection import Call, LastingConnection, connect
 from pewtertack.lab.soak.lag import LagMeter
 from pewtertack.settings import Address
@@ -56,7 +56,7 @@
 
 
 class LastingConnectionTest(unittest.IsolatedAsyncioTestCase):
-    async def ask(self, server: Server, *request_ids: str) -> tuple[list[Told], bool]:
+    async def ask(self, server: Server, *request_ids: str) -> tuple[list[CallResult], bool]:
         """Return what was told, and whether the connection may be used again."""
         async with connection_to(server) as connection:
             with anyio.fail_after(60):
@@ -70,7 +70,7 @@
             await anyio.sleep_forever()
 
         told, usable = await self.ask(server, "r1", "r2")
-        self.assertEqual([line.outcome for line in told], [ToldOutcome.ANSWERED] * 2)
+        self.assertEqual([line.outcome for line in told], [CallOutcome.ANSWERED] * 2)
         self.assertTrue(all(line.checksum_ok and line.own_answer for line in told))
         self.assertTrue(usable)
 
@@ -89,7 +89,7 @@
             await stream.send(answer("r1") + answer("r2")[:-1])
 
         (_, told), usable = await self.ask(server, "r1", "r2")
-        self.assertEqual((told.outcome, usable), (ToldOutcome.CUT, False))
+        self.assertEqual((told.outcome, usable), (CallOutcome.CUT, False))
         self.assertEqual(told.broken_off_after, NEW_CALL.answer_bytes - 1)
         assert told.whole_for is not None
         assert told.begun_for is not None
@@ -102,7 +102,7 @@
             await stream.send(answer("r1"))
 
         (first, second), _ = await self.ask(server, "r1", "r2")
-        self.assertEqual(second.outcome, ToldOutcome.CUT)
+        self.assertEqual(second.outcome, CallOutcome.CUT)
         self.assertEqual([first.broken_off_after, second.broken_off_after], [None, None])
 
     async def test_who_reads_with_pauses_gets_the_whole_answer(self) -> None:
--- a/tests/lab/soak/test_options.py
+++ b/tests/lab/soak/test_options.py
@@ -11,7 +11,7 @@
 from pewtertack.cli.exit_codes import ExitCode
 from pewtertack.lab.errors import LabUsageError, SoakOptionError
 from pewtertack.lab.fleet.plan import plan_fleet
-from pewtertack.lab.history.verdicts import Judgement, Offence, Promise, Verdict
+from pewtertack.lab.history.verdicts import Guarantee, Judgement, Verdict, Violation
 from pewtertack.lab.soak import options as soak_options
 from pewtertack.lab.soak.options import SoakOptions
 from pewtertack.lab.soak.report import format_result, write_report
@@ -32,8 +32,8 @@
     resident_megabytes=30.0,
     descriptors=50,
 )
-OFFENCE = Offence(1.0, "call-1", "no answer")
-BROKEN = Verdict(Promise.STOP_ANSWERS_ALL, Judgement.VIOLATED, 9, (OFFENCE,))
+OFFENCE = Violation(1.0, "call-1", "no answer")
+BROKEN = Verdict(Guarantee.SHUTDOWN_ANSWERS_ALL, Judgement.VIOLATED, 9, (OFFENCE,))
 
 
 class SoakOptionsTest(unittest.TestCase):
--- a/tests/lab/test_weakening.py
+++ b/tests/lab/test_disabled_mechanisms.py
@@ -16,14 +16,14 @@
 from pewtertack.core.replication.machine_lists import MachineListReplica
 from pewtertack.core.returned_lists import MachineListOverrides
 from pewtertack.core.revision import revision_id_of
-from pewtertack.lab.errors import LabUsageError
-from pewtertack.lab.weakening import (
+from pewtertack.lab.disabled_mechanisms import (
     CORE_MECHANISMS,
-    HASTY_ANSWER_SECONDS,
     MECHANISMS,
     REQUEST_MECHANISMS,
-    switch_off,
+    SHORT_RESPONSE_TIMEOUT_SECONDS,
+    disable_mechanism,
 )
+from pewtertack.lab.errors import LabUsageError
 from pewtertack.node.proxy import exchange
 from pewtertack.node.proxy.application import ProxyApplication
 from pewtertack.node.proxy.stop_time import ShutdownDeadline
@@ -36,7 +36,7 @@
     def test_every_core_mechanism_can_be_switched_off(self) -> None:
         for name in CORE_MECHANISMS:
             with mock.patch.dict(profile.PROFILES):
-                switch_off(name)
+                disable_mechanism(name)
                 for timing in profile.PROFILES.values():
                     self.assertFalse(getattr(timing.mechanisms, name))
 
@@ -45,14 +45,14 @@
             mock.patch.dict(profile.PROFILES),
             mock.patch.object(store, "RESPONSE_HEAD_TIMEOUT_SECONDS", 8.0),
         ):
-            switch_off("overlapping_reads")
-            switch_off("slow_answers")
+            disable_mechanism("overlapping_reads")
+            disable_mechanism("slow_answers")
             self.assertEqual({item.read_patience for item in profile.PROFILES.values()}, {0.0})
-            self.assertEqual(store.RESPONSE_HEAD_TIMEOUT_SECONDS, HASTY_ANSWER_SECONDS)
+            self.assertEqual(store.RESPONSE_HEAD_TIMEOUT_SECONDS, SHORT_RESPONSE_TIMEOUT_SECONDS)
 
     def test_the_answers_identity_is_no_longer_read(self) -> None:
         with mock.patch.dict(vars(exchange)):
-            switch_off("answer_identity")
+            disable_mechanism("answer_identity")
             read: Any = vars(exchange)["read_response_meta"]
             self.assertIsNone(read([(b"x-request-id", b"r1")]).request_id)
 
@@ -61,7 +61,7 @@
             mock.patch.object(ShutdownDeadline, "begin", ShutdownDeadline.begin),
             mock.patch.object(ProxyApplication, "announce_stop", ProxyApplication.announce_stop),
         ):
-            switch_off("stop_announcements")
+            disable_mechanism("stop_announcements")
             proxy = ProxyApplication(lambda: 5.0, Random(7))
             with mock.patch("pewtertack.node.proxy.application.notify_gateways") as tell:
                 proxy.start_leaving(2.0)
@@ -72,7 +72,7 @@
 
     def test_nothing_is_held_after_returns(self) -> None:
         with mock.patch.object(MachineListOverrides, "__init__", MachineListOverrides.__init__):
-            switch_off("hold_after_return")
+            disable_mechanism("hold_after_return")
             replica = MachineListReplica(6.0, 0.0)
         for number in (list_number(0, 9), list_number(1, 5)):
             state = "leaving" if number == 9 else "live"
@@ -83,7 +83,7 @@
     def test_every_request_mechanism_can_be_switched_off(self) -> None:
         for name in REQUEST_MECHANISMS:
             with self.subTest(name):
-                code = f"from pewtertack.lab.weakening import switch_off; switch_off({name!r})"
+                code = f"from pewtertack.lab.disabled_mechanisms import disable_mechanism; disable_mechanism({name!r})"
                 environment = os.environ | {"PYTHONPATH": str(SOURCE_DIRECTORY)}
                 ended = subprocess.run(
                     [sys.executable, "-c", code], env=environment, capture_output=True, text=True
@@ -93,4 +93,4 @@
     def test_unknown_names_are_typed_errors(self) -> None:
         self.assertEqual(len(MECHANISMS), len(set(MECHANISMS)))
         with self.assertRaises(LabUsageError):
-            switch_off("luck")
+            disable_mechanism("luck")
--- a/tests/lab/test_records.py
+++ b/tests/lab/test_records.py
@@ -3,11 +3,11 @@
 import unittest
 
 from pewtertack.lab.records import (
+    CallOutcome,
+    CallResult,
     HistoryFormatError,
     NodeEvent,
     RevisionInForce,
-    Told,
-    ToldOutcome,
     decode_line,
     encode_record,
     read_history,
@@ -23,13 +23,13 @@
 
 class RecordsTest(unittest.TestCase):
     def test_a_record_survives_the_line(self) -> None:
-        told = Told(
+        told = CallResult(
             time=1.0,
             request_id="r1",
             node="n",
             route="lookup",
             status=200,
-            outcome=ToldOutcome.ANSWERED,
+            outcome=CallOutcome.ANSWERED,
             checksum_ok=True,
             own_answer=True,
             repeatable=False,
