--- a/src/pewtertack/node/proxy/body.py
+++ b/src/pewtertack/node/proxy/body.py
@@ -15,8 +15,9 @@
 MAX_REPLAY_BYTES = 512 * 1024
 """A longer body cannot be sent a second time, neither to another gateway nor as a retry."""
 READ_AHEAD_BYTES = MAX_REPLAY_BYTES - 64 * 1024
-"""This much of a long body is received before the request is sent to a gateway. Until then no
-gateway has to wait for the caller, and only while reading is it noticed that a caller has gone."""
+"""This much of a long body is received before the request is sent to a gateway: a gateway should
+not wait while the caller is still sending, and a caller's disconnect is noticed only while its body
+is being read."""
 TOTAL_BODY_BUFFER_BYTES = 16 * 1024 * 1024
 """Limit on the buffered bytes of all requests' bodies together. Without it, back ends that do not
 read could cause hundreds of bodies to be buffered. An idle node takes 20 MB of memory, and the
--- a/src/pewtertack/node/proxy/exchange.py
+++ b/src/pewtertack/node/proxy/exchange.py
@@ -75,8 +75,8 @@
         """Whether the head of a response has been passed to the caller."""
         self.status = 0
         """Status of that response, 0 without one."""
-        self.end = AttemptResult.CANCELLED
-        """The attempt's end according to the head of the latest response."""
+        self.result = AttemptResult.CANCELLED
+        """The attempt's result according to the head of the latest response."""
         self.buffers_start = False
         """Whether to buffer the start of the response, so that the request can be sent again if
         the response breaks off within it."""
@@ -130,10 +130,10 @@
             await _drain_short_body(connection)
             retry_after = _parse_fractional_retry_after(meta.retry_after)
             raise error_from_failure(meta.failure, start.status, retry_after)
-        self.end = result_of_response(start.status, meta.outcome, meta.retries)
+        self.result = result_of_response(start.status, meta.outcome, meta.retries)
         if self._is_not_run(start.status, meta):
-            self.end = AttemptResult.SHED
-        if self.end is AttemptResult.SHED:
+            self.result = AttemptResult.SHED
+        if self.result is AttemptResult.SHED:
             await _drain_short_body(connection)
             raise _shed_error(start, meta)
         self._check_framing(connection, start, meta)
--- a/src/pewtertack/node/proxy/attempt_ends.py
+++ b/src/pewtertack/node/proxy/failure_results.py
@@ -24,8 +24,8 @@
 """Gateway refusals that apply to other requests as well: the back end is unreachable."""
 
 
-def attempt_end_for(error: RequestFailedError) -> AttemptResult:
-    """Return the attempt end by which a failure with ``error`` counts."""
+def result_of_failure(error: RequestFailedError) -> AttemptResult:
+    """Return the result of an attempt that failed with ``error``."""
     if isinstance(error, GatewayRefusedError) and error.reason == BackendLeftError.code:
         return AttemptResult.GONE
     if isinstance(error, GatewayRefusedError):
--- a/src/pewtertack/node/proxy/forwarding.py
+++ b/src/pewtertack/node/proxy/forwarding.py
@@ -22,7 +22,6 @@
 from pewtertack.node.http.connection import BackendConnection
 from pewtertack.node.http.cycle import Scope
 from pewtertack.node.http.framing import RawHeaders
-from pewtertack.node.proxy.attempt_ends import attempt_end_for
 from pewtertack.node.proxy.body import (
     MAX_REPLAY_BYTES,
     BufferedBodies,
@@ -34,6 +33,7 @@
 from pewtertack.node.proxy.edge import DEFAULT_EDGE, NODE_EDGE, EdgeHeaders
 from pewtertack.node.proxy.exchange import Exchange, TruncatedAnswerError
 from pewtertack.node.proxy.failure_responses import Receive, Send
+from pewtertack.node.proxy.failure_results import result_of_failure
 from pewtertack.node.proxy.headers import (
     BACKEND_LOAD,
     RequestHead,
@@ -307,25 +307,27 @@
         assert backend is not None
         if self._context.log is not None:
             self._context.log.routed(self._head.request_id, self._ticket, self._revision)
-        end = AttemptResult.CANCELLED
+        result = AttemptResult.CANCELLED
         self._attempt_active = True
         try:
             await self._exchange_with(backend)
-            end = self._exchange.end
+            result = self._exchange.result
             if not backend.gateway:
                 self._crash_guard.note_answered(self.status)
         except RequestFailedError as error:
-            end = attempt_end_for(error)
+            result = result_of_failure(error)
             raise
         except TruncatedAnswerError:
-            end = AttemptResult.BROKEN
+            result = AttemptResult.BROKEN
             raise
         except anyio.get_cancelled_exc_class():
-            end = AttemptResult.CANCELLED if self._lifetime.caller_gone else AttemptResult.TIMED_OUT
+            result = (
+                AttemptResult.CANCELLED if self._lifetime.caller_gone else AttemptResult.TIMED_OUT
+            )
             raise
         finally:
             self._attempt_active = False
-            self._finish(end)
+            self._finish(result)
 
     async def _exchange_with(self, backend: Backend) -> None:
         connections = self._context.connections
@@ -437,5 +439,5 @@
         elif self._context.metrics is not None:
             self._context.metrics.note_invalid_link_report()
 
-    def _finish(self, end: AttemptResult) -> None:
-        self._context.dispatcher.finish(self._ticket, self._context.clock(), end)
+    def _finish(self, result: AttemptResult) -> None:
+        self._context.dispatcher.finish(self._ticket, self._context.clock(), result)
--- a/tests/node/gateway/test_gateway.py
+++ b/tests/node/gateway/test_gateway.py
@@ -332,17 +332,17 @@
 
 class CancellationTest(GatewayTestCase):
     async def test_a_disconnect_of_the_caller_ends_the_execution_over_both_nodes(self) -> None:
-        begun, ended = asyncio.Event(), asyncio.Event()
+        started, ended = asyncio.Event(), asyncio.Event()
 
         async def stall(reader: Any, writer: Any, head: str) -> bool:
-            begun.set()
+            started.set()
             await reader.read(1)
             ended.set()
             return False
 
         address = await self.start_fleet(stall)
         _, writer = await begin_call(address, POST)
-        await asyncio.wait_for(begun.wait(), 5.0)
+        await asyncio.wait_for(started.wait(), 5.0)
         writer.close()
         await asyncio.wait_for(ended.wait(), 5.0)
 
--- a/tests/node/gateway/test_stop.py
+++ b/tests/node/gateway/test_stop.py
@@ -129,17 +129,17 @@
         broken = asyncio.Event()
 
         async def break_when_told(reader: Any, writer: Any, head: str) -> bool:
-            begun.set()
+            started.set()
             await broken.wait()
             writer.transport.abort()
             return False
 
-        begun, second = asyncio.Event(), HeldBackend()
+        started, second = asyncio.Event(), HeldBackend()
         self.address = await self.start_fleet(
             break_when_told, slots=1, timeout=30.0, repeatable=True
         )
         call = await self.call("c")
-        await asyncio.wait_for(begun.wait(), TIMEOUT_SECONDS)
+        await asyncio.wait_for(started.wait(), TIMEOUT_SECONDS)
         await self.add_backend("b1", second, 1)
         self.use_machines(2)
         self.proxy.start_draining()
--- a/tests/node/proxy/test_failures.py
+++ b/tests/node/proxy/test_failures.py
@@ -113,13 +113,13 @@
         The rest of the request's body was dropped as soon as the head of a response arrived, since
         no other attempt was expected. But the request is retried if that response breaks off.
         """
-        begun = asyncio.Event()
+        started = asyncio.Event()
 
         async def break_off_early(reader: Any, writer: Any, head: str) -> bool:
-            if not begun.is_set():
+            if not started.is_set():
                 lines = b"x-request-id: " + request_id_of(head)
                 writer.write(answer_bytes(b"ok", lines)[:-1])
-                begun.set()
+                started.set()
                 await resume.wait()
                 return False
             return await answer_normally(reader, writer, head)
@@ -130,7 +130,7 @@
         )
         raw = request_bytes("POST", "/", b"p" * 1000)
         reader, writer = await begin_call(address, raw[:-600])
-        await begun.wait()
+        await started.wait()
         for part in (raw[-600:-300], raw[-300:]):
             await asyncio.sleep(0.05)
             writer.write(part)
@@ -251,12 +251,12 @@
                 await self.assert_exchange_ends_with_caller(raw)
 
     async def assert_exchange_ends_with_caller(self, raw: bytes) -> None:
-        begun, ended = asyncio.Event(), asyncio.Event()
+        started, ended = asyncio.Event(), asyncio.Event()
 
         async def stall(reader: Any, writer: Any, head: str) -> bool:
             if "/early" in head:
                 writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: 100000\r\n\r\nhalf")
-            begun.set()
+            started.set()
             while await reader.read(100):
                 pass
             ended.set()
@@ -264,7 +264,7 @@
 
         address = await self.start(RawBackend(stall), settings=LONG_TIMEOUT)
         reader, writer = await begin_call(address, raw)
-        await asyncio.wait_for(begun.wait(), 5)
+        await asyncio.wait_for(started.wait(), 5)
         reading = asyncio.create_task(reader.readuntil(b"half"))
         while b"/early" in raw and not reading.done():
             writer.write(b"some of it")
@@ -335,16 +335,16 @@
 
 class DrainTest(ProxyTestCase):
     async def test_requests_in_flight_finish_and_new_ones_are_refused(self) -> None:
-        begun, resume = asyncio.Event(), asyncio.Event()
+        started, resume = asyncio.Event(), asyncio.Event()
 
         async def wait(reader: Any, writer: Any, head: str) -> bool:
-            begun.set()
+            started.set()
             await resume.wait()
             return await answer_normally(reader, writer, head)
 
         address = await self.start(RawBackend(wait))
         running = asyncio.create_task(raw_call(address, POST))
-        await begun.wait()
+        await started.wait()
         self.proxy.start_draining()
         drained = asyncio.create_task(self.proxy.wait_drained())
         refused = await raw_call(address, POST.replace(b"connection: close\r\n", b""))
--- a/tests/routing/test_successors.py
+++ b/tests/routing/test_successors.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from pewtertack.core.machines import Machine, MachineList, MachineRole, MachineState
-from pewtertack.node.proxy.attempt_ends import attempt_end_for
+from pewtertack.node.proxy.failure_results import result_of_failure
 from pewtertack.routing.attempt_results import AttemptResult
 from pewtertack.routing.backend_events import BackendEvent, BackendLeaving
 from pewtertack.routing.dispatcher import Dispatcher
@@ -96,7 +96,7 @@
 
 class LeftForGoodTest(unittest.TestCase):
     def refused(self, code: str) -> AttemptResult:
-        return attempt_end_for(GatewayRefusedError("refused", None, code))
+        return result_of_failure(GatewayRefusedError("refused", None, code))
 
     def test_left_for_good_is_distinguished_from_not_listed(self) -> None:
         self.assertEqual(self.refused(BackendLeftError.code), AttemptResult.GONE)
