--- a/src/pewtertack/routing/patience.py
+++ b/src/pewtertack/routing/patience.py
@@ -112,7 +112,7 @@
 MIN_FIRST_CALLS = 10
 """Number of calls, while nobody can be retrying, after which their times are known."""
 ASSUMED_SHORTEST_SHARE = 0.85
-"""Before that the shortest time is assumed to be at most this share of the longest. Assumed."""
+"""Before that the shortest time is taken to be at most this share of the longest. Assumed."""
 
 
 class _CallerTimes:
@@ -141,8 +141,8 @@
 
     __slots__ = ("_retry_time_factor", "_routes")
 
-    def __init__(self, returning: RetryLaterPolicy = RetryLaterPolicy.FOUR) -> None:
-        self._retry_time_factor = RETRY_TIME_FACTORS[returning]
+    def __init__(self, policy: RetryLaterPolicy = RetryLaterPolicy.FOUR) -> None:
+        self._retry_time_factor = RETRY_TIME_FACTORS[policy]
         self._routes: dict[str, _CallerTimes] = {}
 
     def keep_only(self, routes: Container[str]) -> None:
