--- a/tests/lab/test_disabled_mechanisms.py
+++ b/tests/lab/test_disabled_mechanisms.py
@@ -83,7 +83,10 @@
     def test_every_request_mechanism_can_be_switched_off(self) -> None:
         for name in REQUEST_MECHANISMS:
             with self.subTest(name):
-                code = f"from pewtertack.lab.disabled_mechanisms import disable_mechanism; disable_mechanism({name!r})"
+                code = (
+                    "from pewtertack.lab.disabled_mechanisms import disable_mechanism;"
+                    f" disable_mechanism({name!r})"
+                )
                 environment = os.environ | {"PYTHONPATH": str(SOURCE_DIRECTORY)}
                 ended = subprocess.run(
                     [sys.executable, "-c", code], env=environment, capture_output=True, text=True
