--- a/tests/node/gateway/test_sending.py
+++ b/tests/node/gateway/test_sending.py
@@ -103,8 +103,9 @@
     async def test_a_long_response_in_one_message_with_its_head_is_paced(self) -> None:
         data = bytes(index % 251 for index in range(3 * LONG_BYTES))
         sender = self.make_sender()
-        head = {"type": "http.response.start", "status": 200, "headers": [], WHOLE_BODY: data}
-        await sender(head)
+        await sender(
+            {"type": "http.response.start", "status": 200, "headers": [], WHOLE_BODY: data}
+        )
         self.assertNotIn(WHOLE_BODY, self.sent[0])
         self.assertEqual(self.node_buffer.byte_count, len(data) - len(self.body()))
         await sender.finish()
