--- a/src/pewtertack/cli/lab.py
+++ b/src/pewtertack/cli/lab.py
@@ -209,7 +209,7 @@
     found = find_scenario(scenario)
     if without:
         check_mechanism(without)
-    shape = replace(shape_of(deployment, examples, nodes_per_zone), without=without)
+    shape = replace(shape_of(deployment, examples, nodes_per_zone), disabled_mechanism=without)
     with tempfile.TemporaryDirectory() as directory:
         path = history or Path(directory) / "history.jsonl"
         result = run_fleet(run_scenario, found, shape, seed, path)
--- a/src/pewtertack/cli/lab_restores.py
+++ b/src/pewtertack/cli/lab_restores.py
@@ -19,9 +19,9 @@
     import anyio
     import msgspec
 
-    from pewtertack.lab.returns.run import run_returns
+    from pewtertack.lab.returns.run import run_restores
 
-    result = anyio.run(run_returns, seconds, seed, hold)
+    result = anyio.run(run_restores, seconds, seed, hold)
     typer.echo(msgspec.json.encode(result).decode())
     raise typer.Exit(ExitCode.FOUND if result.offences else ExitCode.OK)
 
--- a/src/pewtertack/cli/lab_soak.py
+++ b/src/pewtertack/cli/lab_soak.py
@@ -51,15 +51,15 @@
     from pewtertack.lab.load.mix import mix_of_tree
     from pewtertack.lab.records import CallResult, encode_record
     from pewtertack.lab.serving import print_line, print_ready
-    from pewtertack.lab.soak.callers import LastingCallers
-    from pewtertack.lab.soak.mix import Downloads, MixedRequests
+    from pewtertack.lab.soak.callers import PersistentCallers
+    from pewtertack.lab.soak.mix import DownloadRequestGenerator, MixedRequestGenerator
 
     def record(told: CallResult) -> None:
         print_line(encode_record(told))
 
     targets = [Target(*parse_named_address(text)) for text in node]
     mix = mix_of_tree(read_json_object(tree))
-    kind = Downloads if downloads else MixedRequests
+    kind = DownloadRequestGenerator if downloads else MixedRequestGenerator
     print_ready()
-    anyio.run(LastingCallers(targets, callers, mix, seed, prefix, record, kind).run)
+    anyio.run(PersistentCallers(targets, callers, mix, seed, prefix, record, kind).run)
     raise typer.Exit(ExitCode.OK)
--- a/src/pewtertack/lab/backend/application.py
+++ b/src/pewtertack/lab/backend/application.py
@@ -19,8 +19,8 @@
     send_head,
     send_response,
 )
-from pewtertack.lab.backend.answers import DEFAULT_BODY_BYTES, checksum, expected_body
-from pewtertack.lab.backend.crossing import AnswerExchange
+from pewtertack.lab.backend.response_body import DEFAULT_BODY_BYTES, checksum, expected_body
+from pewtertack.lab.backend.response_swap import ResponseSwapper
 from pewtertack.lab.backend.state import BackendState
 from pewtertack.lab.records import ExecutionEnd, ExecutionResult, ExecutionStart, Record
 
@@ -29,7 +29,7 @@
 NO_DEADLINE = float("inf")
 
 
-ENDS_BACKEND = "ends-back-ends"
+CRASH_PATH_MARKER = "ends-back-ends"
 """A request whose path holds this ends the back end that has run it."""
 
 
@@ -61,7 +61,7 @@
         self.end = _go_on
         """Called when a request ends the back end."""
         self._slots = anyio.Semaphore(state.capacity.slots)
-        self._exchange = AnswerExchange()
+        self._exchange = ResponseSwapper()
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Answer one request."""
@@ -129,7 +129,7 @@
         if seconds > left:
             await send_response(send, self._answer(request, 504, b""))
             return ExecutionResult.DEADLINE
-        if ENDS_BACKEND in request.path:
+        if CRASH_PATH_MARKER in request.path:
             self.end()
             raise BackendEndedError
         return await self._send_result(request, receive, send)
--- a/src/pewtertack/lab/backend/crossing.py
+++ b/src/pewtertack/lab/backend/response_swap.py
@@ -9,7 +9,7 @@
 PARTNER_WAIT = 0.05
 
 
-class AnswerExchange:
+class ResponseSwapper:
     """Pairs requests up and gives each the other's answer.
 
     A request that finds no partner within ``PARTNER_WAIT`` seconds gets its own.
--- a/src/pewtertack/lab/demo.py
+++ b/src/pewtertack/lab/demo.py
@@ -184,13 +184,13 @@
     for name in fleet.plan.nodes:
         for index, kind in enumerate(itertools.islice(kinds, SPANNING_CALLS)):
             call = msgspec.structs.replace(kind, work_milliseconds=SPANNING_WORK_MILLISECONDS)
-            tasks.start_soon(fleet.ask, name, call, f"spanning-{name}-{index}")
+            tasks.start_soon(fleet.send_request, name, call, f"spanning-{name}-{index}")
 
 
 async def _ask_every_node(fleet: Fleet, prefix: str) -> list[CallResult]:
     """Ask every node once for the route that the edit adds."""
     names = sorted(fleet.plan.nodes)
-    return [await fleet.ask(name, NEW_CALL, f"{prefix}-{name}") for name in names]
+    return [await fleet.send_request(name, NEW_CALL, f"{prefix}-{name}") for name in names]
 
 
 def format_demo(result: DemoResult) -> str:
--- a/src/pewtertack/lab/fleet/backends.py
+++ b/src/pewtertack/lab/fleet/backends.py
@@ -21,17 +21,17 @@
     client: ControlClient
     recorder: HistoryRecorder
 
-    async def fail(self, name: str, faults: BackendFaults, description: str) -> None:
+    async def inject_faults(self, name: str, faults: BackendFaults, description: str) -> None:
         """Make one back end misbehave; ``description`` goes into the history."""
         self.recorder.record(BackendFault(time=time.time(), backend=name, fault=description))
         await self._set(name, faults)
 
-    async def leave(self, name: str) -> None:
+    async def announce_leaving(self, name: str) -> None:
         """Let one back end say in its answers that it leaves."""
         await self._set(name, BackendFaults(leaving=True))
         self.recorder.record(BackendLeaving(time=time.time(), backend=name))
 
-    async def heal(self, name: str) -> None:
+    async def clear_faults(self, name: str) -> None:
         """Let one back end behave well."""
         await self._set(name, BackendFaults())
         self.recorder.record(BackendFault(time=time.time(), backend=name, fault="none"))
--- a/src/pewtertack/lab/fleet/fleet.py
+++ b/src/pewtertack/lab/fleet/fleet.py
@@ -75,7 +75,7 @@
         self.links = LinkControl(plan, self.client, recorder)
         self.backends = BackendControl(plan, self.client, recorder)
         self._directory = directory
-        self._factory = ProcessFactory(plan, directory, recorder.take_line)
+        self._factory = ProcessFactory(plan, directory, recorder.record_line)
         self._processes: list[LabProcess] = []
         self._nodes: dict[str, LabProcess] = {}
         self._backend_processes: dict[str, LabProcess] = {}
@@ -104,7 +104,7 @@
     async def _end_all(self) -> None:
         with anyio.CancelScope(shield=True):
             for process in self._processes:
-                await process.end()
+                await process.kill()
             await self.client.close()
         self._tasks.cancel_scope.cancel()
 
@@ -136,11 +136,11 @@
         Raises:
             ProcessFailedError: a stand-in ended by itself.
         """
-        code = await process.wait_ended()
-        if process.end_expected:
+        code = await process.wait_for_exit()
+        if process.exit_expected:
             return
         if process.name not in self.plan.nodes:
-            raise ProcessFailedError(f"{process.name} ended: {process.error_tail()}")
+            raise ProcessFailedError(f"{process.name} ended: {process.stderr_tail()}")
         self.recorder.record(NodeExit(time=time.time(), node=process.name, code=code))
 
     async def start_nodes(self, names: Iterable[str] | None = None) -> None:
@@ -153,7 +153,7 @@
         await self._start(processes)
 
     def _start_of(self, node: str) -> NodeStart:
-        zone, beside = self.plan.nodes[node].zone, self.plan.name_beside(node)
+        zone, beside = self.plan.nodes[node].zone, self.plan.local_backend_name(node)
         return NodeStart(time=time.time(), node=node, zone=zone, beside=beside)
 
     async def wait_serving(
@@ -197,7 +197,7 @@
             self.recorder.record(NodeKill(time=time.time(), node=process.name))
             process.send_signal(signal.SIGKILL)
         for process in processes:
-            await process.wait_ended()
+            await process.wait_for_exit()
 
     def pause_node(self, name: str) -> None:
         """Pause a node (SIGSTOP)."""
@@ -224,26 +224,26 @@
         self.recorder.record(NodeStop(time=time.time(), node=name))
         process.send_signal(signal.SIGTERM)
         with anyio.fail_after(seconds):
-            code = await process.wait_ended()
+            code = await process.wait_for_exit()
         self.recorder.record(NodeExit(time=time.time(), node=name, code=code))
         return code
 
-    async def leave_by_list(self, backend: str) -> None:
+    async def mark_backend_leaving(self, backend: str) -> None:
         """Mark a back end as leaving in the machine list only; it does not say so itself."""
-        async with self.platform.writing:
+        async with self.platform.write_lock:
             self.recorder.record(BackendLeaving(time=time.time(), backend=backend))
             await self.platform.mark_leaving(backend)
 
-    async def stay_by_list(self, backend: str) -> None:
+    async def mark_backend_live(self, backend: str) -> None:
         """Mark a back end that was leaving as live again in the machine list."""
-        async with self.platform.writing:
+        async with self.platform.write_lock:
             self.recorder.record(BackendLeaveCancelled(time=time.time(), backend=backend))
             await self.platform.add_machine(backend)
 
     async def kill_backend_process(self, name: str) -> None:
         """Kill the process of a back end (SIGKILL)."""
         self._signal_backend(name, signal.SIGKILL, "killed")
-        await self._backend_processes[name].wait_ended()
+        await self._backend_processes[name].wait_for_exit()
 
     def pause_backend_process(self, name: str) -> None:
         """Freeze the process of a back end (SIGSTOP)."""
@@ -254,7 +254,7 @@
         self._signal_backend(name, signal.SIGCONT, "none")
 
     def _signal_backend(self, name: str, number: signal.Signals, fault: str) -> None:
-        for backend in self.plan.hosted_by(name):
+        for backend in self.plan.backends_of(name):
             self.recorder.record(BackendFault(time=time.time(), backend=backend.name, fault=fault))
         self._backend_processes[name].send_signal(number)
 
@@ -274,16 +274,16 @@
         await self._start([process])
         return process
 
-    async def start_lasting_callers(
+    async def start_persistent_callers(
         self, name: str, seed: int, callers: int, downloads: bool = False
     ) -> LabProcess:
         """Start callers that keep their connections, with ``downloads`` for long answers only."""
         proxies = {node: plan.proxy for node, plan in self.plan.nodes.items()}
-        process = self._factory.lasting_callers(name, seed, callers, proxies, downloads)
+        process = self._factory.persistent_callers(name, seed, callers, proxies, downloads)
         await self._start([process])
         return process
 
-    async def ask(self, node: str, kind: CallKind, request_id: str) -> CallResult:
+    async def send_request(self, node: str, kind: CallKind, request_id: str) -> CallResult:
         """Send one request to a node and record what the caller was told."""
         caller = Caller(Target(node, self.plan.nodes[node].proxy))
         told = await caller.call(kind, request_id)
@@ -294,4 +294,4 @@
     async def stop_load(self, process: LabProcess) -> int:
         """Begin no more requests, wait for those in flight, return the exit code."""
         process.send_signal(signal.SIGTERM)
-        return await process.wait_ended()
+        return await process.wait_for_exit()
--- a/src/pewtertack/lab/fleet/history.py
+++ b/src/pewtertack/lab/fleet/history.py
@@ -43,10 +43,10 @@
     """What the history says of all nodes."""
 
     nodes: dict[str, NodeView] = field(default_factory=dict)
-    returns_noticed: int = 0
+    restores_detected: int = 0
     """How often a node has noticed that the source came back from a copy."""
 
-    def take(self, line: HistoryLine) -> None:
+    def update(self, line: HistoryLine) -> None:
         """Take in one line."""
         match line:
             case NodeStart():
@@ -64,7 +64,7 @@
         elif line.event in NOT_SERVING_EVENTS:
             self._node(line).is_serving = False
         elif line.event == Event.SOURCE_RETURNED.name:
-            self.returns_noticed += 1
+            self.restores_detected += 1
 
     def _node(self, line: NodeEvent) -> NodeView:
         return self.nodes.setdefault(line.node, NodeView())
@@ -100,7 +100,7 @@
         """Write a record of the lab."""
         self._append(encode_record(record), record)
 
-    def take_line(self, process: str, line: bytes) -> None:
+    def record_line(self, process: str, line: bytes) -> None:
         """Write a line that a process printed; ready lines of stand-ins are left out."""
         if line.startswith(b'{"ready":'):
             return
@@ -115,7 +115,7 @@
         self._file.write(line + b"\n")
         self._file.flush()
         self.lines.append(decoded)
-        self.view.take(decoded)
+        self.view.update(decoded)
         self._changed.set()
         self._changed = anyio.Event()
 
--- a/src/pewtertack/lab/fleet/links.py
+++ b/src/pewtertack/lab/fleet/links.py
@@ -21,7 +21,7 @@
     client: ControlClient
     recorder: HistoryRecorder
 
-    async def cut_off(self, zone: str) -> None:
+    async def isolate_zone(self, zone: str) -> None:
         """Cut a zone off from all others, both ways."""
         others = [other for other in self.plan.shape.zones if other != zone]
         outward = [Link(zone, other) for other in others]
@@ -37,7 +37,7 @@
             )
         await self._set(LinkSettings(cuts=cuts))
 
-    async def disturb(self, delay: float, loss: float) -> None:
+    async def impair(self, delay: float, loss: float) -> None:
         """Delay all traffic between zones by ``delay`` seconds and lose a share of datagrams."""
         await self._set(LinkSettings(delay=delay, loss=loss))
 
--- a/src/pewtertack/lab/fleet/plan.py
+++ b/src/pewtertack/lab/fleet/plan.py
@@ -37,13 +37,13 @@
     has_relay: bool = True
     separate_backends: bool = False
     """A process for each back end rather than for each service."""
-    without: str = ""
+    disabled_mechanism: str = ""
     """A mechanism that is switched off in all nodes, see ``lab.disabled_mechanisms``."""
-    eras: bool = False
+    uses_eras: bool = False
     """Nodes read the eras of the platform's services (`lab.source.era_reader`)."""
     nodes_without_proxy: tuple[str, ...] = ()
     """Names of nodes that only replicate."""
-    gateways: bool = False
+    has_gateways: bool = False
     """Each back end has a node of its zone beside it, which others reach it through."""
     limits: Mapping[str, str] = field(default_factory=dict)
     """The section ``[limits]`` of every node's settings."""
@@ -66,7 +66,7 @@
     gateway: Address | None = None
     """Where others reach the back end beside the node."""
 
-    def relayed(self) -> RelayedNode:
+    def relay_entry(self) -> RelayedNode:
         """Return what the relay must know."""
         return RelayedNode(self.name, self.zone, self.peer, self.advertised)
 
@@ -80,7 +80,7 @@
     zone: str
     address: Address
     process: str
-    beside: str = ""
+    gateway_node: str = ""
     """The node through whose gateway others reach it; empty when they call it themselves."""
 
 
@@ -113,14 +113,14 @@
             machines[backend.name] = self._backend_entry(backend)
         return machines
 
-    def backend_beside(self, node: str) -> BackendPlan | None:
+    def local_backend(self, node: str) -> BackendPlan | None:
         """Return the back end that others reach through a node's gateway."""
-        beside = (backend for backend in self.backends.values() if backend.beside == node)
+        beside = (backend for backend in self.backends.values() if backend.gateway_node == node)
         return next(beside, None)
 
-    def name_beside(self, node: str) -> str:
+    def local_backend_name(self, node: str) -> str:
         """Return the name of that back end; empty where there is none."""
-        backend = self.backend_beside(node)
+        backend = self.local_backend(node)
         return backend.name if backend is not None else ""
 
     def _backend_entry(self, backend: BackendPlan) -> dict[str, str | int]:
@@ -131,17 +131,17 @@
             "address": str(backend.address),
             "service": backend.service,
         }
-        if backend.beside:
-            entry["gateway"] = str(self.nodes[backend.beside].gateway)
+        if backend.gateway_node:
+            entry["gateway"] = str(self.nodes[backend.gateway_node].gateway)
             entry["slots"] = self.shape.capacity.slots
         return entry
 
-    def seeds(self) -> tuple[Address, ...]:
+    def seed_addresses(self) -> tuple[Address, ...]:
         """Return the advertised addresses of a few nodes, spread over the zones."""
         by_index = sorted(self.nodes.values(), key=lambda node: node.name.rpartition("-")[2])
         return tuple(node.advertised for node in by_index[:DEFAULT_SEED_COUNT])
 
-    def hosted_by(self, process: str) -> list[BackendPlan]:
+    def backends_of(self, process: str) -> list[BackendPlan]:
         """Return the back ends of one process."""
         return [backend for backend in self.backends.values() if backend.process == process]
 
@@ -155,7 +155,7 @@
     ports = PortAllocator()
     nodes = _plan_nodes(shape, ports)
     backends = _plan_backends(shape, ports)
-    if shape.gateways:
+    if shape.has_gateways:
         nodes, backends = _join_backends_to_nodes(nodes, backends, ports)
     processes = dict.fromkeys(backend.process for backend in backends)
     return FleetPlan(
@@ -207,7 +207,7 @@
         node = _first_without_gateway(joined.values(), backend.zone)
         gateway = ports.allocate(node.proxy.host)
         joined[node.name] = replace(node, gateway=gateway)
-        backends[index] = replace(backend, beside=node.name)
+        backends[index] = replace(backend, gateway_node=node.name)
     return list(joined.values()), backends
 
 
--- a/src/pewtertack/lab/fleet/platform.py
+++ b/src/pewtertack/lab/fleet/platform.py
@@ -15,8 +15,8 @@
 from pewtertack.lab.fleet.control import ControlClient
 from pewtertack.lab.fleet.history import HistoryRecorder
 from pewtertack.lab.fleet.plan import FleetPlan, ServicePlan
-from pewtertack.lab.platform.application import Counters
-from pewtertack.lab.platform.store import Availability, Faults
+from pewtertack.lab.platform.application import ReaderCounters
+from pewtertack.lab.platform.store import Availability, PlatformFaults
 from pewtertack.lab.records import Edit, SourceFault
 
 SOURCE = "source"
@@ -35,7 +35,7 @@
     plan: FleetPlan
     client: ControlClient
     recorder: HistoryRecorder
-    writing: anyio.Lock = field(default_factory=anyio.Lock)
+    write_lock: anyio.Lock = field(default_factory=anyio.Lock)
     """Held while the platform is away: nothing is acknowledged then."""
 
     def record_first_tree(self) -> None:
@@ -49,7 +49,7 @@
             NumberConflictError: ``expected`` is given and no longer current.
         """
         path = "/tree" if expected is None else f"/tree?expected={expected}"
-        async with self.writing:
+        async with self.write_lock:
             began = time.time()
             answer = await self.client.request("PUT", self.plan.source.control, path, tree)
             number = msgspec.json.decode(answer, type=_Numbered).number
@@ -61,35 +61,35 @@
         self.recorder.record(edit)
         return edit
 
-    async def fail_source(self, faults: Faults, name: str) -> None:
+    async def inject_source_faults(self, faults: PlatformFaults, name: str) -> None:
         """Make the source misbehave; ``name`` describes it in the history."""
         self.recorder.record(SourceFault(time=time.time(), service=SOURCE, fault=name))
         await self.client.request("POST", self.plan.source.control, "/faults", faults)
 
-    async def heal_source(self) -> None:
+    async def clear_source_faults(self) -> None:
         """Let the source behave well."""
-        await self.client.request("POST", self.plan.source.control, "/faults", Faults())
+        await self.client.request("POST", self.plan.source.control, "/faults", PlatformFaults())
         self.recorder.record(SourceFault(time=time.time(), service=SOURCE, fault=NO_FAULT))
 
-    async def fail_machine_list(self, availability: Availability) -> None:
+    async def inject_machine_list_fault(self, availability: Availability) -> None:
         """Take the machine list down."""
         self.recorder.record(SourceFault(time=time.time(), service=MACHINES, fault=availability))
-        faults = Faults(availability=availability, lag=self.plan.shape.machine_list_lag)
+        faults = PlatformFaults(availability=availability, lag=self.plan.shape.machine_list_lag)
         await self.client.request("POST", self.plan.machines.control, "/faults", faults)
 
-    async def heal_machine_list(self) -> None:
+    async def clear_machine_list_faults(self) -> None:
         """Let the machine list answer, with its usual lag."""
-        faults = Faults(lag=self.plan.shape.machine_list_lag)
+        faults = PlatformFaults(lag=self.plan.shape.machine_list_lag)
         await self.client.request("POST", self.plan.machines.control, "/faults", faults)
         self.recorder.record(SourceFault(time=time.time(), service=MACHINES, fault=NO_FAULT))
 
-    async def come_back(self, away: float, age: float) -> None:
+    async def restore(self, away: float, age: float) -> None:
         """Let both services be away, then come back from copies ``age`` seconds old, in a new era.
 
-        What was written since is lost until it is written again (`write_again`).
+        What was written since is lost until it is written again (`replay_lost_writes`).
         """
         services = (self.plan.source.control, self.plan.machines.control)
-        async with self.writing:
+        async with self.write_lock:
             copied_at = time.time() - age
             for control in services:
                 await self.client.request("POST", control, "/away")
@@ -97,10 +97,10 @@
             for control in services:
                 await self.client.request("POST", control, f"/return?copied_at={copied_at}")
 
-    async def write_again(self, *services: ServicePlan) -> None:
+    async def replay_lost_writes(self, *services: ServicePlan) -> None:
         """Let writers write again what a service has lost."""
         for service in services:
-            async with self.writing:
+            async with self.write_lock:
                 await self.client.request("POST", service.control, "/write-again")
 
     async def mark_leaving(self, machine: str) -> None:
@@ -117,7 +117,7 @@
         path = f"/machines/{machine}"
         await self.client.request("PUT", self.plan.machines.control, path, entry)
 
-    async def source_counters(self) -> Counters:
+    async def source_counters(self) -> ReaderCounters:
         """Return what the readers of the source did."""
         answer = await self.client.request("GET", self.plan.source.control, "/counters")
-        return msgspec.json.decode(answer, type=Counters)
+        return msgspec.json.decode(answer, type=ReaderCounters)
--- a/src/pewtertack/lab/fleet/process.py
+++ b/src/pewtertack/lab/fleet/process.py
@@ -52,7 +52,7 @@
         self._ready = anyio.Event()
         self._ended = anyio.Event()
         self._process: anyio.abc.Process | None = None
-        self.end_expected = False
+        self.exit_expected = False
         """Whether the lab has asked the process to end."""
 
     @property
@@ -94,11 +94,11 @@
         with anyio.move_on_after(seconds):
             await self._ready.wait()
         if self._ended.is_set():
-            raise ProcessFailedError(f"{self.name} ended early: {self.error_tail()}")
+            raise ProcessFailedError(f"{self.name} ended early: {self.stderr_tail()}")
         if not self._ready.is_set():
             raise FleetTimeoutError(f"{self.name} was not ready within {seconds:g} s")
 
-    async def wait_ended(self) -> int:
+    async def wait_for_exit(self) -> int:
         """Wait for the process's end and the end of its output; return its exit code."""
         await self._ended.wait()
         assert self._process is not None, f"{self.name} was not started"
@@ -107,18 +107,18 @@
     def send_signal(self, number: signal.Signals) -> None:
         """Signal the process; nothing happens once it has ended."""
         if number in ENDING_SIGNALS:
-            self.end_expected = True
+            self.exit_expected = True
         if self.is_running and self._process is not None:
             self._process.send_signal(number)
 
-    async def end(self) -> None:
+    async def kill(self) -> None:
         """Kill the process, paused or not, and wait for it."""
         if self._process is None:
             return
         self.send_signal(signal.SIGKILL)
         await self._process.wait()
 
-    def error_tail(self) -> str:
+    def stderr_tail(self) -> str:
         """Return the end of what the process wrote to standard error."""
         if not self._error_path.exists():
             return ""
--- a/src/pewtertack/lab/fleet/processes.py
+++ b/src/pewtertack/lab/fleet/processes.py
@@ -55,15 +55,17 @@
     def node(self, name: str) -> LabProcess:
         """Return one node's process."""
         shape = self._plan.shape
-        command = ["lab", "weak-node", shape.without] if shape.without else ["node"]
-        if shape.eras:
-            command = ["lab", "era-node", f"--without={shape.without}"]
+        command = (
+            ["lab", "weak-node", shape.disabled_mechanism] if shape.disabled_mechanism else ["node"]
+        )
+        if shape.uses_eras:
+            command = ["lab", "era-node", f"--without={shape.disabled_mechanism}"]
         arguments = [*command, "--settings", str(settings_path(self._directory, name))]
         return LabProcess(name, arguments, self._directory, self._handle_line, _is_node_ready)
 
     def backend(self, process: str) -> LabProcess:
         """Return the process that hosts one or more back ends."""
-        hosted = self._plan.hosted_by(process)
+        hosted = self._plan.backends_of(process)
         hosts = [f"--host={backend.name}={backend.address}" for backend in hosted]
         capacity = self._plan.shape.capacity
         limits = [
@@ -83,7 +85,7 @@
         numbers = [f"--rate={rate}", f"--seed={seed}"]
         return self._stand_in(name, ["load", tree, *targets, *numbers, f"--prefix={name}"])
 
-    def lasting_callers(
+    def persistent_callers(
         self,
         name: str,
         seed: int,
--- a/src/pewtertack/lab/fleet/settings.py
+++ b/src/pewtertack/lab/fleet/settings.py
@@ -51,7 +51,7 @@
         advertised=node.advertised,
         source=plan.source.listen,
         machines=plan.machines.listen,
-        seeds=", ".join(f'"{seed}"' for seed in plan.seeds() if seed != node.advertised),
+        seeds=", ".join(f'"{seed}"' for seed in plan.seed_addresses() if seed != node.advertised),
         key=FLEET_KEY,
         profile=plan.shape.profile,
         backend=_backend_section(plan, node),
@@ -75,7 +75,7 @@
 
 
 def _backend_section(plan: FleetPlan, node: NodePlan) -> str:
-    backend = plan.backend_beside(node.name)
+    backend = plan.local_backend(node.name)
     if backend is None:
         return ""
     return f'\n[backend]\naddress = "{backend.address}"\nservice = "{backend.service}"\n'
@@ -90,7 +90,7 @@
 
 def write_files(plan: FleetPlan, directory: Path) -> None:
     """Write the tree, the machine list, the relay's nodes and all settings files."""
-    relayed = [node.relayed() for node in plan.nodes.values()]
+    relayed = [node.relay_entry() for node in plan.nodes.values()]
     tree_path(directory).write_bytes(msgspec.json.encode(plan.shape.tree))
     machines_path(directory).write_bytes(msgspec.json.encode(plan.machine_list()))
     relay_path(directory).write_bytes(msgspec.json.encode(relayed))
--- a/src/pewtertack/lab/hop/measurement.py
+++ b/src/pewtertack/lab/hop/measurement.py
@@ -188,5 +188,5 @@
                     parse_address(ready["backend"]), parse_address(ready["proxy"]), proxy.pid
                 )
             finally:
-                await proxy.end()
-                await backend.end()
+                await proxy.kill()
+                await backend.kill()
--- a/src/pewtertack/lab/load/caller.py
+++ b/src/pewtertack/lab/load/caller.py
@@ -8,7 +8,7 @@
 
 import httpcore
 
-from pewtertack.lab.backend.answers import checksum, expected_body
+from pewtertack.lab.backend.response_body import checksum, expected_body
 from pewtertack.lab.load.mix import CallKind
 from pewtertack.lab.records import CallOutcome, CallResult
 from pewtertack.settings import Address
--- a/src/pewtertack/lab/machines/service.py
+++ b/src/pewtertack/lab/machines/service.py
@@ -12,7 +12,7 @@
 from pewtertack.lab.errors import LabUsageError
 from pewtertack.lab.platform.application import ReadApplication
 from pewtertack.lab.platform.control import PlatformService
-from pewtertack.lab.platform.store import DocumentStore, Faults
+from pewtertack.lab.platform.store import DocumentStore, PlatformFaults
 from pewtertack.settings import Address
 
 READ_PATH = "/v1/machines"
@@ -41,15 +41,15 @@
         self._store = DocumentStore(_checked(machines))
         self._truth = machines
         """The list as it was written last, whatever the store has lost since."""
-        self._store.set_faults(Faults(lag=lag))
+        self._store.set_faults(PlatformFaults(lag=lag))
         reading = ReadApplication(self._store, "machines", reader_limit)
         handlers = {
             ("PUT", "/machines"): self._replace,
             ("PUT", "/machines/"): self._put_machine,
             ("DELETE", "/machines/"): self._remove,
             ("POST", "/leaving/"): self._mark_leaving,
-            ("POST", "/return"): self._come_back,
-            ("POST", "/write-again"): self._write_again,
+            ("POST", "/return"): self._restore,
+            ("POST", "/write-again"): self._replay_lost_writes,
         }
         self.service = PlatformService(
             self._store, reading, READ_PATH, listen, control, dict(handlers)
@@ -73,11 +73,11 @@
             raise LabUsageError(f"no machine {name}")
         return self._put_entry(name, {**self._truth[name], "state": MachineState.LEAVING})
 
-    async def _come_back(self, request: Request) -> Response:
-        lost = self._store.come_back(float(request.query["copied_at"]))
+    async def _restore(self, request: Request) -> Response:
+        lost = self._store.restore(float(request.query["copied_at"]))
         return json_response({"lost": len(lost)})
 
-    async def _write_again(self, request: Request) -> Response:
+    async def _replay_lost_writes(self, request: Request) -> Response:
         """Write one after the other what the store lacks since it has come back."""
         listed = self._store.newest.document
         for name in self._truth.keys() | listed.keys():
--- a/src/pewtertack/lab/platform/application.py
+++ b/src/pewtertack/lab/platform/application.py
@@ -16,7 +16,7 @@
 """In all answers of the document itself; readers that know of no eras pass it over."""
 
 
-class Counters(msgspec.Struct):
+class ReaderCounters(msgspec.Struct):
     """What the readers did since the start. ``peak_readers`` counts refused ones as well."""
 
     readers: int = 0
@@ -41,7 +41,7 @@
         self._store = store
         self._body_key = body_key
         self._reader_limit = reader_limit
-        self.counters = Counters()
+        self.counters = ReaderCounters()
 
     @property
     def handler(self) -> Handler:
@@ -63,7 +63,7 @@
     async def _poll(self, known: int | None, wait: float) -> Response:
         deadline = time.monotonic() + wait
         while True:
-            if self._store.away or self._store.faults.availability is not Availability.UP:
+            if self._store.unreachable or self._store.faults.availability is not Availability.UP:
                 self.counters.unavailable += 1
                 return _come_back("unavailable")
             shown = self._store.answer(time.time())
--- a/src/pewtertack/lab/platform/control.py
+++ b/src/pewtertack/lab/platform/control.py
@@ -8,7 +8,7 @@
 
 from pewtertack.lab.asgi import Handler, HandlerTable, Request, Response, json_response
 from pewtertack.lab.platform.application import ReadApplication
-from pewtertack.lab.platform.store import Availability, DocumentStore, Faults
+from pewtertack.lab.platform.store import Availability, DocumentStore, PlatformFaults
 from pewtertack.lab.serving import Listener, print_ready
 from pewtertack.settings import Address
 
@@ -40,7 +40,7 @@
         common: dict[tuple[str, str], Handler] = {
             ("POST", "/faults"): self._set_faults,
             ("GET", "/counters"): self._counters,
-            ("POST", "/away"): self._go_away,
+            ("POST", "/away"): self._make_unreachable,
         }
         self.control = Listener(HandlerTable({**common, **handlers}), control)
         self._task_group: anyio.abc.TaskGroup | None = None
@@ -59,7 +59,7 @@
             await anyio.sleep_forever()
 
     async def _set_faults(self, request: Request) -> Response:
-        faults = msgspec.json.decode(request.body, type=Faults)
+        faults = msgspec.json.decode(request.body, type=PlatformFaults)
         self._store.set_faults(faults)
         closed = faults.availability is Availability.CLOSED
         if closed:
@@ -68,8 +68,8 @@
             await self.readers.open(self._task_group)
         return json_response(faults)
 
-    async def _go_away(self, request: Request) -> Response:
-        self._store.go_away()
+    async def _make_unreachable(self, request: Request) -> Response:
+        self._store.make_unreachable()
         return json_response({})
 
     async def _counters(self, request: Request) -> Response:
--- a/src/pewtertack/lab/platform/store.py
+++ b/src/pewtertack/lab/platform/store.py
@@ -22,7 +22,7 @@
     """Connections are refused."""
 
 
-class Faults(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class PlatformFaults(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """How the service misbehaves; the defaults are good behaviour."""
 
     availability: Availability = Availability.UP
@@ -55,10 +55,10 @@
         self._versions = [NumberedDocument(1, document, now)]
         self._random = random.Random(seed)
         self._changed = anyio.Event()
-        self.faults = Faults()
+        self.faults = PlatformFaults()
         self.era = 0
         """How often it has come back from a copy."""
-        self.away = False
+        self.unreachable = False
         """Whether it answers nothing, beside its faults."""
 
     @property
@@ -79,12 +79,12 @@
         self._notify()
         return current + 1
 
-    def go_away(self) -> None:
+    def make_unreachable(self) -> None:
         """Answer nothing until it comes back; waiting reads end."""
-        self.away = True
+        self.unreachable = True
         self._notify()
 
-    def come_back(self, copied_at: float) -> list[NumberedDocument]:
+    def restore(self, copied_at: float) -> list[NumberedDocument]:
         """Come back as of ``copied_at``, in a new era; return the versions that are lost.
 
         Their numbers are given out again.
@@ -94,11 +94,11 @@
         lost = self._versions[len(kept) :]
         self._versions = kept
         self.era += 1
-        self.away = False
+        self.unreachable = False
         self._notify()
         return lost
 
-    def set_faults(self, faults: Faults) -> None:
+    def set_faults(self, faults: PlatformFaults) -> None:
         """Misbehave like this from now on; waiting reads look again."""
         self.faults = faults
         self._notify()
--- a/src/pewtertack/lab/relay/links.py
+++ b/src/pewtertack/lab/relay/links.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from pewtertack.lab.errors import LabUsageError
-from pewtertack.lab.relay.lines import Lines
+from pewtertack.lab.relay.machine_links import MachineLinks
 from pewtertack.settings import Address
 
 
@@ -58,7 +58,7 @@
         if len(self._by_ip) < len(nodes):
             raise LabUsageError("relayed nodes need a listening IP number each")
         self._random = random.Random(seed)
-        self._lines = Lines()
+        self._lines = MachineLinks()
         self._settings = LinkSettings()
 
     @property
@@ -69,7 +69,7 @@
     @settings.setter
     def settings(self, settings: LinkSettings) -> None:
         if settings.rate != self._settings.rate:
-            self._lines = Lines(settings.rate)
+            self._lines = MachineLinks(settings.rate)
         self._settings = settings
 
     def sender(self, ip: str) -> RelayedNode | None:
@@ -89,7 +89,7 @@
     ) -> float:
         """Take in ``size`` bytes; return in how many seconds all of them have arrived."""
         delay = self.delay(sender.zone, target.zone)
-        return self._lines.carry(now, sender.name, target.name, size, delay) - now
+        return self._lines.transfer(now, sender.name, target.name, size, delay) - now
 
     def drops_datagram(self, from_zone: str, to_zone: str) -> bool:
         """Decide on one datagram."""
--- a/src/pewtertack/lab/relay/lines.py
+++ b/src/pewtertack/lab/relay/machine_links.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Line:
+class LinkDirection:
     """One direction of a machine's link. Times are seconds.
 
     Args:
@@ -23,7 +23,7 @@
         return begins, self._free_at
 
 
-class Lines:
+class MachineLinks:
     """The lines of all machines, by name.
 
     Args:
@@ -34,25 +34,27 @@
 
     def __init__(self, rate: float = 0.0) -> None:
         self._rate = rate
-        self._up: dict[str, Line] = {}
-        self._down: dict[str, Line] = {}
+        self._up: dict[str, LinkDirection] = {}
+        self._down: dict[str, LinkDirection] = {}
 
     @property
-    def are_bounded(self) -> bool:
+    def has_rate_limit(self) -> bool:
         """Whether there is a rate."""
         return self._rate > 0
 
-    def carry(self, now: float, sender: str, target: str, size: int, delay: float = 0.0) -> float:
+    def transfer(
+        self, now: float, sender: str, target: str, size: int, delay: float = 0.0
+    ) -> float:
         """Take in ``size`` bytes from one machine to another; return when all have arrived.
 
         Bytes pass from line to line as they come: an idle line adds no time of its own.
         ``delay`` is the time that one byte takes between them.
         """
-        if not self.are_bounded:
+        if not self.has_rate_limit:
             return now + delay
         begins, sent = self._line(self._up, sender).send(now, size)
         _, received = self._line(self._down, target).send(begins + delay, size)
         return max(sent + delay, received)
 
-    def _line(self, lines: dict[str, Line], name: str) -> Line:
-        return lines.setdefault(name, Line(self._rate))
+    def _line(self, lines: dict[str, LinkDirection], name: str) -> LinkDirection:
+        return lines.setdefault(name, LinkDirection(self._rate))
--- a/src/pewtertack/lab/report/report.py
+++ b/src/pewtertack/lab/report/report.py
@@ -10,7 +10,7 @@
 from pewtertack.lab.history.checker import check_history
 from pewtertack.lab.history.timeline import Timeline
 from pewtertack.lab.history.verdicts import CheckBounds, Guarantee, Judgement, Verdict
-from pewtertack.lab.platform.application import Counters
+from pewtertack.lab.platform.application import ReaderCounters
 from pewtertack.lab.records import CallOutcome, CallResult, HistoryLine
 from pewtertack.lab.report.convergence import Convergence, measure_convergence
 from pewtertack.lab.report.resources import NodeResources
@@ -40,7 +40,7 @@
     convergence: Convergence
     traffic: PeerTraffic
     resources: NodeResources
-    source: Counters
+    source: ReaderCounters
     routes: dict[str, RouteOutcomes]
     verdicts: list[Verdict]
     required: list[Guarantee]
--- a/src/pewtertack/lab/returns/run.py
+++ b/src/pewtertack/lab/returns/run.py
@@ -20,15 +20,15 @@
 from pewtertack.lab.fleet.plan import FLEET_KEY
 from pewtertack.lab.fleet.ports import PortAllocator
 from pewtertack.lab.fleet.process import LabProcess
-from pewtertack.lab.returns.judging import late_edits
-from pewtertack.lab.returns.world import (
+from pewtertack.lab.returns.edit_checks import late_edits
+from pewtertack.lab.returns.store_environment import (
     CALLER_HEADER,
     HOST_NAME,
     PATH,
     SERVICE,
     ZONE,
     Backend,
-    StoreWorld,
+    StoreEnvironment,
 )
 
 HOSTS = tuple(f"127.0.0.{number}" for number in range(41, 45))
@@ -60,7 +60,7 @@
 """
 
 
-class ReturnsResult(msgspec.Struct, kw_only=True):
+class RestoreRunResult(msgspec.Struct, kw_only=True):
     """What one series found."""
 
     seed: int
@@ -104,7 +104,7 @@
             self.in_force.append((now, version))
 
 
-class ReturnsRun:
+class RestoreRun:
     """One series on a fleet of real nodes.
 
     Args:
@@ -120,7 +120,7 @@
         self._hold = hold
         self._directory = directory
         self._backends = [Backend(host) for host in HOSTS]
-        self._world = StoreWorld(self._backends, seed)
+        self._world = StoreEnvironment(self._backends, seed)
         self._nodes = [NodeRecord(host) for host in HOSTS]
         self._allocator = PortAllocator()
         self._ports = [self._allocator.allocate(*HOSTS).port for _ in range(3)]
@@ -131,7 +131,7 @@
         self._away: list[tuple[float, float]] = []
         self._end = 0.0
 
-    async def run(self) -> ReturnsResult:
+    async def run(self) -> RestoreRunResult:
         """Run to the end."""
         async with anyio.create_task_group() as tasks:
             await self._world.open(tasks)
@@ -141,7 +141,7 @@
                 with anyio.CancelScope(shield=True):
                     for node in self._nodes:
                         if node.process is not None:
-                            await node.process.end()
+                            await node.process.kill()
                 tasks.cancel_scope.cancel()
         return self._result()
 
@@ -201,7 +201,7 @@
         while await self._pause(chooser, 1.0, 5.0):
             began = time.monotonic()
             age = chooser.randint(0, 10)
-            await self._world.come_back(tasks, chooser.uniform(*AWAY_SECONDS), age)
+            await self._world.restore(tasks, chooser.uniform(*AWAY_SECONDS), age)
             self._away.append((began, time.monotonic()))
 
     async def _edit(self, _: Any, chooser: random.Random) -> None:
@@ -214,7 +214,7 @@
             assert node.process is not None
             node.serving_since = 0.0
             node.process.send_signal(signal.SIGTERM)
-            await node.process.wait_ended()
+            await node.process.wait_for_exit()
             self._stops += 1
             await anyio.sleep(chooser.uniform(0.0, 1.0))
             await self._start_node(tasks, node)
@@ -261,14 +261,14 @@
             return "none"
         return str(answer.status)
 
-    def _result(self) -> ReturnsResult:
+    def _result(self) -> RestoreRunResult:
         late = [asked for backend in self._backends for asked in backend.late_requests]
         offences = [text for node in self._nodes for text in node.offences]
         offences += map(str, late)
         for node in self._nodes:
             found = late_edits(self._world.edits, node.in_force, node.serving_since, self._away)
             offences += [f"{node.host}: {text}" for text in found]
-        return ReturnsResult(
+        return RestoreRunResult(
             seed=self._seed,
             returns=self._world.returns,
             edits=len(self._world.edits),
@@ -279,11 +279,11 @@
         )
 
 
-async def run_returns(seconds: float, seed: int, hold: str) -> ReturnsResult:
+async def run_restores(seconds: float, seed: int, hold: str) -> RestoreRunResult:
     """Run one series.
 
     Raises:
         LabError: a process did not start.
     """
     with tempfile.TemporaryDirectory(prefix="pewtertack-returns-") as name:
-        return await ReturnsRun(seconds, seed, hold, Path(name)).run()
+        return await RestoreRun(seconds, seed, hold, Path(name)).run()
--- a/src/pewtertack/lab/returns/world.py
+++ b/src/pewtertack/lab/returns/store_environment.py
@@ -131,7 +131,7 @@
         await send_response(send, HttpAnswer(200 if self.name else 503, b"done"))
 
 
-class StoreWorld:
+class StoreEnvironment:
     """The store with all who write to it. Writers that reach no store write again."""
 
     def __init__(self, backends: list[Backend], seed: int) -> None:
@@ -178,7 +178,7 @@
         }
         self.store.put("op/config", msgspec.json.encode(value))
 
-    async def come_back(self, tasks: anyio.abc.TaskGroup, away: float, age: int) -> None:
+    async def restore(self, tasks: anyio.abc.TaskGroup, away: float, age: int) -> None:
         """Be away for ``away`` seconds, then come back from the copy before ``age`` others."""
         self.is_up = False
         self.listener.close()
--- a/src/pewtertack/lab/scenarios/configuration.py
+++ b/src/pewtertack/lab/scenarios/configuration.py
@@ -5,7 +5,7 @@
 import anyio
 
 from pewtertack.lab.errors import NumberConflictError
-from pewtertack.lab.platform.store import Availability, Faults
+from pewtertack.lab.platform.store import Availability, PlatformFaults
 from pewtertack.lab.relay.links import Link
 from pewtertack.lab.scenarios.context import ScenarioContext
 
@@ -104,14 +104,14 @@
         fleet.pause_node(name)
     await context.edit()
     await anyio.sleep(HOLDING_SECONDS)
-    await fleet.platform.fail_source(Faults(stale_number=before), "stale")
+    await fleet.platform.inject_source_faults(PlatformFaults(stale_number=before), "stale")
     await fleet.kill_nodes(holders)
     for name in others:
         fleet.resume_node(name)
     await fleet.start_nodes(holders)
     await fleet.wait_serving()
     await anyio.sleep(STALE_SECONDS)
-    await fleet.platform.heal_source()
+    await fleet.platform.clear_source_faults()
     await context.wait_for_newest()
 
 
@@ -120,7 +120,7 @@
     zone = context.random.choice(context.fleet.plan.shape.zones)
     await context.edit()
     await context.wait_for_newest()
-    await context.fleet.links.cut_off(zone)
+    await context.fleet.links.isolate_zone(zone)
     await context.edit_for(CUT_SECONDS, EDIT_PAUSE)
     await context.fleet.links.heal()
     await context.wait_for_newest()
@@ -136,7 +136,7 @@
     await context.edit_for(CUT_SECONDS, EDIT_PAUSE)
     await context.fleet.links.heal()
     await context.wait_for_newest()
-    await context.fleet.links.disturb(delay=0.05, loss=0.2)
+    await context.fleet.links.impair(delay=0.05, loss=0.2)
     await context.edit_for(CUT_SECONDS, EDIT_PAUSE)
     await context.wait_for_newest()
     await context.fleet.links.heal()
@@ -146,8 +146,8 @@
     """The source is down from the start of the callers to the end; half are replaced."""
     await context.edit()
     await context.wait_for_newest()
-    closed = Faults(availability=Availability.CLOSED)
-    await context.fleet.platform.fail_source(closed, "closed")
+    closed = PlatformFaults(availability=Availability.CLOSED)
+    await context.fleet.platform.inject_source_faults(closed, "closed")
     await _replace(context, context.half_of_the_nodes())
     await context.wait_for_newest()
     await _replace(context, context.half_of_the_nodes())
@@ -157,15 +157,15 @@
 async def source_stale(context: ScenarioContext) -> None:
     """The source answers older versions, now and then and then always, while nodes die."""
     await context.edit_for(3.0, EDIT_PAUSE)
-    await context.fleet.platform.fail_source(Faults(older_share=0.5), "older")
+    await context.fleet.platform.inject_source_faults(PlatformFaults(older_share=0.5), "older")
     await context.edit_for(3.0, EDIT_PAUSE)
     await context.wait_for_newest()
-    stale = Faults(stale_number=max(1, context.newest_valid - 2))
-    await context.fleet.platform.fail_source(stale, "stale")
+    stale = PlatformFaults(stale_number=max(1, context.newest_valid - 2))
+    await context.fleet.platform.inject_source_faults(stale, "stale")
     await _replace(context, context.half_of_the_nodes())
     await context.wait_for_newest()
     await anyio.sleep(OUTAGE_SECONDS)
-    await context.fleet.platform.heal_source()
+    await context.fleet.platform.clear_source_faults()
     await context.edit()
     await context.wait_for_newest()
 
@@ -174,22 +174,22 @@
     """The source takes a few readers at once only, then shows edits late as well."""
     await context.edit_for(OUTAGE_SECONDS, EDIT_PAUSE)
     await context.wait_for_newest()
-    await context.fleet.platform.fail_source(Faults(lag=LAG_SECONDS), "lagging")
+    await context.fleet.platform.inject_source_faults(PlatformFaults(lag=LAG_SECONDS), "lagging")
     await context.edit_for(OUTAGE_SECONDS, EDIT_PAUSE)
     await context.wait_for_newest()
-    await context.fleet.platform.heal_source()
+    await context.fleet.platform.clear_source_faults()
     counters = await context.fleet.platform.source_counters()
     context.expect(counters.refused > 0, "the source refused no reader")
 
 
 async def machine_list_down(context: ScenarioContext) -> None:
     """The machine list is down while half of the fleet is replaced under edits."""
-    await context.fleet.platform.fail_machine_list(Availability.CLOSED)
+    await context.fleet.platform.inject_machine_list_fault(Availability.CLOSED)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(context.edit_for, OUTAGE_SECONDS, EDIT_PAUSE)
         await _replace(context, context.half_of_the_nodes())
     await context.wait_for_newest()
-    await context.fleet.platform.heal_machine_list()
+    await context.fleet.platform.clear_machine_list_faults()
     await context.edit()
     await context.wait_for_newest()
 
--- a/src/pewtertack/lab/scenarios/requests.py
+++ b/src/pewtertack/lab/scenarios/requests.py
@@ -24,14 +24,14 @@
     """Back ends break off answers; others are killed under load and come back cold."""
     breaking, *killed = context.some_backends(4)
     faults = BackendFaults(die_mid_answer_share=0.3)
-    await context.fleet.backends.fail(breaking, faults, "breaks answers off")
+    await context.fleet.backends.inject_faults(breaking, faults, "breaks answers off")
     for name in killed:
         async with anyio.create_task_group() as callers:
             await _fill_backends(context, callers, f"killed-{name}")
             await context.fleet.kill_backend_process(name)
         await anyio.sleep(STOPPED_BACKEND_SECONDS)
         await context.fleet.start_backend_process(name)
-    await context.fleet.backends.heal(breaking)
+    await context.fleet.backends.clear_faults(breaking)
     await anyio.sleep(FAULT_SECONDS)
 
 
@@ -44,7 +44,7 @@
     for name in context.fleet.plan.nodes:
         for kind in (*once_only, context.random.choice(kinds)):
             request_id = f"{prefix}-{name}-{kind.route}-{context.random.randrange(10**9)}"
-            callers.start_soon(context.fleet.ask, name, kind, request_id)
+            callers.start_soon(context.fleet.send_request, name, kind, request_id)
     await anyio.sleep(IN_FLIGHT_SECONDS)
 
 
@@ -66,12 +66,12 @@
     """Some back ends shed half of their requests, one sheds all."""
     always, *often = context.some_backends(5)
     control = context.fleet.backends
-    await control.fail(always, BackendFaults(shedding_share=1.0), "sheds all")
+    await control.inject_faults(always, BackendFaults(shedding_share=1.0), "sheds all")
     for name in often:
-        await control.fail(name, BackendFaults(shedding_share=0.5), "sheds half")
+        await control.inject_faults(name, BackendFaults(shedding_share=0.5), "sheds half")
     await anyio.sleep(2 * FAULT_SECONDS)
     for name in (always, *often):
-        await control.heal(name)
+        await control.clear_faults(name)
     await anyio.sleep(1.0)
 
 
@@ -79,9 +79,9 @@
     """One back end says that it leaves, another is only marked in the lagging list."""
     fleet = context.fleet
     telling, listed = context.some_backends(2)
-    await fleet.backends.leave(telling)
+    await fleet.backends.announce_leaving(telling)
     await fleet.platform.mark_leaving(telling)
-    await fleet.leave_by_list(listed)
+    await fleet.mark_backend_leaving(listed)
     await anyio.sleep(LEAVING_SECONDS)
     for name in (telling, listed):
         await fleet.platform.remove_machine(name)
@@ -94,14 +94,14 @@
     slow, broken, slandered = context.some_backends(3)
     control = context.fleet.backends
     idle = BackendFaults(reported_load="0/6", slowdown=10.0)
-    await control.fail(slow, idle, "slow, reports no load")
+    await control.inject_faults(slow, idle, "slow, reports no load")
     well = BackendFaults(health=HealthReport.ALWAYS_WELL, die_mid_answer_share=0.8)
-    await control.fail(broken, well, "broken, reports good health")
+    await control.inject_faults(broken, well, "broken, reports good health")
     failed = BackendFaults(health=HealthReport.ALWAYS_FAILED, reported_load="6/6")
-    await control.fail(slandered, failed, "well, reports bad health and full load")
+    await control.inject_faults(slandered, failed, "well, reports bad health and full load")
     await anyio.sleep(2 * FAULT_SECONDS)
     for name in (slow, broken, slandered):
-        await control.heal(name)
+        await control.clear_faults(name)
     await anyio.sleep(1.0)
 
 
@@ -109,12 +109,12 @@
     """Back ends answer after the deadline, and mix up the answers of two callers."""
     late, *crossing = context.some_backends(4)
     control = context.fleet.backends
-    await control.fail(late, BackendFaults(late=3.0), "answers late")
+    await control.inject_faults(late, BackendFaults(late=3.0), "answers late")
     for name in crossing:
-        await control.fail(name, BackendFaults(crossed=True), "crosses answers")
+        await control.inject_faults(name, BackendFaults(crossed=True), "crosses answers")
     await anyio.sleep(2 * FAULT_SECONDS)
     for name in (late, *crossing):
-        await control.heal(name)
+        await control.clear_faults(name)
     await anyio.sleep(1.0)
 
 
@@ -135,7 +135,7 @@
     async with anyio.create_task_group() as callers:
         for index, kind in enumerate(context.long_calls(LONG_WORK_MILLISECONDS, UPLOAD_BYTES)):
             request_id = f"long-{name}-{index}-{context.newest_valid}"
-            callers.start_soon(fleet.ask, name, kind, request_id)
+            callers.start_soon(fleet.send_request, name, kind, request_id)
         await anyio.sleep(IN_FLIGHT_SECONDS)
         code = await fleet.stop_node(name)
         context.expect(code == 0, f"{name} ended its planned stop with exit code {code}")
--- a/src/pewtertack/lab/scenarios/runner.py
+++ b/src/pewtertack/lab/scenarios/runner.py
@@ -16,7 +16,7 @@
 from pewtertack.lab.fleet.history import HistoryRecorder
 from pewtertack.lab.fleet.plan import FleetPlan, FleetShape, plan_fleet
 from pewtertack.lab.history.verdicts import CheckBounds
-from pewtertack.lab.platform.application import Counters
+from pewtertack.lab.platform.application import ReaderCounters
 from pewtertack.lab.records import Edit
 from pewtertack.lab.report.report import Report, convergence_of, judge_lines, routes_of
 from pewtertack.lab.report.resources import NodeResources, resources_between, sample_resources
@@ -38,7 +38,7 @@
 
     traffic: PeerTraffic
     resources: NodeResources
-    source: Counters
+    source: ReaderCounters
     problems: list[str]
 
 
@@ -61,7 +61,7 @@
     return Report(
         scenario=scenario.name,
         seed=seed,
-        without=shape.without,
+        without=shape.disabled_mechanism,
         seconds=round(time.monotonic() - began, 3),
         nodes=len(plan.nodes),
         backends=len(plan.backends),
@@ -92,7 +92,7 @@
     last = await sample_traffic(fleet)
     resources = resources_between(resources_at_first, sample_resources(fleet))
     code = await fleet.stop_load(load)
-    context.expect(code == 0, f"the callers ended with exit code {code}: {load.error_tail()}")
+    context.expect(code == 0, f"the callers ended with exit code {code}: {load.stderr_tail()}")
     for name in sorted(set(fleet.plan.nodes) - set(fleet.running_nodes())):
         context.problems.append(f"{name} does not run at the end")
     source = await fleet.platform.source_counters()
--- a/src/pewtertack/lab/scenarios/storm.py
+++ b/src/pewtertack/lab/scenarios/storm.py
@@ -7,7 +7,7 @@
 import anyio
 
 from pewtertack.lab.backend.state import BackendFaults
-from pewtertack.lab.platform.store import Availability, Faults
+from pewtertack.lab.platform.store import Availability, PlatformFaults
 from pewtertack.lab.scenarios.context import ScenarioContext
 
 STORM_SECONDS = 20.0
@@ -40,23 +40,25 @@
 
 
 async def _cut(context: ScenarioContext) -> None:
-    await context.fleet.links.cut_off(context.random.choice(context.fleet.plan.shape.zones))
+    await context.fleet.links.isolate_zone(context.random.choice(context.fleet.plan.shape.zones))
     await anyio.sleep(3.0)
     await context.fleet.links.heal()
 
 
 async def _fail_source(context: ScenarioContext) -> None:
-    stale = Faults(stale_number=max(1, context.newest_valid - 1))
-    closed = Faults(availability=Availability.CLOSED)
-    await context.fleet.platform.fail_source(context.random.choice((stale, closed)), "failing")
+    stale = PlatformFaults(stale_number=max(1, context.newest_valid - 1))
+    closed = PlatformFaults(availability=Availability.CLOSED)
+    await context.fleet.platform.inject_source_faults(
+        context.random.choice((stale, closed)), "failing"
+    )
     await anyio.sleep(3.0)
-    await context.fleet.platform.heal_source()
+    await context.fleet.platform.clear_source_faults()
 
 
 async def _fail_list(context: ScenarioContext) -> None:
-    await context.fleet.platform.fail_machine_list(Availability.UNAVAILABLE)
+    await context.fleet.platform.inject_machine_list_fault(Availability.UNAVAILABLE)
     await anyio.sleep(3.0)
-    await context.fleet.platform.heal_machine_list()
+    await context.fleet.platform.clear_machine_list_faults()
 
 
 async def _kill(context: ScenarioContext) -> None:
@@ -89,13 +91,13 @@
 async def _break(context: ScenarioContext) -> None:
     name = context.some_backends(1)[0]
     faults = BackendFaults(die_mid_answer_share=0.3, shedding_share=0.3)
-    await context.fleet.backends.fail(name, faults, "breaks answers off and sheds")
+    await context.fleet.backends.inject_faults(name, faults, "breaks answers off and sheds")
     await anyio.sleep(2.0)
-    await context.fleet.backends.heal(name)
+    await context.fleet.backends.clear_faults(name)
 
 
 async def _cross(context: ScenarioContext) -> None:
     name = context.some_backends(1)[0]
-    await context.fleet.backends.fail(name, BackendFaults(crossed=True), "crosses answers")
+    await context.fleet.backends.inject_faults(name, BackendFaults(crossed=True), "crosses answers")
     await anyio.sleep(2.0)
-    await context.fleet.backends.heal(name)
+    await context.fleet.backends.clear_faults(name)
--- a/src/pewtertack/lab/simulation/network.py
+++ b/src/pewtertack/lab/simulation/network.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from pewtertack.lab.relay.lines import Lines
+from pewtertack.lab.relay.machine_links import MachineLinks
 from pewtertack.lab.simulation.codec import bytes_on_link
 from pewtertack.lab.simulation.scheduler import Timer
 from pewtertack.wire.messages import (
@@ -104,7 +104,7 @@
         self._random = random
         self._deliver = deliver
         self._latencies = latencies or Latencies()
-        self._lines = Lines(link_rate)
+        self._lines = MachineLinks(link_rate)
         self._places: dict[str, Place] = {}
         self._cut: set[tuple[str, str]] = set()
         self.weather = Weather()
@@ -141,10 +141,10 @@
         if (source.zone, target.zone) in self._cut:
             return
         delay = self._delay(source, target)
-        if packet.frame is not None and self._lines.are_bounded:
+        if packet.frame is not None and self._lines.has_rate_limit:
             sender, to, size = packet.sender_address, packet.target_address, len(packet.frame)
             now = self._scheduler.now
-            delay = self._lines.carry(now, sender, to, size, delay) - now
+            delay = self._lines.transfer(now, sender, to, size, delay) - now
         self._scheduler.after(delay, lambda: self._arrive(packet, target.zone))
 
     def _is_lost(self) -> bool:
--- a/src/pewtertack/lab/soak/backend_faults.py
+++ b/src/pewtertack/lab/soak/backend_faults.py
@@ -15,9 +15,9 @@
     soak: SoakContext, chooser: random.Random, faults: BackendFaults, description: str
 ) -> None:
     name = soak.some_backend(chooser)
-    await soak.fleet.backends.fail(name, faults, description)
+    await soak.fleet.backends.inject_faults(name, faults, description)
     await anyio.sleep(chooser.uniform(1.0, 5.0))
-    await soak.fleet.backends.heal(name)
+    await soak.fleet.backends.clear_faults(name)
 
 
 @fault("surge", Lane.BACKENDS, weight=2.0)
--- a/src/pewtertack/lab/soak/callers.py
+++ b/src/pewtertack/lab/soak/callers.py
@@ -11,15 +11,15 @@
 from pewtertack.lab.load.caller import Target
 from pewtertack.lab.load.mix import CallKind
 from pewtertack.lab.records import CallResult
-from pewtertack.lab.soak.connection import Call, LastingConnection, connect
+from pewtertack.lab.soak.connection import Call, PersistentConnection, connect
 from pewtertack.lab.soak.lag import LagMeter
-from pewtertack.lab.soak.mix import MixedRequests, Requests
+from pewtertack.lab.soak.mix import MixedRequestGenerator, RequestGenerator
 
 RECONNECT_SECONDS = 0.2
 Recorder = Callable[[CallResult], None]
 
 
-class LastingCaller:
+class PersistentCaller:
     """One caller of one node, in a closed loop over one connection at a time.
 
     Args:
@@ -49,7 +49,7 @@
         mix: Sequence[CallKind],
         prefix: str,
         seed: str,
-        kind: type[Requests],
+        kind: type[RequestGenerator],
         lag: LagMeter,
         record: Recorder,
     ) -> None:
@@ -73,7 +73,7 @@
                 await connection.close()
             await anyio.sleep(RECONNECT_SECONDS)
 
-    async def _use(self, connection: LastingConnection) -> None:
+    async def _use(self, connection: PersistentConnection) -> None:
         while not self.stopping and connection.usable and not connection.ended:
             for told in await connection.ask(self._next_calls()):
                 self._record(told)
@@ -87,13 +87,13 @@
         return calls
 
 
-class LastingCallers:
+class PersistentCallers:
     """All callers of one process.
 
     Args:
         targets: the nodes.
         callers: how many call each.
-        mix, seed, prefix, record, kind: as of `LastingCaller`.
+        mix, seed, prefix, record, kind: as of `PersistentCaller`.
     """
 
     __slots__ = ("_callers", "_lag")
@@ -106,11 +106,11 @@
         seed: int,
         prefix: str,
         record: Recorder,
-        kind: type[Requests] = MixedRequests,
+        kind: type[RequestGenerator] = MixedRequestGenerator,
     ) -> None:
         self._lag = LagMeter()
         self._callers = [
-            LastingCaller(
+            PersistentCaller(
                 target,
                 mix,
                 f"{prefix}-{target.name}-{index}",
--- a/src/pewtertack/lab/soak/connection.py
+++ b/src/pewtertack/lab/soak/connection.py
@@ -21,8 +21,8 @@
 )
 from pewtertack.lab.load.mix import CallKind
 from pewtertack.lab.records import CallOutcome, CallResult
-from pewtertack.lab.soak.answers import AnswerReader, WholeAnswer
 from pewtertack.lab.soak.lag import LagMeter
+from pewtertack.lab.soak.responses import CompleteResponse, ResponseReader
 
 CHUNK_BYTES = 65536
 SEND_SECONDS = 5.0
@@ -53,7 +53,7 @@
         return b"\r\n".join([*lines, b"", b""]) + bytes(self.kind.body_bytes)
 
 
-class LastingConnection:
+class PersistentConnection:
     """One open connection to a node; `connect` makes it."""
 
     __slots__ = ("_answers", "_lag", "_pause", "_stream", "_target", "usable")
@@ -65,7 +65,7 @@
         self._stream = stream
         self._lag = lag
         self._pause = pause
-        self._answers = AnswerReader()
+        self._answers = ResponseReader()
         self.usable = True
         """Whether it may take a further request."""
 
@@ -136,7 +136,7 @@
     def _broken_off(self, outcome: CallOutcome) -> ExchangeResult:
         return ExchangeResult(outcome, broken_off_after=self._answers.part_bytes)
 
-    async def _next_answer(self) -> WholeAnswer:
+    async def _next_answer(self) -> CompleteResponse:
         while not self._answers.whole:
             self._answers.feed(await self._stream.receive(CHUNK_BYTES))
             if self._pause and self._answers.part_bytes:
@@ -156,7 +156,7 @@
         )
 
 
-async def connect(target: Target, lag: LagMeter, pause: float = 0.0) -> LastingConnection | None:
+async def connect(target: Target, lag: LagMeter, pause: float = 0.0) -> PersistentConnection | None:
     """Connect to a node; None when it does not take the connection.
 
     Args:
@@ -169,4 +169,4 @@
             stream = await anyio.connect_tcp(target.proxy.host, target.proxy.port)
     except (OSError, TimeoutError):
         return None
-    return LastingConnection(target, stream, lag, pause)
+    return PersistentConnection(target, stream, lag, pause)
--- a/src/pewtertack/lab/soak/context.py
+++ b/src/pewtertack/lab/soak/context.py
@@ -100,9 +100,9 @@
     ) -> None:
         """Run a process of callers, so many a node; what they have begun ends afterwards."""
         index = self._downloads if downloads else self._surges
-        process = await self.fleet.start_lasting_callers(
+        process = await self.fleet.start_persistent_callers(
             name, self.seed + index, callers, downloads
         )
         await anyio.sleep(seconds)
         code = await self.fleet.stop_load(process)
-        self.scenario.expect(code == 0, f"{name} ended with {code}: {process.error_tail()}")
+        self.scenario.expect(code == 0, f"{name} ended with {code}: {process.stderr_tail()}")
--- a/src/pewtertack/lab/soak/mix.py
+++ b/src/pewtertack/lab/soak/mix.py
@@ -33,7 +33,7 @@
 """The longest between two reads of a long answer; other callers read at once."""
 
 
-class Requests(ABC):
+class RequestGenerator(ABC):
     """Draws one caller's requests.
 
     Args:
@@ -64,8 +64,8 @@
         return 0.0
 
 
-class MixedRequests(Requests):
-    """Requests of all routes but that of long answers."""
+class MixedRequestGenerator(RequestGenerator):
+    """RequestGenerator of all routes but that of long answers."""
 
     __slots__ = ()
 
@@ -93,8 +93,8 @@
         )
 
 
-class Downloads(Requests):
-    """Requests for long answers, one at a time, read at the caller's ease."""
+class DownloadRequestGenerator(RequestGenerator):
+    """RequestGenerator for long answers, one at a time, read at the caller's ease."""
 
     __slots__ = ()
 
--- a/src/pewtertack/lab/soak/options.py
+++ b/src/pewtertack/lab/soak/options.py
@@ -29,22 +29,22 @@
         minutes: how long faults go on.
         seed: decides the faults and the callers' requests.
         nodes: how many nodes, the same number in each zone.
-        without: a mechanism that is switched off in all nodes.
+        disabled_mechanism: a mechanism that is switched off in all nodes.
 
     Raises:
         SoakOptionError: an option makes no sense, or the machine has too little memory.
         LabUsageError: there is no such mechanism.
     """
 
-    __slots__ = ("minutes", "nodes", "seed", "without")
+    __slots__ = ("minutes", "nodes", "seed", "disabled_mechanism")
 
     def __init__(
-        self, minutes: float, seed: int, nodes: int = DEFAULT_NODES, without: str = ""
+        self, minutes: float, seed: int, nodes: int = DEFAULT_NODES, disabled_mechanism: str = ""
     ) -> None:
         self.minutes = minutes
         self.seed = seed
         self.nodes = nodes
-        self.without = without
+        self.disabled_mechanism = disabled_mechanism
         self._check()
 
     @property
@@ -60,8 +60,8 @@
         if not FEWEST_NODES <= self.nodes <= MOST_NODES or self.nodes % len(ZONES):
             accepted = f"an even number from {FEWEST_NODES} to {MOST_NODES}"
             raise SoakOptionError(f"--nodes {self.nodes}: {accepted}")
-        if self.without:
-            check_mechanism(self.without)
+        if self.disabled_mechanism:
+            check_mechanism(self.disabled_mechanism)
         needed = (self.nodes + OTHER_PROCESSES) * MEMORY_BYTES
         if needed > MEMORY_SHARE * available_memory():
             raise SoakOptionError(f"--nodes {self.nodes}: too little memory, {needed} bytes needed")
--- a/src/pewtertack/lab/soak/platform_faults.py
+++ b/src/pewtertack/lab/soak/platform_faults.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from pewtertack.lab.platform.store import Availability, Faults
+from pewtertack.lab.platform.store import Availability, PlatformFaults
 from pewtertack.lab.relay.links import Link
 from pewtertack.lab.soak.context import SoakContext
 from pewtertack.lab.soak.faults import Lane, fault
@@ -26,45 +26,47 @@
 
 
 async def _fail_source(
-    soak: SoakContext, chooser: random.Random, faults: Faults, description: str
+    soak: SoakContext, chooser: random.Random, faults: PlatformFaults, description: str
 ) -> None:
-    await soak.fleet.platform.fail_source(faults, description)
+    await soak.fleet.platform.inject_source_faults(faults, description)
     await anyio.sleep(chooser.uniform(SHORT, LONG))
-    await soak.fleet.platform.heal_source()
+    await soak.fleet.platform.clear_source_faults()
 
 
 @fault("source-closed", Lane.PLATFORM)
 async def source_closed(soak: SoakContext, chooser: random.Random) -> None:
     """The source takes no connections."""
-    await _fail_source(soak, chooser, Faults(availability=Availability.CLOSED), "closed")
+    await _fail_source(soak, chooser, PlatformFaults(availability=Availability.CLOSED), "closed")
 
 
 @fault("source-unavailable", Lane.PLATFORM)
 async def source_unavailable(soak: SoakContext, chooser: random.Random) -> None:
     """The source refuses every read."""
-    await _fail_source(soak, chooser, Faults(availability=Availability.UNAVAILABLE), "unavailable")
+    await _fail_source(
+        soak, chooser, PlatformFaults(availability=Availability.UNAVAILABLE), "unavailable"
+    )
 
 
 @fault("source-stale", Lane.PLATFORM)
 async def source_stale(soak: SoakContext, chooser: random.Random) -> None:
     """The source shows nothing newer than an older edit."""
     stale = max(1, soak.scenario.newest_valid - chooser.randint(0, 2))
-    await _fail_source(soak, chooser, Faults(stale_number=stale), "stale")
+    await _fail_source(soak, chooser, PlatformFaults(stale_number=stale), "stale")
 
 
 @fault("source-older", Lane.PLATFORM)
 async def source_older(soak: SoakContext, chooser: random.Random) -> None:
     """The source gives the version before in half of its answers."""
-    await _fail_source(soak, chooser, Faults(older_share=OLDER_SHARE), "older")
+    await _fail_source(soak, chooser, PlatformFaults(older_share=OLDER_SHARE), "older")
 
 
 @fault("list-down", Lane.PLATFORM)
 async def list_down(soak: SoakContext, chooser: random.Random) -> None:
     """The machine list cannot be read."""
     down = chooser.choice((Availability.CLOSED, Availability.UNAVAILABLE))
-    await soak.fleet.platform.fail_machine_list(down)
+    await soak.fleet.platform.inject_machine_list_fault(down)
     await anyio.sleep(chooser.uniform(SHORT, LONG))
-    await soak.fleet.platform.heal_machine_list()
+    await soak.fleet.platform.clear_machine_list_faults()
 
 
 @fault("zones-apart", Lane.PLATFORM)
@@ -82,10 +84,10 @@
     """A back end is marked as leaving in the lagging list, and stays after all."""
     name = soak.some_backend(chooser)
     async with soak.learning:
-        await soak.fleet.leave_by_list(name)
+        await soak.fleet.mark_backend_leaving(name)
         await anyio.sleep(LEAVING_SEEN_SECONDS)
     await anyio.sleep(LEAVING_SECONDS - LEAVING_SEEN_SECONDS)
-    await soak.fleet.stay_by_list(name)
+    await soak.fleet.mark_backend_live(name)
 
 
 @fault("edit", Lane.EDITS, weight=4.0)
--- a/src/pewtertack/lab/soak/report.py
+++ b/src/pewtertack/lab/soak/report.py
@@ -19,7 +19,7 @@
     lines += [_resources(result), "", format_verdicts(result.verdicts)]
     lines += [f"problem: {problem}" for problem in result.problems]
     lines += [f"not put to the test: {promise}" for promise in result.untested]
-    return "\n".join([*lines, result.word])
+    return "\n".join([*lines, result.verdict])
 
 
 def write_report(result: SoakResult, path: Path) -> None:
@@ -48,7 +48,7 @@
         for name, route in result.routes.items()
     ]
     return [
-        f"# Soak: {result.word}\n",
+        f"# Soak: {result.verdict}\n",
         f"{_head(result)}. {_resources(result)}.\n",
         "## Promises\n",
         table(("promise", "judgement", "judged", "offences"), promises),
@@ -63,7 +63,7 @@
 
 
 def _head(result: SoakResult) -> str:
-    without = f" without {result.without}" if result.without else ""
+    without = f" without {result.disabled_mechanism}" if result.disabled_mechanism else ""
     ended = ", interrupted" if result.interrupted else ""
     return (
         f"soak{without}, seed {result.seed}, {result.minutes:g} min of faults,"
--- a/src/pewtertack/lab/soak/request_faults.py
+++ b/src/pewtertack/lab/soak/request_faults.py
@@ -7,7 +7,7 @@
 import anyio
 import msgspec
 
-from pewtertack.lab.backend.application import ENDS_BACKEND
+from pewtertack.lab.backend.application import CRASH_PATH_MARKER
 from pewtertack.lab.history.crash_checks import CRASHING_REQUEST_PREFIX
 from pewtertack.lab.load.mix import CallKind, mix_of_tree
 from pewtertack.lab.soak.context import SoakContext
@@ -23,14 +23,14 @@
 async def ending_request(soak: SoakContext, chooser: random.Random) -> None:
     """A caller sends a request that ends its back ends again and again, at any node."""
     number = soak.made["ending-request"]
-    kind = _kind_of(soak, f"{ENDS_BACKEND}-{number}")
+    kind = _kind_of(soak, f"{CRASH_PATH_MARKER}-{number}")
     nodes = sorted(soak.fleet.plan.nodes)
     sent = 0
     with anyio.move_on_after(chooser.uniform(*LASTS_SECONDS)):
         while True:
             sent += 1
             name = f"{CRASHING_REQUEST_PREFIX}{number}-{sent}"
-            await soak.fleet.ask(chooser.choice(nodes), kind, name)
+            await soak.fleet.send_request(chooser.choice(nodes), kind, name)
             await anyio.sleep(REPEAT_SECONDS)
 
 
--- a/src/pewtertack/lab/soak/answers.py
+++ b/src/pewtertack/lab/soak/responses.py
@@ -9,7 +9,7 @@
 Header = tuple[bytes, bytes]
 
 
-class WholeAnswer:
+class CompleteResponse:
     """One answer that arrived to its last byte."""
 
     __slots__ = ("body", "closes", "headers", "status")
@@ -22,13 +22,13 @@
         """Whether the connection takes no further request."""
 
 
-class AnswerReader:
+class ResponseReader:
     """Collects whole answers out of the bytes of a connection."""
 
     __slots__ = ("_begun", "_body", "_headers", "_parser", "whole")
 
     def __init__(self) -> None:
-        self.whole: deque[WholeAnswer] = deque()
+        self.whole: deque[CompleteResponse] = deque()
         self._headers: list[Header] = []
         self._body = bytearray()
         self._begun = False
@@ -66,4 +66,4 @@
         self._begun = False
         status = self._parser.get_status_code()
         closes = not self._parser.should_keep_alive()
-        self.whole.append(WholeAnswer(status, self._headers, bytes(self._body), closes))
+        self.whole.append(CompleteResponse(status, self._headers, bytes(self._body), closes))
--- a/src/pewtertack/lab/soak/result.py
+++ b/src/pewtertack/lab/soak/result.py
@@ -28,7 +28,7 @@
     minutes: float
     seed: int
     nodes: int
-    without: str
+    disabled_mechanism: str
     seconds: float
     """How long it took, start and settling included."""
     interrupted: bool
@@ -64,7 +64,7 @@
         return ExitCode.FOUND if self.untested else ExitCode.OK
 
     @property
-    def word(self) -> str:
+    def verdict(self) -> str:
         """The verdict in a word."""
         if self.violated:
             return "violated"
--- a/src/pewtertack/lab/soak/returns.py
+++ b/src/pewtertack/lab/soak/returns.py
@@ -40,10 +40,10 @@
     services = [platform.plan.source, platform.plan.machines]
     chooser.shuffle(services)
     async with soak.learning:
-        await platform.come_back(chooser.uniform(*AWAY_SECONDS), chooser.uniform(*COPY_AGE))
+        await platform.restore(chooser.uniform(*AWAY_SECONDS), chooser.uniform(*COPY_AGE))
         for service in services:
             await anyio.sleep(chooser.uniform(*WRITTEN_AGAIN))
-            await platform.write_again(service)
+            await platform.replay_lost_writes(service)
 
 
 @fault("leaving-over-return", Lane.PLATFORM, weight=3.0)
@@ -55,10 +55,10 @@
     backends = sorted(soak.fleet.plan.backends.values(), key=lambda backend: backend.name)
     first = chooser.choice(backends)
     second = chooser.choice([item for item in backends if item.service != first.service])
-    async with soak.claim_nodes(chooser, 1, [first.beside]), soak.learning:
+    async with soak.claim_nodes(chooser, 1, [first.gateway_node]), soak.learning:
         await _leave_over_return(soak, chooser, first, second)
     for backend in (first, second):
-        await soak.fleet.stay_by_list(backend.name)
+        await soak.fleet.mark_backend_live(backend.name)
 
 
 async def _leave_over_return(
@@ -70,21 +70,21 @@
     platform = soak.fleet.platform
     copied_at = time.monotonic()
     for _ in range(MORE_WRITES):
-        await soak.fleet.stay_by_list(first.name)
-    await soak.fleet.leave_by_list(first.name)
+        await soak.fleet.mark_backend_live(first.name)
+    await soak.fleet.mark_backend_leaving(first.name)
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(soak.fleet.stop_node, first.beside, STOP_SECONDS)
+        tasks.start_soon(soak.fleet.stop_node, first.gateway_node, STOP_SECONDS)
         await anyio.sleep(LEAVING_SEEN_SECONDS)
     recorder = soak.fleet.recorder
-    noticed = recorder.view.returns_noticed
-    await platform.come_back(chooser.uniform(*AWAY_SECONDS), time.monotonic() - copied_at)
+    noticed = recorder.view.restores_detected
+    await platform.restore(chooser.uniform(*AWAY_SECONDS), time.monotonic() - copied_at)
     with contextlib.suppress(FleetTimeoutError):
         await recorder.wait_until(
-            lambda view: view.returns_noticed > noticed, NOTICED_SECONDS, "the return is noticed"
+            lambda view: view.restores_detected > noticed, NOTICED_SECONDS, "the return is noticed"
         )
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(soak.start_again, [first.beside])
+        tasks.start_soon(soak.start_again, [first.gateway_node])
         await anyio.sleep(LATER)
-        await platform.write_again(platform.plan.machines, platform.plan.source)
-    await soak.fleet.leave_by_list(second.name)
+        await platform.replay_lost_writes(platform.plan.machines, platform.plan.source)
+    await soak.fleet.mark_backend_leaving(second.name)
     await anyio.sleep(LEAVING_SEEN_SECONDS + LEAVING_UNUSED_SECONDS)
--- a/src/pewtertack/lab/soak/run.py
+++ b/src/pewtertack/lab/soak/run.py
@@ -31,7 +31,7 @@
 from pewtertack.lab.soak.resources import ResourceWatch
 from pewtertack.lab.soak.result import SoakResult
 from pewtertack.lab.soak.returns import leaving_over_return
-from pewtertack.lab.soak.shape import shape_of_soak
+from pewtertack.lab.soak.shape import soak_fleet_shape
 
 BOUNDS = CheckBounds(convergence=12.0, recovery=30.0)
 """The users' bound of 12 s, and room for a node that starts while the source is down."""
@@ -85,7 +85,7 @@
                 return
 
     async def _start_callers(self) -> LabProcess:
-        return await self._fleet.start_lasting_callers(
+        return await self._fleet.start_persistent_callers(
             "callers", self.options.seed, CALLERS_PER_NODE
         )
 
@@ -126,7 +126,7 @@
             context.problems.append(f"{type(error).__name__}: {error}")
         await anyio.sleep(SETTLE_SECONDS)
         code = await self._fleet.stop_load(callers)
-        context.expect(code == 0, f"the callers ended with {code}: {callers.error_tail()}")
+        context.expect(code == 0, f"the callers ended with {code}: {callers.stderr_tail()}")
         for name in sorted(set(self._fleet.plan.nodes) - set(self._fleet.running_nodes())):
             context.problems.append(f"{name} does not run at the end")
 
@@ -147,7 +147,7 @@
     Raises:
         LabError: the fleet could not be started.
     """
-    plan = plan_fleet(shape_of_soak(options))
+    plan = plan_fleet(soak_fleet_shape(options))
     began = time.monotonic()
     with tempfile.TemporaryDirectory(prefix="pewtertack-soak-") as name:
         directory = Path(name)
@@ -175,7 +175,7 @@
         minutes=options.minutes,
         seed=options.seed,
         nodes=options.nodes,
-        without=options.without,
+        disabled_mechanism=options.disabled_mechanism,
         seconds=round(seconds, 1),
         interrupted=run.interrupted_at is not None,
         faults=dict(sorted(run.context.made.items())),
--- a/src/pewtertack/lab/soak/shape.py
+++ b/src/pewtertack/lab/soak/shape.py
@@ -75,7 +75,7 @@
 }
 
 
-def shape_of_soak(options: SoakOptions) -> FleetShape:
+def soak_fleet_shape(options: SoakOptions) -> FleetShape:
     """Return the fleet of a soak."""
     return FleetShape(
         zones=ZONES,
@@ -84,9 +84,9 @@
         nodes_per_zone=options.nodes // len(ZONES),
         capacity=CAPACITY,
         separate_backends=True,
-        without=options.without,
-        gateways=True,
-        eras=True,
+        disabled_mechanism=options.disabled_mechanism,
+        has_gateways=True,
+        uses_eras=True,
         limits=LIMITS,
         policies=POLICIES,
         link_mbps=LINK_MBPS,
--- a/src/pewtertack/lab/source/service.py
+++ b/src/pewtertack/lab/source/service.py
@@ -43,8 +43,8 @@
         handlers = {
             ("PUT", "/tree"): self._put_tree,
             ("GET", "/tree"): self._get_tree,
-            ("POST", "/return"): self._come_back,
-            ("POST", "/write-again"): self._write_again,
+            ("POST", "/return"): self._restore,
+            ("POST", "/write-again"): self._replay_lost_writes,
         }
         self.service = PlatformService(
             self._store, reading, READ_PATH, listen, control, dict(handlers)
@@ -57,12 +57,12 @@
         number = self._store.put(tree, time.time(), int(expected) if expected else None)
         return json_response({"number": number})
 
-    async def _come_back(self, request: Request) -> Response:
-        lost = self._store.come_back(float(request.query["copied_at"]))
+    async def _restore(self, request: Request) -> Response:
+        lost = self._store.restore(float(request.query["copied_at"]))
         self._lost = [*lost, *self._lost]
         return json_response({"lost": len(lost)})
 
-    async def _write_again(self, request: Request) -> Response:
+    async def _replay_lost_writes(self, request: Request) -> Response:
         self._put_lost()
         return json_response({})
 
--- a/src/pewtertack/lab/store_fleet/fleet.py
+++ b/src/pewtertack/lab/store_fleet/fleet.py
@@ -155,7 +155,7 @@
         """Kill all nodes and close the listeners."""
         with anyio.CancelScope(shield=True):
             for process in self._processes.values():
-                await process.end()
+                await process.kill()
         self._listener.close()
         if self._relay is not None:
             self._relay.control.close()
@@ -185,7 +185,7 @@
         """Signal the process of a node and wait for its end."""
         process = self._processes[name]
         process.send_signal(how)
-        await process.wait_ended()
+        await process.wait_for_exit()
 
     def received_bytes(self) -> None:
         """Return nothing: what processes send one another is not counted."""
--- a/tests/lab/backend/test_application.py
+++ b/tests/lab/backend/test_application.py
@@ -4,8 +4,8 @@
 
 import anyio
 
-from pewtertack.lab.backend.answers import checksum, expected_body
 from pewtertack.lab.backend.application import BackendApplication, BrokenAnswerError
+from pewtertack.lab.backend.response_body import checksum, expected_body
 from pewtertack.lab.backend.state import BackendFaults, BackendState, Capacity, HealthReport
 from pewtertack.lab.records import ExecutionEnd, ExecutionResult, ExecutionStart, Record
 from tests.lab.asgi_client import Reply, call
--- a/tests/lab/fleet/test_fleet.py
+++ b/tests/lab/fleet/test_fleet.py
@@ -16,7 +16,7 @@
 from pewtertack.lab.fleet.history import HistoryRecorder
 from pewtertack.lab.fleet.plan import FleetPlan, plan_fleet
 from pewtertack.lab.load.caller import Caller, Target
-from pewtertack.lab.platform.store import Availability, Faults
+from pewtertack.lab.platform.store import Availability, PlatformFaults
 from pewtertack.lab.records import CallResult
 from pewtertack.lab.scenarios.edits import TreeEditor
 
@@ -85,7 +85,9 @@
 
     async def start_without_source(self, fleet: Fleet, name: str) -> None:
         """Start a node while the source refuses connections; it serves the edited route."""
-        await fleet.platform.fail_source(Faults(availability=Availability.CLOSED), "closed")
+        await fleet.platform.inject_source_faults(
+            PlatformFaults(availability=Availability.CLOSED), "closed"
+        )
         await fleet.start_nodes([name])
         await fleet.wait_serving([name], SECONDS)
         caller = Caller(Target(name, fleet.plan.nodes[name].proxy))
--- a/tests/lab/fleet/test_history.py
+++ b/tests/lab/fleet/test_history.py
@@ -27,15 +27,15 @@
         async with anyio.create_task_group() as waits:
             waits.start_soon(self.recorder.wait_until, self.is_serving, 60.0, "n1 serves")
             self.recorder.record(NodeStart(time=1.0, node="n1", zone="yaba"))
-            self.recorder.take_line("n1", SERVING)
+            self.recorder.record_line("n1", SERVING)
         self.recorder.record(NodeKill(time=3.0, node="n1"))
         self.assertFalse(self.is_serving(None))
         with self.assertRaises(FleetTimeoutError):
             await self.recorder.wait_until(self.is_serving, 0.01, "n1 serves")
 
     def test_lines_are_written_and_strays_kept_apart(self) -> None:
-        self.recorder.take_line("n1", SERVING)
-        self.recorder.take_line("source", b'{"ready":{"listen":"127.0.0.1:1"}}')
-        self.recorder.take_line("n1", b"Traceback")
+        self.recorder.record_line("n1", SERVING)
+        self.recorder.record_line("source", b'{"ready":{"listen":"127.0.0.1:1"}}')
+        self.recorder.record_line("n1", b"Traceback")
         self.assertEqual(len(list(read_history(self.path.read_bytes().splitlines()))), 1)
         self.assertEqual(self.recorder.stray_lines, ["n1: Traceback"])
--- a/tests/lab/fleet/test_plan.py
+++ b/tests/lab/fleet/test_plan.py
@@ -13,7 +13,7 @@
     zones=("ikeja", "yaba"),
     services={"logbook": 3},
     tree={},
-    gateways=True,
+    has_gateways=True,
     limits={"drain_notice": "600ms"},
     policies={"long_bodies": "in-turns"},
     link_mbps=8.0,
@@ -23,7 +23,7 @@
 class GatewayPlanTest(unittest.TestCase):
     def test_every_back_end_has_a_node_of_its_zone_for_itself(self) -> None:
         plan = plan_fleet(SHAPE)
-        beside = [plan.nodes[backend.beside] for backend in plan.backends.values()]
+        beside = [plan.nodes[backend.gateway_node] for backend in plan.backends.values()]
         self.assertEqual(len({node.name for node in beside}), 3)
         listed = {
             machine.name: machine
@@ -42,7 +42,7 @@
             self.assertEqual(settings["limits"], SHAPE.limits)
             self.assertEqual(settings["policies"], SHAPE.policies)
             self.assertEqual(settings["node"]["link_mbps"], 8.0)
-            backend = plan.backend_beside(node.name)
+            backend = plan.local_backend(node.name)
             if backend is None:
                 alone += 1
                 self.assertNotIn("backend", settings)
--- a/tests/lab/report/test_report.py
+++ b/tests/lab/report/test_report.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from pewtertack.lab.history.verdicts import Guarantee, Judgement, Verdict, Violation
-from pewtertack.lab.platform.application import Counters
+from pewtertack.lab.platform.application import ReaderCounters
 from pewtertack.lab.records import CallOutcome, CallResult
 from pewtertack.lab.report.convergence import Convergence
 from pewtertack.lab.report.report import Report, routes_of
@@ -46,7 +46,7 @@
         convergence=Convergence(NOTHING, NOTHING, 0, 0),
         traffic=PeerTraffic(1, 1.0, 1.0, 0.0, 0.0, 0.0),
         resources=NodeResources(NOTHING, NOTHING),
-        source=Counters(),
+        source=ReaderCounters(),
         routes=routes_of(
             [told("a", CallOutcome.ANSWERED, 0.2), told("b", CallOutcome.NOT_RUN, 9.0)]
         ),
--- a/tests/lab/returns/test_returns.py
+++ b/tests/lab/returns/test_returns.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from pewtertack.lab.returns.run import run_returns
+from pewtertack.lab.returns.run import run_restores
 
 SEED = 2
 SECONDS = 20.0
@@ -12,6 +12,6 @@
 
 class ReturnsTest(unittest.TestCase):
     def test_a_short_series_holds(self) -> None:
-        result = anyio.run(run_returns, SECONDS, SEED, "6s")
+        result = anyio.run(run_restores, SECONDS, SEED, "6s")
         self.assertEqual(result.offences, [])
         self.assertGreater(min(result.returns, result.stops, result.replaced), 1)
--- a/tests/lab/soak/test_connection.py
+++ b/tests/lab/soak/test_connection.py
@@ -7,11 +7,11 @@
 import anyio
 import anyio.abc
 
-from pewtertack.lab.backend.answers import checksum, expected_body
+from pewtertack.lab.backend.response_body import checksum, expected_body
 from pewtertack.lab.demo import NEW_CALL
 from pewtertack.lab.load.caller import Target
 from pewtertack.lab.records import CallOutcome, CallResult
-from pewtertack.lab.soak.connection import Call, LastingConnection, connect
+from pewtertack.lab.soak.connection import Call, PersistentConnection, connect
 from pewtertack.lab.soak.lag import LagMeter
 from pewtertack.settings import Address
 
@@ -37,7 +37,7 @@
 
 
 @contextlib.asynccontextmanager
-async def connection_to(server: Server, pause: float = 0.0) -> AsyncIterator[LastingConnection]:
+async def connection_to(server: Server, pause: float = 0.0) -> AsyncIterator[PersistentConnection]:
     listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
 
     async def serve(stream: anyio.abc.SocketStream) -> None:
@@ -55,7 +55,7 @@
     await listener.aclose()
 
 
-class LastingConnectionTest(unittest.IsolatedAsyncioTestCase):
+class PersistentConnectionTest(unittest.IsolatedAsyncioTestCase):
     async def ask(self, server: Server, *request_ids: str) -> tuple[list[CallResult], bool]:
         """Return what was told, and whether the connection may be used again."""
         async with connection_to(server) as connection:
--- a/tests/lab/soak/test_options.py
+++ b/tests/lab/soak/test_options.py
@@ -16,13 +16,13 @@
 from pewtertack.lab.soak.options import SoakOptions
 from pewtertack.lab.soak.report import format_result, write_report
 from pewtertack.lab.soak.result import REQUIRED, SoakResult
-from pewtertack.lab.soak.shape import shape_of_soak
+from pewtertack.lab.soak.shape import soak_fleet_shape
 
 HELD = SoakResult(
     minutes=1.0,
     seed=1,
     nodes=4,
-    without="",
+    disabled_mechanism="",
     seconds=75.0,
     interrupted=False,
     faults={"stop": 3},
@@ -47,7 +47,7 @@
         with self.assertRaises(SoakOptionError):
             SoakOptions(1.0, -1)
         with self.assertRaises(LabUsageError):
-            SoakOptions(1.0, 1, without="luck")
+            SoakOptions(1.0, 1, disabled_mechanism="luck")
 
     def test_too_little_memory_is_refused(self) -> None:
         with (
@@ -57,7 +57,7 @@
             SoakOptions(1.0, 1)
 
     def test_the_smallest_fleet_has_a_node_beside_every_back_end(self) -> None:
-        plan = plan_fleet(shape_of_soak(SoakOptions(1.0, 1, soak_options.FEWEST_NODES)))
+        plan = plan_fleet(soak_fleet_shape(SoakOptions(1.0, 1, soak_options.FEWEST_NODES)))
         self.assertTrue(all(node.gateway for node in plan.nodes.values()))
 
 
@@ -73,7 +73,7 @@
             (replace(HELD, verdicts=[]), ExitCode.FOUND, "not put to the test"),
             (replace(HELD, interrupted=True), ExitCode.UNUSABLE_INPUT, "interrupted"),
         ):
-            self.assertEqual((result.exit_code, result.word), (code, word))
+            self.assertEqual((result.exit_code, result.verdict), (code, word))
 
     def test_reports_name_the_offence_and_end_with_the_verdict(self) -> None:
         result = msgspec.structs.replace(HELD, verdicts=[*HELD.verdicts, BROKEN])
--- a/tests/lab/source/test_era_reader.py
+++ b/tests/lab/source/test_era_reader.py
@@ -52,9 +52,9 @@
                 return answer
         raise AssertionError(answer)
 
-    def come_back(self) -> None:
+    def restore(self) -> None:
         for store in (self.source._store, self.machines._store):
-            store.come_back(0.0)
+            store.restore(0.0)
 
     async def test_a_return_is_read_anew_and_an_older_version_changes_nothing(self) -> None:
         async with anyio.create_task_group() as tasks:
@@ -65,7 +65,7 @@
             listed = await self.read(LIST)
             assert isinstance(listed, DocumentRead)
             self.assertEqual(listed.number, 2)
-            self.come_back()
+            self.restore()
             self.assertEqual(await self.settled(TREE, 2), DocumentUnchanged(TREE))
             anew = await self.settled(LIST, 2)
             assert isinstance(anew, DocumentRead)
@@ -83,7 +83,7 @@
             answer = await self.read(TREE, 1, era=1)
             assert isinstance(answer, DocumentReadFailed)
             self.assertIn("source-era", answer.reason)
-            self.machines._store.come_back(0.0)
+            self.machines._store.restore(0.0)
             await self.settled(LIST)
             answer = await self.read(TREE, 1)
             assert isinstance(answer, DocumentReadFailed)
