--- a/src/pewtertack/lab/backend/__init__.py
+++ b/src/pewtertack/lab/backend/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in of a back end: slots, connections, shedding, draining, and many ways to misbehave."""
+"""Simulated back end with slots, a connection limit, load shedding, draining and faults."""
--- a/src/pewtertack/lab/backend/application.py
+++ b/src/pewtertack/lab/backend/application.py
@@ -1,4 +1,4 @@
-"""The HTTP application of one back end. It logs each execution by request id."""
+"""HTTP application of one simulated back end, which logs every execution by request id."""
 
 from __future__ import annotations
 
@@ -30,25 +30,25 @@
 
 
 CRASH_PATH_MARKER = "ends-back-ends"
-"""A request whose path holds this ends the back end that has run it."""
+"""A request whose path contains this crashes the back end that runs it."""
 
 
 class BackendEndedError(Exception):
-    """The back end has ended under the request."""
+    """The request has crashed the back end."""
 
 
 class BrokenAnswerError(Exception):
-    """Ends an answer in the middle; uvicorn closes the connection on it."""
+    """Aborts a response midway: uvicorn closes the connection when it is raised."""
 
 
 class BackendApplication:
-    """One back end.
+    """One simulated back end.
 
     Args:
         name: its name in the machine list and the log.
-        state: limits and faults.
-        record: takes each line of the execution log.
-        seed: decides on shedding and broken answers.
+        state: its limits and faults.
+        record: called with each record of the execution log.
+        seed: determines which requests are shed and which responses are aborted.
     """
 
     def __init__(
@@ -58,21 +58,21 @@
         self.state = state
         self._record = record
         self._random = random.Random(f"{seed}:{name}")
-        self.end = _go_on
-        """Called when a request ends the back end."""
+        self.on_crash = _ignore_crash
+        """Called when a request crashes the back end."""
         self._slots = anyio.Semaphore(state.capacity.slots)
-        self._exchange = ResponseSwapper()
+        self._swapper = ResponseSwapper()
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one request."""
+        """Handle one request."""
         if scope["type"] != "http":
             return
         request = read_head(scope)
         if request.path == HEALTH_PATH:
-            await send_response(send, self._health())
+            await send_response(send, self._build_health_response())
             return
         if not self.state.admits(self._random.random()):
-            await send_response(send, self._shed())
+            await send_response(send, self._build_shed_response())
             return
         self.state.admitted += 1
         try:
@@ -81,17 +81,17 @@
             self.state.admitted -= 1
 
     async def _run_in_slot(self, request: Request, receive: Receive, send: Send) -> None:
-        """Run the request once a slot is free; shed it when its deadline comes first."""
-        deadline = _deadline(request)
-        if not await self._take_slot(deadline):
-            await send_response(send, self._shed())
+        """Run the request once a slot is free; shed it if its deadline expires before."""
+        deadline = _parse_deadline(request)
+        if not await self._acquire_slot(deadline):
+            await send_response(send, self._build_shed_response())
             return
         try:
             await self._execute(request, receive, send, deadline)
         finally:
             self._slots.release()
 
-    async def _take_slot(self, deadline: float) -> bool:
+    async def _acquire_slot(self, deadline: float) -> bool:
         with anyio.move_on_after(deadline - time.monotonic()):
             await self._slots.acquire()
             return True
@@ -105,7 +105,7 @@
         self.state.in_flight += 1
         result = ExecutionResult.CANCELLED
         try:
-            result = await self._work(request, receive, send, deadline)
+            result = await self._run_request(request, receive, send, deadline)
         except (BrokenAnswerError, BackendEndedError):
             result = ExecutionResult.DIED
             raise
@@ -117,36 +117,36 @@
                 )
             )
 
-    async def _work(
+    async def _run_request(
         self, request: Request, receive: Receive, send: Send, deadline: float
     ) -> ExecutionResult:
-        if not await _read_to_end(receive):
+        if not await _read_body(receive):
             return ExecutionResult.CANCELLED
-        seconds = self.state.work_time(_work_seconds(request), time.monotonic())
-        left = deadline - time.monotonic()
-        if not await _stays_connected(receive, min(seconds, left)):
+        seconds = self.state.work_time(_parse_work_seconds(request), time.monotonic())
+        remaining = deadline - time.monotonic()
+        if not await _wait_while_connected(receive, min(seconds, remaining)):
             return ExecutionResult.CANCELLED
-        if seconds > left:
-            await send_response(send, self._answer(request, 504, b""))
+        if seconds > remaining:
+            await send_response(send, self._build_response(request, 504, b""))
             return ExecutionResult.DEADLINE
         if CRASH_PATH_MARKER in request.path:
-            self.end()
+            self.on_crash()
             raise BackendEndedError
         return await self._send_result(request, receive, send)
 
     async def _send_result(self, request: Request, receive: Receive, send: Send) -> ExecutionResult:
         size = int(request.headers.get("x-answer-bytes", DEFAULT_BODY_BYTES))
         body = expected_body(request.headers.get("x-request-id", ""), size)
-        answer = self._answer(request, 200, body)
+        response = self._build_response(request, 200, body)
         faults = self.state.faults
         if faults.crossed:
-            answer = await self._exchange.exchange(answer)
+            response = await self._swapper.swap(response)
         if faults.late:
             await anyio.sleep(faults.late)
-        breaks = self._random.random() < faults.die_mid_answer_share
-        return await _send_in_chunks(send, answer, breaks)
+        abort_midway = self._random.random() < faults.die_mid_answer_share
+        return await _send_in_chunks(send, response, abort_midway)
 
-    def _answer(self, request: Request, status: int, body: bytes) -> Response:
+    def _build_response(self, request: Request, status: int, body: bytes) -> Response:
         headers = {
             "content-type": "text/plain",
             "x-request-id": request.headers.get("x-request-id", ""),
@@ -162,35 +162,35 @@
             headers["x-backend-state"] = "leaving"
         return headers
 
-    def _shed(self) -> Response:
+    def _build_shed_response(self) -> Response:
         headers = {"x-outcome": "not-run", "retry-after": "1", **self._state_headers()}
         return Response(503, b"", headers)
 
-    def _health(self) -> Response:
-        well = self.state.is_reported_well(time.monotonic())
+    def _build_health_response(self) -> Response:
+        healthy = self.state.is_reported_healthy(time.monotonic())
         load = self.state.reported_load()
-        return json_response({"well": well, "load": load}, 200 if well else 503)
+        return json_response({"well": healthy, "load": load}, 200 if healthy else 503)
 
 
-def _go_on() -> None:
-    """Serve on: nothing sees to the back end's end."""
+def _ignore_crash() -> None:
+    """Default crash handler: the back end keeps its listener and serves on."""
 
 
-def _deadline(request: Request) -> float:
-    """Return the deadline on the monotonic clock; infinity without one."""
+def _parse_deadline(request: Request) -> float:
+    """Return the deadline in monotonic seconds, infinity without one."""
     milliseconds = request.headers.get("x-deadline-ms")
     if milliseconds is None:
         return NO_DEADLINE
     return time.monotonic() + float(milliseconds) / 1000
 
 
-def _work_seconds(request: Request) -> float | None:
+def _parse_work_seconds(request: Request) -> float | None:
     milliseconds = request.headers.get("x-work-ms")
     return None if milliseconds is None else float(milliseconds) / 1000
 
 
-async def _read_to_end(receive: Receive) -> bool:
-    """Read the request's body; false when the caller hung up."""
+async def _read_body(receive: Receive) -> bool:
+    """Read the body of the request; return false if the caller disconnected."""
     while True:
         message = await receive()
         if message["type"] == "http.disconnect":
@@ -199,8 +199,8 @@
             return True
 
 
-async def _stays_connected(receive: Receive, seconds: float) -> bool:
-    """Wait for ``seconds``; false at once when the caller hangs up."""
+async def _wait_while_connected(receive: Receive, seconds: float) -> bool:
+    """Wait for ``seconds``; return false as soon as the caller disconnects."""
     with anyio.move_on_after(seconds):
         while True:
             message = await receive()
@@ -209,19 +209,19 @@
     return True
 
 
-async def _send_in_chunks(send: Send, answer: Response, breaks: bool) -> ExecutionResult:
-    """Send the answer.
+async def _send_in_chunks(send: Send, response: Response, abort_midway: bool) -> ExecutionResult:
+    """Send the response.
 
     Raises:
-        BrokenAnswerError: ``breaks`` is set; half of the body has been sent.
+        BrokenAnswerError: ``abort_midway`` is set; half of the body has been sent.
     """
-    length = len(answer.body)
-    await send_head(send, answer.status, {**answer.headers, "content-length": str(length)})
-    sent_bytes = length // 2 if breaks else length
+    length = len(response.body)
+    await send_head(send, response.status, {**response.headers, "content-length": str(length)})
+    sent_bytes = length // 2 if abort_midway else length
     for start in range(0, sent_bytes, CHUNK_BYTES):
-        chunk = answer.body[start : min(start + CHUNK_BYTES, sent_bytes)]
+        chunk = response.body[start : min(start + CHUNK_BYTES, sent_bytes)]
         await send({"type": "http.response.body", "body": chunk, "more_body": True})
-    if breaks:
+    if abort_midway:
         raise BrokenAnswerError
     await send({"type": "http.response.body", "body": b""})
     return ExecutionResult.FINISHED
--- a/src/pewtertack/lab/backend/process.py
+++ b/src/pewtertack/lab/backend/process.py
@@ -1,4 +1,4 @@
-"""A process that hosts one or more back ends, and their control address."""
+"""Process that hosts one or more simulated back ends and their control listener."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HostedBackend:
-    """One back end and its listener."""
+    """A back end with its listener."""
 
     application: BackendApplication
     listener: Listener
 
 
-AWAY_SECONDS = 1.0
-"""A back end that a request has ended listens again after so long."""
+RESTART_SECONDS = 1.0
+"""Time after which a back end that a request has crashed accepts connections again."""
 
 
 def _print_record(record: Record) -> None:
@@ -36,13 +36,13 @@
 
 
 class BackendProcess:
-    """Hosts back ends.
+    """Hosts simulated back ends.
 
     Args:
-        backends: address of each back end by name.
-        control: address for the lab.
-        capacity: the limits of each.
-        seed: decides on shedding and broken answers.
+        backends: the addresses of the back ends by name.
+        control: the address on which the lab sets faults.
+        capacity: the limits of each back end.
+        seed: determines which requests are shed and which responses are aborted.
     """
 
     def __init__(
@@ -55,15 +55,15 @@
             application = BackendApplication(name, state, _print_record, seed)
             listener = Listener(application, address, capacity.connections)
             hosted = self._hosted[name] = HostedBackend(application, listener)
-            application.end = partial(self._end, hosted)
+            application.on_crash = partial(self._crash, hosted)
         handlers = {("POST", "/faults/"): self._set_faults, ("POST", "/close/"): self._close}
-        self._tasks: anyio.abc.TaskGroup | None = None
+        self._task_group: anyio.abc.TaskGroup | None = None
         self._control = Listener(HandlerTable(dict(handlers)), control)
 
     async def run(self) -> None:
-        """Serve until the process is ended."""
+        """Serve until the process is terminated."""
         async with anyio.create_task_group() as task_group:
-            self._tasks = task_group
+            self._task_group = task_group
             for hosted in self._hosted.values():
                 await hosted.listener.open(task_group)
             await self._control.open(task_group)
@@ -71,27 +71,27 @@
             print_ready(control=self._control.address, **addresses)
             await anyio.sleep_forever()
 
-    def _end(self, hosted: HostedBackend) -> None:
-        """Reset all connections of a back end, which is back after ``AWAY_SECONDS``."""
+    def _crash(self, hosted: HostedBackend) -> None:
+        """Reset all connections of a back end and restart it after ``RESTART_SECONDS``."""
         hosted.listener.close()
-        if self._tasks is not None:
-            self._tasks.start_soon(self._come_back, hosted)
+        if self._task_group is not None:
+            self._task_group.start_soon(self._restart, hosted)
 
-    async def _come_back(self, hosted: HostedBackend) -> None:
-        await anyio.sleep(AWAY_SECONDS)
-        if self._tasks is not None and not hosted.listener.is_open:
-            await hosted.listener.open(self._tasks)
+    async def _restart(self, hosted: HostedBackend) -> None:
+        await anyio.sleep(RESTART_SECONDS)
+        if self._task_group is not None and not hosted.listener.is_open:
+            await hosted.listener.open(self._task_group)
 
     async def _set_faults(self, request: Request) -> Response:
         faults = msgspec.json.decode(request.body, type=BackendFaults)
-        self._find(request).application.state.set_faults(faults, time.monotonic())
+        self._find_backend(request).application.state.set_faults(faults, time.monotonic())
         return json_response(faults)
 
     async def _close(self, request: Request) -> Response:
-        self._find(request).listener.close()
+        self._find_backend(request).listener.close()
         return json_response({})
 
-    def _find(self, request: Request) -> HostedBackend:
+    def _find_backend(self, request: Request) -> HostedBackend:
         name = request.path.rpartition("/")[2]
         if name not in self._hosted:
             raise LabUsageError(f"no back end {name}")
--- a/src/pewtertack/lab/backend/response_body.py
+++ b/src/pewtertack/lab/backend/response_body.py
@@ -1,4 +1,4 @@
-"""The body that belongs to a request: lines made of the request's id, with a checksum."""
+"""Response bodies derived from the request id, so that callers can verify them."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 def expected_body(request_id: str, size: int) -> bytes:
-    """Return the ``size`` bytes that answer ``request_id``."""
-    line = request_id.encode() + b"\n"
-    return (line * (size // len(line) + 1))[:size]
+    """Return the response body for ``request_id``: the id on each line, ``size`` bytes."""
+    id_line = request_id.encode() + b"\n"
+    return (id_line * (size // len(id_line) + 1))[:size]
 
 
 def checksum(body: bytes) -> str:
-    """Return the value of ``x-checksum``: SHA-256 in hex."""
+    """Return the value of the ``x-checksum`` header: SHA-256 in hexadecimal."""
     return hashlib.sha256(body).hexdigest()
--- a/src/pewtertack/lab/backend/response_swap.py
+++ b/src/pewtertack/lab/backend/response_swap.py
@@ -1,4 +1,4 @@
-"""Exchange of two answers, for a back end that mixes up its callers."""
+"""Swaps the responses of two requests, to simulate a back end that mixes up its callers."""
 
 from __future__ import annotations
 
@@ -6,39 +6,39 @@
 
 from pewtertack.lab.asgi import Response
 
-PARTNER_WAIT = 0.05
+PARTNER_WAIT_SECONDS = 0.05
 
 
 class ResponseSwapper:
-    """Pairs requests up and gives each the other's answer.
+    """Pairs concurrent requests and returns to each the response of the other.
 
-    A request that finds no partner within ``PARTNER_WAIT`` seconds gets its own.
+    A request that finds no partner within ``PARTNER_WAIT_SECONDS`` keeps its own response.
     """
 
     def __init__(self) -> None:
-        self._waiting: _Offer | None = None
+        self._pending_offer: _SwapOffer | None = None
 
-    async def exchange(self, own: Response) -> Response:
-        """Return a partner's answer in place of ``own``."""
-        partner = self._waiting
+    async def swap(self, own: Response) -> Response:
+        """Return the response of another request, or ``own`` if there is none in time."""
+        partner = self._pending_offer
         if partner is not None:
-            self._waiting = None
-            partner.taken_for = own
-            partner.taken.set()
-            return partner.answer
-        offer = _Offer(own)
-        self._waiting = offer
-        with anyio.move_on_after(PARTNER_WAIT):
-            await offer.taken.wait()
-        if self._waiting is offer:
-            self._waiting = None
-        return offer.taken_for or own
-
-
-class _Offer:
-    """An answer that waits to be exchanged."""
-
-    def __init__(self, answer: Response) -> None:
-        self.answer = answer
-        self.taken = anyio.Event()
-        self.taken_for: Response | None = None
+            self._pending_offer = None
+            partner.replacement = own
+            partner.swapped.set()
+            return partner.response
+        offer = _SwapOffer(own)
+        self._pending_offer = offer
+        with anyio.move_on_after(PARTNER_WAIT_SECONDS):
+            await offer.swapped.wait()
+        if self._pending_offer is offer:
+            self._pending_offer = None
+        return offer.replacement or own
+
+
+class _SwapOffer:
+    """A response that waits to be swapped."""
+
+    def __init__(self, response: Response) -> None:
+        self.response = response
+        self.swapped = anyio.Event()
+        self.replacement: Response | None = None
--- a/src/pewtertack/lab/backend/state.py
+++ b/src/pewtertack/lab/backend/state.py
@@ -1,4 +1,4 @@
-"""The capacity, the faults and the reported state of one back end; no input or output."""
+"""Capacity, faults and reported state of one simulated back end, without I/O."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class HealthReport(StrEnum):
-    """What the health endpoint says."""
+    """What the health endpoint reports."""
 
     HONEST = "honest"
     ALWAYS_WELL = "always-well"
@@ -17,48 +17,48 @@
 
 
 class BackendFaults(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How the back end misbehaves; the defaults are good behaviour. Times in seconds."""
+    """Faults of the back end, none by default. Times are in seconds."""
 
     leaving: bool = False
-    """Says so in its answers and on the health endpoint, and finishes what it has."""
+    """Reports in responses and on the health endpoint that it leaves; still runs all requests."""
     shedding_share: float = 0.0
-    """Share of requests, 0 to 1, that are shed although slots are free."""
+    """Fraction of requests, 0 to 1, that are shed although slots are free."""
     slowdown: float = 1.0
-    """Factor on all work times."""
+    """Factor by which all work times are multiplied."""
     late: float = 0.0
-    """Added before each answer, whatever its deadline."""
+    """Delay before each response, regardless of the deadline."""
     crossed: bool = False
-    """Two answers at a time are exchanged between their requests."""
+    """Swaps the responses of each pair of concurrent requests."""
     die_mid_answer_share: float = 0.0
-    """Share of answers, 0 to 1, that break off in the middle."""
+    """Fraction of responses, 0 to 1, that are aborted midway."""
     reported_load: str | None = None
-    """Overrides ``x-backend-load``, for example ``0/6``."""
+    """Overrides the value of ``x-backend-load``, for example ``0/6``."""
     health: HealthReport = HealthReport.HONEST
     health_lag: float = 0.0
-    """The health endpoint tells what was true this long ago."""
+    """The health endpoint reports the state of this long ago."""
 
 
 class Capacity(msgspec.Struct, frozen=True):
-    """What a back end can take. Times in seconds."""
+    """Limits and work times of a back end. Times are in seconds."""
 
     slots: int = 6
     connections: int = 130
     queue: int = 2
-    """Requests beyond the slots that wait instead of being shed."""
+    """Number of requests beyond the slots that are queued instead of shed."""
     work_time: float = 0.005
-    """Default of the work one request takes."""
+    """Work time of a request that specifies none."""
     cold_period: float = 0.0
-    """How long after its start the back end is slow."""
+    """Time after the start during which the back end is cold, that is, slow."""
     cold_slowdown: float = 4.0
-    """Factor on work times while it is cold."""
+    """Factor by which work times are multiplied while it is cold."""
 
 
 class BackendState:
-    """Counts the requests of one back end.
+    """Tracks the requests and the faults of one back end.
 
     Args:
         capacity: its limits.
-        started: when it started, in seconds of the caller's clock.
+        started: when it started, in monotonic seconds.
     """
 
     def __init__(self, capacity: Capacity, started: float) -> None:
@@ -67,22 +67,22 @@
         self.in_flight = 0
         self.admitted = 0
         self._started = started
-        self._leaving_since: deque[tuple[float, bool]] = deque([(started, False)])
+        self._leaving_changes: deque[tuple[float, bool]] = deque([(started, False)])
 
     def set_faults(self, faults: BackendFaults, now: float) -> None:
-        """Behave like this from now on."""
+        """Replace the faults."""
         self.faults = faults
-        self._leaving_since.append((now, faults.leaving))
+        self._leaving_changes.append((now, faults.leaving))
 
     def admits(self, shedding_draw: float) -> bool:
-        """Tell whether one more request may come in; ``shedding_draw`` is in 0 to 1."""
+        """Tell whether another request is admitted; ``shedding_draw`` is random, 0 to 1."""
         if shedding_draw < self.faults.shedding_share:
             return False
         return self.admitted < self.capacity.slots + self.capacity.queue
 
-    def work_time(self, asked: float | None, now: float) -> float:
-        """Return how long the work on a request takes, in seconds."""
-        seconds = self.capacity.work_time if asked is None else asked
+    def work_time(self, requested: float | None, now: float) -> float:
+        """Return the seconds for which a request works, which may ask for ``requested``."""
+        seconds = self.capacity.work_time if requested is None else requested
         is_cold = now - self._started < self.capacity.cold_period
         return seconds * self.faults.slowdown * (self.capacity.cold_slowdown if is_cold else 1.0)
 
@@ -90,10 +90,10 @@
         """Return the value of ``x-backend-load``."""
         return self.faults.reported_load or f"{self.in_flight}/{self.capacity.slots}"
 
-    def is_reported_well(self, now: float) -> bool:
-        """Return what the health endpoint says at ``now``."""
+    def is_reported_healthy(self, now: float) -> bool:
+        """Tell whether the health endpoint reports the back end as healthy at ``now``."""
         if self.faults.health is not HealthReport.HONEST:
             return self.faults.health is HealthReport.ALWAYS_WELL
-        seen = now - self.faults.health_lag
-        known = [leaving for since, leaving in self._leaving_since if since <= seen]
-        return not (known[-1] if known else False)
+        reported_at = now - self.faults.health_lag
+        states = [leaving for since, leaving in self._leaving_changes if since <= reported_at]
+        return not (states[-1] if states else False)
