--- a/src/pewtertack/lab/backend/application.py
+++ b/src/pewtertack/lab/backend/application.py
@@ -19,8 +19,8 @@
     send_head,
     send_response,
 )
+from pewtertack.lab.backend.crossing import ResponseSwapper
 from pewtertack.lab.backend.response_body import DEFAULT_BODY_BYTES, checksum, expected_body
-from pewtertack.lab.backend.response_swap import ResponseSwapper
 from pewtertack.lab.backend.state import BackendState
 from pewtertack.lab.records import ExecutionEnd, ExecutionResult, ExecutionStart, Record
 
