--- a/src/pewtertack/lab/machines/__init__.py
+++ b/src/pewtertack/lab/machines/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in of the platform's list of machines: live and leaving ones, shown with a lag."""
+"""Simulated machine list of the platform, whose changes become visible with a lag."""
--- a/src/pewtertack/lab/machines/service.py
+++ b/src/pewtertack/lab/machines/service.py
@@ -1,4 +1,4 @@
-"""The machine list: readers at ``/v1/machines``, the lab at the control address."""
+"""Simulated machine list: nodes read ``/v1/machines``, the lab edits by control requests."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class MachineListService:
-    """The list's store and its service.
+    """Stores the versions of the machine list and serves them.
 
     Args:
-        machines: the first list, ``{name: {role, zone, address, ...}}``, number 1.
-        listen: address for the readers.
-        control: address for the lab.
-        lag: seconds until a change shows.
-        reader_limit: reads beyond this many at once get 503.
+        machines: the first version, number 1: ``{name: {role, zone, address, ...}}``.
+        listen: the address for readers.
+        control: the address for the lab.
+        lag: seconds until a change becomes visible.
+        reader_limit: limit on concurrent reads; further ones get 503.
     """
 
     def __init__(
@@ -38,78 +38,82 @@
         lag: float = 0.0,
         reader_limit: int = DEFAULT_READER_LIMIT,
     ) -> None:
-        self._store = DocumentStore(_checked(machines))
-        self._truth = machines
-        """The list as it was written last, whatever the store has lost since."""
+        self._store = DocumentStore(_validated(machines))
+        self._intended_machines = machines
+        """The list with all edits, including those that a restore of the store has lost."""
         self._store.set_faults(PlatformFaults(lag=lag))
-        reading = ReadApplication(self._store, "machines", reader_limit)
+        read_application = ReadApplication(self._store, "machines", reader_limit)
         handlers = {
-            ("PUT", "/machines"): self._replace,
+            ("PUT", "/machines"): self._replace_list,
             ("PUT", "/machines/"): self._put_machine,
-            ("DELETE", "/machines/"): self._remove,
+            ("DELETE", "/machines/"): self._remove_machine,
             ("POST", "/leaving/"): self._mark_leaving,
             ("POST", "/return"): self._restore,
             ("POST", "/write-again"): self._replay_lost_writes,
         }
         self.service = PlatformService(
-            self._store, reading, READ_PATH, listen, control, dict(handlers)
+            self._store, read_application, READ_PATH, listen, control, dict(handlers)
         )
 
-    async def _replace(self, request: Request) -> Response:
-        return self._put(msgspec.json.decode(request.body, type=dict[str, Any]))
+    async def _replace_list(self, request: Request) -> Response:
+        return self._put_list(msgspec.json.decode(request.body, type=dict[str, Any]))
 
     async def _put_machine(self, request: Request) -> Response:
-        return self._put_entry(_name(request), msgspec.json.decode(request.body, type=dict))
+        return self._put_entry(_machine_name(request), msgspec.json.decode(request.body, type=dict))
 
-    async def _remove(self, request: Request) -> Response:
-        name = _name(request)
-        if name not in self._truth:
+    async def _remove_machine(self, request: Request) -> Response:
+        name = _machine_name(request)
+        if name not in self._intended_machines:
             raise LabUsageError(f"no machine {name}")
         return self._put_entry(name, None)
 
     async def _mark_leaving(self, request: Request) -> Response:
-        name = _name(request)
-        if name not in self._truth:
+        name = _machine_name(request)
+        if name not in self._intended_machines:
             raise LabUsageError(f"no machine {name}")
-        return self._put_entry(name, {**self._truth[name], "state": MachineState.LEAVING})
+        return self._put_entry(
+            name, {**self._intended_machines[name], "state": MachineState.LEAVING}
+        )
 
     async def _restore(self, request: Request) -> Response:
         lost = self._store.restore(float(request.query["copied_at"]))
         return json_response({"lost": len(lost)})
 
     async def _replay_lost_writes(self, request: Request) -> Response:
-        """Write one after the other what the store lacks since it has come back."""
+        """Write the entries again, one by one, that differ since the store was restored."""
         listed = self._store.newest.document
-        for name in self._truth.keys() | listed.keys():
-            if self._truth.get(name) != listed.get(name):
-                self._put_entry(name, self._truth.get(name))
+        for name in self._intended_machines.keys() | listed.keys():
+            if self._intended_machines.get(name) != listed.get(name):
+                self._put_entry(name, self._intended_machines.get(name))
         return json_response({})
 
     def _put_entry(self, name: str, entry: dict[str, Any] | None) -> Response:
-        """Write a machine's entry, or its removal."""
-        self._truth = _checked(_with(self._truth, name, entry))
-        machines = _with(self._store.newest.document, name, entry)
+        """Write a machine's entry; ``None`` removes the machine."""
+        self._intended_machines = _validated(_replace_entry(self._intended_machines, name, entry))
+        machines = _replace_entry(self._store.newest.document, name, entry)
         return json_response({"number": self._store.put(machines, time.time())})
 
-    def _put(self, machines: dict[str, Any]) -> Response:
-        self._truth = _checked(machines)
+    def _put_list(self, machines: dict[str, Any]) -> Response:
+        self._intended_machines = _validated(machines)
         return json_response({"number": self._store.put(machines, time.time())})
 
 
-def _with(machines: dict[str, Any], name: str, entry: dict[str, Any] | None) -> dict[str, Any]:
+def _replace_entry(
+    machines: dict[str, Any], name: str, entry: dict[str, Any] | None
+) -> dict[str, Any]:
     others = {key: value for key, value in machines.items() if key != name}
     return others if entry is None else {**others, name: entry}
 
 
-def _name(request: Request) -> str:
+def _machine_name(request: Request) -> str:
     return request.path.rpartition("/")[2]
 
 
-def _checked(machines: dict[str, Any]) -> dict[str, Any]:
-    """Return ``machines`` if it reads as a machine list.
+def _validated(machines: dict[str, Any]) -> dict[str, Any]:
+    """Return ``machines`` if it is a valid machine list.
 
     Raises:
-        msgspec.ValidationError: an entry is wrong.
+        msgspec.ValidationError: an entry is invalid.
     """
     machine_list_from_document(1, machines)
     return machines
--- a/src/pewtertack/lab/platform/__init__.py
+++ b/src/pewtertack/lab/platform/__init__.py
@@ -1,1 +1,1 @@
-"""What the two stand-ins of the platform share: numbered documents read by long poll."""
+"""Shared parts of the two simulated platform services: numbered documents read by long poll."""
--- a/src/pewtertack/lab/platform/application.py
+++ b/src/pewtertack/lab/platform/application.py
@@ -1,4 +1,4 @@
-"""The readers' side of a numbered document: long poll with ETag and a limit of readers."""
+"""Read endpoint of a numbered document: long poll with ETag and a limit on concurrent reads."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from pewtertack.lab.platform.store import Availability, DocumentStore
 
 RETRY_AFTER_SECONDS = 1
-LONGEST_WAIT = 60.0
+MAX_WAIT_SECONDS = 60.0
 ERA_HEADER = "store-era"
-"""In all answers of the document itself; readers that know of no eras pass it over."""
+"""Sent with every 200 and 304 response; readers that do not support eras ignore it."""
 
 
 class ReaderCounters(msgspec.Struct):
-    """What the readers did since the start. ``peak_readers`` counts refused ones as well."""
+    """Counts of reads since the start. ``peak_readers`` includes refused ones."""
 
     readers: int = 0
     peak_readers: int = 0
@@ -29,12 +29,12 @@
 
 
 class ReadApplication:
-    """Handles ``GET ...?after=N&wait=S``.
+    """Handles ``GET ...?after=N&wait_seconds=S``.
 
     Args:
         store: the document.
-        body_key: the key of the document in the answer, ``tree`` or ``machines``.
-        reader_limit: reads beyond this many at once get 503.
+        body_key: the key of the document in the response, ``tree`` or ``machines``.
+        reader_limit: limit on concurrent reads; further ones get 503.
     """
 
     def __init__(self, store: DocumentStore, body_key: str, reader_limit: int) -> None:
@@ -45,65 +45,67 @@
 
     @property
     def handler(self) -> Handler:
-        """The handler of the one read path."""
-        return self._read
+        """The handler of the read path."""
+        return self._handle_read
 
-    async def _read(self, request: Request) -> Response:
+    async def _handle_read(self, request: Request) -> Response:
         counters = self.counters
         counters.readers += 1
         counters.peak_readers = max(counters.peak_readers, counters.readers)
         try:
             if counters.readers > self._reader_limit:
                 counters.refused += 1
-                return _come_back("too many readers")
-            return await self._poll(_known_number(request), _wait_seconds(request))
+                return _unavailable_response("too many readers")
+            return await self._long_poll(_parse_known_number(request), _parse_wait_seconds(request))
         finally:
             counters.readers -= 1
 
-    async def _poll(self, known: int | None, wait: float) -> Response:
-        deadline = time.monotonic() + wait
+    async def _long_poll(self, known_number: int | None, wait_seconds: float) -> Response:
+        deadline = time.monotonic() + wait_seconds
         while True:
             if self._store.unreachable or self._store.faults.availability is not Availability.UP:
                 self.counters.unavailable += 1
-                return _come_back("unavailable")
-            shown = self._store.answer(time.time())
-            left = deadline - time.monotonic()
-            if shown.number != known:
+                return _unavailable_response("unavailable")
+            version = self._store.response(time.time())
+            remaining = deadline - time.monotonic()
+            if version.number != known_number:
                 self.counters.changed += 1
-                body = {"number": shown.number, self._body_key: shown.document}
+                body = {"number": version.number, self._body_key: version.document}
                 era = str(self._store.era)
-                return self._counted(json_response(body, etag=f'"{shown.number}"', store_era=era))
-            if left <= 0:
+                return self._count_bytes(
+                    json_response(body, etag=f'"{version.number}"', store_era=era)
+                )
+            if remaining <= 0:
                 self.counters.unchanged += 1
-                headers = {"etag": f'"{shown.number}"', ERA_HEADER: str(self._store.era)}
+                headers = {"etag": f'"{version.number}"', ERA_HEADER: str(self._store.era)}
                 return Response(304, b"", headers)
             await self._store.wait_for_change(
-                min(left, self._store.next_visibility(time.time()) + 0.001)
+                min(remaining, self._store.seconds_until_next_visible(time.time()) + 0.001)
             )
 
-    def _counted(self, answer: Response) -> Response:
-        self.counters.bytes_served += len(answer.body)
-        return answer
+    def _count_bytes(self, response: Response) -> Response:
+        self.counters.bytes_served += len(response.body)
+        return response
 
 
-def _known_number(request: Request) -> int | None:
-    """Return the number that the reader has, from ``If-None-Match`` or ``after``."""
+def _parse_known_number(request: Request) -> int | None:
+    """Return the number of the reader's version, from ``If-None-Match`` or ``after``."""
     text = request.headers.get("if-none-match", request.query.get("after", "")).strip('"')
     return int(text) if text.isdigit() else None
 
 
-def _wait_seconds(request: Request) -> float:
-    """Return how long to hold the read open, in seconds.
+def _parse_wait_seconds(request: Request) -> float:
+    """Return for how many seconds the read may wait for a change.
 
     Raises:
-        LabUsageError: ``wait`` is no number.
+        LabUsageError: ``wait_seconds`` is not a number.
     """
     try:
-        wait = float(request.query.get("wait", "0"))
+        wait_seconds = float(request.query.get("wait", "0"))
     except ValueError as error:
         raise LabUsageError(f"wait: {error}") from error
-    return min(max(wait, 0.0), LONGEST_WAIT)
+    return min(max(wait_seconds, 0.0), MAX_WAIT_SECONDS)
 
 
-def _come_back(reason: str) -> Response:
+def _unavailable_response(reason: str) -> Response:
     return json_response({"error": reason}, 503, retry_after=str(RETRY_AFTER_SECONDS))
--- a/src/pewtertack/lab/platform/control.py
+++ b/src/pewtertack/lab/platform/control.py
@@ -1,4 +1,4 @@
-"""The lab's side of a numbered document: faults and counters, and running the service."""
+"""A platform service with its control endpoint for faults and counters."""
 
 from __future__ import annotations
 
@@ -14,32 +14,34 @@
 
 
 class PlatformService:
-    """A numbered document with a readers' listener and a control listener.
+    """Serves a numbered document on one listener for readers and one for control requests.
 
     Args:
         store: the document.
-        reading: the readers' application.
-        read_path: its path.
-        listen: address for the readers.
-        control: address for the lab.
-        handlers: further control handlers.
+        reading: the read endpoint.
+        read_path: the path of the read endpoint.
+        listen: the address for readers.
+        control: the address for control requests.
+        handlers: additional control handlers.
     """
 
     def __init__(
         self,
         store: DocumentStore,
-        reading: ReadApplication,
+        read_application: ReadApplication,
         read_path: str,
         listen: Address,
         control: Address,
         handlers: dict[tuple[str, str], Handler],
     ) -> None:
         self._store = store
-        self._reading = reading
-        self.readers = Listener(HandlerTable({("GET", read_path): reading.handler}), listen)
+        self._read_application = read_application
+        self.readers = Listener(
+            HandlerTable({("GET", read_path): read_application.handler}), listen
+        )
         common: dict[tuple[str, str], Handler] = {
             ("POST", "/faults"): self._set_faults,
-            ("GET", "/counters"): self._counters,
+            ("GET", "/counters"): self._get_counters,
             ("POST", "/away"): self._make_unreachable,
         }
         self.control = Listener(HandlerTable({**common, **handlers}), control)
@@ -52,7 +54,7 @@
         await self.control.open(task_group)
 
     async def run(self) -> None:
-        """Serve until the process is ended."""
+        """Serve until the process is terminated."""
         async with anyio.create_task_group() as task_group:
             await self.open(task_group)
             print_ready(listen=self.readers.address, control=self.control.address)
@@ -72,5 +74,5 @@
         self._store.make_unreachable()
         return json_response({})
 
-    async def _counters(self, request: Request) -> Response:
-        return json_response(self._reading.counters)
+    async def _get_counters(self, request: Request) -> Response:
+        return json_response(self._read_application.counters)
--- a/src/pewtertack/lab/platform/store.py
+++ b/src/pewtertack/lab/platform/store.py
@@ -1,4 +1,4 @@
-"""A document that gets a new number with every edit, and the ways in which reading it fails."""
+"""Versions of a document, numbered by edit, and simulated faults of reading it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Availability(StrEnum):
-    """Whether the service answers at all."""
+    """Whether the service can be read."""
 
     UP = "up"
     UNAVAILABLE = "unavailable"
@@ -23,19 +23,19 @@
 
 
 class PlatformFaults(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How the service misbehaves; the defaults are good behaviour."""
+    """Faults of the service, none by default."""
 
     availability: Availability = Availability.UP
     stale_number: int | None = None
-    """Nothing newer than this number is shown."""
+    """Versions with a higher number are not visible."""
     lag: float = 0.0
-    """Seconds until an edit shows."""
+    """Seconds until an edit becomes visible."""
     older_share: float = 0.0
-    """Share of the answers, 0 to 1, which give the number before the current one."""
+    """Fraction of reads, 0 to 1, that return the version before the visible one."""
 
 
 class NumberedDocument(msgspec.Struct, frozen=True):
-    """A document under its number, with the time when it was put."""
+    """One version of a document, with the time of the edit."""
 
     number: int
     document: dict[str, Any]
@@ -43,11 +43,11 @@
 
 
 class DocumentStore:
-    """All versions of one document. Times are seconds of one clock.
+    """All versions of one document. All times are seconds of the same clock.
 
     Args:
         document: the first version, number 1.
-        seed: decides which answers are older ones.
+        seed: determines which reads return an older version.
         now: the time of the first version.
     """
 
@@ -57,37 +57,37 @@
         self._changed = anyio.Event()
         self.faults = PlatformFaults()
         self.era = 0
-        """How often it has come back from a copy."""
+        """Number of times the document was restored from a copy."""
         self.unreachable = False
-        """Whether it answers nothing, beside its faults."""
+        """Whether all reads fail, whatever the faults are."""
 
     @property
     def newest(self) -> NumberedDocument:
-        """The newest version, whether readers can see it yet or not."""
+        """The newest version, visible or not."""
         return self._versions[-1]
 
     def put(self, document: dict[str, Any], now: float, expected: int | None = None) -> int:
-        """Take ``document`` as the newest version and return its number.
+        """Add ``document`` as the newest version and return its number.
 
         Raises:
-            NumberConflictError: ``expected`` is given and not the newest number.
+            NumberConflictError: ``expected`` is given and is not the newest number.
         """
         current = self.newest.number
         if expected is not None and expected != current:
             raise NumberConflictError(f"expected {expected}, current is {current}")
         self._versions.append(NumberedDocument(current + 1, document, now))
-        self._notify()
+        self._wake_readers()
         return current + 1
 
     def make_unreachable(self) -> None:
-        """Answer nothing until it comes back; waiting reads end."""
+        """Fail all reads, including waiting ones, until the document is restored."""
         self.unreachable = True
-        self._notify()
+        self._wake_readers()
 
     def restore(self, copied_at: float) -> list[NumberedDocument]:
-        """Come back as of ``copied_at``, in a new era; return the versions that are lost.
+        """Restore the copy made at ``copied_at``, in a new era, and return the lost versions.
 
-        Their numbers are given out again.
+        Their numbers are assigned again to later edits.
         """
         kept = [version for version in self._versions if version.time <= copied_at]
         kept = kept or self._versions[:1]
@@ -95,41 +95,41 @@
         self._versions = kept
         self.era += 1
         self.unreachable = False
-        self._notify()
+        self._wake_readers()
         return lost
 
     def set_faults(self, faults: PlatformFaults) -> None:
-        """Misbehave like this from now on; waiting reads look again."""
+        """Replace the faults; waiting reads check again."""
         self.faults = faults
-        self._notify()
+        self._wake_readers()
 
-    def visible(self, now: float) -> NumberedDocument:
-        """Return the version that a reader sees at ``now``, lag and staleness considered."""
-        shown = [version for version in self._versions if self._shows(version, now)]
-        return shown[-1] if shown else self._versions[0]
+    def visible_version(self, now: float) -> NumberedDocument:
+        """Return the newest version that is visible at ``now``, given lag and staleness."""
+        visible_versions = [version for version in self._versions if self._is_visible(version, now)]
+        return visible_versions[-1] if visible_versions else self._versions[0]
 
-    def _shows(self, version: NumberedDocument, now: float) -> bool:
-        stale = self.faults.stale_number
-        fresh = stale is None or version.number <= stale
-        return fresh and version.time + self.faults.lag <= now
+    def _is_visible(self, version: NumberedDocument, now: float) -> bool:
+        limit = self.faults.stale_number
+        within_limit = limit is None or version.number <= limit
+        return within_limit and version.time + self.faults.lag <= now
 
-    def answer(self, now: float) -> NumberedDocument:
-        """Return what one reader is given: the visible version, or now and then an older one."""
-        version = self.visible(now)
+    def version_for_read(self, now: float) -> NumberedDocument:
+        """Return the version for one read: the visible one, or at random the one before it."""
+        version = self.visible_version(now)
         if version.number > 1 and self._random.random() < self.faults.older_share:
             return self._versions[version.number - 2]
         return version
 
-    def next_visibility(self, now: float) -> float:
-        """Return the seconds until another version shows by itself; infinity for never."""
+    def seconds_until_next_visible(self, now: float) -> float:
+        """Return the seconds until the lag of another version ends; infinity if there is none."""
         waits = [version.time + self.faults.lag - now for version in self._versions]
         return min((wait for wait in waits if wait > 0), default=float("inf"))
 
     async def wait_for_change(self, seconds: float) -> None:
-        """Wait until an edit or a change of faults, at most ``seconds``."""
+        """Wait for an edit, a change of faults or a restore, at most ``seconds``."""
         with anyio.move_on_after(seconds):
             await self._changed.wait()
 
-    def _notify(self) -> None:
+    def _wake_readers(self) -> None:
         self._changed.set()
         self._changed = anyio.Event()
--- a/src/pewtertack/lab/source/__init__.py
+++ b/src/pewtertack/lab/source/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in of the configuration source: a readable service with a numbered tree."""
+"""Simulated configuration source, which serves numbered versions of the tree."""
--- a/src/pewtertack/lab/source/era_reader.py
+++ b/src/pewtertack/lab/source/era_reader.py
@@ -1,4 +1,4 @@
-"""Reads the lab's stand-ins of the platform as an adapter to a source with eras does."""
+"""Reads the simulated platform services the way an adapter for a source with eras does."""
 
 from __future__ import annotations
 
@@ -17,24 +17,28 @@
 from pewtertack.wire.messages import DocumentKind
 
 ERA_HEADER = "store-era"
-STATUS_OF_DOCUMENT = (200, 304)
-"""Answers that tell the era."""
+DOCUMENT_STATUSES = (200, 304)
+"""Statuses of the responses that report the era."""
 
 
 class _Cursor:
-    """What was read of one document in the present era."""
+    """The versions of one document that were read in one era."""
 
     __slots__ = ("era", "newest", "number")
 
     def __init__(self, era: int) -> None:
         self.era = era
         self.number = 0
-        """Of the last answer."""
+        """Number in the last response; 0 before the first."""
         self.newest = 0
 
 
 class EraReader(PlatformReader):
-    """Numbers lists by era and revision; a version that is held goes before an older one."""
+    """Reads documents in the latest era.
+
+    Machine lists are renumbered by era and number. A configuration that is not newer than the held
+    one is reported as unchanged.
+    """
 
     def __init__(
         self,
@@ -51,31 +55,38 @@
     async def read(
         self, effect: ReadDocument
     ) -> DocumentRead | DocumentUnchanged | DocumentReadFailed:
-        """Do one read; every failure becomes ``DocumentReadFailed``."""
-        answer = await super().read(effect)
-        found = self._era.pop_findings()
-        return msgspec.structs.replace(answer, answer_findings=found) if found else answer
+        """Read a document; every failure becomes ``DocumentReadFailed``."""
+        response = await super().read(effect)
+        findings = self._era.pop_findings()
+        return msgspec.structs.replace(response, answer_findings=findings) if findings else response
 
     async def _request(self, effect: ReadDocument) -> ServiceResponse:
-        sent_in = self._era.known
-        answer = await super()._request(msgspec.structs.replace(effect, after=self._known(effect)))
-        if answer.status in STATUS_OF_DOCUMENT:
-            self._take_era(answer, sent_in)
+        era_at_request = self._era.known
+        response = await super()._request(
+            msgspec.structs.replace(effect, after=self._known_number(effect))
+        )
+        if response.status in DOCUMENT_STATUSES:
+            self._update_era(response, era_at_request)
         if effect.era > self._era.number:
-            raise SourceEraError(f"of era {self._era.number}; peers have heard of {effect.era}")
-        return answer
+            raise SourceEraError(
+                f"response is of era {self._era.number}; peers report era {effect.era}"
+            )
+        return response
 
-    def _known(self, effect: ReadDocument) -> int:
-        """Return the number of this era to wait for a change of; 0 to be told all."""
+    def _known_number(self, effect: ReadDocument) -> int:
+        """Return the number of this era after which to wait for a change; 0 to read at once."""
         if self._era.number == 0:
             return effect.after
         cursor = self._cursors[effect.kind]
         return cursor.number if cursor.era == self._era.number else 0
 
-    def _take_era(self, answer: ServiceResponse, sent_in: int | None) -> None:
+    def _update_era(self, response: ServiceResponse, era_at_request: int | None) -> None:
         try:
             self._era.update(
-                self._now(), answer.header(ERA_HEADER.encode()), sent_in, answer.new_connection
+                self._now(),
+                response.header(ERA_HEADER.encode()),
+                era_at_request,
+                response.new_connection,
             )
         except SourceEraError:
             for service in self._services.values():
@@ -83,24 +94,24 @@
             raise
 
     async def _read(self, effect: ReadDocument) -> DocumentRead | DocumentUnchanged:
-        answer = await super()._read(effect)
+        response = await super()._read(effect)
         era = self._era.number
-        if isinstance(answer, DocumentUnchanged) or era == 0:
-            return answer
+        if isinstance(response, DocumentUnchanged) or era == 0:
+            return response
         cursor = self._cursors[effect.kind]
         if cursor.era != era:
             cursor = self._cursors[effect.kind] = _Cursor(era)
-        cursor.number = answer.number
-        cursor.newest = max(cursor.newest, answer.number)
+        cursor.number = response.number
+        cursor.newest = max(cursor.newest, response.number)
         if effect.kind is DocumentKind.MACHINE_LIST:
-            return msgspec.structs.replace(answer, number=list_number(era, answer.number))
-        if cursor.newest == answer.number <= effect.after:
+            return msgspec.structs.replace(response, number=list_number(era, response.number))
+        if cursor.newest == response.number <= effect.after:
             return DocumentUnchanged(effect.kind)
-        return answer
+        return response
 
 
 def make_era_reader(settings: Settings) -> EraReader:
-    """Return the reader for a node with these settings."""
+    """Return an era reader configured by a node's settings."""
     limits = PlatformLimits(
         settings.limits.platform_timeout.seconds, settings.limits.document_size.bytes
     )
--- a/src/pewtertack/lab/source/service.py
+++ b/src/pewtertack/lab/source/service.py
@@ -1,4 +1,4 @@
-"""The configuration source: readers at ``/v1/tree``, operators at the control address."""
+"""Simulated configuration source: nodes read ``/v1/tree``, operators edit by control requests."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 class ConfigurationSource:
-    """The tree's store and its service.
+    """Stores the versions of the tree and serves them.
 
     Args:
-        tree: the first tree, number 1.
-        listen: address for the readers.
-        control: address for operators and the lab.
-        reader_limit: reads beyond this many at once get 503.
-        seed: decides which answers are older ones.
+        tree: the first version, number 1.
+        listen: the address for readers.
+        control: the address for operators and the lab.
+        reader_limit: limit on concurrent reads; further ones get 503.
+        seed: determines which reads return an older version.
     """
 
     def __init__(
@@ -37,9 +37,9 @@
         seed: int = 0,
     ) -> None:
         self._store = DocumentStore(tree, seed)
-        reading = ReadApplication(self._store, "tree", reader_limit)
-        self._lost: list[NumberedDocument] = []
-        """What the operators have to write again."""
+        read_application = ReadApplication(self._store, "tree", reader_limit)
+        self._lost_versions: list[NumberedDocument] = []
+        """Versions lost by restores that the operators still have to write again."""
         handlers = {
             ("PUT", "/tree"): self._put_tree,
             ("GET", "/tree"): self._get_tree,
@@ -47,30 +47,30 @@
             ("POST", "/write-again"): self._replay_lost_writes,
         }
         self.service = PlatformService(
-            self._store, reading, READ_PATH, listen, control, dict(handlers)
+            self._store, read_application, READ_PATH, listen, control, dict(handlers)
         )
 
     async def _put_tree(self, request: Request) -> Response:
         tree = msgspec.json.decode(request.body, type=dict[str, Any])
-        self._put_lost()  # operators write what was lost before anything else
+        self._put_lost_versions()  # operators write lost versions again before new ones
         expected = request.query.get("expected")
         number = self._store.put(tree, time.time(), int(expected) if expected else None)
         return json_response({"number": number})
 
     async def _restore(self, request: Request) -> Response:
         lost = self._store.restore(float(request.query["copied_at"]))
-        self._lost = [*lost, *self._lost]
+        self._lost_versions = [*lost, *self._lost_versions]
         return json_response({"lost": len(lost)})
 
     async def _replay_lost_writes(self, request: Request) -> Response:
-        self._put_lost()
+        self._put_lost_versions()
         return json_response({})
 
-    def _put_lost(self) -> None:
-        """Write lost trees again, in their order: each gets the number that it had."""
-        for version in self._lost:
+    def _put_lost_versions(self) -> None:
+        """Write the lost versions again in their order, so that each gets its former number."""
+        for version in self._lost_versions:
             self._store.put(version.document, time.time())
-        self._lost = []
+        self._lost_versions = []
 
     async def _get_tree(self, request: Request) -> Response:
         newest = self._store.newest
--- a/tests/lab/machines/test_service.py
+++ b/tests/lab/machines/test_service.py
@@ -1,4 +1,4 @@
-"""Changes of the machine list through its control address."""
+"""Edits and restores of the simulated machine list by control requests."""
 
 import unittest
 
@@ -25,7 +25,7 @@
         machines: dict[str, dict[str, str]] = msgspec.json.decode(reply.body)["machines"]
         return machines
 
-    async def test_machines_come_leave_and_go(self) -> None:
+    async def test_machines_are_added_marked_leaving_and_removed(self) -> None:
         self.assertEqual(await self.control("PUT", "/machines/m2", MACHINE), 200)
         self.assertEqual(await self.control("POST", "/leaving/m1"), 200)
         machines = await self.machines()
@@ -33,18 +33,18 @@
         self.assertEqual(await self.control("DELETE", "/machines/m1"), 200)
         self.assertEqual(list(await self.machines()), ["m2"])
 
-    async def test_wrong_entries_are_refused(self) -> None:
+    async def test_invalid_entries_are_refused(self) -> None:
         self.assertEqual(await self.control("PUT", "/machines/m2", {"role": "king"}), 400)
         self.assertEqual(await self.control("DELETE", "/machines/m9"), 400)
         self.assertEqual(list(await self.machines()), ["m1"])
 
-    async def test_after_a_return_what_differs_is_written_again(self) -> None:
+    async def test_after_a_restore_differing_entries_are_written_again(self) -> None:
         await self.control("POST", "/leaving/m1")
         await self.control("PUT", "/machines/m2", MACHINE)
         written = await self.machines()
         self.assertEqual(await self.control("POST", "/away"), 200)
-        away = await call(self.list.service.readers.application, "GET", "/v1/machines")
-        self.assertEqual(away.status, 503)
+        unreachable = await call(self.list.service.readers.application, "GET", "/v1/machines")
+        self.assertEqual(unreachable.status, 503)
         self.assertEqual(await self.control("POST", "/return?copied_at=0"), 200)
         self.assertEqual(list(await self.machines()), ["m1"])
         self.assertNotIn("state", (await self.machines())["m1"])
--- a/tests/lab/source/test_era_reader.py
+++ b/tests/lab/source/test_era_reader.py
@@ -1,4 +1,4 @@
-"""The lab's reader of the platform's eras: what it hands on over returns of both services."""
+"""What the lab's era reader returns when both services are restored from older copies."""
 
 import unittest
 
@@ -16,10 +16,10 @@
 from pewtertack.wire.messages import DocumentKind
 
 ANY = Address("127.0.0.1", 0)
-TREE, LIST = DocumentKind.CONFIGURATION, DocumentKind.MACHINE_LIST
+TREE, MACHINE_LIST = DocumentKind.CONFIGURATION, DocumentKind.MACHINE_LIST
 MACHINE = {"role": "backend", "zone": "yaba", "address": "127.0.0.1:9", "service": "logbook"}
-TRIES = 3
-"""A rise of the era on a connection that stands takes two more reads."""
+MAX_READS = 3
+"""A higher era on an existing connection is accepted only after two more reads."""
 
 
 class EraReaderTest(unittest.IsolatedAsyncioTestCase):
@@ -34,7 +34,7 @@
             urls.append(Url.parse(f"http://{service.readers.address}"))
         self.reader = EraReader(urls[0], urls[1], PlatformLimits(5.0, 100_000))
 
-    async def end(self) -> None:
+    async def close(self) -> None:
         await self.reader.close()
         for service in (self.source.service, self.machines.service):
             service.readers.close()
@@ -45,47 +45,51 @@
     ) -> DocumentRead | DocumentUnchanged | DocumentReadFailed:
         return await self.reader.read(ReadDocument(kind, after, 0.0, era=era))
 
-    async def settled(self, kind: DocumentKind, after: int = 0) -> DocumentRead | DocumentUnchanged:
-        for _ in range(TRIES):
-            answer = await self.read(kind, after)
-            if not isinstance(answer, DocumentReadFailed):
-                return answer
-        raise AssertionError(answer)
+    async def read_successfully(
+        self, kind: DocumentKind, after: int = 0
+    ) -> DocumentRead | DocumentUnchanged:
+        for _ in range(MAX_READS):
+            result = await self.read(kind, after)
+            if not isinstance(result, DocumentReadFailed):
+                return result
+        raise AssertionError(result)
 
     def restore(self) -> None:
         for store in (self.source._store, self.machines._store):
             store.restore(0.0)
 
-    async def test_a_return_is_read_anew_and_an_older_version_changes_nothing(self) -> None:
+    async def test_restored_list_is_read_again_and_older_tree_is_unchanged(self) -> None:
         async with anyio.create_task_group() as tasks:
             await self.serve(tasks)
             self.source._store.put({"a": 2}, 1.0)
             self.machines._store.put({"m1": MACHINE, "m2": MACHINE}, 1.0)
             self.assertEqual(await self.read(TREE), DocumentRead(TREE, 2, {"a": 2}))
-            listed = await self.read(LIST)
+            listed = await self.read(MACHINE_LIST)
             assert isinstance(listed, DocumentRead)
             self.assertEqual(listed.number, 2)
             self.restore()
-            self.assertEqual(await self.settled(TREE, 2), DocumentUnchanged(TREE))
-            anew = await self.settled(LIST, 2)
-            assert isinstance(anew, DocumentRead)
-            self.assertEqual(anew.number, list_number(1, 1))
-            self.assertEqual(await self.read(LIST, anew.number), DocumentUnchanged(LIST))
+            self.assertEqual(await self.read_successfully(TREE, 2), DocumentUnchanged(TREE))
+            reread = await self.read_successfully(MACHINE_LIST, 2)
+            assert isinstance(reread, DocumentRead)
+            self.assertEqual(reread.number, list_number(1, 1))
+            self.assertEqual(
+                await self.read(MACHINE_LIST, reread.number), DocumentUnchanged(MACHINE_LIST)
+            )
             self.source._store.put({"a": 2}, 1.0)
             self.source._store.put({"a": 3}, 1.0)
             self.assertEqual(await self.read(TREE, 2, 1), DocumentRead(TREE, 3, {"a": 3}))
-            await self.end()
+            await self.close()
 
-    async def test_a_service_that_has_not_come_back_is_not_believed(self) -> None:
+    async def test_service_of_an_older_era_is_ignored(self) -> None:
         async with anyio.create_task_group() as tasks:
             await self.serve(tasks)
             await self.read(TREE)
-            answer = await self.read(TREE, 1, era=1)
-            assert isinstance(answer, DocumentReadFailed)
-            self.assertIn("source-era", answer.reason)
+            result = await self.read(TREE, 1, era=1)
+            assert isinstance(result, DocumentReadFailed)
+            self.assertIn("source-era", result.reason)
             self.machines._store.restore(0.0)
-            await self.settled(LIST)
-            answer = await self.read(TREE, 1)
-            assert isinstance(answer, DocumentReadFailed)
-            self.assertEqual([item.detail for item in answer.answer_findings], ["fell from 1 to 0"])
-            await self.end()
+            await self.read_successfully(MACHINE_LIST)
+            result = await self.read(TREE, 1)
+            assert isinstance(result, DocumentReadFailed)
+            self.assertEqual([item.detail for item in result.answer_findings], ["fell from 1 to 0"])
+            await self.close()
--- a/tests/lab/source/test_service.py
+++ b/tests/lab/source/test_service.py
@@ -1,4 +1,4 @@
-"""The source's long poll, its limit of readers and its outages, over real listeners."""
+"""Long poll, limit on reads, outages and restores of the source, over real listeners."""
 
 import contextlib
 import unittest
@@ -43,7 +43,7 @@
         url = f"http://{source.service.control.address}{path}"
         return await pool.request(method, url, content=msgspec.json.encode(value))
 
-    async def test_a_waiting_reader_gets_the_edit(self) -> None:
+    async def test_waiting_read_returns_the_edit(self) -> None:
         async with running_source() as (source, pool), anyio.create_task_group() as readers:
             first = await self.read(source, pool)
             self.assertEqual(dict(first.headers)[b"etag"], b'"1"')
@@ -51,18 +51,18 @@
             self.assertEqual(unchanged.status, 304)
 
             async def wait_for_edit() -> None:
-                answer = await self.read(source, pool, "?after=1&wait=30")
+                response = await self.read(source, pool, "?after=1&wait=30")
                 self.assertEqual(
-                    msgspec.json.decode(answer.content), {"number": 2, "tree": {"a": 2}}
+                    msgspec.json.decode(response.content), {"number": 2, "tree": {"a": 2}}
                 )
 
             readers.start_soon(wait_for_edit)
-            put = await self.control(source, pool, "PUT", "/tree?expected=1", {"a": 2})
-            self.assertEqual(put.status, 200)
+            edited = await self.control(source, pool, "PUT", "/tree?expected=1", {"a": 2})
+            self.assertEqual(edited.status, 200)
             conflict = await self.control(source, pool, "PUT", "/tree?expected=1", {"a": 3})
             self.assertEqual(conflict.status, 409)
 
-    async def test_readers_beyond_the_limit_are_refused_and_counted(self) -> None:
+    async def test_reads_beyond_the_limit_are_refused_and_counted(self) -> None:
         async with running_source(reader_limit=1) as (source, pool):
             async with anyio.create_task_group() as readers:
                 readers.start_soon(self.read, source, pool, "?after=1&wait=30")
@@ -74,7 +74,7 @@
             counters = await self.control(source, pool, "GET", "/counters")
             self.assertEqual(msgspec.json.decode(counters.content)["peak_readers"], 2)
 
-    async def test_an_outage_refuses_and_ends(self) -> None:
+    async def test_outage_refuses_reads_until_cleared(self) -> None:
         async with running_source() as (source, pool):
             await self.control(source, pool, "POST", "/faults", {"availability": "unavailable"})
             self.assertEqual((await self.read(source, pool)).status, 503)
@@ -84,12 +84,12 @@
             await self.control(source, pool, "POST", "/faults", {})
             self.assertEqual((await self.read(source, pool)).status, 200)
 
-    async def test_an_unknown_fault_is_refused(self) -> None:
+    async def test_unknown_fault_is_refused(self) -> None:
         async with running_source() as (source, pool):
-            answer = await self.control(source, pool, "POST", "/faults", {"lagg": 1})
-            self.assertEqual(answer.status, 400)
+            response = await self.control(source, pool, "POST", "/faults", {"lagg": 1})
+            self.assertEqual(response.status, 400)
 
-    async def test_trees_lost_with_a_copy_are_written_again_under_their_numbers(self) -> None:
+    async def test_trees_lost_by_a_restore_are_written_again_under_their_numbers(self) -> None:
         async with running_source() as (source, pool):
             for number in (2, 3):
                 await self.control(source, pool, "PUT", "/tree", {"a": number})
@@ -99,8 +99,8 @@
             first = await self.read(source, pool)
             self.assertEqual(dict(first.headers)[b"store-era"], b"1")
             self.assertEqual(msgspec.json.decode(first.content), {"number": 1, "tree": {"a": 1}})
-            put = await self.control(source, pool, "PUT", "/tree", {"a": 9})
-            self.assertEqual(msgspec.json.decode(put.content), {"number": 4})
+            edited = await self.control(source, pool, "PUT", "/tree", {"a": 9})
+            self.assertEqual(msgspec.json.decode(edited.content), {"number": 4})
             await self.control(source, pool, "POST", "/write-again")
             now = await self.read(source, pool)
             self.assertEqual(msgspec.json.decode(now.content), {"number": 4, "tree": {"a": 9}})
