--- a/src/pewtertack/lab/platform/application.py
+++ b/src/pewtertack/lab/platform/application.py
@@ -29,7 +29,7 @@
 
 
 class ReadApplication:
-    """Handles ``GET ...?after=N&wait_seconds=S``.
+    """Handles ``GET ...?after=N&wait=S``.
 
     Args:
         store: the document.
@@ -66,7 +66,7 @@
             if self._store.unreachable or self._store.faults.availability is not Availability.UP:
                 self.counters.unavailable += 1
                 return _unavailable_response("unavailable")
-            version = self._store.response(time.time())
+            version = self._store.version_for_read(time.time())
             remaining = deadline - time.monotonic()
             if version.number != known_number:
                 self.counters.changed += 1
@@ -98,7 +98,7 @@
     """Return for how many seconds the read may wait for a change.
 
     Raises:
-        LabUsageError: ``wait_seconds`` is not a number.
+        LabUsageError: ``wait`` is not a number.
     """
     try:
         wait_seconds = float(request.query.get("wait", "0"))
--- a/src/pewtertack/lab/source/era_reader.py
+++ b/src/pewtertack/lab/source/era_reader.py
@@ -31,6 +31,7 @@
         self.number = 0
         """Number in the last response; 0 before the first."""
         self.newest = 0
+        """Highest number in a response; 0 before the first."""
 
 
 class EraReader(PlatformReader):
