--- a/src/pewtertack/lab/fleet/__init__.py
+++ b/src/pewtertack/lab/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""A fleet of real processes: nodes, stand-ins and callers, with one recorded history."""
+"""A fleet of real processes, nodes, simulated services and callers, with one recorded history."""
--- a/src/pewtertack/lab/fleet/control.py
+++ b/src/pewtertack/lab/fleet/control.py
@@ -1,4 +1,4 @@
-"""Requests of the lab to the control addresses of stand-ins and to nodes' admin addresses."""
+"""Control requests of the lab to simulated services and to the admin addresses of nodes."""
 
 from __future__ import annotations
 
@@ -25,22 +25,22 @@
     async def request(
         self, method: str, address: Address, path: str, value: object = None
     ) -> bytes:
-        """Send ``value`` as JSON and return the answer's body.
+        """Send ``value`` as JSON and return the body of the response.
 
         Raises:
-            NumberConflictError: another operator's edit came first.
-            ControlRefusedError: any other answer than 200, or none.
+            NumberConflictError: the status is 409, because another operator's edit came first.
+            ControlRefusedError: the status is another one than 200, or there is no response.
         """
         url = f"http://{address}{path}"
         content = b"" if value is None else msgspec.json.encode(value)
         try:
-            answer = await self._pool.request(
+            response = await self._pool.request(
                 method, url, content=content, extensions={"timeout": TIMEOUTS}
             )
         except (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError) as error:
             raise ControlRefusedError(f"{method} {url}: {error!r}") from error
-        if answer.status == STATUS_CONFLICT:
-            raise NumberConflictError(answer.content.decode())
-        if answer.status != 200:
-            raise ControlRefusedError(f"{method} {url}: {answer.status} {answer.content!r}")
-        return answer.content
+        if response.status == STATUS_CONFLICT:
+            raise NumberConflictError(response.content.decode())
+        if response.status != 200:
+            raise ControlRefusedError(f"{method} {url}: {response.status} {response.content!r}")
+        return response.content
--- a/src/pewtertack/lab/fleet/fleet.py
+++ b/src/pewtertack/lab/fleet/fleet.py
@@ -1,4 +1,4 @@
-"""A running fleet: starts, kills, pauses and stops its processes, and waits on the history."""
+"""A running fleet: starts, stops, pauses and kills its processes, and waits for events."""
 
 from __future__ import annotations
 
@@ -37,34 +37,33 @@
     NodeStop,
 )
 
-SERVING_SECONDS = 40.0
-STOP_SECONDS = 40.0
-STARTS_AT_ONCE = 6
+SERVING_TIMEOUT_SECONDS = 40.0
+STOP_TIMEOUT_SECONDS = 40.0
+MAX_CONCURRENT_STARTS = 6
 
 
 async def _raise_on_sigterm(task_status: anyio.abc.TaskStatus[None]) -> None:
     """Wait for SIGTERM.
 
     Raises:
-        FleetInterruptedError: it came.
+        FleetInterruptedError: the signal was received.
     """
     with anyio.open_signal_receiver(signal.SIGTERM) as signals:
         task_status.started()
         async for _ in signals:
-            raise FleetInterruptedError("the lab was asked to stop")
+            raise FleetInterruptedError("the lab received SIGTERM")
 
 
 class Fleet:
     """The processes of one plan. Use as an asynchronous context manager.
 
-    Entering starts the stand-ins; nodes are started by `start_nodes`. Leaving
-    ends every process that is still running, by its own id; SIGTERM and SIGINT
-    to the lab lead there as well.
+    Entering starts the simulated services; `start_nodes` starts nodes. Exiting kills every
+    process that still runs, by its own process id, also after SIGTERM or SIGINT to the lab.
 
     Args:
-        plan: what to run.
-        directory: takes settings files and standard error.
-        recorder: takes the history.
+        plan: the processes to run.
+        directory: the directory for settings files and standard error.
+        recorder: records the history.
     """
 
     def __init__(self, plan: FleetPlan, directory: Path, recorder: HistoryRecorder) -> None:
@@ -79,16 +78,16 @@
         self._processes: list[LabProcess] = []
         self._nodes: dict[str, LabProcess] = {}
         self._backend_processes: dict[str, LabProcess] = {}
-        self._tasks = anyio.create_task_group()
+        self._task_group = anyio.create_task_group()
 
     async def __aenter__(self) -> Fleet:
-        await self._tasks.__aenter__()
+        await self._task_group.__aenter__()
         try:
-            await self._tasks.start(_raise_on_sigterm)
+            await self._task_group.start(_raise_on_sigterm)
             write_files(self.plan, self._directory)
-            await self._start_stand_ins()
+            await self._start_services()
         except BaseException:
-            await self._end_all()
+            await self._kill_all()
             raise
         return self
 
@@ -98,18 +97,18 @@
         error: BaseException | None,
         traceback: TracebackType | None,
     ) -> bool | None:
-        await self._end_all()
-        return await self._tasks.__aexit__(kind, error, traceback)
+        await self._kill_all()
+        return await self._task_group.__aexit__(kind, error, traceback)
 
-    async def _end_all(self) -> None:
+    async def _kill_all(self) -> None:
         with anyio.CancelScope(shield=True):
             for process in self._processes:
                 await process.kill()
             await self.client.close()
-        self._tasks.cancel_scope.cancel()
+        self._task_group.cancel_scope.cancel()
 
-    async def _start_stand_ins(self) -> None:
-        processes = self._factory.stand_ins()
+    async def _start_services(self) -> None:
+        processes = self._factory.services()
         for process in processes:
             if process.name in self.plan.backend_controls:
                 self._backend_processes[process.name] = process
@@ -117,8 +116,8 @@
         self.platform.record_first_tree()
 
     async def _start(self, processes: list[LabProcess]) -> None:
-        """Start processes a few at once and wait until each is ready."""
-        limiter = anyio.CapacityLimiter(STARTS_AT_ONCE)
+        """Start processes, ``MAX_CONCURRENT_STARTS`` at a time, and wait until all are ready."""
+        limiter = anyio.CapacityLimiter(MAX_CONCURRENT_STARTS)
         async with anyio.create_task_group() as starts:
             for process in processes:
                 starts.start_soon(self._start_one, process, limiter)
@@ -126,60 +125,63 @@
     async def _start_one(self, process: LabProcess, limiter: anyio.CapacityLimiter) -> None:
         async with limiter:
             self._processes.append(process)
-            await process.start(self._tasks)
+            await process.start(self._task_group)
             await process.wait_ready()
-            self._tasks.start_soon(self._guard, process)
+            self._task_group.start_soon(self._monitor_exit, process)
 
-    async def _guard(self, process: LabProcess) -> None:
-        """Record a node that ends by itself.
+    async def _monitor_exit(self, process: LabProcess) -> None:
+        """Record the unexpected exit of a node.
 
         Raises:
-            ProcessFailedError: a stand-in ended by itself.
+            ProcessFailedError: a process other than a node exited unexpectedly.
         """
-        code = await process.wait_for_exit()
+        exit_code = await process.wait_for_exit()
         if process.exit_expected:
             return
         if process.name not in self.plan.nodes:
-            raise ProcessFailedError(f"{process.name} ended: {process.stderr_tail()}")
-        self.recorder.record(NodeExit(time=time.time(), node=process.name, code=code))
+            raise ProcessFailedError(f"{process.name} exited unexpectedly: {process.stderr_tail()}")
+        self.recorder.record(NodeExit(time=time.time(), node=process.name, code=exit_code))
 
     async def start_nodes(self, names: Iterable[str] | None = None) -> None:
-        """Start nodes, all by default, and wait until each is ready (not yet serving)."""
-        chosen = list(self.plan.nodes if names is None else names)
-        processes = [self._factory.node(name) for name in chosen]
+        """Start nodes, all by default, and wait until each is ready, though not yet serving."""
+        selected = list(self.plan.nodes if names is None else names)
+        processes = [self._factory.node(name) for name in selected]
         for process in processes:
             self._nodes[process.name] = process
-            self.recorder.record(self._start_of(process.name))
+            self.recorder.record(self._make_start_record(process.name))
         await self._start(processes)
 
-    def _start_of(self, node: str) -> NodeStart:
+    def _make_start_record(self, node: str) -> NodeStart:
         zone, beside = self.plan.nodes[node].zone, self.plan.local_backend_name(node)
         return NodeStart(time=time.time(), node=node, zone=zone, beside=beside)
 
     async def wait_serving(
-        self, names: Iterable[str] | None = None, seconds: float = SERVING_SECONDS
+        self, names: Iterable[str] | None = None, seconds: float = SERVING_TIMEOUT_SECONDS
     ) -> None:
         """Wait until nodes, all by default, accept requests."""
-        chosen = list(self.plan.nodes if names is None else names)
+        selected = list(self.plan.nodes if names is None else names)
         await self.recorder.wait_until(
-            lambda view: all(view.nodes[name].is_serving for name in chosen),
+            lambda view: all(view.nodes[name].is_serving for name in selected),
             seconds,
-            f"all of {', '.join(chosen)} serve",
+            f"all of {', '.join(selected)} serve",
         )
 
     async def wait_in_force(
-        self, revision: int, names: Iterable[str] | None = None, seconds: float = SERVING_SECONDS
+        self,
+        revision: int,
+        names: Iterable[str] | None = None,
+        seconds: float = SERVING_TIMEOUT_SECONDS,
     ) -> None:
-        """Wait until nodes, all that run by default, have ``revision`` or a newer one in force."""
-        chosen = self.running_nodes() if names is None else list(names)
+        """Wait until ``revision`` or a newer one is in force on nodes, by default all that run."""
+        selected = self.running_nodes() if names is None else list(names)
         await self.recorder.wait_until(
-            lambda view: all(view.nodes[name].revision >= revision for name in chosen),
+            lambda view: all(view.nodes[name].revision >= revision for name in selected),
             seconds,
-            f"revision {revision} in force on {', '.join(chosen)}",
+            f"revision {revision} in force on {', '.join(selected)}",
         )
 
     def running_nodes(self) -> list[str]:
-        """Return the names of the nodes whose processes run, paused or not."""
+        """Return the names of the nodes whose processes run, including paused ones."""
         return [name for name, process in self._nodes.items() if process.is_running]
 
     def node_pids(self) -> list[int]:
@@ -187,11 +189,11 @@
         return [self._nodes[name].pid for name in self.running_nodes()]
 
     def node_pid(self, name: str) -> int:
-        """Return the process id of a node that was started."""
+        """Return the process id of a node that has been started."""
         return self._nodes[name].pid
 
     async def kill_nodes(self, names: Iterable[str]) -> None:
-        """Kill nodes at once (SIGKILL) and wait for their ends."""
+        """Kill nodes with SIGKILL, all at once, and wait until they have exited."""
         processes = [self._nodes[name] for name in names]
         for process in processes:
             self.recorder.record(NodeKill(time=time.time(), node=process.name))
@@ -200,66 +202,66 @@
             await process.wait_for_exit()
 
     def pause_node(self, name: str) -> None:
-        """Pause a node (SIGSTOP)."""
+        """Pause a node with SIGSTOP."""
         self.recorder.record(NodePause(time=time.time(), node=name))
         self._nodes[name].send_signal(signal.SIGSTOP)
 
     def resume_node(self, name: str) -> None:
-        """Let a paused node run on (SIGCONT)."""
+        """Resume a paused node with SIGCONT."""
         self._nodes[name].send_signal(signal.SIGCONT)
         self.recorder.record(NodeResume(time=time.time(), node=name))
 
     def reload_node(self, name: str) -> None:
-        """Ask a node to read its settings again (SIGHUP)."""
+        """Make a node reload its settings with SIGHUP."""
         self.recorder.record(NodeReload(time=time.time(), node=name))
         self._nodes[name].send_signal(signal.SIGHUP)
 
-    async def stop_node(self, name: str, seconds: float = STOP_SECONDS) -> int:
-        """Ask a node to stop by plan (SIGTERM) and return its exit code.
+    async def stop_node(self, name: str, seconds: float = STOP_TIMEOUT_SECONDS) -> int:
+        """Shut a node down gracefully with SIGTERM and return its exit code.
 
         Raises:
-            TimeoutError: it did not end within ``seconds``.
+            TimeoutError: the node did not exit within ``seconds``.
         """
         process = self._nodes[name]
         self.recorder.record(NodeStop(time=time.time(), node=name))
         process.send_signal(signal.SIGTERM)
         with anyio.fail_after(seconds):
-            code = await process.wait_for_exit()
-        self.recorder.record(NodeExit(time=time.time(), node=name, code=code))
-        return code
+            exit_code = await process.wait_for_exit()
+        self.recorder.record(NodeExit(time=time.time(), node=name, code=exit_code))
+        return exit_code
 
     async def mark_backend_leaving(self, backend: str) -> None:
-        """Mark a back end as leaving in the machine list only; it does not say so itself."""
+        """Mark a back end as leaving in the machine list only; it does not report that itself."""
         async with self.platform.write_lock:
             self.recorder.record(BackendLeaving(time=time.time(), backend=backend))
             await self.platform.mark_leaving(backend)
 
     async def mark_backend_live(self, backend: str) -> None:
-        """Mark a back end that was leaving as live again in the machine list."""
+        """Mark a leaving back end as live again in the machine list."""
         async with self.platform.write_lock:
             self.recorder.record(BackendLeaveCancelled(time=time.time(), backend=backend))
             await self.platform.add_machine(backend)
 
     async def kill_backend_process(self, name: str) -> None:
-        """Kill the process of a back end (SIGKILL)."""
+        """Kill a process that hosts back ends with SIGKILL."""
         self._signal_backend(name, signal.SIGKILL, "killed")
         await self._backend_processes[name].wait_for_exit()
 
     def pause_backend_process(self, name: str) -> None:
-        """Freeze the process of a back end (SIGSTOP)."""
+        """Freeze a process that hosts back ends with SIGSTOP."""
         self._signal_backend(name, signal.SIGSTOP, "frozen")
 
     def resume_backend_process(self, name: str) -> None:
-        """Let a frozen back end run on (SIGCONT)."""
+        """Resume a frozen process that hosts back ends with SIGCONT."""
         self._signal_backend(name, signal.SIGCONT, "none")
 
-    def _signal_backend(self, name: str, number: signal.Signals, fault: str) -> None:
+    def _signal_backend(self, name: str, signal_number: signal.Signals, fault: str) -> None:
         for backend in self.plan.backends_of(name):
             self.recorder.record(BackendFault(time=time.time(), backend=backend.name, fault=fault))
-        self._backend_processes[name].send_signal(number)
+        self._backend_processes[name].send_signal(signal_number)
 
     async def start_backend_process(self, name: str) -> None:
-        """Start the process of a back end again after its kill."""
+        """Start a killed process that hosts back ends again."""
         process = self._factory.backend(name)
         self._backend_processes[name] = process
         await self._start([process])
@@ -267,9 +269,9 @@
     async def start_load(
         self, name: str, rate: float, seed: int = 0, nodes: Iterable[str] | None = None
     ) -> LabProcess:
-        """Start callers of nodes, all by default; requests' ids begin with ``name``."""
-        chosen = list(self.plan.nodes if nodes is None else nodes)
-        proxies = {node: self.plan.nodes[node].proxy for node in chosen}
+        """Start callers of nodes, all by default; request ids begin with ``name``."""
+        selected = list(self.plan.nodes if nodes is None else nodes)
+        proxies = {node: self.plan.nodes[node].proxy for node in selected}
         process = self._factory.load(name, rate, seed, proxies)
         await self._start([process])
         return process
@@ -277,21 +279,24 @@
     async def start_persistent_callers(
         self, name: str, seed: int, callers: int, downloads: bool = False
     ) -> LabProcess:
-        """Start callers that keep their connections, with ``downloads`` for long answers only."""
+        """Start callers with persistent connections.
+
+        With ``downloads`` they request only long responses.
+        """
         proxies = {node: plan.proxy for node, plan in self.plan.nodes.items()}
         process = self._factory.persistent_callers(name, seed, callers, proxies, downloads)
         await self._start([process])
         return process
 
     async def send_request(self, node: str, kind: CallKind, request_id: str) -> CallResult:
-        """Send one request to a node and record what the caller was told."""
+        """Send one request to a node and record its result."""
         caller = Caller(Target(node, self.plan.nodes[node].proxy))
-        told = await caller.call(kind, request_id)
+        result = await caller.call(kind, request_id)
         await caller.close()
-        self.recorder.record(told)
-        return told
+        self.recorder.record(result)
+        return result
 
     async def stop_load(self, process: LabProcess) -> int:
-        """Begin no more requests, wait for those in flight, return the exit code."""
+        """Stop callers after their requests in flight and return the exit code."""
         process.send_signal(signal.SIGTERM)
         return await process.wait_for_exit()
--- a/src/pewtertack/lab/fleet/history.py
+++ b/src/pewtertack/lab/fleet/history.py
@@ -1,4 +1,4 @@
-"""Writes the history of a run and keeps what the lab waits for."""
+"""Records the history of a run and tracks the state that the lab waits for."""
 
 from __future__ import annotations
 
@@ -29,25 +29,25 @@
 
 @dataclass(slots=True)
 class NodeView:
-    """What the history says of one node's newest process."""
+    """State of a node's latest process according to the history."""
 
     is_up: bool = False
     is_serving: bool = False
     revision: int = 0
     rejected: int = 0
-    """The newest revision that it refused."""
+    """The newest revision that the node rejected."""
 
 
 @dataclass(slots=True)
 class FleetView:
-    """What the history says of all nodes."""
+    """State of all nodes according to the history."""
 
     nodes: dict[str, NodeView] = field(default_factory=dict)
     restores_detected: int = 0
-    """How often a node has noticed that the source came back from a copy."""
+    """Number of times a node has detected a restore of the source."""
 
     def update(self, line: HistoryLine) -> None:
-        """Take in one line."""
+        """Update the state by one line."""
         match line:
             case NodeStart():
                 self.nodes[line.node] = NodeView(is_up=True)
@@ -56,9 +56,9 @@
             case RevisionInForce():
                 self._node(line).revision = line.revision
             case NodeEvent():
-                self._take_event(line)
+                self._update_by_event(line)
 
-    def _take_event(self, line: NodeEvent) -> None:
+    def _update_by_event(self, line: NodeEvent) -> None:
         if line.event == Event.NODE_SERVING.name:
             self._node(line).is_serving = True
         elif line.event in NOT_SERVING_EVENTS:
@@ -71,7 +71,7 @@
 
 
 class HistoryRecorder:
-    """Appends the lines of all processes and of the lab to one file.
+    """Writes the lines of all processes and of the lab to one file.
 
     Args:
         path: the file, replaced if it exists.
@@ -83,7 +83,7 @@
         self.view = FleetView()
         self.lines: list[HistoryLine] = []
         self.stray_lines: list[str] = []
-        """Output that is no line of a history, with the process's name."""
+        """Output lines that are not history lines, prefixed with the name of the process."""
 
     def __enter__(self) -> HistoryRecorder:
         return self
@@ -97,11 +97,11 @@
         self._file.close()
 
     def record(self, record: Record) -> None:
-        """Write a record of the lab."""
-        self._append(encode_record(record), record)
+        """Write a record made by the lab itself."""
+        self._write(encode_record(record), record)
 
     def record_line(self, process: str, line: bytes) -> None:
-        """Write a line that a process printed; ready lines of stand-ins are left out."""
+        """Write a line that a process printed; ready lines of simulated services are left out."""
         if line.startswith(b'{"ready":'):
             return
         try:
@@ -109,9 +109,9 @@
         except HistoryFormatError:
             self.stray_lines.append(f"{process}: {line.decode(errors='replace')}")
             return
-        self._append(line, decoded)
+        self._write(line, decoded)
 
-    def _append(self, line: bytes, decoded: HistoryLine) -> None:
+    def _write(self, line: bytes, decoded: HistoryLine) -> None:
         self._file.write(line + b"\n")
         self._file.flush()
         self.lines.append(decoded)
@@ -125,10 +125,10 @@
         """Wait until ``condition`` holds.
 
         Raises:
-            FleetTimeoutError: it did not within ``seconds``.
+            FleetTimeoutError: it did not hold within ``seconds``.
         """
         with anyio.move_on_after(seconds):
             while not condition(self.view):
                 await self._changed.wait()
             return
-        raise FleetTimeoutError(f"not within {seconds:g} s: {description}")
+        raise FleetTimeoutError(f"timed out after {seconds:g} s: {description}")
--- a/src/pewtertack/lab/fleet/plan.py
+++ b/src/pewtertack/lab/fleet/plan.py
@@ -1,4 +1,4 @@
-"""Which processes a fleet consists of, with their names, zones and addresses."""
+"""Plan of the processes of a fleet: names, zones and addresses."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 RELAY_IP = "127.0.200.1"
 FIRST_ZONE_OCTET = 10
 FIRST_BACKEND_OCTET = 101
-DEFAULT_SEED_COUNT = 4
+SEED_COUNT = 4
 FLEET_KEY = "70657774657274616b2d6c61622d6b6579d1ce5eed0123456789abcdef012345"
 
 
 @dataclass(frozen=True, slots=True)
 class FleetShape:
-    """The size and the settings of a fleet. Times in seconds."""
+    """Size and settings of a fleet. Times are in seconds."""
 
     zones: tuple[str, ...]
     services: Mapping[str, int]
-    """Number of back ends by service."""
+    """Number of back ends of each service."""
     tree: Mapping[str, Any]
     nodes_per_zone: int = 2
     region: str = "local"
@@ -36,26 +36,26 @@
     reader_limit: int = 32
     has_relay: bool = True
     separate_backends: bool = False
-    """A process for each back end rather than for each service."""
+    """Whether each back end has its own process rather than each service."""
     disabled_mechanism: str = ""
-    """A mechanism that is switched off in all nodes, see ``lab.disabled_mechanisms``."""
+    """Mechanism that is disabled in all nodes, see ``lab.disabled_mechanisms``; empty for none."""
     uses_eras: bool = False
-    """Nodes read the eras of the platform's services (`lab.source.era_reader`)."""
+    """Whether nodes read the eras of the platform's services (`lab.source.era_reader`)."""
     nodes_without_proxy: tuple[str, ...] = ()
-    """Names of nodes that only replicate."""
+    """Names of nodes that only replicate the configuration."""
     has_gateways: bool = False
-    """Each back end has a node of its zone beside it, which others reach it through."""
+    """Whether each back end has a node of its zone through whose gateway others reach it."""
     limits: Mapping[str, str] = field(default_factory=dict)
-    """The section ``[limits]`` of every node's settings."""
+    """Section ``[limits]`` of every node's settings."""
     policies: Mapping[str, str] = field(default_factory=dict)
-    """The section ``[policies]`` of every node's settings."""
+    """Section ``[policies]`` of every node's settings."""
     link_mbps: float = 0.0
-    """Of each node's machine, in Mbit/s; 0 where nodes are told nothing."""
+    """Link rate in the settings of every node, in Mbit/s; 0 to omit it."""
 
 
 @dataclass(frozen=True, slots=True)
 class NodePlan:
-    """One node. ``advertised`` is the relay's address where there is a relay."""
+    """One node. ``advertised`` is an address of the relay if there is one."""
 
     name: str
     zone: str
@@ -64,16 +64,16 @@
     admin: Address
     advertised: Address
     gateway: Address | None = None
-    """Where others reach the back end beside the node."""
+    """Address at which others reach the local back end; ``None`` if there is none."""
 
     def relay_entry(self) -> RelayedNode:
-        """Return what the relay must know."""
+        """Return the node's entry in the relay's list of nodes."""
         return RelayedNode(self.name, self.zone, self.peer, self.advertised)
 
 
 @dataclass(frozen=True, slots=True)
 class BackendPlan:
-    """One back end, and the name of the process that hosts it."""
+    """One back end with the name of the process that hosts it."""
 
     name: str
     service: str
@@ -81,12 +81,12 @@
     address: Address
     process: str
     gateway_node: str = ""
-    """The node through whose gateway others reach it; empty when they call it themselves."""
+    """Node through whose gateway others reach it; empty if they call it directly."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServicePlan:
-    """A stand-in with an address for its users and one for the lab."""
+    """A simulated service with an address for its users and one for the lab."""
 
     listen: Address
     control: Address
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetPlan:
-    """All processes of a fleet; back end processes' control addresses by name."""
+    """All processes of a fleet. ``backend_controls`` has control addresses by process name."""
 
     shape: FleetShape
     source: ServicePlan
@@ -104,22 +104,24 @@
     backends: Mapping[str, BackendPlan]
     backend_controls: Mapping[str, Address]
     ports: PortAllocator
-    """Holds the addresses as long as the plan exists."""
+    """Reserves the addresses as long as the plan exists."""
 
     def machine_list(self) -> dict[str, dict[str, str | int]]:
-        """Return the platform's list with everything live."""
+        """Return the platform's machine list with all machines live."""
         machines = {node.name: _node_entry(node, self.shape.region) for node in self.nodes.values()}
         for backend in self.backends.values():
             machines[backend.name] = self._backend_entry(backend)
         return machines
 
     def local_backend(self, node: str) -> BackendPlan | None:
-        """Return the back end that others reach through a node's gateway."""
-        beside = (backend for backend in self.backends.values() if backend.gateway_node == node)
-        return next(beside, None)
+        """Return the back end that others reach through the gateway of a node."""
+        local_backends = (
+            backend for backend in self.backends.values() if backend.gateway_node == node
+        )
+        return next(local_backends, None)
 
     def local_backend_name(self, node: str) -> str:
-        """Return the name of that back end; empty where there is none."""
+        """Return the name of the local back end of a node; empty if there is none."""
         backend = self.local_backend(node)
         return backend.name if backend is not None else ""
 
@@ -137,26 +139,26 @@
         return entry
 
     def seed_addresses(self) -> tuple[Address, ...]:
-        """Return the advertised addresses of a few nodes, spread over the zones."""
+        """Return the advertised addresses of a few nodes, spread across the zones."""
         by_index = sorted(self.nodes.values(), key=lambda node: node.name.rpartition("-")[2])
-        return tuple(node.advertised for node in by_index[:DEFAULT_SEED_COUNT])
+        return tuple(node.advertised for node in by_index[:SEED_COUNT])
 
     def backends_of(self, process: str) -> list[BackendPlan]:
-        """Return the back ends of one process."""
+        """Return the back ends that a process hosts."""
         return [backend for backend in self.backends.values() if backend.process == process]
 
 
 def plan_fleet(shape: FleetShape) -> FleetPlan:
-    """Name and place all processes of a fleet at free addresses.
+    """Name all processes of a fleet and assign free addresses to them.
 
     Raises:
-        LabUsageError: no free port was found.
+        LabUsageError: no free port was found, or a zone has fewer nodes than back ends.
     """
     ports = PortAllocator()
     nodes = _plan_nodes(shape, ports)
     backends = _plan_backends(shape, ports)
     if shape.has_gateways:
-        nodes, backends = _join_backends_to_nodes(nodes, backends, ports)
+        nodes, backends = _assign_gateways(nodes, backends, ports)
     processes = dict.fromkeys(backend.process for backend in backends)
     return FleetPlan(
         shape=shape,
@@ -194,21 +196,21 @@
     return backends
 
 
-def _join_backends_to_nodes(
+def _assign_gateways(
     nodes: list[NodePlan], backends: list[BackendPlan], ports: PortAllocator
 ) -> tuple[list[NodePlan], list[BackendPlan]]:
-    """Give each back end a node of its zone with a gateway.
+    """Assign to each back end a node of its zone that gets a gateway.
 
     Raises:
         LabUsageError: a zone has fewer nodes than back ends.
     """
-    joined = {node.name: node for node in nodes}
+    nodes_by_name = {node.name: node for node in nodes}
     for index, backend in enumerate(backends):
-        node = _first_without_gateway(joined.values(), backend.zone)
+        node = _first_without_gateway(nodes_by_name.values(), backend.zone)
         gateway = ports.allocate(node.proxy.host)
-        joined[node.name] = replace(node, gateway=gateway)
+        nodes_by_name[node.name] = replace(node, gateway=gateway)
         backends[index] = replace(backend, gateway_node=node.name)
-    return list(joined.values()), backends
+    return list(nodes_by_name.values()), backends
 
 
 def _first_without_gateway(nodes: Iterable[NodePlan], zone: str) -> NodePlan:
--- a/src/pewtertack/lab/fleet/ports.py
+++ b/src/pewtertack/lab/fleet/ports.py
@@ -1,4 +1,4 @@
-"""Free addresses for the processes of a fleet."""
+"""Allocates free addresses for the processes of a fleet."""
 
 from __future__ import annotations
 
@@ -12,62 +12,65 @@
 
 FIRST_PORT = 20_000
 LAST_PORT = 32_000
-"""Below the ports that the system picks for outgoing connections."""
-ATTEMPTS = 200
+"""Below the ephemeral ports that the system picks for outgoing connections."""
+MAX_ATTEMPTS = 200
 
 
 class PortAllocator:
-    """Hands out addresses that nothing listens on, each once.
+    """Allocates addresses on which nothing listens, each only once.
 
-    An address is held as long as its allocator exists, also while no process listens there: a
-    socket is bound to it, beside which only one with ``SO_REUSEADDR`` can be bound. So no other
-    allocator, of whichever process, hands it out, nor takes a node's that is down.
+    An address stays reserved while its allocator exists, even if no process listens on it, for
+    example because a node is down: the allocator keeps a socket bound to it, and only sockets with
+    ``SO_REUSEADDR`` can be bound to the same address. Allocators, including those of other
+    processes, bind without that option first, so that none allocates a reserved address.
     """
 
     def __init__(self) -> None:
         self._random = random.SystemRandom()
-        self._held: list[socket.socket] = []
-        weakref.finalize(self, _close_all, self._held)
+        self._reserved_sockets: list[socket.socket] = []
+        weakref.finalize(self, _close_all, self._reserved_sockets)
 
     def allocate(self, ip: str, *others: str) -> Address:
-        """Return an address at ``ip``, for TCP and UDP alike, whose port is free at others too.
+        """Return an address at ``ip`` that is free for TCP and UDP.
+
+        Its port is also free at ``others``.
 
         Raises:
-            LabUsageError: none was found.
+            LabUsageError: no free port was found.
         """
-        for _ in range(ATTEMPTS):
+        for _ in range(MAX_ATTEMPTS):
             port = self._random.randrange(FIRST_PORT, LAST_PORT)
-            if self._hold([Address(host, port) for host in (ip, *others)]):
+            if self._reserve([Address(host, port) for host in (ip, *others)]):
                 return Address(ip, port)
         raise LabUsageError(f"no free port at {ip}")
 
-    def _hold(self, addresses: list[Address]) -> bool:
-        """Hold all of the addresses, or none where one is not free; tell whether they are."""
-        with contextlib.ExitStack() as opened:
-            held = []
+    def _reserve(self, addresses: list[Address]) -> bool:
+        """Reserve all addresses, or none if one is not free; return whether they were reserved."""
+        with contextlib.ExitStack() as stack:
+            reserved = []
             for address in addresses:
                 try:
-                    held.append(opened.enter_context(_bound(address, socket.SOCK_STREAM)))
-                    _bound(address, socket.SOCK_DGRAM).close()
+                    reserved.append(stack.enter_context(_bind(address, socket.SOCK_STREAM)))
+                    _bind(address, socket.SOCK_DGRAM).close()
                 except OSError:
                     return False
-            opened.pop_all()
-        for item in held:
-            item.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self._held += held
+            stack.pop_all()
+        for reserved_socket in reserved:
+            reserved_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self._reserved_sockets += reserved
         return True
 
 
-def _bound(address: Address, kind: socket.SocketKind) -> socket.socket:
-    made = socket.socket(socket.AF_INET, kind)
+def _bind(address: Address, kind: socket.SocketKind) -> socket.socket:
+    new_socket = socket.socket(socket.AF_INET, kind)
     try:
-        made.bind((address.host, address.port))
+        new_socket.bind((address.host, address.port))
     except OSError:
-        made.close()
+        new_socket.close()
         raise
-    return made
+    return new_socket
 
 
 def _close_all(sockets: list[socket.socket]) -> None:
-    for item in sockets:
-        item.close()
+    for reserved_socket in sockets:
+        reserved_socket.close()
--- a/src/pewtertack/lab/fleet/processes.py
+++ b/src/pewtertack/lab/fleet/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a fleet by name: what each is started with."""
+"""Creates the processes of a fleet with their command lines."""
 
 from __future__ import annotations
 
@@ -16,28 +16,28 @@
 READY_PREFIX = b'{"ready":'
 
 
-class _EventName(msgspec.Struct):
+class _LogLine(msgspec.Struct):
     event: str = ""
 
 
-def _is_stand_in_ready(line: bytes) -> bool:
+def _is_service_ready_line(line: bytes) -> bool:
     return line.startswith(READY_PREFIX)
 
 
-def _is_node_ready(line: bytes) -> bool:
+def _is_node_ready_line(line: bytes) -> bool:
     try:
-        return msgspec.json.decode(line, type=_EventName).event == Event.NODE_READY.name
+        return msgspec.json.decode(line, type=_LogLine).event == Event.NODE_READY.name
     except msgspec.MsgspecError:
         return False
 
 
 class ProcessFactory:
-    """Makes the processes of a plan, not started.
+    """Creates the processes of a plan without starting them.
 
     Args:
-        plan: the fleet.
-        directory: holds the files that the processes read.
-        handle_line: gets every line of their output.
+        plan: the plan of the fleet.
+        directory: the directory of the files that the processes read.
+        handle_line: called with each line of their output.
     """
 
     def __init__(self, plan: FleetPlan, directory: Path, handle_line: LineHandler) -> None:
@@ -45,15 +45,15 @@
         self._directory = directory
         self._handle_line = handle_line
 
-    def stand_ins(self) -> list[LabProcess]:
-        """Return the platform, the relay where there is one, and the back ends."""
+    def services(self) -> list[LabProcess]:
+        """Create the processes of the platform, the relay if there is one, and the back ends."""
         processes = [self._source(), self._machines()]
         if self._plan.shape.has_relay:
             processes.append(self._relay())
         return processes + [self.backend(name) for name in self._plan.backend_controls]
 
     def node(self, name: str) -> LabProcess:
-        """Return one node's process."""
+        """Create the process of a node."""
         shape = self._plan.shape
         command = (
             ["lab", "weak-node", shape.disabled_mechanism] if shape.disabled_mechanism else ["node"]
@@ -61,14 +61,14 @@
         if shape.uses_eras:
             command = ["lab", "era-node", f"--without={shape.disabled_mechanism}"]
         arguments = [*command, "--settings", str(settings_path(self._directory, name))]
-        return LabProcess(name, arguments, self._directory, self._handle_line, _is_node_ready)
+        return LabProcess(name, arguments, self._directory, self._handle_line, _is_node_ready_line)
 
     def backend(self, process: str) -> LabProcess:
-        """Return the process that hosts one or more back ends."""
+        """Create a process that hosts one or more back ends."""
         hosted = self._plan.backends_of(process)
         hosts = [f"--host={backend.name}={backend.address}" for backend in hosted]
         capacity = self._plan.shape.capacity
-        limits = [
+        limit_options = [
             f"--slots={capacity.slots}",
             f"--connections={capacity.connections}",
             f"--queue={capacity.queue}",
@@ -76,14 +76,14 @@
             f"--cold-ms={capacity.cold_period * 1000}",
         ]
         control = f"--control={self._plan.backend_controls[process]}"
-        return self._stand_in(process, ["backend", *hosts, control, *limits])
+        return self._create_service(process, ["backend", *hosts, control, *limit_options])
 
     def load(self, name: str, rate: float, seed: int, nodes: Mapping[str, Address]) -> LabProcess:
-        """Return a process of callers; requests' ids begin with its name."""
+        """Create a process of callers; request ids begin with its name."""
         targets = [f"--node={node}={proxy}" for node, proxy in nodes.items()]
         tree = f"--tree={tree_path(self._directory)}"
-        numbers = [f"--rate={rate}", f"--seed={seed}"]
-        return self._stand_in(name, ["load", tree, *targets, *numbers, f"--prefix={name}"])
+        options = [f"--rate={rate}", f"--seed={seed}"]
+        return self._create_service(name, ["load", tree, *targets, *options, f"--prefix={name}"])
 
     def persistent_callers(
         self,
@@ -93,19 +93,19 @@
         nodes: Mapping[str, Address],
         downloads: bool = False,
     ) -> LabProcess:
-        """Return a process of callers that keep their connections, so many a node."""
+        """Create a process with ``callers`` callers of each node, with persistent connections."""
         targets = [f"--node={node}={proxy}" for node, proxy in nodes.items()]
         tree = f"--tree={tree_path(self._directory)}"
-        numbers = [f"--callers={callers}", f"--seed={seed}", f"--prefix={name}"]
-        kind = ["--downloads"] if downloads else []
-        return self._stand_in(name, ["soak-callers", tree, *targets, *numbers, *kind])
+        options = [f"--callers={callers}", f"--seed={seed}", f"--prefix={name}"]
+        kind_option = ["--downloads"] if downloads else []
+        return self._create_service(name, ["soak-callers", tree, *targets, *options, *kind_option])
 
     def _source(self) -> LabProcess:
         tree = f"--tree={tree_path(self._directory)}"
         listen = f"--listen={self._plan.source.listen}"
         control = f"--control={self._plan.source.control}"
         limit = f"--max-readers={self._plan.shape.reader_limit}"
-        return self._stand_in("source", ["source", tree, listen, control, limit])
+        return self._create_service("source", ["source", tree, listen, control, limit])
 
     def _machines(self) -> LabProcess:
         file = f"--file={machines_path(self._directory)}"
@@ -113,13 +113,15 @@
         control = f"--control={self._plan.machines.control}"
         lag = f"--lag={self._plan.shape.machine_list_lag}"
         limit = f"--max-readers={self._plan.shape.reader_limit}"
-        return self._stand_in("machines", ["machines", file, listen, control, lag, limit])
+        return self._create_service("machines", ["machines", file, listen, control, lag, limit])
 
     def _relay(self) -> LabProcess:
         nodes = f"--nodes={relay_path(self._directory)}"
-        return self._stand_in("relay", ["relay", nodes, f"--control={self._plan.relay_control}"])
+        return self._create_service(
+            "relay", ["relay", nodes, f"--control={self._plan.relay_control}"]
+        )
 
-    def _stand_in(self, name: str, arguments: list[str]) -> LabProcess:
+    def _create_service(self, name: str, arguments: list[str]) -> LabProcess:
         return LabProcess(
-            name, ["lab", *arguments], self._directory, self._handle_line, _is_stand_in_ready
+            name, ["lab", *arguments], self._directory, self._handle_line, _is_service_ready_line
         )
--- a/src/pewtertack/lab/fleet/settings.py
+++ b/src/pewtertack/lab/fleet/settings.py
@@ -1,4 +1,4 @@
-"""The files that the processes of a fleet read at their start."""
+"""Files that the processes of a fleet read when they start."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def node_settings(plan: FleetPlan, node: NodePlan) -> str:
-    """Return the TOML text of one node's settings file."""
+    """Return the settings file of a node as TOML."""
     return NODE_TEMPLATE.format(
         name=node.name,
         zone=node.zone,
@@ -89,30 +89,30 @@
 
 
 def write_files(plan: FleetPlan, directory: Path) -> None:
-    """Write the tree, the machine list, the relay's nodes and all settings files."""
-    relayed = [node.relay_entry() for node in plan.nodes.values()]
+    """Write the tree, the machine list, the relay's list of nodes and all settings files."""
+    relay_entries = [node.relay_entry() for node in plan.nodes.values()]
     tree_path(directory).write_bytes(msgspec.json.encode(plan.shape.tree))
     machines_path(directory).write_bytes(msgspec.json.encode(plan.machine_list()))
-    relay_path(directory).write_bytes(msgspec.json.encode(relayed))
+    relay_path(directory).write_bytes(msgspec.json.encode(relay_entries))
     for node in plan.nodes.values():
         settings_path(directory, node.name).write_text(node_settings(plan, node))
 
 
 def tree_path(directory: Path) -> Path:
-    """Return where the source's first tree is."""
+    """Return the path of the source's first tree."""
     return directory / "tree.json"
 
 
 def machines_path(directory: Path) -> Path:
-    """Return where the first machine list is."""
+    """Return the path of the first machine list."""
     return directory / "machines.json"
 
 
 def relay_path(directory: Path) -> Path:
-    """Return where the relay's list of nodes is."""
+    """Return the path of the relay's list of nodes."""
     return directory / "relay.json"
 
 
 def settings_path(directory: Path, node: str) -> Path:
-    """Return where a node's settings are."""
+    """Return the path of a node's settings."""
     return directory / f"{node}.toml"
--- a/src/pewtertack/lab/relay/__init__.py
+++ b/src/pewtertack/lab/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Relay of the nodes' peer traffic, so that links between zones can fail in a real run."""
+"""Relay for peer traffic between real nodes, which simulates faults of the links between zones."""
--- a/src/pewtertack/lab/relay/links.py
+++ b/src/pewtertack/lab/relay/links.py
@@ -1,4 +1,4 @@
-"""Which traffic between zones passes, how late, and how much of it is lost; no I/O."""
+"""Cuts, delays, losses and rates of the links between zones and machines; no I/O."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 class RelayedNode(msgspec.Struct, frozen=True):
-    """A node: where it listens for peers, and the relay's address that it advertises.
+    """A node: the address at which it listens for peers, and the relay's address it advertises.
 
-    Its listening IP number is its own: the relay tells senders apart by it.
+    No other node listens on the same IP address, because the relay identifies senders by it.
     """
 
     name: str
@@ -31,53 +31,53 @@
 
 
 class LinkSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The state of all links between different zones; within a zone only ``rate`` applies."""
+    """State of all links between different zones; within a zone only ``rate`` applies."""
 
     cuts: tuple[Link, ...] = ()
     delay: float = 0.0
     """One-way delay in seconds."""
     loss: float = 0.0
-    """Share of datagrams lost, 0 to 1. Streams lose nothing."""
+    """Fraction of datagrams that are lost, 0 to 1. Streams lose nothing."""
     rate: float = 0.0
-    """Bytes a second of each node's machine, each way; 0 for no bound."""
+    """Bytes per second of each node's machine in each direction; 0 for no limit."""
 
 
 class LinkTable:
-    """Decides on each piece of traffic.
+    """Decides whether and when each datagram or chunk passes.
 
     Args:
-        nodes: all nodes; listening IP numbers must differ.
-        seed: decides which datagrams are lost.
+        nodes: all nodes, each with its own listening IP address.
+        seed: determines which datagrams are lost.
 
     Raises:
-        LabUsageError: two nodes share an IP number.
+        LabUsageError: two nodes share an IP address.
     """
 
     def __init__(self, nodes: tuple[RelayedNode, ...], seed: int = 0) -> None:
         self._by_ip = {node.listen.host: node for node in nodes}
         if len(self._by_ip) < len(nodes):
-            raise LabUsageError("relayed nodes need a listening IP number each")
+            raise LabUsageError("each relayed node needs its own listening IP address")
         self._random = random.Random(seed)
-        self._lines = MachineLinks()
+        self._machine_links = MachineLinks()
         self._settings = LinkSettings()
 
     @property
     def settings(self) -> LinkSettings:
-        """The state of the links."""
+        """The current state of the links."""
         return self._settings
 
     @settings.setter
     def settings(self, settings: LinkSettings) -> None:
         if settings.rate != self._settings.rate:
-            self._lines = MachineLinks(settings.rate)
+            self._machine_links = MachineLinks(settings.rate)
         self._settings = settings
 
     def sender(self, ip: str) -> RelayedNode | None:
-        """Return the node that sends from ``ip``; None for a stranger."""
+        """Return the node that sends from ``ip``; ``None`` if it is unknown."""
         return self._by_ip.get(ip)
 
     def is_cut(self, from_zone: str, to_zone: str) -> bool:
-        """Tell whether nothing passes in this direction."""
+        """Tell whether the link is cut in this direction."""
         return Link(from_zone, to_zone) in self.settings.cuts
 
     def delay(self, from_zone: str, to_zone: str) -> float:
@@ -87,12 +87,12 @@
     def transfer_seconds(
         self, now: float, sender: RelayedNode, target: RelayedNode, size: int
     ) -> float:
-        """Take in ``size`` bytes; return in how many seconds all of them have arrived."""
+        """Queue ``size`` bytes; return the seconds until all of them have arrived."""
         delay = self.delay(sender.zone, target.zone)
-        return self._lines.transfer(now, sender.name, target.name, size, delay) - now
+        return self._machine_links.transfer(now, sender.name, target.name, size, delay) - now
 
     def drops_datagram(self, from_zone: str, to_zone: str) -> bool:
-        """Decide on one datagram."""
+        """Decide whether to drop one datagram."""
         if self.is_cut(from_zone, to_zone):
             return True
         if from_zone == to_zone or not self.settings.loss:
--- a/src/pewtertack/lab/relay/machine_links.py
+++ b/src/pewtertack/lab/relay/machine_links.py
@@ -1,13 +1,13 @@
-"""The lines of machines' links: each way, one thing after the other at a rate; no I/O."""
+"""Simulated network links of machines, which transfer bytes in order at a limited rate; no I/O."""
 
 from __future__ import annotations
 
 
 class LinkDirection:
-    """One direction of a machine's link. Times are seconds.
+    """One direction of a machine's link. Times are in seconds.
 
     Args:
-        rate: bytes a second.
+        rate: bytes per second.
     """
 
     __slots__ = ("_free_at", "_rate")
@@ -17,44 +17,44 @@
         self._free_at = 0.0
 
     def send(self, now: float, size: int) -> tuple[float, float]:
-        """Take in ``size`` bytes; return when the first of them leaves and the last has left."""
-        begins = max(now, self._free_at)
-        self._free_at = begins + size / self._rate
-        return begins, self._free_at
+        """Queue ``size`` bytes; return when sending them begins and when it ends."""
+        begin_time = max(now, self._free_at)
+        self._free_at = begin_time + size / self._rate
+        return begin_time, self._free_at
 
 
 class MachineLinks:
-    """The lines of all machines, by name.
+    """The links of all machines, by machine name.
 
     Args:
-        rate: bytes a second of each, each way; 0 for no bound.
+        rate: bytes per second of each link in each direction; 0 for no limit.
     """
 
-    __slots__ = ("_down", "_rate", "_up")
+    __slots__ = ("_downlinks", "_rate", "_uplinks")
 
     def __init__(self, rate: float = 0.0) -> None:
         self._rate = rate
-        self._up: dict[str, LinkDirection] = {}
-        self._down: dict[str, LinkDirection] = {}
+        self._uplinks: dict[str, LinkDirection] = {}
+        self._downlinks: dict[str, LinkDirection] = {}
 
     @property
     def has_rate_limit(self) -> bool:
-        """Whether there is a rate."""
+        """Whether the rate of the links is limited."""
         return self._rate > 0
 
     def transfer(
         self, now: float, sender: str, target: str, size: int, delay: float = 0.0
     ) -> float:
-        """Take in ``size`` bytes from one machine to another; return when all have arrived.
+        """Queue ``size`` bytes from one machine to another; return when all have arrived.
 
-        Bytes pass from line to line as they come: an idle line adds no time of its own.
-        ``delay`` is the time that one byte takes between them.
+        The target's link receives bytes while the sender's link still sends, so an idle link adds
+        no time of its own. ``delay`` is the latency of a byte between the two links.
         """
         if not self.has_rate_limit:
             return now + delay
-        begins, sent = self._line(self._up, sender).send(now, size)
-        _, received = self._line(self._down, target).send(begins + delay, size)
-        return max(sent + delay, received)
+        begin_time, sent_at = self._direction(self._uplinks, sender).send(now, size)
+        _, received_at = self._direction(self._downlinks, target).send(begin_time + delay, size)
+        return max(sent_at + delay, received_at)
 
-    def _line(self, lines: dict[str, LinkDirection], name: str) -> LinkDirection:
-        return lines.setdefault(name, LinkDirection(self._rate))
+    def _direction(self, directions: dict[str, LinkDirection], name: str) -> LinkDirection:
+        return directions.setdefault(name, LinkDirection(self._rate))
--- a/src/pewtertack/lab/relay/service.py
+++ b/src/pewtertack/lab/relay/service.py
@@ -1,4 +1,4 @@
-"""The relay's process: a UDP socket and a TCP listener for each node's advertised address."""
+"""Relay process with a UDP socket and a TCP listener at each node's advertised address."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 CHUNK_BYTES = 65536
 SLOW_CHUNK_BYTES = 4096
-"""Where links have a rate, so that streams of a machine share it."""
+"""Chunk size for links with a limited rate, small so that the streams of a machine share it."""
 
 STREAM_ERRORS = (
     anyio.BrokenResourceError,
@@ -28,7 +28,7 @@
 
 
 class RelayCounters(msgspec.Struct):
-    """What passed since the start."""
+    """Traffic counts since the start. ``strangers`` counts traffic from unknown senders."""
 
     datagrams: int = 0
     datagrams_dropped: int = 0
@@ -37,29 +37,29 @@
 
 
 class Relay:
-    """Passes peer traffic between nodes.
+    """Forwards peer traffic between nodes.
 
-    A datagram to B's advertised address leaves from A's advertised address, so
-    that B's answer comes back through the relay.
+    A datagram from node A to B's advertised address is sent on from A's advertised address, so that
+    B's answer also passes through the relay.
 
     Args:
         nodes: all nodes.
-        control: address for the lab.
-        seed: decides which datagrams are lost.
+        control: the address for control requests of the lab.
+        seed: determines which datagrams are lost.
     """
 
     def __init__(self, nodes: tuple[RelayedNode, ...], control: Address, seed: int = 0) -> None:
         self._nodes = nodes
         self._links = LinkTable(nodes, seed)
-        self._changed = anyio.Event()
+        self._links_changed = anyio.Event()
         self._sockets: dict[str, anyio.abc.UDPSocket] = {}
-        self._sending = {node.name: anyio.Lock() for node in nodes}
+        self._send_locks = {node.name: anyio.Lock() for node in nodes}
         self.counters = RelayCounters()
         handlers = {("PUT", "/links"): self._set_links, ("GET", "/counters"): self._get_counters}
         self.control = Listener(HandlerTable(dict(handlers)), control)
 
     async def open(self, task_group: anyio.abc.TaskGroup) -> None:
-        """Relay in ``task_group``."""
+        """Open all sockets and relay in ``task_group``."""
         for node in self._nodes:
             self._sockets[node.name] = await anyio.create_udp_socket(
                 family=socket.AF_INET,
@@ -72,17 +72,17 @@
         await self.control.open(task_group)
 
     async def run(self) -> None:
-        """Relay until the process is ended."""
+        """Relay until the process is terminated."""
         async with anyio.create_task_group() as task_group:
             await self.open(task_group)
             print_ready(control=self.control.address)
             await anyio.sleep_forever()
 
     def set_links(self, settings: LinkSettings) -> None:
-        """Pass traffic by ``settings`` from now on."""
+        """Apply ``settings`` to all traffic from now on."""
         self._links.settings = settings
-        self._changed.set()
-        self._changed = anyio.Event()
+        self._links_changed.set()
+        self._links_changed = anyio.Event()
 
     async def _relay_datagrams(self, node: RelayedNode, task_group: anyio.abc.TaskGroup) -> None:
         async with self._sockets[node.name] as relay_socket:
@@ -98,9 +98,9 @@
         elif self._links.drops_datagram(sender.zone, node.zone):
             self.counters.datagrams_dropped += 1
         else:
-            await self._pass_datagram(sender, node, data, task_group)
+            await self._schedule_datagram(sender, node, data, task_group)
 
-    async def _pass_datagram(
+    async def _schedule_datagram(
         self, sender: RelayedNode, node: RelayedNode, data: bytes, task_group: anyio.abc.TaskGroup
     ) -> None:
         delay = self._links.transfer_seconds(time.monotonic(), sender, node, len(data))
@@ -115,7 +115,7 @@
         if delay > 0:
             await anyio.sleep(delay)
         self.counters.datagrams += 1
-        async with self._sending[sender.name]:
+        async with self._send_locks[sender.name]:
             with contextlib.suppress(*STREAM_ERRORS):
                 await self._sockets[sender.name].sendto(data, node.listen.host, node.listen.port)
 
@@ -142,28 +142,28 @@
             return
         await self._wait_for_link(sender.zone, node.zone)
         with contextlib.suppress(*STREAM_ERRORS):
-            async with await anyio.connect_tcp(node.listen.host, node.listen.port) as onward:
-                await self._pump_both(sender, node, stream, onward)
+            async with await anyio.connect_tcp(node.listen.host, node.listen.port) as target_stream:
+                await self._forward_both_directions(sender, node, stream, target_stream)
 
-    async def _pump_both(
+    async def _forward_both_directions(
         self,
         sender: RelayedNode,
         node: RelayedNode,
         stream: anyio.abc.SocketStream,
-        onward: anyio.abc.SocketStream,
+        target_stream: anyio.abc.SocketStream,
     ) -> None:
-        async with anyio.create_task_group() as pumps:
-            pumps.start_soon(self._pump, sender, node, stream, onward)
-            pumps.start_soon(self._pump, node, sender, onward, stream)
+        async with anyio.create_task_group() as forwarders:
+            forwarders.start_soon(self._forward, sender, node, stream, target_stream)
+            forwarders.start_soon(self._forward, node, sender, target_stream, stream)
 
-    async def _pump(
+    async def _forward(
         self,
         sender: RelayedNode,
         receiver: RelayedNode,
         source: anyio.abc.SocketStream,
         target: anyio.abc.SocketStream,
     ) -> None:
-        """Pass one direction on until it ends; hold it while the link is cut."""
+        """Forward one direction of a stream until it ends; pause while the link is cut."""
         with contextlib.suppress(*STREAM_ERRORS):
             while True:
                 chunk = await source.receive(self._chunk_bytes)
@@ -181,7 +181,7 @@
 
     async def _wait_for_link(self, from_zone: str, to_zone: str) -> None:
         while self._links.is_cut(from_zone, to_zone):
-            await self._changed.wait()
+            await self._links_changed.wait()
 
     async def _set_links(self, request: Request) -> Response:
         settings = msgspec.json.decode(request.body, type=LinkSettings)
--- a/tests/lab/fleet/test_history.py
+++ b/tests/lab/fleet/test_history.py
@@ -1,4 +1,4 @@
-"""What the lab keeps of a history while it is recorded."""
+"""Recording a history and waiting for events in it."""
 
 import tempfile
 import unittest
@@ -23,7 +23,7 @@
         node = self.recorder.view.nodes.get("n1")
         return node is not None and node.is_serving
 
-    async def test_a_wait_ends_with_the_line_that_it_waits_for(self) -> None:
+    async def test_wait_ends_with_the_awaited_line(self) -> None:
         async with anyio.create_task_group() as waits:
             waits.start_soon(self.recorder.wait_until, self.is_serving, 60.0, "n1 serves")
             self.recorder.record(NodeStart(time=1.0, node="n1", zone="yaba"))
@@ -33,7 +33,7 @@
         with self.assertRaises(FleetTimeoutError):
             await self.recorder.wait_until(self.is_serving, 0.01, "n1 serves")
 
-    def test_lines_are_written_and_strays_kept_apart(self) -> None:
+    def test_lines_are_written_and_stray_lines_kept_separately(self) -> None:
         self.recorder.record_line("n1", SERVING)
         self.recorder.record_line("source", b'{"ready":{"listen":"127.0.0.1:1"}}')
         self.recorder.record_line("n1", b"Traceback")
--- a/tests/lab/fleet/test_ports.py
+++ b/tests/lab/fleet/test_ports.py
@@ -1,4 +1,4 @@
-"""Addresses for the processes of a fleet."""
+"""Reservation of addresses for the processes of a fleet."""
 
 import socket
 import unittest
@@ -13,9 +13,9 @@
 OTHER = "127.0.0.9"
 
 
-class HeldAddressTest(unittest.TestCase):
-    def test_two_allocators_never_hand_out_the_same_address(self) -> None:
-        """Guards against fleets side by side that take each other's addresses."""
+class ReservedAddressTest(unittest.TestCase):
+    def test_two_allocators_never_allocate_the_same_address(self) -> None:
+        """Guards against concurrent fleets that allocate the same addresses."""
         first = PortAllocator()
         port = first.allocate(HOST).port
         with mock.patch.multiple(ports, FIRST_PORT=port, LAST_PORT=port + 1):
@@ -24,14 +24,14 @@
             del first
             self.assertEqual(PortAllocator().allocate(HOST), Address(HOST, port))
 
-    def test_a_node_listens_on_what_is_held_and_does_so_again(self) -> None:
+    def test_node_listens_on_a_reserved_address_repeatedly(self) -> None:
         allocator = PortAllocator()
         address = allocator.allocate(HOST)
         for _ in range(2):
             for bound in _bind_peer(address, "n1.toml"):
                 bound.close()
 
-    def test_a_port_is_free_at_all_hosts_that_use_it(self) -> None:
+    def test_port_is_free_at_all_requested_hosts(self) -> None:
         taken = socket.create_server((OTHER, 0))
         self.addCleanup(taken.close)
         port = taken.getsockname()[1]
--- a/tests/lab/relay/test_service.py
+++ b/tests/lab/relay/test_service.py
@@ -1,4 +1,4 @@
-"""Datagrams and streams through the relay, with links cut and healed."""
+"""Datagrams and streams through the relay while links are cut, limited and healed."""
 
 import contextlib
 import socket
@@ -16,7 +16,7 @@
 
 RELAY_IP = "127.0.200.1"
 RATE = 20_000.0
-"""Bytes a second."""
+"""Bytes per second."""
 YABA_TO_LEKKI = LinkSettings(cuts=(Link("yaba", "lekki"),))
 
 
@@ -53,7 +53,7 @@
         self.yaba = make_node("n1", "yaba", "127.0.201.1")
         self.lekki = make_node("n2", "lekki", "127.0.202.1")
 
-    async def test_a_datagram_comes_from_the_senders_advertised_address(self) -> None:
+    async def test_datagram_comes_from_the_senders_advertised_address(self) -> None:
         async with (
             running_relay(self.yaba, self.lekki),
             await udp_socket(self.yaba) as yaba,
@@ -66,7 +66,7 @@
             data, sender = await yaba.receive()
             self.assertEqual((data, sender), (b"pong", (RELAY_IP, self.lekki.advertised.port)))
 
-    async def test_one_sender_may_reach_many_at_once(self) -> None:
+    async def test_one_sender_reaches_many_targets_at_once(self) -> None:
         others = [make_node(f"o{index}", "lekki", f"127.0.202.{index}") for index in range(2, 6)]
         async with running_relay(self.yaba, *others):
             sockets = [await udp_socket(node) for node in others]
@@ -78,7 +78,7 @@
                 async with receiving:
                     self.assertEqual((await receiving.receive())[0], b"ping")
 
-    async def test_a_one_way_cut_drops_datagrams_in_one_direction(self) -> None:
+    async def test_one_way_cut_drops_datagrams_in_one_direction(self) -> None:
         async with (
             running_relay(self.yaba, self.lekki) as relay,
             await udp_socket(self.yaba) as yaba,
@@ -94,7 +94,7 @@
             await yaba.sendto(b"healed", RELAY_IP, self.lekki.advertised.port)
             self.assertEqual((await lekki.receive())[0], b"healed")
 
-    async def test_datagrams_pass_at_the_rate_of_the_links(self) -> None:
+    async def test_datagrams_are_limited_to_the_link_rate(self) -> None:
         async with (
             running_relay(self.yaba, self.lekki) as relay,
             await udp_socket(self.yaba) as yaba,
@@ -108,7 +108,7 @@
                 await lekki.receive()
             self.assertGreaterEqual(time.monotonic() - began, 2 * 1000 / RATE)
 
-    async def test_a_stream_passes_at_the_rate_of_the_links(self) -> None:
+    async def test_stream_is_limited_to_the_link_rate(self) -> None:
         async def send_much(stream: anyio.abc.SocketStream) -> None:
             async with stream:
                 await stream.send(bytes(10_000))
@@ -133,7 +133,7 @@
         self.assertGreaterEqual(seconds, 0.9 * 10_000 / RATE)
         self.assertLess(seconds, 3 * 10_000 / RATE)
 
-    async def test_a_cut_holds_a_stream_until_it_heals(self) -> None:
+    async def test_cut_pauses_a_stream_until_healed(self) -> None:
         async def echo(stream: anyio.abc.SocketStream) -> None:
             async with stream:
                 await stream.send(b"echo " + await stream.receive())
@@ -161,7 +161,7 @@
                 self.assertEqual(await stream.receive(), b"echo hello")
             tasks.cancel_scope.cancel()
 
-    async def test_strangers_are_dropped_and_counted(self) -> None:
+    async def test_datagrams_of_unknown_senders_are_dropped_and_counted(self) -> None:
         async with running_relay(self.yaba, self.lekki) as relay:
             stranger = await anyio.create_udp_socket(
                 family=socket.AF_INET, local_host="127.0.203.1"
@@ -171,6 +171,6 @@
                 while not relay.counters.strangers:
                     await anyio.sleep(0.001)
 
-    def test_nodes_need_an_ip_number_each(self) -> None:
+    def test_each_node_needs_its_own_ip_address(self) -> None:
         with self.assertRaises(LabUsageError):
             LinkTable((self.yaba, make_node("n3", "yaba", self.yaba.listen.host)))
