--- a/src/pewtertack/lab/__init__.py
+++ b/src/pewtertack/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins, load, faults, history checking and simulation for tests and measurements."""
+"""Stand-in services, load, fault injection, history checks and simulation for testing."""
--- a/src/pewtertack/lab/address.py
+++ b/src/pewtertack/lab/address.py
@@ -1,4 +1,4 @@
-"""Reads addresses given to the lab's commands."""
+"""Parsing of addresses given to the lab's commands."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def parse_address(text: str) -> Address:
-    """Read ``ip:port``.
+    """Parse an address of the form ``ip:port``.
 
     Raises:
-        LabUsageError: the text has another form.
+        LabUsageError: the text is not of this form.
     """
     try:
         return Address.parse(text)
--- a/src/pewtertack/lab/asgi.py
+++ b/src/pewtertack/lab/asgi.py
@@ -1,4 +1,4 @@
-"""The little that the stand-ins need of ASGI: requests, answers and a table of handlers."""
+"""A minimal ASGI layer for the lab's stand-in services: requests, responses and a handler table."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One request with its whole body; header names are in lower case."""
+    """A request with its complete body; header names are in lower case."""
 
     method: str
     path: str
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """One answer with its whole body."""
+    """A response with its complete body."""
 
     status: int
     body: bytes = b""
@@ -42,21 +42,21 @@
 
 
 def json_response(value: object, status: int = 200, **headers: str) -> Response:
-    """Return ``value`` as a JSON answer."""
+    """Return a response with ``value`` as JSON; underscores in header names become hyphens."""
     encoded = msgspec.json.encode(value)
     named = {name.replace("_", "-"): text for name, text in headers.items()}
     return Response(status, encoded, {"content-type": "application/json", **named})
 
 
 def read_head(scope: Scope) -> Request:
-    """Return the request's line and headers, without a body."""
+    """Return the request line and headers of ``scope``, without a body."""
     headers = {name.decode("latin-1"): value.decode("latin-1") for name, value in scope["headers"]}
     query = dict(parse_qsl(scope.get("query_string", b"").decode("latin-1")))
     return Request(scope["method"], scope["path"], query, headers)
 
 
 async def read_body(receive: Receive) -> bytes:
-    """Return the whole body; what arrived so far when the caller hangs up."""
+    """Read the complete body, or what arrived of it before the client disconnected."""
     parts = []
     more = True
     while more:
@@ -66,43 +66,43 @@
     return b"".join(parts)
 
 
-async def send_response(send: Send, answer: Response) -> None:
-    """Send the whole ``answer``."""
-    headers = {**answer.headers, "content-length": str(len(answer.body))}
-    await send_head(send, answer.status, headers)
-    await send({"type": "http.response.body", "body": answer.body})
+async def send_response(send: Send, response: Response) -> None:
+    """Send ``response`` with a content length."""
+    headers = {**response.headers, "content-length": str(len(response.body))}
+    await send_head(send, response.status, headers)
+    await send({"type": "http.response.body", "body": response.body})
 
 
 async def send_head(send: Send, status: int, headers: Mapping[str, str]) -> None:
-    """Send status and headers; the body follows."""
+    """Send the status and the headers; the caller sends the body."""
     encoded = [(name.encode("latin-1"), value.encode("latin-1")) for name, value in headers.items()]
     await send({"type": "http.response.start", "status": status, "headers": encoded})
 
 
 class HandlerTable:
-    """An ASGI application that picks a handler by method and path.
+    """An ASGI application that selects a handler by method and path.
 
-    A path that ends in a slash stands for everything below it. Lab errors
-    become answers: 409 for a number conflict, 400 for wrong input.
+    A path that ends in a slash matches the paths one segment below it. Number conflicts are
+    answered with status 409, invalid input with status 400.
     """
 
     def __init__(self, handlers: Mapping[tuple[str, str], Handler]) -> None:
         self._handlers = handlers
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one request; other scopes are ignored."""
+        """Handle one HTTP request; scopes of other types are ignored."""
         if scope["type"] != "http":
             return
         head = read_head(scope)
         body = await read_body(receive)
         request = Request(head.method, head.path, head.query, head.headers, body)
-        await self._deliver(await self.answer(request), receive, send)
+        await self._send_response(await self.answer(request), receive, send)
 
-    async def _deliver(self, answer: Response, receive: Receive, send: Send) -> None:
-        await send_response(send, answer)
+    async def _send_response(self, response: Response, receive: Receive, send: Send) -> None:
+        await send_response(send, response)
 
     async def answer(self, request: Request) -> Response:
-        """Return the answer to ``request``."""
+        """Return the response to ``request``."""
         handler = self._find(request)
         if handler is None:
             return json_response({"error": "not-found"}, 404)
--- a/src/pewtertack/lab/demo.py
+++ b/src/pewtertack/lab/demo.py
@@ -1,4 +1,4 @@
-"""The demo: a four-zone fleet, one edit, and requests before, during and after it."""
+"""The demo: one edit in a four-zone fleet, with requests before, during and after it."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 from pewtertack.lab.scenarios.edits import TreeEditor
 
 PHASE_SECONDS = 4.0
-RATE = 80.0
-CONVERGENCE_SECONDS = 15.0
+REQUESTS_PER_SECOND = 80.0
+MAX_CONVERGENCE_SECONDS = 15.0
 BOUNDS = CheckBounds(convergence=3.0, recovery=10.0)
 SPANNING_CALLS = 4
-"""Requests per node that are in flight while the edit comes into force."""
+"""The number of requests per node that are in flight while the edit comes into force."""
 SPANNING_WORK_MILLISECONDS = 150.0
 STATUS_OK = 200
 
@@ -53,23 +53,23 @@
 
 
 class Phase(StrEnum):
-    """When a request was in flight, relative to the edit."""
+    """The time of a request relative to the edit."""
 
     BEFORE = "before"
-    """It ended before the edit."""
+    """The request ended before the edit."""
     DURING = "during"
-    """It was in flight while the edit came into force on the nodes."""
+    """The request was in flight while the edit came into force on the nodes."""
     AFTER = "after"
-    """It began after the edit was in force everywhere."""
+    """The request started after the edit was in force on all nodes."""
 
 
 @dataclass(frozen=True, slots=True)
 class DemoResult:
-    """What the demo measured."""
+    """The measurements of one run of the demo."""
 
     edit: Edit
     in_force_at: float
-    """When the lab saw the edit in force on every node; Unix time."""
+    """The Unix time at which the lab observed the edit in force on every node."""
     new_route_before: list[CallResult]
     new_route_after: list[CallResult]
     convergence: Convergence
@@ -78,8 +78,8 @@
     lines: Sequence[HistoryLine]
     verdicts: list[Verdict]
 
-    def told(self, phase: Phase) -> Iterator[CallResult]:
-        """Yield what the load's callers were told in one phase."""
+    def results(self, phase: Phase) -> Iterator[CallResult]:
+        """Yield the results of the load's calls in one phase."""
         for line in self.lines:
             if (
                 isinstance(line, CallResult)
@@ -88,43 +88,45 @@
             ):
                 yield line
 
-    def _phase(self, told: CallResult) -> Phase:
-        if told.time < self.edit.time:
+    def _phase(self, result: CallResult) -> Phase:
+        if result.time < self.edit.time:
             return Phase.BEFORE
-        began = told.time - told.latency
-        return Phase.DURING if began <= self.in_force_at else Phase.AFTER
+        started_at = result.time - result.latency
+        return Phase.DURING if started_at <= self.in_force_at else Phase.AFTER
 
     def problems(self) -> list[str]:
-        """Return everything that is off; empty for a good run."""
-        found = []
+        """Return all deviations from the expected results; empty for a successful run."""
+        problems = []
         for phase in Phase:
-            told = list(self.told(phase))
-            failed = [line for line in told if not is_correct_response(line)]
-            if failed:
-                found.append(f"{len(failed)} of {len(told)} requests failed {phase} the edit")
-            if not told:
-                found.append(f"no requests {phase} the edit")
+            results = list(self.results(phase))
+            failures = [line for line in results if not is_correct_response(line)]
+            if failures:
+                problems.append(
+                    f"{len(failures)} of {len(results)} requests failed {phase} the edit"
+                )
+            if not results:
+                problems.append(f"no requests {phase} the edit")
         if not all(line.outcome is CallOutcome.NOT_RUN for line in self.new_route_before):
-            found.append("the new route was served before the edit")
+            problems.append("the new route was served before the edit")
         if not all(is_correct_response(line) for line in self.new_route_after):
-            found.append("the new route failed on a node after the edit")
+            problems.append("the new route failed on a node after the edit")
         if self.convergence.missing:
-            found.append("the edit is not in force on every node")
+            problems.append("the edit is not in force on every node")
         violated = [v.promise for v in self.verdicts if v.judgement is Judgement.VIOLATED]
-        return found + [f"violated: {promise}" for promise in violated]
+        return problems + [f"violated: {promise}" for promise in violated]
 
 
-def is_correct_response(told: CallResult) -> bool:
-    """Tell whether a caller got the whole answer to its own request."""
-    answered = told.outcome is CallOutcome.ANSWERED and told.status == STATUS_OK
-    return answered and told.checksum_ok and told.own_answer
+def is_correct_response(result: CallResult) -> bool:
+    """Return whether the call got a complete response with status 200 to its own request."""
+    answered = result.outcome is CallOutcome.ANSWERED and result.status == STATUS_OK
+    return answered and result.checksum_ok and result.own_answer
 
 
 async def run_demo(shape: FleetShape) -> DemoResult:
-    """Run the demo's fleet.
+    """Run the demo on a fleet of real processes.
 
     Raises:
-        LabError: a process failed, or the edit did not get everywhere in time.
+        LabError: a process failed, or the edit did not come into force on all nodes in time.
     """
     plan = plan_fleet(replace(shape, has_relay=False))
     with (
@@ -140,15 +142,15 @@
 
 async def _edit_under_load(fleet: Fleet) -> DemoResult:
     first = await sample_traffic(fleet)
-    load = await fleet.start_load("demo", RATE)
+    load = await fleet.start_load("demo", REQUESTS_PER_SECOND)
     await anyio.sleep(PHASE_SECONDS)
-    before = await _ask_every_node(fleet, "before")
+    before = await _call_every_node(fleet, "before")
     async with anyio.create_task_group() as spanning:
         _start_spanning_calls(fleet, spanning)
         edit = await fleet.platform.put_tree(_tree_with_new_route(fleet))
-        await fleet.wait_in_force(edit.revision, seconds=CONVERGENCE_SECONDS)
+        await fleet.wait_in_force(edit.revision, seconds=MAX_CONVERGENCE_SECONDS)
         in_force_at = time.time()
-    after = await _ask_every_node(fleet, "after")
+    after = await _call_every_node(fleet, "after")
     await anyio.sleep(PHASE_SECONDS)
     await fleet.stop_load(load)
     last = await sample_traffic(fleet)
@@ -179,7 +181,7 @@
 
 
 def _start_spanning_calls(fleet: Fleet, tasks: anyio.abc.TaskGroup) -> None:
-    """Begin long requests on every node."""
+    """Start long requests on every node."""
     kinds = itertools.cycle(mix_of_tree(fleet.plan.shape.tree))
     for name in fleet.plan.nodes:
         for index, kind in enumerate(itertools.islice(kinds, SPANNING_CALLS)):
@@ -187,14 +189,14 @@
             tasks.start_soon(fleet.ask, name, call, f"spanning-{name}-{index}")
 
 
-async def _ask_every_node(fleet: Fleet, prefix: str) -> list[CallResult]:
-    """Ask every node once for the route that the edit adds."""
+async def _call_every_node(fleet: Fleet, prefix: str) -> list[CallResult]:
+    """Call the route that the edit adds once on every node."""
     names = sorted(fleet.plan.nodes)
     return [await fleet.ask(name, NEW_CALL, f"{prefix}-{name}") for name in names]
 
 
 def format_demo(result: DemoResult) -> str:
-    """Return the demo's output as text."""
+    """Return the result as text for the terminal."""
     delay = result.convergence.each_node
     edit, traffic = result.edit, result.traffic
     lines = [
@@ -205,7 +207,8 @@
         f" (the whole tree is {result.tree_bytes} B as JSON)",
         "",
         _outcome_table(result),
-        f"(during: in flight across the edit, {SPANNING_WORK_MILLISECONDS:.0f} ms of work each)",
+        f"(during: includes requests in flight across the edit,"
+        f" {SPANNING_WORK_MILLISECONDS:.0f} ms of work each)",
         "",
         format_verdicts(result.verdicts),
         *[f"problem: {problem}" for problem in result.problems()],
@@ -216,23 +219,23 @@
 def _outcome_table(result: DemoResult) -> str:
     rows = []
     for phase in Phase:
-        told = list(result.told(phase))
-        counts = Counter(line.outcome for line in told)
-        latency = distribution_of(line.latency * 1000 for line in told)
+        results = list(result.results(phase))
+        counts = Counter(line.outcome for line in results)
+        latency = distribution_of(line.latency * 1000 for line in results)
         rows.append(
             [
                 phase,
-                len(told),
-                sum(map(is_correct_response, told)),
+                len(results),
+                sum(map(is_correct_response, results)),
                 counts[CallOutcome.NOT_RUN],
                 counts[CallOutcome.UNKNOWN],
-                sum(counts[outcome] for outcome in _BROKEN),
+                sum(counts[outcome] for outcome in _BROKEN_OUTCOMES),
                 f"{latency.p50:.1f}",
                 f"{latency.p99:.1f}",
             ]
         )
-    header = ("phase", "requests", "whole", "not run", "unknown", "broken", "p50 ms", "p99 ms")
+    header = ("phase", "requests", "correct", "not run", "unknown", "broken", "p50 ms", "p99 ms")
     return format_table(header, rows)
 
 
-_BROKEN = (CallOutcome.NOT_CONNECTED, CallOutcome.CUT, CallOutcome.TIMED_OUT)
+_BROKEN_OUTCOMES = (CallOutcome.NOT_CONNECTED, CallOutcome.CUT, CallOutcome.TIMED_OUT)
--- a/src/pewtertack/lab/deployments.py
+++ b/src/pewtertack/lab/deployments.py
@@ -1,4 +1,4 @@
-"""The two deployments of today, as shapes of a fleet. Trees are read from ``examples``."""
+"""Fleet shapes of the two existing deployments; their trees are read from ``examples``."""
 
 from __future__ import annotations
 
@@ -15,14 +15,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """Places and services of one deployment."""
+    """The zones, services and timing profile of one deployment.
+
+    ``services`` maps each service to its number of back ends.
+    """
 
     name: str
     zones: tuple[str, ...]
     services: Mapping[str, int]
     profile: str
     zone_delay: float
-    """One-way delay between zones in seconds."""
+    """The one-way delay between zones, in seconds."""
 
 
 DEPLOYMENTS = {
@@ -48,7 +51,7 @@
     """Read a tree from a TOML or JSON file.
 
     Raises:
-        LabUsageError: the file is missing or is neither.
+        LabUsageError: the file cannot be read or is not valid TOML or JSON.
     """
     try:
         text = path.read_text()
@@ -56,19 +59,19 @@
     except (OSError, ValueError) as error:
         raise LabUsageError(f"{path}: {error}") from error
     if not isinstance(tree, dict):
-        raise LabUsageError(f"{path}: not an object")
+        raise LabUsageError(f"{path}: the tree is not a JSON object")
     return tree
 
 
 def shape_of(name: str, examples: Path = EXAMPLES, nodes_per_zone: int = 2) -> FleetShape:
-    """Return the fleet of a deployment.
+    """Return the fleet shape of the deployment ``name``.
 
     Raises:
-        LabUsageError: there is no such deployment, or its tree cannot be read.
+        LabUsageError: the deployment is unknown, or its tree cannot be read.
     """
     deployment = DEPLOYMENTS.get(name)
     if deployment is None:
-        raise LabUsageError(f"no deployment {name!r}; there are {', '.join(DEPLOYMENTS)}")
+        raise LabUsageError(f"unknown deployment {name!r}; accepted: {', '.join(DEPLOYMENTS)}")
     return FleetShape(
         zones=deployment.zones,
         services=deployment.services,
--- a/src/pewtertack/lab/disabled_mechanisms.py
+++ b/src/pewtertack/lab/disabled_mechanisms.py
@@ -1,6 +1,6 @@
-"""Nodes with one mechanism switched off, to show that a scenario notices its absence.
+"""Disables single mechanisms of a node, to show that a scenario detects the loss of each.
 
-Such a node runs the same program; one part of it is replaced at its start.
+The node runs the same program; one function, property or constant is replaced at its start.
 """
 
 from __future__ import annotations
@@ -36,45 +36,47 @@
 from pewtertack.routing.outcomes import Outcome, RequestFailedError
 from pewtertack.routing.retries import AttemptRecord, RetryReason
 
-AnswerReader = Callable[[RawHeaders, EdgeHeaders], ResponseMeta]
-BreakReader = Callable[[BackendConnection, ExchangeBrokenError], RequestFailedError]
+ResponseMetaReader = Callable[[RawHeaders, EdgeHeaders], ResponseMeta]
+BrokenExchangeHandler = Callable[[BackendConnection, ExchangeBrokenError], RequestFailedError]
 RetryRule = Callable[[AttemptRecord, RequestFailedError, float], RetryReason]
-MachinesUser = Callable[[ProxyApplication, MachineList], None]
+MachinesApplier = Callable[[ProxyApplication, MachineList], None]
 
-ConfigurationUser = Callable[[Any, ResolvedConfiguration], None]
+ConfigurationApplier = Callable[[Any, ResolvedConfiguration], None]
 
 SHORT_RESPONSE_TIMEOUT_SECONDS = 1.0
 
 CORE_MECHANISMS = tuple(field.name for field in msgspec.structs.fields(Mechanisms))
 
 
-def _switch_off_in_core(name: str) -> None:
+def _disable_core_mechanism(name: str) -> None:
     for key, timing in tuple(profile.PROFILES.items()):
         mechanisms = msgspec.structs.replace(timing.mechanisms, **{name: False})
         profile.PROFILES[key] = msgspec.structs.replace(timing, mechanisms=mechanisms)
 
 
-def _wrap(owner: object, name: str, wrapper: Callable[[Any], Callable[..., Any]]) -> None:
-    """Replace the function ``name`` of a module or class by what ``wrapper`` makes of it."""
+def _replace_function(
+    owner: object, name: str, wrapper: Callable[[Any], Callable[..., Any]]
+) -> None:
+    """Replace the function ``name`` of a module or class with the result of ``wrapper``."""
     setattr(owner, name, wrapper(getattr(owner, name)))
 
 
-def _accept_crossed_answers() -> None:
-    """Pass an answer on without a look at the request that it belongs to."""
+def _skip_request_id_check() -> None:
+    """Forward responses without checking which request they belong to."""
 
-    def wrapper(read_response_meta: AnswerReader) -> AnswerReader:
+    def wrapper(read_response_meta: ResponseMetaReader) -> ResponseMetaReader:
         def read_without_id(headers: RawHeaders, edge: EdgeHeaders = DEFAULT_EDGE) -> ResponseMeta:
-            answer = read_response_meta(headers, edge)
-            answer.request_id = None
-            return answer
+            response_meta = read_response_meta(headers, edge)
+            response_meta.request_id = None
+            return response_meta
 
         return read_without_id
 
-    _wrap(exchange, "read_response_meta", wrapper)
+    _replace_function(exchange, "read_response_meta", wrapper)
 
 
-def _retry_whatever_may_have_run() -> None:
-    """Repeat attempts of unknown outcome of any request."""
+def _retry_any_route() -> None:
+    """Retry attempts of unknown outcome also on routes that are not repeatable."""
 
     def wrapper(judge_retry: RetryRule) -> RetryRule:
         def judge_as_repeatable(
@@ -85,13 +87,13 @@
 
         return judge_as_repeatable
 
-    _wrap(dispatcher, "judge_retry", wrapper)
+    _replace_function(dispatcher, "judge_retry", wrapper)
 
 
-def _call_broken_exchanges_not_run() -> None:
-    """Tell callers "not run" of every exchange that broke."""
+def _report_broken_exchanges_as_not_run() -> None:
+    """Report every broken exchange to the caller as not run."""
 
-    def wrapper(failure: BreakReader) -> BreakReader:
+    def wrapper(failure: BrokenExchangeHandler) -> BrokenExchangeHandler:
         def fail_as_not_run(
             connection: BackendConnection, broken: ExchangeBrokenError
         ) -> RequestFailedError:
@@ -99,194 +101,197 @@
 
         return fail_as_not_run
 
-    _wrap(exchange, "_broken_exchange_error", wrapper)
+    _replace_function(exchange, "_broken_exchange_error", wrapper)
 
 
 def _ignore_leaving() -> None:
-    """Give work to back ends that say, or are listed, as leaving."""
+    """Send requests to back ends that announce, or are listed as, leaving."""
 
-    def wrap_reader(read_response_meta: AnswerReader) -> AnswerReader:
+    def wrap_reader(read_response_meta: ResponseMetaReader) -> ResponseMetaReader:
         def read_as_staying(headers: RawHeaders, edge: EdgeHeaders = DEFAULT_EDGE) -> ResponseMeta:
-            answer = read_response_meta(headers, edge)
-            answer.leaving = False
-            return answer
+            response_meta = read_response_meta(headers, edge)
+            response_meta.leaving = False
+            return response_meta
 
         return read_as_staying
 
-    def wrap_use(use_machines: MachinesUser) -> MachinesUser:
+    def wrap_use_machines(use_machines: MachinesApplier) -> MachinesApplier:
         def use_all_as_live(proxy: ProxyApplication, machines: MachineList) -> None:
-            live = tuple(_as_live(machine) for machine in machines.machines)
-            use_machines(proxy, MachineList(machines.number, live))
+            live_machines = tuple(_as_live(machine) for machine in machines.machines)
+            use_machines(proxy, MachineList(machines.number, live_machines))
 
         return use_all_as_live
 
-    _wrap(exchange, "read_response_meta", wrap_reader)
-    _wrap(ProxyApplication, "use_machines", wrap_use)
+    _replace_function(exchange, "read_response_meta", wrap_reader)
+    _replace_function(ProxyApplication, "use_machines", wrap_use_machines)
 
 
 def _as_live(machine: Machine) -> Machine:
     return msgspec.structs.replace(machine, state=MachineState.LIVE)
 
 
-def _keep_leaving_to_itself() -> None:
-    """Tell no peer of a back end that says that it leaves."""
+def _skip_leaving_notices() -> None:
+    """Do not notify peers of back ends that announce that they are leaving."""
 
     def wrapper(_: object) -> Callable[[ProxyApplication, object], None]:
         return lambda proxy, observer: None
 
-    _wrap(ProxyApplication, "set_leaving_observer", wrapper)
+    _replace_function(ProxyApplication, "set_leaving_observer", wrapper)
 
 
 def _stop_without_draining() -> None:
-    """End a planned stop without a wait for what is in flight."""
+    """Exit at a graceful shutdown without waiting for requests in flight."""
 
     def wrapper(_: object) -> Callable[[ProxyApplication], Awaitable[None]]:
-        async def end_at_once(proxy: ProxyApplication) -> None:
+        async def exit_immediately(proxy: ProxyApplication) -> None:
             os._exit(0)
 
-        return end_at_once
+        return exit_immediately
 
-    _wrap(ProxyApplication, "wait_drained", wrapper)
+    _replace_function(ProxyApplication, "wait_drained", wrapper)
 
 
-def _leave_waiting_requests() -> None:
-    """Hand back and answer nothing when the time to stop is over."""
+def _skip_withdrawal_at_shutdown() -> None:
+    """Neither hand back nor answer pending requests when the time for the shutdown is over."""
 
-    def withdraw_nothing(_: object) -> Callable[[DrainableProxy], Awaitable[None]]:
-        async def withdraw(application: DrainableProxy) -> None:
+    def make_withdraw(_: object) -> Callable[[DrainableProxy], Awaitable[None]]:
+        async def skip_withdrawal(application: DrainableProxy) -> None:
             return None
 
-        return withdraw
+        return skip_withdrawal
 
-    def stop_nothing(_: object) -> Callable[[DrainableProxy], None]:
+    def make_noop(_: object) -> Callable[[DrainableProxy], None]:
         return lambda application: None
 
     for owner in (ProxyApplication, GatewayApplication):
-        _wrap(owner, "withdraw_waiting", withdraw_nothing)
-        _wrap(owner, "flush_responses", stop_nothing)
-        _wrap(owner, "stop_requests", stop_nothing)
+        _replace_function(owner, "withdraw_waiting", make_withdraw)
+        _replace_function(owner, "flush_responses", make_noop)
+        _replace_function(owner, "stop_requests", make_noop)
 
 
-def _keep_stops_to_itself() -> None:
-    """Tell no gateway until when a stopping node carries answers, of new requests or old."""
+def _skip_shutdown_announcements() -> None:
+    """Do not tell gateways how long a node that shuts down relays responses.
 
-    def begin_nothing(_: object) -> Callable[[ShutdownDeadline, float], None]:
-        return lambda stop, ends_at: None
+    This holds for new requests and for those in flight.
+    """
+
+    def make_begin(_: object) -> Callable[[ShutdownDeadline, float], None]:
+        return lambda deadline, ends_at: None
 
-    def announce_nothing(_: object) -> Callable[[ProxyApplication], Awaitable[None]]:
-        async def announce(proxy: ProxyApplication) -> None:
+    def make_announce(_: object) -> Callable[[ProxyApplication], Awaitable[None]]:
+        async def skip_announcement(proxy: ProxyApplication) -> None:
             return None
 
-        return announce
+        return skip_announcement
 
-    _wrap(ShutdownDeadline, "begin", begin_nothing)
-    _wrap(ProxyApplication, "announce_stop", announce_nothing)
+    _replace_function(ShutdownDeadline, "begin", make_begin)
+    _replace_function(ProxyApplication, "announce_stop", make_announce)
 
 
-def _forget_crashes() -> None:
-    """Note no end of a back end under a request."""
+def _skip_crash_ledger() -> None:
+    """Record no crashes of back ends that execute a request."""
 
     def wrapper(_: object) -> Callable[[CrashLedger, bytes, int, float], bool]:
         return lambda ledger, fingerprint, number, at: False
 
-    _wrap(CrashLedger, "record_crash", wrapper)
+    _replace_function(CrashLedger, "record_crash", wrapper)
 
 
 def _ignore_evacuations() -> None:
-    """Send and admit requests whatever zones are evacuated."""
+    """Send and admit requests as if no zones were evacuated."""
 
-    def wrapper(use: ConfigurationUser) -> ConfigurationUser:
+    def wrapper(use: ConfigurationApplier) -> ConfigurationApplier:
         def use_all_zones(application: Any, configuration: ResolvedConfiguration) -> None:
             use(application, msgspec.structs.replace(configuration, evacuated=frozenset()))
 
         return use_all_zones
 
     for owner in (ProxyApplication, GatewayApplication):
-        _wrap(owner, "use_configuration", wrapper)
+        _replace_function(owner, "use_configuration", wrapper)
 
 
 def _ignore_eras() -> None:
-    """Read on over a return of the source as if its revisions never went back."""
+    """Ignore the era in answers, as if revisions never decreased by a restore of the source."""
 
-    def take_nothing(_: object) -> Callable[..., None]:
-        return lambda era, now, value, sent_in, fresh: None
+    def make_update(_: object) -> Callable[..., None]:
+        return lambda era, now, value, sent_in, new_connection: None
 
-    _wrap(SourceEra, "update", take_nothing)
+    _replace_function(SourceEra, "update", make_update)
 
 
-def _hold_nothing_after_returns() -> None:
-    """Believe the first list of a new era at once."""
+def _skip_hold_after_restore() -> None:
+    """Use the first machine list of a new era without the hold time."""
 
-    def wrapper(start: Callable[..., None]) -> Callable[..., None]:
-        return lambda returned, seconds, *others: start(returned, 0.0, *others)
+    def wrapper(init: Callable[..., None]) -> Callable[..., None]:
+        return lambda overrides, hold_seconds, *others: init(overrides, 0.0, *others)
 
-    _wrap(MachineListOverrides, "__init__", wrapper)
+    _replace_function(MachineListOverrides, "__init__", wrapper)
 
 
-def _drop_what_was_read_behind() -> None:
-    """End a connection behind an answer though more requests were read."""
+def _close_with_pipelined_requests() -> None:
+    """Close a connection after a response although requests that have not started follow."""
 
-    def is_next_begun(pipeline: Pipeline[Any]) -> bool:
+    def is_next_started(pipeline: Pipeline[Any]) -> bool:
         return len(pipeline.requests) > 1 and pipeline.requests[1].started
 
-    setattr(Pipeline, "has_following", property(is_next_begun))  # noqa: B010 (a property is replaced)
+    setattr(Pipeline, "has_following", property(is_next_started))  # noqa: B010 (a property is replaced)
 
 
-def _read_one_at_a_time() -> None:
-    """Open no read of a document while another is unanswered, however slow the source is."""
+def _disable_overlapping_reads() -> None:
+    """Start no read of a document while another is unanswered, however slow the source is."""
     for key, timing in tuple(profile.PROFILES.items()):
         profile.PROFILES[key] = msgspec.structs.replace(timing, read_patience=0.0)
 
 
-def _begin_reads_together() -> None:
-    """Hold the read after a change as long as any other."""
+def _disable_read_spreading() -> None:
+    """Give the read after a change the same wait as any other."""
     setattr(reader, "MIN_WAIT_SHARE", 1.0)  # noqa: B010 (a constant is replaced)
 
 
-def _give_up_slow_answers() -> None:
-    """Give up an answer of the store after a second."""
+def _time_out_slow_responses() -> None:
+    """Time out when a response of the store does not start within a second."""
     setattr(store, "RESPONSE_HEAD_TIMEOUT_SECONDS", SHORT_RESPONSE_TIMEOUT_SECONDS)  # noqa: B010 (a constant is replaced)
 
 
 REQUEST_MECHANISMS: Mapping[str, Callable[[], None]] = {
-    "answer_identity": _accept_crossed_answers,
-    "retry_proof": _retry_whatever_may_have_run,
-    "refusal_truth": _call_broken_exchanges_not_run,
+    "answer_identity": _skip_request_id_check,
+    "retry_proof": _retry_any_route,
+    "refusal_truth": _report_broken_exchanges_as_not_run,
     "leaving": _ignore_leaving,
-    "leaving_notices": _keep_leaving_to_itself,
+    "leaving_notices": _skip_leaving_notices,
     "drain": _stop_without_draining,
-    "stop_announcements": _keep_stops_to_itself,
-    "stop_answers": _leave_waiting_requests,
-    "pipelined_stop_answers": _drop_what_was_read_behind,
-    "crash_ledger": _forget_crashes,
+    "stop_announcements": _skip_shutdown_announcements,
+    "stop_answers": _skip_withdrawal_at_shutdown,
+    "pipelined_stop_answers": _close_with_pipelined_requests,
+    "crash_ledger": _skip_crash_ledger,
     "evacuation": _ignore_evacuations,
     "eras": _ignore_eras,
-    "hold_after_return": _hold_nothing_after_returns,
-    "overlapping_reads": _read_one_at_a_time,
-    "slow_answers": _give_up_slow_answers,
-    "spread_reads": _begin_reads_together,
+    "hold_after_return": _skip_hold_after_restore,
+    "overlapping_reads": _disable_overlapping_reads,
+    "slow_answers": _time_out_slow_responses,
+    "spread_reads": _disable_read_spreading,
 }
 MECHANISMS: Sequence[str] = (*CORE_MECHANISMS, *REQUEST_MECHANISMS)
 
 
 def check_mechanism(name: str) -> None:
-    """Accept the name of a mechanism.
+    """Check that a mechanism called ``name`` exists.
 
     Raises:
-        LabUsageError: there is none of this name.
+        LabUsageError: the name is unknown.
     """
     if name not in MECHANISMS:
-        raise LabUsageError(f"no mechanism {name!r}; there are {', '.join(MECHANISMS)}")
+        raise LabUsageError(f"unknown mechanism {name!r}; accepted: {', '.join(MECHANISMS)}")
 
 
 def disable_mechanism(name: str) -> None:
-    """Switch one mechanism off in this process, before its node is put together.
+    """Disable one mechanism in this process; call this before the node is assembled.
 
     Raises:
-        LabUsageError: there is no such mechanism.
+        LabUsageError: the mechanism is unknown.
     """
     check_mechanism(name)
     if name in REQUEST_MECHANISMS:
         REQUEST_MECHANISMS[name]()
     else:
-        _switch_off_in_core(name)
+        _disable_core_mechanism(name)
--- a/src/pewtertack/lab/history/__init__.py
+++ b/src/pewtertack/lab/history/__init__.py
@@ -1,1 +1,1 @@
-"""Reading, judging and writing the histories of concurrent runs."""
+"""Checks of the history of a run against the guarantees of the system."""
--- a/src/pewtertack/lab/history/acceptance_checks.py
+++ b/src/pewtertack/lab/history/acceptance_checks.py
@@ -1,9 +1,10 @@
-"""Checks of the whole fleet: accepted revisions get everywhere and stay.
+"""Checks that accepted revisions come into force on all nodes and stay in force.
 
-A revision counts as accepted from the moment when the first proxy serves by it.
-A process owes a revision once it had one undisturbed stretch of the bound:
-running, not paused, its zone not cut from any other, and a majority of the
-members running, because a node that starts without one has nobody to ask.
+A revision counts as accepted from the time at which it is in force on the first proxy. A
+process must have it in force after one undisturbed interval as long as the bound. During
+such an interval the process runs and is not paused, its zone is not cut off from any other,
+and a majority of the members runs: a node that starts without a majority has no peers from
+which it could learn the revision.
 """
 
 from __future__ import annotations
@@ -16,18 +17,18 @@
 
 
 def check_in_force_everywhere(timeline: Timeline, bounds: CheckBounds) -> Verdict:
-    """Accepted revisions, and valid edits, are in force on every process that owes them."""
+    """Check that accepted revisions and valid edits come into force on time on all nodes."""
     accepted = _deadlines_of_accepted(timeline, bounds)
     edited = _deadlines_of_edits(timeline, bounds)
     judged = 0
-    offences: list[Violation] = []
+    violations: list[Violation] = []
     for incarnation, number, deadline in (*accepted, *edited):
         judged += 1
-        has = incarnation.number_at(deadline)
-        if has < number:
-            message = f"revision {has} in force where {number} is due"
-            offences.append(Violation(deadline, incarnation.node, message))
-    return judge(Guarantee.IN_FORCE_EVERYWHERE, judged, offences)
+        actual = incarnation.number_at(deadline)
+        if actual < number:
+            message = f"revision {actual} in force at the deadline of revision {number}"
+            violations.append(Violation(deadline, incarnation.node, message))
+    return judge(Guarantee.IN_FORCE_EVERYWHERE, judged, violations)
 
 
 def _deadlines_of_accepted(
@@ -41,7 +42,9 @@
                 *timeline.cuts_around(incarnation.zone),
                 *no_majority,
             ]
-            start = _undisturbed(accepted_at, incarnation, disturbances, bounds.convergence)
+            start = _find_undisturbed_start(
+                accepted_at, incarnation, disturbances, bounds.convergence
+            )
             if start + bounds.convergence <= timeline.end:
                 yield incarnation, number, start + bounds.convergence
 
@@ -53,9 +56,9 @@
     digests = timeline.edited_digests()
     for edit in timeline.edits:
         if not edit.valid or len(digests[edit.revision]) > 1:
-            continue  # two trees under one number: a newer number ends the conflict
+            continue  # the source forked; only an edit with a newer number resolves the conflict
         for incarnation in timeline.incarnations:
-            start = _undisturbed(edit.time, incarnation, disturbances, bounds.recovery)
+            start = _find_undisturbed_start(edit.time, incarnation, disturbances, bounds.recovery)
             if start + bounds.recovery <= timeline.end:
                 yield incarnation, edit.revision, start + bounds.recovery
 
@@ -71,12 +74,12 @@
             yield Interval(incarnation.span.end, incarnation.span.end)
 
 
-def _undisturbed(
+def _find_undisturbed_start(
     earliest: float, incarnation: Incarnation, disturbances: Iterable[Interval], length: float
 ) -> float:
-    """Return when the first undisturbed stretch of ``length`` within ``life`` begins.
+    """Return the start of the first undisturbed interval of ``length`` seconds.
 
-    Infinite when the life ends before such a stretch.
+    Infinite if the incarnation ends before such an interval does.
     """
     start = max(earliest, incarnation.span.start)
     for span in sorted(disturbances, key=lambda item: item.start):
@@ -86,28 +89,28 @@
 
 
 def check_never_reverted(timeline: Timeline, bounds: CheckBounds) -> Verdict:
-    """No process begins to serve, or wakes and serves, by less than was accepted before.
+    """Check that no process starts or resumes serving with a revision older than accepted ones.
 
-    The bound is how long a revision may be in force elsewhere before a process
-    that begins to serve must have it.
+    A process that starts serving must have each revision that has been in force on another
+    node for ``bounds.convergence`` seconds.
     """
     accepted = sorted(timeline.first_in_force().items(), key=lambda item: item[1])
     judged = 0
-    offences: list[Violation] = []
-    for incarnation, start in _beginnings(timeline, bounds):
-        due = _newest_before(accepted, start.known_since - bounds.convergence)
+    violations: list[Violation] = []
+    for incarnation, checkpoint in _serving_checkpoints(timeline, bounds):
+        due = _newest_accepted(accepted, checkpoint.known_since - bounds.convergence)
         judged += 1
-        if start.number < due:
-            message = f"serves by revision {start.number} though {due} was accepted"
-            offences.append(Violation(start.time, incarnation.node, message))
-    return judge(Guarantee.NEVER_REVERTED, judged, offences)
+        if checkpoint.number < due:
+            message = f"serves revision {checkpoint.number} although revision {due} was accepted"
+            violations.append(Violation(checkpoint.time, incarnation.node, message))
+    return judge(Guarantee.NEVER_REVERTED, judged, violations)
 
 
 @dataclass(frozen=True, slots=True)
-class _Beginning:
-    """A moment at which a process serves by ``number`` and should know what is in force.
+class _ServingCheckpoint:
+    """A time at which a process serves revision ``number`` and must know newer accepted ones.
 
-    ``known_since`` is when it could first ask; both times are in seconds.
+    ``known_since`` is the earliest time at which it could learn of them; both are in seconds.
     """
 
     time: float
@@ -115,26 +118,30 @@
     number: int
 
 
-def _beginnings(
+def _serving_checkpoints(
     timeline: Timeline, bounds: CheckBounds
-) -> Iterator[tuple[Incarnation, _Beginning]]:
+) -> Iterator[tuple[Incarnation, _ServingCheckpoint]]:
     for incarnation in timeline.incarnations:
-        starts = [_Beginning(span.start, span.start, span.number) for span in incarnation.serving]
-        starts += _wakings(incarnation, bounds)
+        checkpoints = [
+            _ServingCheckpoint(span.start, span.start, span.number) for span in incarnation.serving
+        ]
+        checkpoints += _checkpoints_after_pauses(incarnation, bounds)
         cuts = timeline.cuts_around(incarnation.zone)
-        for start in starts:
-            earliest = start.known_since - bounds.convergence
-            if not any(span.overlaps(earliest, start.time) for span in cuts):
-                yield incarnation, start
+        for checkpoint in checkpoints:
+            earliest = checkpoint.known_since - bounds.convergence
+            if not any(span.overlaps(earliest, checkpoint.time) for span in cuts):
+                yield incarnation, checkpoint
 
 
-def _wakings(incarnation: Incarnation, bounds: CheckBounds) -> Iterator[_Beginning]:
-    """Yield the ends of pauses after which the process serves."""
+def _checkpoints_after_pauses(
+    incarnation: Incarnation, bounds: CheckBounds
+) -> Iterator[_ServingCheckpoint]:
+    """Yield a checkpoint for each pause after which the process serves."""
     for pause in incarnation.pauses:
-        moment = pause.end + bounds.wake_grace
-        if incarnation.is_serving_at(moment):
-            yield _Beginning(moment, pause.end, incarnation.number_at(moment))
+        time = pause.end + bounds.wake_grace
+        if incarnation.is_serving_at(time):
+            yield _ServingCheckpoint(time, pause.end, incarnation.number_at(time))
 
 
-def _newest_before(accepted: list[tuple[int, float]], time: float) -> int:
+def _newest_accepted(accepted: list[tuple[int, float]], time: float) -> int:
     return max((number for number, since in accepted if since <= time), default=0)
--- a/src/pewtertack/lab/history/checker.py
+++ b/src/pewtertack/lab/history/checker.py
@@ -1,4 +1,4 @@
-"""Judges a history by every promise, and reads histories from files."""
+"""Checks histories, given as lines or as files, against all guarantees or a group of them."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 
 class HistoryFileError(LabError):
-    """A history file cannot be opened."""
+    """A history file cannot be read."""
 
     code: ClassVar[str] = "history-file"
 
 
 class CheckGroup(StrEnum):
-    """Which promises to judge."""
+    """The group of guarantees to check."""
 
     ALL = "all"
     CONFIGURATION = "configuration"
@@ -38,7 +38,7 @@
 
 
 class UnknownGroupError(LabError):
-    """There is no group of promises of this name."""
+    """No group of guarantees has the given name."""
 
     code: ClassVar[str] = "unknown-promises"
 
@@ -78,7 +78,7 @@
     bounds: CheckBounds = DEFAULT_BOUNDS,
     group: CheckGroup = CheckGroup.ALL,
 ) -> list[Verdict]:
-    """Return one verdict for each promise of ``group``."""
+    """Return one verdict for each guarantee of ``group``."""
     timeline = Timeline(lines)
     return [check(timeline, bounds) for check in CHECKS[group]]
 
@@ -88,11 +88,11 @@
     bounds: CheckBounds = DEFAULT_BOUNDS,
     group: CheckGroup = CheckGroup.ALL,
 ) -> list[Verdict]:
-    """Judge the history that the files hold together.
+    """Check the history whose lines are spread over ``paths``.
 
     Raises:
-        HistoryFileError: a file cannot be opened.
-        HistoryFormatError: a line is no record of a history.
+        HistoryFileError: a file cannot be read.
+        HistoryFormatError: a line is neither a node event nor a lab record.
     """
     lines: list[HistoryLine] = []
     for path in paths:
@@ -104,7 +104,7 @@
 
 
 def all_held(verdicts: Iterable[Verdict]) -> bool:
-    """Tell whether every promise was judged and held."""
+    """Return whether every guarantee was tested and held."""
     return all(verdict.judgement is Judgement.HELD for verdict in verdicts)
 
 
@@ -112,9 +112,11 @@
     """Return the group called ``name``.
 
     Raises:
-        UnknownGroupError: there is none.
+        UnknownGroupError: no group has this name.
     """
     try:
         return CheckGroup(name)
     except ValueError:
-        raise UnknownGroupError(f"{name!r}; there are {', '.join(CheckGroup)}") from None
+        raise UnknownGroupError(
+            f"unknown group of guarantees {name!r}; accepted: {', '.join(CheckGroup)}"
+        ) from None
--- a/src/pewtertack/lab/history/configuration_checks.py
+++ b/src/pewtertack/lab/history/configuration_checks.py
@@ -1,4 +1,4 @@
-"""Checks of single changes: order, completeness, wholeness, validity."""
+"""Checks of each revision that comes into force: order, references, integrity and validity."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 def check_revisions_monotonic(timeline: Timeline, _bounds: CheckBounds) -> Verdict:
-    """No node name ever has an older revision in force than before, in any process."""
+    """Check that revision numbers in force never decrease on a node, also across restarts."""
     events = list(timeline.in_force())
-    return judge(Guarantee.REVISIONS_MONOTONIC, len(events), _steps_back(events))
+    return judge(Guarantee.REVISIONS_MONOTONIC, len(events), _decreases(events))
 
 
-def _steps_back(events: list[RevisionInForce]) -> Iterator[Violation]:
+def _decreases(events: list[RevisionInForce]) -> Iterator[Violation]:
     newest: dict[str, int] = {}
     for event in events:
         before = newest.get(event.node, 0)
@@ -26,13 +26,13 @@
 
 
 def check_routes_complete(timeline: Timeline, _bounds: CheckBounds) -> Verdict:
-    """Every route in force finds its service and its secrets on the same proxy."""
+    """Check that the service and secrets of each route in force exist on the same node."""
     judged = 0
-    offences: list[Violation] = []
+    violations: list[Violation] = []
     for event in timeline.in_force():
         judged += len(event.routes)
-        offences += _incomplete_routes(event)
-    return judge(Guarantee.ROUTES_COMPLETE, judged, offences)
+        violations += _incomplete_routes(event)
+    return judge(Guarantee.ROUTES_COMPLETE, judged, violations)
 
 
 def _incomplete_routes(event: RevisionInForce) -> Iterator[Violation]:
@@ -46,28 +46,28 @@
 
 
 def check_revisions_intact(timeline: Timeline, _bounds: CheckBounds) -> Verdict:
-    """What is in force is a whole edit, the same under one number everywhere."""
+    """Check that each revision in force equals an edit, with one digest per number."""
     edited = timeline.edited_digests()
     first: dict[int, str] = {}
     judged = 0
-    offences: list[Violation] = []
+    violations: list[Violation] = []
     for event in timeline.in_force():
         judged += 1
         if event.digest not in edited.get(event.revision, ()):
             message = f"revision {event.revision} with digest {event.digest} was never edited"
-            offences.append(Violation(event.time, event.node, message))
+            violations.append(Violation(event.time, event.node, message))
         elif first.setdefault(event.revision, event.digest) != event.digest:
-            message = f"revision {event.revision} is in force elsewhere with another digest"
-            offences.append(Violation(event.time, event.node, message))
-    return judge(Guarantee.REVISIONS_INTACT, judged, offences)
+            message = f"revision {event.revision} is in force with two different digests"
+            violations.append(Violation(event.time, event.node, message))
+    return judge(Guarantee.REVISIONS_INTACT, judged, violations)
 
 
 def check_rejected_never_in_force(timeline: Timeline, _bounds: CheckBounds) -> Verdict:
-    """No invalid revision is ever in force. Judged are the invalid edits."""
+    """Check that no invalid revision comes into force; the invalid edits are counted as judged."""
     invalid = {edit.revision for edit in timeline.edits if not edit.valid}
-    offences = (
+    violations = (
         Violation(event.time, event.node, f"invalid revision {event.revision} in force")
         for event in timeline.in_force()
         if event.revision in invalid
     )
-    return judge(Guarantee.REJECTED_NEVER_IN_FORCE, len(invalid), offences)
+    return judge(Guarantee.REJECTED_NEVER_IN_FORCE, len(invalid), violations)
--- a/src/pewtertack/lab/history/crash_checks.py
+++ b/src/pewtertack/lab/history/crash_checks.py
@@ -1,4 +1,4 @@
-"""Checks of requests that end the back ends that run them."""
+"""Checks of requests that crash the back ends that execute them."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 from pewtertack.lab.records import ExecutionEnd, ExecutionResult
 
 CRASHING_REQUEST_PREFIX = "ending-"
-"""Begins the ids of such requests: ``ending-<which>-<attempt>``."""
-ON_THEIR_WAY = 3
-"""Attempts that may have been under way when a request came to its limit."""
+"""The prefix of the ids of such requests: ``ending-<request>-<attempt>``."""
+MAX_CONCURRENT_ATTEMPTS = 3
+"""The number of attempts that may be in progress when a request reaches its crash limit."""
 
 
 def check_crashing_requests_limited(timeline: Timeline, _bounds: CheckBounds) -> Verdict:
-    """No request ends many more back ends than its route allows, wherever it comes again."""
-    ends: defaultdict[str, list[ExecutionEnd]] = defaultdict(list)
+    """Check that no request crashes more back ends than the limit and attempts in progress."""
+    crashes: defaultdict[str, list[ExecutionEnd]] = defaultdict(list)
     for line in timeline.lines:
-        if _ended(line):
-            ends[line.request_id.rpartition("-")[0]].append(line)
-    most = DEFAULT_CRASH_LIMIT + ON_THEIR_WAY
-    offences = [
-        Violation(found[most].time, name, f"{len(found)} back ends ended, {most} may")
-        for name, found in ends.items()
-        if len(found) > most
+        if _is_counted_crash(line):
+            crashes[line.request_id.rpartition("-")[0]].append(line)
+    maximum = DEFAULT_CRASH_LIMIT + MAX_CONCURRENT_ATTEMPTS
+    violations = [
+        Violation(ends[maximum].time, name, f"{len(ends)} back ends crashed, {maximum} allowed")
+        for name, ends in crashes.items()
+        if len(ends) > maximum
     ]
-    return judge(Guarantee.CRASHING_REQUESTS_LIMITED, len(ends), offences)
+    return judge(Guarantee.CRASHING_REQUESTS_LIMITED, len(crashes), violations)
 
 
-def _ended(line: object) -> TypeGuard[ExecutionEnd]:
+def _is_counted_crash(line: object) -> TypeGuard[ExecutionEnd]:
     return (
         isinstance(line, ExecutionEnd)
         and line.result is ExecutionResult.DIED
--- a/src/pewtertack/lab/history/evacuation_checks.py
+++ b/src/pewtertack/lab/history/evacuation_checks.py
@@ -1,4 +1,4 @@
-"""Checks of zones that operators have evacuated."""
+"""Checks that evacuated zones receive no requests."""
 
 from __future__ import annotations
 
@@ -10,42 +10,46 @@
 
 
 class _Evacuation(msgspec.Struct):
-    """A zone's back ends, the revision that evacuates them and the one that ends it."""
+    """The evacuation of one zone: its first revision and, if it has finished, the one after it."""
 
-    begun: ZoneEvacuated
-    ended: ZoneEvacuationEnded | None = None
+    start: ZoneEvacuated
+    finish: ZoneEvacuationEnded | None = None
 
-    def holds_on(self, incarnation: Incarnation, begin: float, end: float) -> bool:
-        """Tell whether the process ran and served by the evacuation all the while."""
+    def applies_to(self, incarnation: Incarnation, begin: float, end: float) -> bool:
+        """Return whether the process ran with the evacuation in force from ``begin`` to ``end``."""
         if not (incarnation.is_running_at(begin) and incarnation.is_running_at(end)):
             return False
         if any(pause.overlaps(begin, end) for pause in incarnation.pauses):
             return False
         number = incarnation.number_at(end)
-        lasts = self.ended is None or number < self.ended.revision
-        return incarnation.number_at(begin) >= self.begun.revision and lasts
+        lasts = self.finish is None or number < self.finish.revision
+        return incarnation.number_at(begin) >= self.start.revision and lasts
 
 
 def check_evacuated_gets_no_requests(timeline: Timeline, bounds: CheckBounds) -> Verdict:
-    """Where all nodes serve by an evacuation, no request reaches a back end of the zone.
+    """Check that no request reaches an evacuated zone once all nodes have the evacuation in force.
 
-    Judged is what begins anywhere while every node that lives has had the evacuation in force
-    for `CheckBounds.evacuated`; a node that starts or is paused meanwhile is waited for.
+    The executions judged are those that start, on any back end, while all nodes that exist have
+    had the evacuation in force for `CheckBounds.evacuated` seconds. No execution is judged until
+    this also holds for the nodes that started or were paused in the meantime.
     """
     evacuations = _evacuations(timeline)
     judged = 0
-    offences: list[Violation] = []
+    violations: list[Violation] = []
     for line in timeline.lines:
         if not isinstance(line, ExecutionStart):
             continue
         for evacuation in evacuations:
-            if not _holds_everywhere(evacuation, timeline, line.time, bounds.evacuated):
+            if not _applies_everywhere(evacuation, timeline, line.time, bounds.evacuated):
                 continue
             judged += 1
-            if line.backend in evacuation.begun.backends:
-                message = f"request {line.request_id} while {evacuation.begun.zone} is evacuated"
-                offences.append(Violation(line.time, line.backend, message))
-    return judge(Guarantee.EVACUATED_GETS_NO_REQUESTS, judged, offences)
+            if line.backend in evacuation.start.backends:
+                message = (
+                    f"request {line.request_id} started while"
+                    f" zone {evacuation.start.zone} is evacuated"
+                )
+                violations.append(Violation(line.time, line.backend, message))
+    return judge(Guarantee.EVACUATED_GETS_NO_REQUESTS, judged, violations)
 
 
 def _evacuations(timeline: Timeline) -> list[_Evacuation]:
@@ -55,17 +59,17 @@
             found.append(_Evacuation(line))
         elif isinstance(line, ZoneEvacuationEnded):
             for evacuation in found:
-                if evacuation.begun.zone == line.zone and evacuation.ended is None:
-                    evacuation.ended = line
+                if evacuation.start.zone == line.zone and evacuation.finish is None:
+                    evacuation.finish = line
     return found
 
 
-def _holds_everywhere(
+def _applies_everywhere(
     evacuation: _Evacuation, timeline: Timeline, time: float, seconds: float
 ) -> bool:
-    if time < evacuation.begun.time + seconds:
+    if time < evacuation.start.time + seconds:
         return False
-    if evacuation.ended is not None and time >= evacuation.ended.time:
+    if evacuation.finish is not None and time >= evacuation.finish.time:
         return False
     incarnations = [
         incarnation
@@ -73,5 +77,5 @@
         if incarnation.span.overlaps(time - seconds, time)
     ]
     return bool(incarnations) and all(
-        evacuation.holds_on(incarnation, time - seconds, time) for incarnation in incarnations
+        evacuation.applies_to(incarnation, time - seconds, time) for incarnation in incarnations
     )
--- a/src/pewtertack/lab/history/timeline.py
+++ b/src/pewtertack/lab/history/timeline.py
@@ -1,4 +1,4 @@
-"""A history arranged for judging: lives of processes, cuts and source faults."""
+"""An index of a history for the checks: incarnations of nodes, zone cuts and source faults."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 )
 
 NO_FAULT = "none"
-"""The value of ``SourceFault.fault`` that ends a fault."""
+"""The value of ``SourceFault.fault`` that marks the end of a fault."""
 
 STOPS_SERVING = (
     Event.NODE_JOINING.name,
@@ -38,27 +38,30 @@
 
 @dataclass(slots=True)
 class Interval:
-    """A span of time, in seconds; ``end`` is infinite while it lasts."""
+    """A span of time, in seconds; ``end`` is infinite while the interval is open."""
 
     start: float
     end: float = math.inf
 
     def overlaps(self, start: float, end: float) -> bool:
-        """Tell whether the span shares a moment with ``start`` to ``end``."""
+        """Return whether the interval overlaps the closed interval from ``start`` to ``end``."""
         return self.start <= end and self.end >= start
 
 
 @dataclass(slots=True)
 class ServingSpan(Interval):
-    """A span during which a process accepted callers' requests."""
+    """An interval during which a process accepted callers' requests."""
 
     number: int = 0
-    """The revision in force when the span began; later events of that instant do not count."""
+    """The number of the revision in force when the interval began.
+
+    Later events with the same time do not count.
+    """
 
 
 @dataclass(slots=True)
 class Incarnation:
-    """One process of a node, from its start to its kill, stop or the history's end."""
+    """One process of a node, from its start to its kill, its shutdown or the end of the history."""
 
     node: str
     zone: str
@@ -69,21 +72,21 @@
     killed: bool = False
 
     def number_at(self, time: float) -> int:
-        """Return the number of the revision in force at ``time``; 0 for none."""
+        """Return the number of the revision in force at ``time``; 0 if there is none."""
         index = bisect.bisect_right(self.in_force, time, key=lambda event: event.time)
         return self.in_force[index - 1].revision if index else 0
 
     def is_serving_at(self, time: float) -> bool:
-        """Tell whether the process accepted callers' requests at ``time``."""
+        """Return whether the process accepted callers' requests at ``time``."""
         return any(span.start <= time < span.end for span in self.serving)
 
     def is_running_at(self, time: float) -> bool:
-        """Tell whether the process lived and was not paused at ``time``."""
-        incarnations = self.span.start <= time < self.span.end
-        return incarnations and not any(span.start <= time < span.end for span in self.pauses)
+        """Return whether the process existed and was not paused at ``time``."""
+        exists = self.span.start <= time < self.span.end
+        return exists and not any(span.start <= time < span.end for span in self.pauses)
 
     def end(self, time: float) -> None:
-        """Close every span that is open."""
+        """End the incarnation at ``time``, with all its open pauses and serving intervals."""
         self.span.end = min(self.span.end, time)
         for span in (*self.pauses, *self.serving):
             span.end = min(span.end, time)
@@ -91,7 +94,7 @@
 
 @dataclass(slots=True)
 class ZoneCut:
-    """A span during which messages from one zone to another were lost."""
+    """An interval during which messages from one zone to another were dropped."""
 
     from_zone: str
     to_zone: str
@@ -99,7 +102,11 @@
 
 
 class Timeline:
-    """The events of one run, indexed by process. Lines may come in any order."""
+    """The events of one run, indexed by incarnation.
+
+    Args:
+        lines: the lines of the history, in any order.
+    """
 
     def __init__(self, lines: Iterable[HistoryLine]) -> None:
         self.lines = sorted(lines, key=lambda line: line.time)
@@ -108,56 +115,59 @@
         self.source_faults: list[Interval] = []
         self.edits: list[Edit] = []
         self._current: dict[str, Incarnation] = {}
-        self._recorded = {line.node for line in self.lines if isinstance(line, NodeStart)}
+        self._started_nodes = {line.node for line in self.lines if isinstance(line, NodeStart)}
         self._open_faults: dict[str, Interval] = {}
         for line in self.lines:
-            self._take(line)
+            self._add_line(line)
 
     @property
     def end(self) -> float:
-        """The time of the last line."""
+        """The time of the last line; 0 for an empty history."""
         return self.lines[-1].time if self.lines else 0.0
 
     def in_force(self) -> Iterator[RevisionInForce]:
-        """Yield every change of what a proxy serves by, in the order of time."""
+        """Yield the events REVISION_IN_FORCE of all nodes, ordered by time."""
         return (line for line in self.lines if isinstance(line, RevisionInForce))
 
     def first_in_force(self) -> dict[int, float]:
-        """Return when each revision was first in force on any proxy."""
+        """Return the time at which each revision was first in force on any node."""
         first: dict[int, float] = {}
         for event in self.in_force():
             first.setdefault(event.revision, event.time)
         return first
 
     def edited_digests(self) -> dict[int, set[str]]:
-        """Return the digests that the source gave out under each number; two if it forked."""
+        """Return the digests of the edits by revision number.
+
+        A number has two digests if the source forked: it served two trees under that number.
+        """
         digests: dict[int, set[str]] = {}
         for edit in self.edits:
             digests.setdefault(edit.revision, set()).add(edit.digest)
         return digests
 
     def incarnations_of(self, node: str) -> list[Incarnation]:
-        """Return the processes of ``node`` in the order of their starts."""
+        """Return the incarnations of ``node`` ordered by start time."""
         return [incarnation for incarnation in self.incarnations if incarnation.node == node]
 
     def cuts_around(self, zone: str) -> list[Interval]:
-        """Return the spans during which ``zone`` could not talk with every other."""
+        """Return the intervals during which ``zone`` was cut off, in either direction."""
         return [cut.span for cut in self.cuts if zone in (cut.from_zone, cut.to_zone)]
 
     def without_majority(self, forgotten_after: float) -> list[Interval]:
-        """Return the spans during which no majority of the members ran.
+        """Return the intervals during which no majority of the members was running.
 
-        A member is a node that runs, is paused, or died without a replacement
-        less than ``forgotten_after`` seconds ago. Without a majority a node that
-        starts cannot learn what is in force, and refuses callers until it can.
+        A member is a node that runs, is paused, or ended less than ``forgotten_after``
+        seconds ago without a replacement. A node that starts without a majority cannot learn
+        which revision is in force, and refuses callers' requests until it can.
         """
-        moments = {
+        times = {
             time
             for incarnation in self.incarnations
-            for time in _changes_of(incarnation, forgotten_after)
+            for time in _state_changes(incarnation, forgotten_after)
         }
         found: list[Interval] = []
-        for start, end in itertools.pairwise([*sorted(moments), math.inf]):
+        for start, end in itertools.pairwise([*sorted(times), math.inf]):
             members = self._members_at(start, forgotten_after)
             running = sum(1 for incarnation in members.values() if incarnation.is_running_at(start))
             if members and 2 * running <= len(members):
@@ -165,17 +175,17 @@
         return found
 
     def _members_at(self, time: float, forgotten_after: float) -> dict[str, Incarnation]:
-        """Return the newest process of each member."""
+        """Return the latest incarnation of each member at ``time``."""
         return {
             incarnation.node: incarnation
             for incarnation in self.incarnations
             if incarnation.span.start <= time < incarnation.span.end + forgotten_after
         }
 
-    def _take(self, line: HistoryLine) -> None:
+    def _add_line(self, line: HistoryLine) -> None:
         match line:
             case NodeEvent():
-                self._take_node_event(line)
+                self._add_node_event(line)
             case NodeStart():
                 self._start_incarnation(line.node, line.zone, line.time)
             case NodeKill() | NodeExit() | NodeStop():
@@ -187,12 +197,12 @@
             case Edit():
                 self.edits.append(line)
             case Cut() | Heal():
-                self._take_cut(line)
+                self._add_cut(line)
             case SourceFault():
-                self._take_source_fault(line)
+                self._add_source_fault(line)
 
     def _incarnation(self, node: str, time: float) -> Incarnation:
-        """Return the running process of ``node``; one begins if no start was recorded."""
+        """Return the current incarnation of ``node``; create it if no start was recorded."""
         if node not in self._current:
             self._start_incarnation(node, "", time)
         return self._current[node]
@@ -215,13 +225,13 @@
 
     def _resume(self, node: str, time: float) -> None:
         if node not in self._current:
-            return  # the process was asked to stop before it was paused
+            return  # the incarnation ended with SIGTERM, before the pause
         for span in self._current[node].pauses:
             span.end = min(span.end, time)
 
-    def _take_node_event(self, event: NodeEvent) -> None:
-        if event.node not in self._current and event.node in self._recorded:
-            return  # the process drains, or its last lines came after its end
+    def _add_node_event(self, event: NodeEvent) -> None:
+        if event.node not in self._current and event.node in self._started_nodes:
+            return  # the process is draining, or the line was written after its end
         incarnation = self._incarnation(event.node, event.time)
         if isinstance(event, RevisionInForce):
             incarnation.in_force.append(event)
@@ -232,14 +242,14 @@
             for span in incarnation.serving:
                 span.end = min(span.end, event.time)
 
-    def _take_cut(self, line: Cut | Heal) -> None:
+    def _add_cut(self, line: Cut | Heal) -> None:
         if isinstance(line, Cut):
             self.cuts.append(ZoneCut(line.from_zone, line.to_zone, Interval(line.time)))
             return
         for cut in self.cuts:
             cut.span.end = min(cut.span.end, line.time)
 
-    def _take_source_fault(self, line: SourceFault) -> None:
+    def _add_source_fault(self, line: SourceFault) -> None:
         running = self._open_faults.pop(line.service, None)
         if running is not None:
             running.end = line.time
@@ -248,8 +258,8 @@
             self.source_faults.append(self._open_faults[line.service])
 
 
-def _changes_of(incarnation: Incarnation, forgotten_after: float) -> Iterator[float]:
-    """Yield when the process started, ended, was forgotten, was paused and ran on."""
+def _state_changes(incarnation: Incarnation, forgotten_after: float) -> Iterator[float]:
+    """Yield the times at which the process started, ended, was forgotten, paused or resumed."""
     for span in (incarnation.span, *incarnation.pauses):
         yield span.start
         if span.end != math.inf:
--- a/src/pewtertack/lab/history/verdicts.py
+++ b/src/pewtertack/lab/history/verdicts.py
@@ -1,4 +1,4 @@
-"""What a check says of one promise."""
+"""The guarantees that a history is checked against, and the verdicts of the checks."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Guarantee(StrEnum):
-    """The promises that a history is judged by."""
+    """The guarantees that a history is checked against."""
 
     REVISIONS_MONOTONIC = "no-proxy-goes-back"
     ROUTES_COMPLETE = "routes-have-service-and-secrets"
@@ -34,20 +34,20 @@
     HELD = "held"
     VIOLATED = "violated"
     UNTESTED = "too-thin"
-    """Nothing in the history put the promise to the test."""
+    """The history contains no event that tests the guarantee."""
 
 
 class Violation(msgspec.Struct, frozen=True):
-    """One event that breaks a promise. ``time`` is the history's, in seconds."""
+    """One event that violates a guarantee. ``time`` is that of the history, in seconds."""
 
     time: float
     subject: str
-    """Node, request or back end."""
+    """The name of a node or back end, or the id of a request."""
     message: str
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """The result of one check; ``judged`` counts the events that it weighed."""
+    """The result of one check; ``judged`` is the number of events that it examined."""
 
     promise: Guarantee
     judgement: Judgement
@@ -56,28 +56,28 @@
 
 
 class CheckBounds(msgspec.Struct, frozen=True):
-    """How long the fleet may take, in seconds."""
+    """Time limits that the checks allow the fleet, in seconds."""
 
     convergence: float = 12.0
-    """From the first proxy that has a revision in force to the last one."""
+    """From a revision in force on the first proxy to the same on the last one."""
     recovery: float = 60.0
-    """From an edit, or from the last fault after it, to the edit in force everywhere."""
+    """From an edit, or the last fault after it, to the edit in force on all nodes."""
     wake_grace: float = 1.0
-    """How long a resumed process may take to find out that it was paused."""
+    """For a resumed process to detect that it was paused."""
     leaving: float = 5.0
-    """After this long a leaving back end gets no new work."""
+    """From the start of leaving until the back end receives no new requests."""
     evacuated: float = 1.0
-    """What a node had sent when an evacuation came into force there has begun after this long."""
+    """From an evacuation in force on a node to the start of the last request sent before it."""
     unread: float = 0.2
-    """A request sent whole this long before its connection ended has been read."""
+    """A request sent completely this long before its connection ended counts as read."""
     unplanned: float = 1.0
-    """What was sent within this time of a pause of its node is not judged by its cut."""
+    """How long after a pause or kill of a node its effects on exchanges are excused."""
 
 
-def judge(promise: Guarantee, judged: int, offences: Iterable[Violation]) -> Verdict:
-    """Return the verdict that follows from the offences found among ``judged`` events."""
-    found = tuple(offences)
+def judge(guarantee: Guarantee, judged: int, violations: Iterable[Violation]) -> Verdict:
+    """Return the verdict for the violations found among ``judged`` events."""
+    found = tuple(violations)
     if found:
-        return Verdict(promise, Judgement.VIOLATED, judged, found)
+        return Verdict(guarantee, Judgement.VIOLATED, judged, found)
     judgement = Judgement.HELD if judged else Judgement.UNTESTED
-    return Verdict(promise, judgement, judged)
+    return Verdict(guarantee, judgement, judged)
--- a/src/pewtertack/lab/metadata_store/application.py
+++ b/src/pewtertack/lab/metadata_store/application.py
@@ -22,7 +22,7 @@
 STATUS_GONE = 410
 STATUS_AWAY = 503
 ERA_HEADER = "store_era"
-"""As `json_answer` takes it: header names are the same in any case."""
+"""As `json_response` takes it: header names are the same in any case."""
 LOST_ANSWER_SECONDS = 3600.0
 """A lost answer is one that does not come as long as anybody waits."""
 
--- a/src/pewtertack/lab/records.py
+++ b/src/pewtertack/lab/records.py
@@ -1,8 +1,9 @@
 """The history of a run: JSON lines written by the nodes and by the lab.
 
-A line with the key ``event`` comes from a node: one of ``pewtertack.events`` by
-its name. A line with the key ``lab`` is one of the records below, named by its
-tag. ``time`` is the wall clock of the one machine that a run uses, in seconds.
+A line with the key ``event`` comes from a node; its value is the name of an event in
+``pewtertack.events``. A line with the key ``lab`` is one of the records below; its value
+is the record's tag. ``time`` is Unix time in seconds. All processes of a run share one
+machine and thus one clock.
 """
 
 from __future__ import annotations
@@ -17,30 +18,30 @@
 
 
 class HistoryFormatError(LabError):
-    """A line of a history is neither a node's event nor a record of the lab."""
+    """A line of a history is neither a node event nor a lab record."""
 
     code: ClassVar[str] = "history-format"
 
 
 class CallOutcome(StrEnum):
-    """What a caller was told, or what it can conclude, about its request."""
+    """The outcome of a request as its caller sees it."""
 
     ANSWERED = "answered"
-    """The back end's answer arrived, whatever its status, without ``x-outcome``."""
+    """The back end's response arrived, with any status and without ``x-outcome``."""
     NOT_RUN = "not-run"
-    """``x-outcome: not-run``: the back end never began the request."""
+    """``x-outcome: not-run``: no back end started to execute the request."""
     UNKNOWN = "unknown"
-    """``x-outcome: unknown``: the request may or may not have run."""
+    """``x-outcome: unknown``: the request may or may not have been executed."""
     NOT_CONNECTED = "not-connected"
-    """No connection to the node: nothing was sent."""
+    """No connection to the node could be made; nothing was sent."""
     CUT = "cut"
-    """The connection broke after the request was sent, or the answer was truncated."""
+    """The connection broke after the request was sent, or the response was truncated."""
     TIMED_OUT = "timed-out"
-    """The caller gave up waiting."""
+    """The caller's timeout expired."""
 
 
 class ExecutionResult(StrEnum):
-    """How a back end's work on one request ended."""
+    """How a back end's execution of one request ended."""
 
     FINISHED = "finished"
     CANCELLED = "cancelled"
@@ -49,13 +50,16 @@
 
 
 class LabRecord(msgspec.Struct, frozen=True, kw_only=True, tag_field="lab"):
-    """Base of the lab's own records."""
+    """Base class of the records that the lab itself writes."""
 
     time: float
 
 
 class Edit(LabRecord, frozen=True, kw_only=True, tag="edit"):
-    """The source took a tree. ``digest`` is in hex; ``valid`` is the checker's verdict."""
+    """The source accepted a write of a tree.
+
+    ``digest`` is in hexadecimal; ``valid`` tells whether the tree passes validation.
+    """
 
     revision: int
     digest: str
@@ -63,7 +67,10 @@
 
 
 class NodeStart(LabRecord, frozen=True, kw_only=True, tag="node-start"):
-    """The lab started a node's process, the gateway of ``beside``, perhaps as a replacement."""
+    """The lab started a node's process, possibly as a replacement.
+
+    ``beside`` names the local back end, whose gateway the node is.
+    """
 
     node: str
     zone: str
@@ -71,68 +78,71 @@
 
 
 class NodeKill(LabRecord, frozen=True, kw_only=True, tag="node-kill"):
-    """The lab killed a node (SIGKILL)."""
+    """The lab sent SIGKILL to a node."""
 
     node: str
 
 
 class NodePause(LabRecord, frozen=True, kw_only=True, tag="node-pause"):
-    """The lab paused a node (SIGSTOP)."""
+    """The lab paused a node with SIGSTOP."""
 
     node: str
 
 
 class NodeResume(LabRecord, frozen=True, kw_only=True, tag="node-resume"):
-    """The lab let a paused node run on (SIGCONT)."""
+    """The lab resumed a paused node with SIGCONT."""
 
     node: str
 
 
 class NodeStop(LabRecord, frozen=True, kw_only=True, tag="node-stop"):
-    """The lab asked a node to stop by plan (SIGTERM)."""
+    """The lab requested a node's graceful shutdown with SIGTERM."""
 
     node: str
 
 
 class NodeReload(LabRecord, frozen=True, kw_only=True, tag="node-reload"):
-    """The lab asked a node to read its settings again (SIGHUP)."""
+    """The lab made a node reload its settings with SIGHUP."""
 
     node: str
 
 
 class NodeExit(LabRecord, frozen=True, kw_only=True, tag="node-exit"):
-    """A node's process ended; ``code`` is negative for a signal."""
+    """A node's process exited; a negative ``code`` is the number of the signal that ended it."""
 
     node: str
     code: int
 
 
 class Cut(LabRecord, frozen=True, kw_only=True, tag="cut"):
-    """Nothing passes from ``from_zone`` to ``to_zone`` any more (one way)."""
+    """Messages from ``from_zone`` to ``to_zone`` are dropped from now on (one direction)."""
 
     from_zone: str
     to_zone: str
 
 
 class Heal(LabRecord, frozen=True, kw_only=True, tag="heal"):
-    """All links between zones pass again."""
+    """All links between zones deliver messages again."""
 
 
 class SourceFault(LabRecord, frozen=True, kw_only=True, tag="source-fault"):
-    """The source or the machine list (``service``) changed its behaviour."""
+    """A fault of ``service``, the source or the machine list service, began or ended."""
 
     service: str
     fault: str
 
 
 class BackendLeaving(LabRecord, frozen=True, kw_only=True, tag="backend-leaving"):
-    """A back end began to leave: it says so in its answers and the list will show it."""
+    """A back end started to leave.
+
+    It announces this in its responses, and the machine list will show it.
+    """
 
     backend: str
 
 
 class ZoneEvacuated(LabRecord, frozen=True, kw_only=True, tag="zone-evacuated"):
-    """From ``revision`` on, the back ends of a zone are to be sent nothing."""
+    """From ``revision`` on, no requests may be sent to the back ends of a zone."""
 
     zone: str
     backends: tuple[str, ...]
@@ -140,34 +150,34 @@
 
 
 class ZoneEvacuationEnded(LabRecord, frozen=True, kw_only=True, tag="zone-taken-back"):
-    """From ``revision`` on, the back ends of the zone may be sent requests again."""
+    """From ``revision`` on, requests may be sent to the back ends of the zone again."""
 
     zone: str
     revision: int
 
 
 class BackendFault(LabRecord, frozen=True, kw_only=True, tag="backend-fault"):
-    """A back end was made to misbehave; ``backend`` is its name."""
+    """The lab injected a fault into the back end called ``backend``."""
 
     backend: str
     fault: str
 
 
 class BackendLeaveCancelled(LabRecord, frozen=True, kw_only=True, tag="backend-return"):
-    """A back end that was leaving stays after all: it may get new work."""
+    """A leaving back end stays after all; it may receive new requests."""
 
     backend: str
 
 
 class ExecutionStart(LabRecord, frozen=True, kw_only=True, tag="execution-start"):
-    """A back end began to work on a request."""
+    """A back end started to execute a request."""
 
     request_id: str
     backend: str
 
 
 class ExecutionEnd(LabRecord, frozen=True, kw_only=True, tag="execution-end"):
-    """A back end's work on a request ended. Missing when the back end was killed."""
+    """A back end's execution of a request ended. Missing if the back end was killed."""
 
     request_id: str
     backend: str
@@ -175,12 +185,11 @@
 
 
 class CallResult(LabRecord, frozen=True, kw_only=True, tag="told"):
-    """What a caller was told. ``time`` is the end of the exchange.
+    """The result of one call from its caller's view; ``time`` is the end of the exchange.
 
-    ``status`` is 0 without an answer. ``checksum_ok`` says that the whole body
-    arrived with the checksum which the back end gave, ``own_answer`` that it is
-    the body which belongs to ``request_id``; both are true for refusals.
-    ``latency`` and ``retry_after`` are in seconds.
+    ``status`` is 0 if no response arrived. ``checksum_ok`` tells whether the body matches
+    the checksum that the back end sent, ``own_answer`` whether it is the body expected for
+    ``request_id``; both are true for refusals. ``latency`` and ``retry_after`` are in seconds.
     """
 
     request_id: str
@@ -194,13 +203,13 @@
     latency: float
     retry_after: float | None = None
     whole_for: float | None = None
-    """For how long the whole request had been sent when the exchange ended, less the delays
-    of the caller's own process; None when it was not sent whole, or this was not measured."""
+    """Seconds from the request's last byte sent to the end of the exchange, less the delays of
+    the caller's own process; None if it was not sent completely, or this was not measured."""
     begun_for: float | None = None
-    """Seconds since its first byte was handed to the system when the exchange ended; None when
-    nothing of it was sent, or this was not measured."""
+    """Seconds from the request's first byte passed to the operating system to the end of the
+    exchange; None if nothing of it was sent, or this was not measured."""
     broken_off_after: int | None = None
-    """Bytes of the body that had come of an answer that broke off; None for all others."""
+    """Body bytes received of a response that broke off; None for all others."""
 
 
 Record = (
@@ -227,7 +236,7 @@
 
 
 class NodeEvent(msgspec.Struct, frozen=True, kw_only=True):
-    """Any numbered event of a node; fields beyond these depend on the event."""
+    """Any numbered event of a node; its other fields depend on the event."""
 
     time: float
     number: int
@@ -237,14 +246,14 @@
 
 
 class RouteInForce(msgspec.Struct, frozen=True, kw_only=True):
-    """What one route in force needs."""
+    """The service and the secrets that one route in force refers to."""
 
     service: str
     secrets: tuple[str, ...] = ()
 
 
 class RevisionInForce(NodeEvent, frozen=True, kw_only=True):
-    """REVISION_IN_FORCE: the revision, its digest in hex, and what the node serves by."""
+    """REVISION_IN_FORCE: the revision, its hexadecimal digest, and its content on the node."""
 
     revision: int
     digest: str
@@ -258,24 +267,24 @@
 IN_FORCE_EVENT = "REVISION_IN_FORCE"
 
 
-class _Kind(msgspec.Struct):
-    """The keys that tell whose line it is."""
+class _LineKind(msgspec.Struct):
+    """The keys that distinguish node events from lab records."""
 
     event: str | None = None
     lab: str | None = None
 
 
-_kind_decoder = msgspec.json.Decoder(_Kind)
+_kind_decoder = msgspec.json.Decoder(_LineKind)
 _record_decoder: msgspec.json.Decoder[Record] = msgspec.json.Decoder(Record)
 _event_decoder = msgspec.json.Decoder(NodeEvent)
 _in_force_decoder = msgspec.json.Decoder(RevisionInForce)
 
 
 def decode_line(line: bytes | str) -> HistoryLine:
-    """Read one line of a history.
+    """Decode one line of a history.
 
     Raises:
-        HistoryFormatError: the line is no JSON object of the documented shapes.
+        HistoryFormatError: the line is neither a node event nor a lab record.
     """
     try:
         kind = _kind_decoder.decode(line)
@@ -294,9 +303,9 @@
 
 
 def read_history(lines: Iterable[bytes | str]) -> Iterator[HistoryLine]:
-    """Read all lines but empty ones.
+    """Decode the lines lazily, skipping empty ones.
 
     Raises:
-        HistoryFormatError: see `decode_line`.
+        HistoryFormatError: a line is invalid; see `decode_line`.
     """
     return (decode_line(line) for line in lines if line.strip())
--- a/src/pewtertack/lab/serving.py
+++ b/src/pewtertack/lab/serving.py
@@ -1,4 +1,4 @@
-"""HTTP listeners of the stand-ins: uvicorn on an address, which can close and open again."""
+"""HTTP listeners of the stand-in services, based on uvicorn; they can be closed and reopened."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 KEEP_ALIVE_SECONDS = 30
 SHUTDOWN_SECONDS = 1
 BACKLOG = 512
-START_POLL = 0.005
+START_POLL_SECONDS = 0.005
 
 
 class _Server(uvicorn.Server):
-    """A uvicorn server that leaves the process's signals alone."""
+    """A uvicorn server that installs no signal handlers."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
@@ -33,7 +33,7 @@
 
 
 def _protocol_with_limit(limit: int) -> type[HttpToolsProtocol]:
-    """Return an HTTP protocol that aborts connections beyond ``limit``."""
+    """Return an HTTP protocol class that resets connections beyond ``limit``."""
 
     class LimitedProtocol(HttpToolsProtocol):
         def connection_made(self, transport: Any) -> None:
@@ -45,12 +45,12 @@
 
 
 class Listener:
-    """One application on one address.
+    """Serves one application on one address.
 
     Args:
-        application: what answers.
-        address: where to listen; port 0 takes a free one.
-        connection_limit: connections beyond this are reset.
+        application: the ASGI application.
+        address: the address to listen on; port 0 selects a free port.
+        connection_limit: the number of connections beyond which new ones are reset.
     """
 
     def __init__(
@@ -67,29 +67,29 @@
         return self._server is not None
 
     async def open(self, task_group: anyio.abc.TaskGroup) -> None:
-        """Listen, and serve in ``task_group``; returns once connections are accepted.
+        """Start serving in ``task_group``; return once connections are accepted.
 
         Raises:
             LabUsageError: the address cannot be bound.
         """
-        listening = self._bind()
-        self.address = Address(*listening.getsockname()[:2])
+        listener_socket = self._bind()
+        self.address = Address(*listener_socket.getsockname()[:2])
         server = _Server(self._settings())
         self._server = server
-        task_group.start_soon(server.serve, [listening])
+        task_group.start_soon(server.serve, [listener_socket])
         while not server.started:
-            await anyio.sleep(START_POLL)
+            await anyio.sleep(START_POLL_SECONDS)
 
     def _bind(self) -> socket.socket:
-        listening = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
-        listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        listening.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        listener_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
+        listener_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listener_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         try:
-            listening.bind((self.address.host, self.address.port))
+            listener_socket.bind((self.address.host, self.address.port))
         except OSError as error:
-            listening.close()
+            listener_socket.close()
             raise LabUsageError(f"cannot listen on {self.address}: {error}") from error
-        return listening
+        return listener_socket
 
     def _settings(self) -> uvicorn.Config:
         protocol: type[HttpToolsProtocol] | str = "httptools"
@@ -112,35 +112,35 @@
         )
 
     def close(self) -> None:
-        """Refuse new connections and reset all that are open."""
+        """Stop accepting connections and reset all open ones."""
         if self._server is None:
             return
-        for listening in self._server.servers:
-            listening.close()
+        for listener_socket in self._server.servers:
+            listener_socket.close()
         for connection in list(self._server.server_state.connections):
             connection.transport.abort()
         self._server.should_exit = True
         self._server = None
 
     def abort_unanswered(self, path: str) -> int:
-        """Reset the connections on which a request for ``path`` has no answer yet.
+        """Reset the connections on which a request for ``path`` awaits its response.
 
         Returns:
-            How many there were.
+            The number of connections reset.
         """
         if self._server is None:
             return 0
-        waiting = [
+        unanswered = [
             connection
             for connection in self._server.server_state.connections
-            if _is_waiting(connection, path)
+            if _is_unanswered(connection, path)
         ]
-        for connection in waiting:
+        for connection in unanswered:
             connection.transport.abort()
-        return len(waiting)
+        return len(unanswered)
 
 
-def _is_waiting(connection: Any, path: str) -> bool:
+def _is_unanswered(connection: Any, path: str) -> bool:
     cycle = connection.cycle
     if cycle is None or cycle.response_started:
         return False
@@ -148,12 +148,12 @@
 
 
 def print_line(line: bytes) -> None:
-    """Write one line to standard output at once, so that a kill loses none."""
+    """Write one line to standard output and flush it, so that a kill loses no line."""
     sys.stdout.buffer.write(line + b"\n")
     sys.stdout.buffer.flush()
 
 
 def print_ready(**addresses: Address) -> None:
-    """Print the line that tells the fleet that a stand-in is ready."""
+    """Print the line that tells the fleet that this process is ready."""
     named = {name: str(address) for name, address in addresses.items()}
     print_line(msgspec.json.encode({"ready": named}))
