--- a/src/pewtertack/lab/load/__init__.py
+++ b/src/pewtertack/lab/load/__init__.py
@@ -1,1 +1,1 @@
-"""Callers: an open-loop load over the routes of a tree, which records what callers are told."""
+"""Callers: an open-loop load over the routes of a tree that records the result of each call."""
--- a/src/pewtertack/lab/load/caller.py
+++ b/src/pewtertack/lab/load/caller.py
@@ -1,4 +1,4 @@
-"""One caller's exchange with a node, and what it concludes from it."""
+"""A caller's exchange with a node, and the interpretation of its result."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from pewtertack.lab.records import CallOutcome, CallResult
 from pewtertack.settings import Address
 
-CONNECT_SECONDS = 2.0
+CONNECT_TIMEOUT_SECONDS = 2.0
 OUTCOME_HEADER = "x-outcome"
 CONNECTIONS_PER_NODE = 200
 STATUS_OK = 200
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """A node that callers may ask."""
+    """A node that callers send requests to."""
 
     name: str
     proxy: Address
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExchangeResult:
-    """What one exchange came to."""
+    """The result of one exchange."""
 
     outcome: CallOutcome
     status: int = 0
@@ -37,11 +37,11 @@
     own_answer: bool = True
     retry_after: float | None = None
     broken_off_after: int | None = None
-    """Bytes of the answer's body that had come; None where no answer had begun."""
+    """Body bytes received of a response that broke off; None if no response had started."""
 
 
 class Caller:
-    """Asks one node over pooled connections; never repeats a request."""
+    """Sends requests to one node over pooled connections; never retries a request."""
 
     def __init__(self, target: Target) -> None:
         self._target = target
@@ -50,32 +50,34 @@
         )
 
     async def close(self) -> None:
-        """Close the connections."""
+        """Close all connections."""
         await self._pool.aclose()
 
     async def call(self, kind: CallKind, request_id: str) -> CallResult:
-        """Send one request and return what the caller was told."""
-        began = time.monotonic()
-        conclusion = await self._exchange(kind, request_id)
+        """Send one request and return its result."""
+        started_at = time.monotonic()
+        result = await self._exchange(kind, request_id)
         return make_call_result(
-            self._target, kind, request_id, conclusion, time.monotonic() - began
+            self._target, kind, request_id, result, time.monotonic() - started_at
         )
 
     async def _exchange(self, kind: CallKind, request_id: str) -> ExchangeResult:
         try:
-            answer = await self._send(kind, request_id)
+            response = await self._send(kind, request_id)
         except (httpcore.ConnectError, httpcore.ConnectTimeout, httpcore.PoolTimeout):
             return ExchangeResult(CallOutcome.NOT_CONNECTED)
         except httpcore.TimeoutException:
             return ExchangeResult(CallOutcome.TIMED_OUT)
         except (httpcore.NetworkError, httpcore.ProtocolError):
             return ExchangeResult(CallOutcome.CUT)
-        return interpret_response(kind, request_id, answer.status, answer.headers, answer.content)
+        return interpret_response(
+            kind, request_id, response.status, response.headers, response.content
+        )
 
     async def _send(self, kind: CallKind, request_id: str) -> httpcore.Response:
         timeouts = {
-            "connect": CONNECT_SECONDS,
-            "pool": CONNECT_SECONDS,
+            "connect": CONNECT_TIMEOUT_SECONDS,
+            "pool": CONNECT_TIMEOUT_SECONDS,
             "read": kind.client_timeout,
             "write": kind.client_timeout,
         }
@@ -89,7 +91,7 @@
 
 
 def request_headers(kind: CallKind, request_id: str) -> list[tuple[bytes, bytes]]:
-    """Return the headers that tell a back end stand-in what to do."""
+    """Return the headers that tell a stand-in back end how to process the request."""
     return [
         (b"host", kind.host.encode()),
         (b"x-request-id", request_id.encode()),
@@ -103,27 +105,27 @@
     target: Target,
     kind: CallKind,
     request_id: str,
-    conclusion: ExchangeResult,
+    result: ExchangeResult,
     latency: float,
     whole_for: float | None = None,
     begun_for: float | None = None,
 ) -> CallResult:
-    """Return the record of an exchange that ends now."""
+    """Return the record of an exchange that has just ended."""
     return CallResult(
         time=time.time(),
         request_id=request_id,
         node=target.name,
         route=kind.route,
-        status=conclusion.status,
-        outcome=conclusion.outcome,
-        checksum_ok=conclusion.checksum_ok,
-        own_answer=conclusion.own_answer,
+        status=result.status,
+        outcome=result.outcome,
+        checksum_ok=result.checksum_ok,
+        own_answer=result.own_answer,
         repeatable=kind.repeatable,
         latency=latency,
-        retry_after=conclusion.retry_after,
+        retry_after=result.retry_after,
         whole_for=whole_for,
         begun_for=begun_for,
-        broken_off_after=conclusion.broken_off_after,
+        broken_off_after=result.broken_off_after,
     )
 
 
@@ -134,7 +136,7 @@
     raw_headers: Iterable[tuple[bytes, bytes]],
     body: bytes,
 ) -> ExchangeResult:
-    """Return what a whole answer to a request comes to."""
+    """Interpret a complete response to a request."""
     headers = {
         name.decode("latin-1").lower(): value.decode("latin-1") for name, value in raw_headers
     }
--- a/src/pewtertack/lab/load/generator.py
+++ b/src/pewtertack/lab/load/generator.py
@@ -1,4 +1,4 @@
-"""An open-loop load: requests begin at their times, however slow the answers are."""
+"""An open-loop load: requests start at scheduled times, however slow the responses are."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
     """Sends a mix of requests to a set of nodes.
 
     Args:
-        targets: the nodes; each request picks one at random.
+        targets: the nodes; one is chosen at random for each request.
         mix: the kinds of calls, with their weights.
-        rate: requests begun per second.
-        seed: decides the times, the kinds and the nodes.
-        prefix: begins each request's id; unique for the run.
-        record: takes what each caller was told.
+        rate: the mean number of requests started per second.
+        seed: the seed of the random times, kinds and nodes.
+        prefix: the prefix of all request ids; unique within the run.
+        record: called with the result of each call.
     """
 
     def __init__(
@@ -44,33 +44,33 @@
         self._random = random.Random(seed)
         self._prefix = prefix
         self._record = record
-        self._begun = 0
+        self._started_count = 0
 
     async def run(self, seconds: float = math.inf) -> None:
-        """Begin requests for ``seconds`` or until SIGTERM; finish those begun."""
+        """Start requests for ``seconds`` or until SIGTERM, then wait for those in flight."""
         async with anyio.create_task_group() as requests:
             with anyio.move_on_after(seconds):
-                await self._begin_until_signal(requests)
+                await self._start_until_signal(requests)
         for caller in self._callers:
             await caller.close()
 
-    async def _begin_until_signal(self, requests: anyio.abc.TaskGroup) -> None:
+    async def _start_until_signal(self, requests: anyio.abc.TaskGroup) -> None:
         with anyio.open_signal_receiver(signal.SIGTERM) as signals:
-            async with anyio.create_task_group() as beginning:
-                beginning.start_soon(self._begin_requests, requests)
+            async with anyio.create_task_group() as starting:
+                starting.start_soon(self._start_requests, requests)
                 async for _ in signals:
                     break
-                beginning.cancel_scope.cancel()
+                starting.cancel_scope.cancel()
 
-    async def _begin_requests(self, requests: anyio.abc.TaskGroup) -> None:
+    async def _start_requests(self, requests: anyio.abc.TaskGroup) -> None:
         due = time.monotonic()
         while True:
             due += self._random.expovariate(self._rate)
             await anyio.sleep(max(0.0, due - time.monotonic()))
-            self._begun += 1
+            self._started_count += 1
             kind = self._random.choices(self._mix, self._weights)[0]
             caller = self._random.choice(self._callers)
-            requests.start_soon(self._ask, caller, kind, f"{self._prefix}-{self._begun}")
+            requests.start_soon(self._call, caller, kind, f"{self._prefix}-{self._started_count}")
 
-    async def _ask(self, caller: Caller, kind: CallKind, request_id: str) -> None:
+    async def _call(self, caller: Caller, kind: CallKind, request_id: str) -> None:
         self._record(await caller.call(kind, request_id))
--- a/src/pewtertack/lab/load/mix.py
+++ b/src/pewtertack/lab/load/mix.py
@@ -1,4 +1,4 @@
-"""The mix of requests: one kind of call for each route of a tree."""
+"""The mix of calls: one kind of call for each route of a tree."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from pewtertack.core.revision import Document, revision_id_of
 
 EXTRA_TIMEOUT_SECONDS = 2.0
-"""How much longer than the route's timeout a caller waits."""
+"""How much longer than the route's timeout a caller waits for the response."""
 
 
 class ClassLoad(msgspec.Struct, frozen=True):
-    """What requests of one class of work ask for."""
+    """The relative frequency, duration and sizes of the calls of one work class."""
 
     weight: float
     work_milliseconds: float
@@ -31,7 +31,7 @@
 
 
 class CallKind(msgspec.Struct, frozen=True):
-    """How callers use one route. Times in seconds unless named otherwise."""
+    """One kind of call, to one route. Times without a unit in their name are in seconds."""
 
     route: str
     host: str
@@ -46,19 +46,19 @@
 
 
 def mix_of_tree(tree: Document) -> tuple[CallKind, ...]:
-    """Return a kind of call for every route that the tree's root has.
+    """Return one kind of call for each route of ``tree``, without the overrides of any zone.
 
     Raises:
         TreeRejectedError: the tree is not valid.
     """
     resolved = resolve_document(tree, revision_id_of(1, tree), "")
-    return tuple(_call_of_route(route) for route in resolved.routes)
+    return tuple(_call_for_route(route) for route in resolved.routes)
 
 
-def _call_of_route(route: ResolvedRoute) -> CallKind:
+def _call_for_route(route: ResolvedRoute) -> CallKind:
     load = CLASS_LOADS[route.work_class]
     method = route.methods[0] if route.methods else "GET"
-    least_body = POST_BODY_BYTES if method in ("POST", "PUT") else 0
+    min_body_bytes = POST_BODY_BYTES if method in ("POST", "PUT") else 0
     return CallKind(
         route=route.name,
         host=route.hosts[0] if route.hosts else "any.example",
@@ -68,6 +68,6 @@
         weight=load.weight,
         work_milliseconds=load.work_milliseconds,
         answer_bytes=load.answer_bytes,
-        body_bytes=max(load.body_bytes, least_body),
+        body_bytes=max(load.body_bytes, min_body_bytes),
         client_timeout=route.timeout + EXTRA_TIMEOUT_SECONDS,
     )
--- a/src/pewtertack/lab/report/__init__.py
+++ b/src/pewtertack/lab/report/__init__.py
@@ -1,1 +1,1 @@
-"""Figures of a run, taken from its history and from the nodes' metrics."""
+"""Measurements of a run, taken from its history and from the metrics of its nodes."""
--- a/src/pewtertack/lab/report/convergence.py
+++ b/src/pewtertack/lab/report/convergence.py
@@ -1,4 +1,4 @@
-"""How long edits took until they were in force."""
+"""Measurement of the time from edits until they are in force."""
 
 from __future__ import annotations
 
@@ -13,51 +13,54 @@
 
 
 class Convergence(msgspec.Struct, frozen=True):
-    """Seconds from valid edits to when they, or newer ones, were in force.
+    """Seconds from valid edits until they, or newer ones, are in force.
 
-    A pair of an edit and a process that ran at its time counts in ``each_node``
-    unless the process was disturbed meanwhile: paused, cut off, or the source at
-    fault. ``whole_fleet`` has one value for each edit: its slowest such process.
+    ``each_node`` has one value for each pair of an edit and a process that was running at the
+    time of the edit. Pairs are left out if, before the edit came into force, the process ended,
+    was paused or was cut off with its zone, or the source was faulty. ``whole_fleet`` has one
+    value for each edit: the maximum over its pairs.
     """
 
     each_node: Distribution
     whole_fleet: Distribution
     disturbed: int
-    """Pairs left out."""
+    """The number of pairs left out."""
     missing: int
-    """Undisturbed pairs where the edit was not in force at the end of the history."""
+    """The number of undisturbed pairs whose edit was not in force at the end of the history."""
 
 
 def measure_convergence(timeline: Timeline) -> Convergence:
-    """Measure all valid edits but the first tree."""
-    each: list[float] = []
-    slowest: list[float] = []
+    """Measure the convergence of all valid edits except the first tree."""
+    node_delays: list[float] = []
+    fleet_delays: list[float] = []
     disturbed = missing = 0
     for edit in timeline.edits:
         if not edit.valid or edit.revision == 1:
             continue
-        delays, left_out, absent = _measure_edit(timeline, edit)
-        each += delays
-        slowest += [max(delays)] if delays else []
-        disturbed += left_out
-        missing += absent
-    return Convergence(distribution_of(each), distribution_of(slowest), disturbed, missing)
+        delays, edit_disturbed, edit_missing = _measure_edit(timeline, edit)
+        node_delays += delays
+        fleet_delays += [max(delays)] if delays else []
+        disturbed += edit_disturbed
+        missing += edit_missing
+    return Convergence(
+        distribution_of(node_delays), distribution_of(fleet_delays), disturbed, missing
+    )
 
 
 def _measure_edit(timeline: Timeline, edit: Edit) -> tuple[list[float], int, int]:
-    """Return the delays of one edit, the disturbed pairs and the missing ones."""
+    """Return the delays of one edit and the numbers of its disturbed and missing pairs."""
     delays: list[float] = []
     disturbed = missing = 0
     for incarnation in timeline.incarnations:
-        if not incarnation.span.start < edit.time < incarnation.span.end or not _had_any(
+        if not incarnation.span.start < edit.time < incarnation.span.end or not _has_revision(
             incarnation, edit.time
         ):
             continue
-        reached = _reached(incarnation, edit.revision)
-        if _is_disturbed(timeline, incarnation, edit.time, reached):
+        in_force_at = _first_in_force_at(incarnation, edit.revision)
+        if _is_disturbed(timeline, incarnation, edit.time, in_force_at):
             disturbed += 1
-        elif reached != math.inf:
-            delays.append(reached - edit.time)
+        elif in_force_at != math.inf:
+            delays.append(in_force_at - edit.time)
         elif incarnation.span.end < math.inf:
             disturbed += 1
         else:
@@ -65,12 +68,12 @@
     return delays, disturbed, missing
 
 
-def _had_any(incarnation: Incarnation, time: float) -> bool:
-    """Tell whether the process had joined: something was in force on it."""
+def _has_revision(incarnation: Incarnation, time: float) -> bool:
+    """Return whether the process had joined, that is, had a revision in force."""
     return incarnation.number_at(time) > 0
 
 
-def _reached(incarnation: Incarnation, revision: int) -> float:
+def _first_in_force_at(incarnation: Incarnation, revision: int) -> float:
     times = (event.time for event in incarnation.in_force if event.revision >= revision)
     return min(times, default=math.inf)
 
--- a/src/pewtertack/lab/report/report.py
+++ b/src/pewtertack/lab/report/report.py
@@ -19,7 +19,7 @@
 
 
 class RouteOutcomes(msgspec.Struct, frozen=True):
-    """What callers of one route were told; latencies of answers in seconds."""
+    """The results of the calls to one route; ``latency`` covers the answered calls, in seconds."""
 
     outcomes: dict[str, int]
     statuses: dict[str, int]
@@ -27,12 +27,12 @@
 
 
 class Report(msgspec.Struct, frozen=True, kw_only=True):
-    """Everything measured of one run."""
+    """All measurements and verdicts of one run."""
 
     scenario: str
     seed: int
     without: str
-    """The mechanism that was switched off; empty for none."""
+    """The name of the disabled mechanism; empty if none was disabled."""
     seconds: float
     nodes: int
     backends: int
@@ -44,18 +44,19 @@
     routes: dict[str, RouteOutcomes]
     verdicts: list[Verdict]
     required: list[Guarantee]
-    """Promises that the scenario must put to the test."""
+    """The guarantees that the scenario must test."""
     problems: list[str]
-    """Conditions of the scenario that did not hold."""
+    """The conditions of the scenario that were not met."""
     stray_lines: list[str]
+    """Output lines of processes that are not lines of a history."""
 
     @property
     def passed(self) -> bool:
-        """Whether nothing was violated, all required promises were judged, and no problem."""
+        """Whether all required guarantees held, none was violated and no problem occurred."""
         judgements = {verdict.promise: verdict.judgement for verdict in self.verdicts}
         if Judgement.VIOLATED in judgements.values() or self.problems:
             return False
-        return all(judgements[promise] is Judgement.HELD for promise in self.required)
+        return all(judgements[guarantee] is Judgement.HELD for guarantee in self.required)
 
 
 def judge_lines(lines: Sequence[HistoryLine], bounds: CheckBounds) -> list[Verdict]:
@@ -64,19 +65,19 @@
 
 
 def routes_of(lines: Sequence[HistoryLine]) -> dict[str, RouteOutcomes]:
-    """Return the outcomes by route."""
+    """Return the outcomes of the calls in a history, by route."""
     by_route: dict[str, list[CallResult]] = {}
     for line in lines:
         if isinstance(line, CallResult):
             by_route.setdefault(line.route, []).append(line)
-    return {route: _outcomes_of(told) for route, told in sorted(by_route.items())}
+    return {route: _outcomes_of(results) for route, results in sorted(by_route.items())}
 
 
-def _outcomes_of(told: Sequence[CallResult]) -> RouteOutcomes:
-    answered = (line.latency for line in told if line.outcome is CallOutcome.ANSWERED)
+def _outcomes_of(results: Sequence[CallResult]) -> RouteOutcomes:
+    answered = (line.latency for line in results if line.outcome is CallOutcome.ANSWERED)
     return RouteOutcomes(
-        outcomes=dict(Counter(str(line.outcome) for line in told)),
-        statuses=dict(Counter(str(line.status) for line in told)),
+        outcomes=dict(Counter(str(line.outcome) for line in results)),
+        statuses=dict(Counter(str(line.status) for line in results)),
         latency=distribution_of(answered),
     )
 
--- a/src/pewtertack/lab/report/resources.py
+++ b/src/pewtertack/lab/report/resources.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of the nodes' processes, read from ``/proc``."""
+"""Processor time and memory of the node processes, read from ``/proc``."""
 
 from __future__ import annotations
 
@@ -14,41 +14,41 @@
 
 
 class NodeResources(msgspec.Struct, frozen=True):
-    """Over the nodes whose processes ran through the whole measurement.
+    """Resources of the nodes whose processes ran during the whole measurement.
 
-    The share of a core and the memory serve callers as well as control.
+    They include the handling of callers' requests as well as control traffic.
     """
 
     core_share: Distribution
     resident_megabytes: Distribution
-    """At the end of the measurement."""
+    """Resident memory at the end of the measurement, in megabytes."""
 
 
 @dataclass(frozen=True, slots=True)
 class ResourceSample:
-    """The nodes' processes at one time, by process id."""
+    """Statistics of the node processes at one time, by process id."""
 
     time: float
     processes: Mapping[int, ProcessSample]
 
 
 def sample_resources(fleet: Fleet) -> ResourceSample:
-    """Read what all running nodes have used."""
+    """Read the statistics of all running nodes."""
     samples = {pid: read_process(pid) for pid in fleet.node_pids()}
     return ResourceSample(time.monotonic(), samples)
 
 
 def resources_between(first: ResourceSample, last: ResourceSample) -> NodeResources:
-    """Return what the processes of both samples used in between."""
+    """Return the resources that the processes in both samples used between them."""
     seconds = last.time - first.time
-    lived = first.processes.keys() & last.processes.keys()
-    used = (
+    surviving_pids = first.processes.keys() & last.processes.keys()
+    processor_seconds = (
         last.processes[pid].processor_seconds - first.processes[pid].processor_seconds
-        for pid in lived
+        for pid in surviving_pids
     )
     return NodeResources(
-        core_share=distribution_of(spent / seconds for spent in used),
+        core_share=distribution_of(used_seconds / seconds for used_seconds in processor_seconds),
         resident_megabytes=distribution_of(
-            last.processes[pid].resident_bytes / 1_000_000 for pid in lived
+            last.processes[pid].resident_bytes / 1_000_000 for pid in surviving_pids
         ),
     )
--- a/src/pewtertack/lab/report/statistics.py
+++ b/src/pewtertack/lab/report/statistics.py
@@ -1,4 +1,4 @@
-"""Percentiles of a sample."""
+"""Percentiles of samples."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Distribution(msgspec.Struct, frozen=True):
-    """Nearest-rank percentiles, in the unit of the sample; zeros when it is empty."""
+    """Nearest-rank percentiles, in the unit of the sample; zeros if the sample is empty."""
 
     count: int
     p50: float
@@ -18,7 +18,10 @@
 
 
 def percentile(ordered: Sequence[float], share: float) -> float:
-    """Return the nearest-rank percentile of an ordered sample; 0 when it is empty."""
+    """Return the nearest-rank percentile of a sorted sample; 0 if the sample is empty.
+
+    ``share`` is between 0 and 1.
+    """
     if not ordered:
         return 0.0
     rank = math.ceil(share * len(ordered))
@@ -26,7 +29,7 @@
 
 
 def distribution_of(values: Iterable[float]) -> Distribution:
-    """Return the percentiles of ``values``, rounded to microseconds."""
+    """Return the percentiles of ``values``, rounded to six decimal places."""
     ordered = sorted(values)
-    p50, p99, greatest = (round(percentile(ordered, share), 6) for share in (0.5, 0.99, 1.0))
-    return Distribution(len(ordered), p50, p99, greatest)
+    p50, p99, maximum = (round(percentile(ordered, share), 6) for share in (0.5, 0.99, 1.0))
+    return Distribution(len(ordered), p50, p99, maximum)
--- a/src/pewtertack/lab/report/table.py
+++ b/src/pewtertack/lab/report/table.py
@@ -7,11 +7,11 @@
 from pewtertack.lab.history.verdicts import Verdict
 from pewtertack.lab.report.report import Report
 
-SHOWN_OFFENCES = 5
+MAX_SHOWN_VIOLATIONS = 5
 
 
 def format_table(header: Sequence[str], rows: Sequence[Sequence[object]]) -> str:
-    """Return aligned columns: the first to the left, the others to the right."""
+    """Return a table whose first column is left-aligned and whose others are right-aligned."""
     cells = [list(header), *[[str(cell) for cell in row] for row in rows]]
     widths = [max(len(row[column]) for row in cells) for column in range(len(header))]
     return "\n".join(_format_row(row, widths) for row in cells)
@@ -24,25 +24,25 @@
 
 
 def format_verdicts(verdicts: Sequence[Verdict]) -> str:
-    """Return one line a promise, with the first offences below it."""
+    """Return one line per guarantee, each followed by its first violations."""
     lines = []
     for verdict in verdicts:
         lines.append(f"{verdict.promise:34} {verdict.judgement:9} judged {verdict.judged}")
-        for offence in verdict.offences[:SHOWN_OFFENCES]:
-            lines.append(f"    {offence.time:.3f} {offence.subject}: {offence.message}")
-        hidden = len(verdict.offences) - SHOWN_OFFENCES
+        for violation in verdict.offences[:MAX_SHOWN_VIOLATIONS]:
+            lines.append(f"    {violation.time:.3f} {violation.subject}: {violation.message}")
+        hidden = len(verdict.offences) - MAX_SHOWN_VIOLATIONS
         if hidden > 0:
             lines.append(f"    and {hidden} more")
     return "\n".join(lines)
 
 
 def format_report(report: Report) -> str:
-    """Return the report as text."""
+    """Return the report as text for the terminal."""
     convergence, traffic = report.convergence, report.traffic
     cores, memory = report.resources.core_share, report.resources.resident_megabytes
     fleet, node = convergence.whole_fleet, convergence.each_node
     lines = [
-        f"scenario {report.scenario}{_weakness(report)}, seed {report.seed},"
+        f"scenario {report.scenario}{_disabled_mechanism(report)}, seed {report.seed},"
         f" {report.seconds:.1f} s,"
         f" {report.nodes} nodes, {report.backends} back ends, {report.edits} edits",
         f"convergence, each node:   p50 {node.p50:.3f} s, p99 {node.p99:.3f} s,"
@@ -52,9 +52,9 @@
         f"peer bytes sent per node and second: control {traffic.control:.0f},"
         f" configuration {traffic.configuration:.0f}, machine list {traffic.machine_list:.0f}"
         f" ({traffic.nodes} nodes over {traffic.seconds:.1f} s)",
-        f"nodes, callers' requests included: {cores.p50:.1%} of a core, max {cores.max:.1%};"
+        f"nodes, including callers' requests: {cores.p50:.1%} of a core, max {cores.max:.1%};"
         f" {memory.p50:.1f} MB, max {memory.max:.1f} MB",
-        f"source: at most {report.source.peak_readers} readers at once,"
+        f"source: at most {report.source.peak_readers} concurrent readers,"
         f" {report.source.bytes_served} bytes served",
         "",
         _outcome_table(report),
@@ -65,7 +65,7 @@
     return "\n".join(lines)
 
 
-def _weakness(report: Report) -> str:
+def _disabled_mechanism(report: Report) -> str:
     return f" without {report.without}" if report.without else ""
 
 
--- a/src/pewtertack/lab/report/traffic.py
+++ b/src/pewtertack/lab/report/traffic.py
@@ -1,4 +1,4 @@
-"""Bytes between nodes, read from their metrics twice."""
+"""Measurement of the bytes sent between nodes, from two samples of their metrics."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 class PeerTraffic(msgspec.Struct, frozen=True):
     """Bytes sent to peers per node and second, by purpose, without IP headers.
 
-    Over the nodes whose processes ran through the whole measurement.
+    Averages over the nodes whose processes ran during the whole measurement.
     """
 
     nodes: int
@@ -36,47 +36,48 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficSample:
-    """Bytes sent so far by node and purpose."""
+    """Total bytes sent at one time, by node and purpose."""
 
     time: float
     sent: Mapping[str, Mapping[str, float]]
 
 
 async def sample_traffic(fleet: Fleet) -> TrafficSample:
-    """Read the metrics of all nodes that answer."""
+    """Read the metrics of all running nodes; those that do not answer are skipped."""
     sent: dict[str, Mapping[str, float]] = {}
     for name in fleet.running_nodes():
         try:
-            answer = await fleet.client.request("GET", fleet.plan.nodes[name].admin, "/metrics")
+            body = await fleet.client.request("GET", fleet.plan.nodes[name].admin, "/metrics")
         except ControlRefusedError:
             continue
-        sent[name] = bytes_sent(answer.decode())
+        sent[name] = bytes_sent(body.decode())
     return TrafficSample(time.monotonic(), sent)
 
 
 def bytes_sent(metrics: str) -> dict[str, float]:
-    """Return the bytes sent by purpose from one node's metrics text."""
-    sums: defaultdict[str, float] = defaultdict(float)
+    """Return the bytes sent by purpose, from the metrics page of one node."""
+    totals: defaultdict[str, float] = defaultdict(float)
     for family in text_string_to_metric_families(metrics):
         for sample in family.samples:
             if sample.name == BYTES_SAMPLE and sample.labels["direction"] == "sent":
-                sums[sample.labels["purpose"]] += sample.value
-    return dict(sums)
+                totals[sample.labels["purpose"]] += sample.value
+    return dict(totals)
 
 
 def traffic_between(first: TrafficSample, last: TrafficSample) -> PeerTraffic:
     """Return the traffic between two samples."""
     seconds = last.time - first.time
-    lived = [name for name in first.sent if _lived_through(name, first, last)]
+    surviving_nodes = [name for name in first.sent if _survived(name, first, last)]
 
     def per_node(purpose: str) -> float:
-        grown = (
-            last.sent[name].get(purpose, 0.0) - first.sent[name].get(purpose, 0.0) for name in lived
+        increases = (
+            last.sent[name].get(purpose, 0.0) - first.sent[name].get(purpose, 0.0)
+            for name in surviving_nodes
         )
-        return sum(grown) / max(len(lived), 1)
+        return sum(increases) / max(len(surviving_nodes), 1)
 
     return PeerTraffic(
-        nodes=len(lived),
+        nodes=len(surviving_nodes),
         seconds=round(seconds, 3),
         control=round(per_node(CONTROL) / seconds, 1),
         configuration=round(per_node(CONFIGURATION) / seconds, 1),
@@ -85,8 +86,8 @@
     )
 
 
-def _lived_through(name: str, first: TrafficSample, last: TrafficSample) -> bool:
-    """Tell whether the counters of a node went on, rather than began anew."""
+def _survived(name: str, first: TrafficSample, last: TrafficSample) -> bool:
+    """Return whether the node's counters continued between the samples instead of restarting."""
     if name not in last.sent:
         return False
     return sum(last.sent[name].values()) >= sum(first.sent[name].values())
--- a/src/pewtertack/lab/scenarios/__init__.py
+++ b/src/pewtertack/lab/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""Named failure scenarios over a fleet of real processes."""
+"""Named failure scenarios for a fleet of real processes."""
--- a/src/pewtertack/lab/scenarios/configuration.py
+++ b/src/pewtertack/lab/scenarios/configuration.py
@@ -1,4 +1,4 @@
-"""Bodies of the scenarios about versions, membership and spread."""
+"""Bodies of the scenarios about revisions, membership and dissemination."""
 
 from __future__ import annotations
 
@@ -9,40 +9,40 @@
 from pewtertack.lab.relay.links import Link
 from pewtertack.lab.scenarios.context import ScenarioContext
 
-EDIT_PAUSE = 0.7
+EDIT_INTERVAL_SECONDS = 0.7
 PAUSED_SECONDS = 6.0
-"""Longer than the gap by which a node finds that it was paused."""
+"""Longer than the clock gap from which a node detects that it was paused."""
 CUT_SECONDS = 6.0
-DEAD_SECONDS = 1.5
-HOLDING_SECONDS = 3.0
+REPLACEMENT_DELAY_SECONDS = 1.5
+EDIT_SPREAD_SECONDS = 3.0
 STALE_SECONDS = 8.0
 OUTAGE_SECONDS = 5.0
-LAG_SECONDS = 1.0
-RACES = 5
+SOURCE_LAG_SECONDS = 1.0
+RACE_COUNT = 5
 QUIET_SECONDS = 15.0
 
 
 async def quiet(context: ScenarioContext) -> None:
-    """One edit and then none: what the nodes send each other all the time."""
+    """One edit, then idle nodes, to measure the traffic between them without edits."""
     await context.edit()
     await context.wait_for_newest()
     await anyio.sleep(QUIET_SECONDS)
 
 
 async def steady_edits(context: ScenarioContext) -> None:
-    """Edits now and then, and two operators in a race."""
-    await context.edit_for(8.0, EDIT_PAUSE)
-    for _ in range(RACES):
-        await _race(context)
+    """A sequence of edits, then concurrent edits by two operators."""
+    await context.edit_for(8.0, EDIT_INTERVAL_SECONDS)
+    for _ in range(RACE_COUNT):
+        await _edit_concurrently(context)
         await context.wait_for_newest()
 
 
-async def _race(context: ScenarioContext) -> None:
-    """Let two operators edit the same number; one must get a conflict."""
+async def _edit_concurrently(context: ScenarioContext) -> None:
+    """Let two operators edit the same revision concurrently; one edit must conflict."""
     conflicts: list[NumberConflictError] = []
     number = context.newest_valid
 
-    async def operate() -> None:
+    async def edit_tree() -> None:
         try:
             edit = await context.fleet.platform.put_tree(
                 context.editor.make_valid_edit(), expected=number
@@ -53,38 +53,40 @@
             context.newest_valid = edit.revision
 
     async with anyio.create_task_group() as operators:
-        operators.start_soon(operate)
-        operators.start_soon(operate)
-    context.expect(len(conflicts) == 1, f"{len(conflicts)} conflicts in a race of two operators")
+        operators.start_soon(edit_tree)
+        operators.start_soon(edit_tree)
+    context.expect(len(conflicts) == 1, f"{len(conflicts)} conflicts between two concurrent edits")
 
 
 async def herd_killed(context: ScenarioContext) -> None:
-    """Half of the fleet is killed and replaced under the same names, twice, under edits."""
+    """Half of the fleet is killed and replaced under the same names, twice, during edits."""
     for _ in range(2):
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(context.edit_for, DEAD_SECONDS + 3.0, EDIT_PAUSE)
+            tasks.start_soon(
+                context.edit_for, REPLACEMENT_DELAY_SECONDS + 3.0, EDIT_INTERVAL_SECONDS
+            )
             await anyio.sleep(1.0)
-            await _replace(context, context.half_of_the_nodes())
+            await _replace(context, context.pick_half_of_nodes())
         await context.wait_for_newest()
     counters = await context.fleet.platform.source_counters()
-    context.expect(counters.peak_readers <= 16, f"{counters.peak_readers} readers at once")
+    context.expect(counters.peak_readers <= 16, f"{counters.peak_readers} concurrent readers")
 
 
 async def _replace(context: ScenarioContext, names: list[str]) -> None:
     fleet = context.fleet
     await fleet.kill_nodes(names)
-    await anyio.sleep(DEAD_SECONDS)
+    await anyio.sleep(REPLACEMENT_DELAY_SECONDS)
     await fleet.start_nodes(names)
     await fleet.wait_serving(names)
 
 
 async def nodes_paused(context: ScenarioContext) -> None:
-    """Nodes are paused across edits and wake up late, twice."""
+    """Nodes are paused during edits and resumed late, twice."""
     for _ in range(2):
-        paused = context.some_nodes(2)
+        paused = context.pick_nodes(2)
         for name in paused:
             context.fleet.pause_node(name)
-        await context.edit_for(PAUSED_SECONDS, EDIT_PAUSE)
+        await context.edit_for(PAUSED_SECONDS, EDIT_INTERVAL_SECONDS)
         for name in paused:
             context.fleet.resume_node(name)
         await context.wait_for_newest()
@@ -92,7 +94,7 @@
 
 
 async def holders_killed(context: ScenarioContext) -> None:
-    """All that hold a new edit die while the rest is paused; the source answers stale."""
+    """All holders of a new edit are killed while the other nodes are paused; the source is stale."""
     fleet = context.fleet
     zone = context.random.choice(fleet.plan.shape.zones)
     holders = [name for name, node in fleet.plan.nodes.items() if node.zone == zone]
@@ -103,7 +105,7 @@
     for name in others:
         fleet.pause_node(name)
     await context.edit()
-    await anyio.sleep(HOLDING_SECONDS)
+    await anyio.sleep(EDIT_SPREAD_SECONDS)
     await fleet.platform.fail_source(Faults(stale_number=before), "stale")
     await fleet.kill_nodes(holders)
     for name in others:
@@ -116,12 +118,12 @@
 
 
 async def zone_cut_off(context: ScenarioContext) -> None:
-    """A zone is cut off from all others under edits, then the cut heals."""
+    """A zone is cut off from all others during edits, then the links are restored."""
     zone = context.random.choice(context.fleet.plan.shape.zones)
     await context.edit()
     await context.wait_for_newest()
     await context.fleet.links.cut_off(zone)
-    await context.edit_for(CUT_SECONDS, EDIT_PAUSE)
+    await context.edit_for(CUT_SECONDS, EDIT_INTERVAL_SECONDS)
     await context.fleet.links.heal()
     await context.wait_for_newest()
     await context.edit()
@@ -129,40 +131,42 @@
 
 
 async def one_way_cut(context: ScenarioContext) -> None:
-    """A zone hears the others but is not heard; then links lose and delay datagrams."""
+    """A zone receives messages but cannot send any; then links lose and delay datagrams."""
     zones = context.fleet.plan.shape.zones
-    mute = context.random.choice(zones)
-    await context.fleet.links.cut([Link(mute, other) for other in zones if other != mute])
-    await context.edit_for(CUT_SECONDS, EDIT_PAUSE)
+    silent_zone = context.random.choice(zones)
+    await context.fleet.links.cut(
+        [Link(silent_zone, other) for other in zones if other != silent_zone]
+    )
+    await context.edit_for(CUT_SECONDS, EDIT_INTERVAL_SECONDS)
     await context.fleet.links.heal()
     await context.wait_for_newest()
     await context.fleet.links.disturb(delay=0.05, loss=0.2)
-    await context.edit_for(CUT_SECONDS, EDIT_PAUSE)
+    await context.edit_for(CUT_SECONDS, EDIT_INTERVAL_SECONDS)
     await context.wait_for_newest()
     await context.fleet.links.heal()
 
 
 async def source_down(context: ScenarioContext) -> None:
-    """The source is down from the start of the callers to the end; half are replaced."""
+    """The source stays down until the end while half of the fleet is replaced, twice."""
     await context.edit()
     await context.wait_for_newest()
     closed = Faults(availability=Availability.CLOSED)
     await context.fleet.platform.fail_source(closed, "closed")
-    await _replace(context, context.half_of_the_nodes())
+    await _replace(context, context.pick_half_of_nodes())
     await context.wait_for_newest()
-    await _replace(context, context.half_of_the_nodes())
+    await _replace(context, context.pick_half_of_nodes())
     await context.wait_for_newest()
 
 
 async def source_stale(context: ScenarioContext) -> None:
-    """The source answers older versions, now and then and then always, while nodes die."""
-    await context.edit_for(3.0, EDIT_PAUSE)
+    """The source returns older revisions, first at times, then always, while nodes are killed."""
+    await context.edit_for(3.0, EDIT_INTERVAL_SECONDS)
     await context.fleet.platform.fail_source(Faults(older_share=0.5), "older")
-    await context.edit_for(3.0, EDIT_PAUSE)
+    await context.edit_for(3.0, EDIT_INTERVAL_SECONDS)
     await context.wait_for_newest()
     stale = Faults(stale_number=max(1, context.newest_valid - 2))
     await context.fleet.platform.fail_source(stale, "stale")
-    await _replace(context, context.half_of_the_nodes())
+    await _replace(context, context.pick_half_of_nodes())
     await context.wait_for_newest()
     await anyio.sleep(OUTAGE_SECONDS)
     await context.fleet.platform.heal_source()
@@ -171,11 +175,11 @@
 
 
 async def source_crowded(context: ScenarioContext) -> None:
-    """The source takes a few readers at once only, then shows edits late as well."""
-    await context.edit_for(OUTAGE_SECONDS, EDIT_PAUSE)
+    """The source admits only a few concurrent readers, then also shows edits late."""
+    await context.edit_for(OUTAGE_SECONDS, EDIT_INTERVAL_SECONDS)
     await context.wait_for_newest()
-    await context.fleet.platform.fail_source(Faults(lag=LAG_SECONDS), "lagging")
-    await context.edit_for(OUTAGE_SECONDS, EDIT_PAUSE)
+    await context.fleet.platform.fail_source(Faults(lag=SOURCE_LAG_SECONDS), "lagging")
+    await context.edit_for(OUTAGE_SECONDS, EDIT_INTERVAL_SECONDS)
     await context.wait_for_newest()
     await context.fleet.platform.heal_source()
     counters = await context.fleet.platform.source_counters()
@@ -183,11 +187,11 @@
 
 
 async def machine_list_down(context: ScenarioContext) -> None:
-    """The machine list is down while half of the fleet is replaced under edits."""
+    """The machine list service is down while half of the fleet is replaced during edits."""
     await context.fleet.platform.fail_machine_list(Availability.CLOSED)
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(context.edit_for, OUTAGE_SECONDS, EDIT_PAUSE)
-        await _replace(context, context.half_of_the_nodes())
+        tasks.start_soon(context.edit_for, OUTAGE_SECONDS, EDIT_INTERVAL_SECONDS)
+        await _replace(context, context.pick_half_of_nodes())
     await context.wait_for_newest()
     await context.fleet.platform.heal_machine_list()
     await context.edit()
@@ -195,12 +199,12 @@
 
 
 async def bad_revisions(context: ScenarioContext) -> None:
-    """Bad edits between good ones; half of the fleet is replaced while a bad one is newest."""
+    """Invalid edits between valid ones; half of the fleet is replaced while one is the newest."""
     for _ in range(3):
         await context.edit()
         await context.make_invalid_edit()
         await context.edit()
         await context.wait_for_newest()
     await context.make_invalid_edit()
-    await _replace(context, context.half_of_the_nodes())
+    await _replace(context, context.pick_half_of_nodes())
     await context.wait_for_newest()
--- a/src/pewtertack/lab/scenarios/context.py
+++ b/src/pewtertack/lab/scenarios/context.py
@@ -1,4 +1,4 @@
-"""What the body of a scenario works with."""
+"""The interface between the body of a scenario and the running fleet."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class ScenarioContext:
-    """A running fleet with callers, a seeded generator, and the operators' edits."""
+    """A running fleet with callers, a seeded random generator and the operators' edits."""
 
     fleet: Fleet
     random: random.Random
@@ -26,20 +26,20 @@
     problems: list[str] = field(default_factory=list)
 
     async def edit(self) -> Edit:
-        """Make a good edit."""
-        return self._remember(await self.fleet.platform.put_tree(self.editor.make_valid_edit()))
+        """Write a valid edit."""
+        return self._track(await self.fleet.platform.put_tree(self.editor.make_valid_edit()))
 
     async def move_route(self) -> Edit:
-        """Make an edit that moves a route to another service."""
-        return self._remember(await self.fleet.platform.put_tree(self.editor.move_route()))
+        """Write an edit that moves a route to another service."""
+        return self._track(await self.fleet.platform.put_tree(self.editor.move_route()))
 
     async def make_invalid_edit(self) -> Edit:
-        """Make an edit that must be rejected."""
-        return self._remember(await self.fleet.platform.put_tree(self.editor.make_invalid_edit()))
+        """Write an edit that must be rejected."""
+        return self._track(await self.fleet.platform.put_tree(self.editor.make_invalid_edit()))
 
     async def evacuate(self, zone: str) -> None:
-        """Ask that nothing more be sent to a zone's back ends."""
-        edit = self._remember(
+        """Write an edit that evacuates ``zone``, so that its back ends receive no requests."""
+        edit = self._track(
             await self.fleet.platform.put_tree(self.editor.set_evacuated_zones(zone))
         )
         backends = tuple(
@@ -50,20 +50,20 @@
         )
 
     async def end_evacuation(self, zone: str) -> None:
-        """End the evacuation of a zone."""
+        """Write an edit that ends the evacuation of ``zone``."""
         before = time.time()
-        edit = self._remember(await self.fleet.platform.put_tree(self.editor.set_evacuated_zones()))
+        edit = self._track(await self.fleet.platform.put_tree(self.editor.set_evacuated_zones()))
         self.fleet.recorder.record(
             ZoneEvacuationEnded(time=before, zone=zone, revision=edit.revision)
         )
 
-    def _remember(self, edit: Edit) -> Edit:
+    def _track(self, edit: Edit) -> Edit:
         if edit.valid:
             self.newest_valid = edit.revision
         return edit
 
     async def edit_for(self, seconds: float, pause: float) -> None:
-        """Make good edits for a while, with random gaps around ``pause`` seconds."""
+        """Write valid edits for ``seconds``, with random gaps of ``pause`` seconds on average."""
         with anyio.move_on_after(seconds):
             while True:
                 with anyio.CancelScope(shield=True):
@@ -71,23 +71,26 @@
                 await anyio.sleep(self.random.uniform(0.5, 1.5) * pause)
 
     async def wait_for_newest(self) -> None:
-        """Wait until the newest good edit is in force on every running node."""
+        """Wait until the newest valid edit is in force on every running node."""
         await self.fleet.wait_in_force(self.newest_valid)
 
-    def some_nodes(self, count: int) -> list[str]:
-        """Pick ``count`` of all nodes."""
+    def pick_nodes(self, count: int) -> list[str]:
+        """Pick ``count`` random nodes."""
         return self.random.sample(sorted(self.fleet.plan.nodes), count)
 
-    def half_of_the_nodes(self) -> list[str]:
-        """Pick half of all nodes."""
-        return self.some_nodes(len(self.fleet.plan.nodes) // 2)
+    def pick_half_of_nodes(self) -> list[str]:
+        """Pick a random half of all nodes."""
+        return self.pick_nodes(len(self.fleet.plan.nodes) // 2)
 
-    def some_backends(self, count: int) -> list[str]:
-        """Pick ``count`` back ends."""
+    def pick_backends(self, count: int) -> list[str]:
+        """Pick ``count`` random back ends."""
         return self.random.sample(sorted(self.fleet.plan.backends), count)
 
     def long_calls(self, work_milliseconds: float, upload_bytes: int) -> list[CallKind]:
-        """Return a long request for each route whose timeout allows it; uploads are large."""
+        """Return a long call for each route whose timeout is at least twice the work time.
+
+        Calls that have a body get one of ``upload_bytes``.
+        """
         kinds = mix_of_tree(self.fleet.plan.shape.tree)
         return [
             msgspec.structs.replace(
@@ -100,6 +103,6 @@
         ]
 
     def expect(self, holds: bool, problem: str) -> None:
-        """Note ``problem`` unless ``holds``."""
+        """Record ``problem`` unless ``holds`` is true."""
         if not holds:
             self.problems.append(problem)
--- a/src/pewtertack/lab/scenarios/runner.py
+++ b/src/pewtertack/lab/scenarios/runner.py
@@ -1,4 +1,4 @@
-"""Runs a scenario: fleet, callers, body, settling, report."""
+"""Runs a scenario: starts fleet and callers, runs the body, lets the fleet settle and reports."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
 from pewtertack.lab.scenarios.scenario import Scenario
 
 BOUNDS = CheckBounds(convergence=6.0, recovery=20.0)
-"""Tighter than the defaults: the fleet is small. Loose enough for a busy machine."""
+"""Tighter than the defaults because the fleet is small, but wide enough for a busy machine."""
 SETTLE_SECONDS = BOUNDS.convergence + 1.0
-"""Undisturbed time at the end, so that the last edits are judged."""
-SCENARIO_SECONDS = 180.0
+"""Time without faults at the end, so that the checks can judge the last edits."""
+SCENARIO_TIMEOUT_SECONDS = 180.0
 
 
 @dataclass(frozen=True, slots=True)
 class _Outcome:
-    """What was measured while the fleet ran."""
+    """The measurements taken while the fleet was running."""
 
     traffic: PeerTraffic
     resources: NodeResources
@@ -46,10 +46,10 @@
     """Run ``scenario`` and write its history to the file ``history``.
 
     Raises:
-        LabError: the fleet could not be started.
+        LabError: the fleet failed to start.
     """
     plan = plan_fleet(scenario.adjust(shape))
-    began = time.monotonic()
+    started_at = time.monotonic()
     with (
         tempfile.TemporaryDirectory(prefix="pewtertack-lab-") as directory,
         HistoryRecorder(history) as recorder,
@@ -62,7 +62,7 @@
         scenario=scenario.name,
         seed=seed,
         without=shape.without,
-        seconds=round(time.monotonic() - began, 3),
+        seconds=round(time.monotonic() - started_at, 3),
         nodes=len(plan.nodes),
         backends=len(plan.backends),
         edits=sum(1 for line in lines if isinstance(line, Edit)) - 1,
@@ -83,26 +83,28 @@
     await fleet.wait_serving()
     await fleet.wait_in_force(1)
     load = await fleet.start_load("callers", scenario.rate, seed)
-    first = await sample_traffic(fleet)
-    resources_at_first = sample_resources(fleet)
+    first_traffic = await sample_traffic(fleet)
+    first_resources = sample_resources(fleet)
     editor = TreeEditor(fleet.plan.shape.tree, seed)
     context = ScenarioContext(fleet, random.Random(f"scenario:{seed}"), editor)
     await _run_body(scenario, context)
     await anyio.sleep(SETTLE_SECONDS)
-    last = await sample_traffic(fleet)
-    resources = resources_between(resources_at_first, sample_resources(fleet))
+    last_traffic = await sample_traffic(fleet)
+    resources = resources_between(first_resources, sample_resources(fleet))
     code = await fleet.stop_load(load)
     context.expect(code == 0, f"the callers ended with exit code {code}: {load.error_tail()}")
     for name in sorted(set(fleet.plan.nodes) - set(fleet.running_nodes())):
-        context.problems.append(f"{name} does not run at the end")
+        context.problems.append(f"{name} is not running at the end")
     source = await fleet.platform.source_counters()
-    return _Outcome(traffic_between(first, last), resources, source, context.problems)
+    return _Outcome(
+        traffic_between(first_traffic, last_traffic), resources, source, context.problems
+    )
 
 
 async def _run_body(scenario: Scenario, context: ScenarioContext) -> None:
-    """Run the body; a condition that never came true becomes a problem of the report."""
+    """Run the body; errors, such as a condition not met in time, become problems of the report."""
     try:
-        with anyio.fail_after(SCENARIO_SECONDS):
+        with anyio.fail_after(SCENARIO_TIMEOUT_SECONDS):
             await scenario.body(context)
     except* (LabError, TimeoutError) as group:
         context.problems += [
@@ -111,11 +113,11 @@
 
 
 def stderr_problems(plan: FleetPlan, directory: Path) -> list[str]:
-    """Return what nodes wrote to standard error."""
-    found = []
+    """Return a problem for each node that wrote to standard error."""
+    problems = []
     for name in plan.nodes:
         path = directory / f"{name}.stderr"
         text = path.read_text(errors="replace").strip() if path.exists() else ""
         if text:
-            found.append(f"{name} wrote to standard error: {text[-1000:]}")
-    return found
+            problems.append(f"{name} wrote to standard error: {text[-1000:]}")
+    return problems
--- a/src/pewtertack/lab/scenarios/scenario.py
+++ b/src/pewtertack/lab/scenarios/scenario.py
@@ -9,7 +9,7 @@
 from pewtertack.lab.history.verdicts import Guarantee
 from pewtertack.lab.scenarios.context import ScenarioContext
 
-Body = Callable[[ScenarioContext], Awaitable[None]]
+ScenarioBody = Callable[[ScenarioContext], Awaitable[None]]
 
 CONFIGURATION_GUARANTEES = (
     Guarantee.REVISIONS_MONOTONIC,
@@ -21,18 +21,18 @@
 REQUEST_GUARANTEES = (Guarantee.RESPONSES_INTACT_AND_MATCHING, Guarantee.AT_MOST_ONCE)
 
 
-def _as_it_is(shape: FleetShape) -> FleetShape:
+def _keep_shape(shape: FleetShape) -> FleetShape:
     return shape
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """One scenario. ``rate`` is the callers' requests per second."""
+    """A named scenario; ``rate`` is the number of callers' requests per second."""
 
     name: str
     description: str
-    body: Body
+    body: ScenarioBody
     required: tuple[Guarantee, ...]
-    """Promises that must have been put to the test."""
-    adjust: Callable[[FleetShape], FleetShape] = _as_it_is
+    """The guarantees that a run of the scenario must test."""
+    adjust: Callable[[FleetShape], FleetShape] = _keep_shape
     rate: float = 40.0
--- a/src/pewtertack/lab/soak/connection.py
+++ b/src/pewtertack/lab/soak/connection.py
@@ -12,7 +12,7 @@
 from anyio.abc import SocketAttribute
 
 from pewtertack.lab.load.caller import (
-    CONNECT_SECONDS,
+    CONNECT_TIMEOUT_SECONDS,
     ExchangeResult,
     Target,
     interpret_response,
@@ -165,7 +165,7 @@
         pause: seconds between two reads of one answer.
     """
     try:
-        with anyio.fail_after(CONNECT_SECONDS):
+        with anyio.fail_after(CONNECT_TIMEOUT_SECONDS):
             stream = await anyio.connect_tcp(target.proxy.host, target.proxy.port)
     except (OSError, TimeoutError):
         return None
