--- a/tests/node/test_gateway_shutdown_and_long_responses.py
+++ b/tests/node/test_gateway_stop_and_long_answers.py
@@ -15,7 +15,7 @@
 
 from tests.node.processes import TIMEOUT_SECONDS
 from tests.node.slow_link_fleet import fleet_with_slow_links
-from tests.node.test_shutdown_and_long_responses import (
+from tests.node.test_stop_and_long_answers import (
     LIMITS,
     MEGABITS,
     SLOTS,
