--- a/src/pewtertack/__main__.py
+++ b/src/pewtertack/__main__.py
@@ -11,7 +11,7 @@
 
 
 def main() -> None:
-    """Run the command line; an error of this library ends with exit code 2, no traceback."""
+    """Run the command line; an error of this library exits with code 2 and no traceback."""
     try:
         if sys.argv[1:2] == [NODE_COMMAND]:
             _run_node()
@@ -22,7 +22,7 @@
 
 
 def _run_node() -> None:
-    """Run a node without loading typer and what it brings."""
+    """Run a node without importing typer and its dependencies, to save memory."""
     from pewtertack.cli.node import run
 
     sys.exit(run(sys.argv[2:]))
--- a/src/pewtertack/errors.py
+++ b/src/pewtertack/errors.py
@@ -1,7 +1,7 @@
-"""The exception tree: every failure that pewtertack raises has a type of its own.
+"""Base classes of the exception hierarchy; every failure has its own type.
 
-Each package defines its errors below one of the branches here. ``code`` is the
-machine-readable name which command output, logs and HTTP answers carry.
+Each package derives its errors from one of the classes here. ``code`` is the
+machine-readable name used in command output, logs and HTTP responses.
 """
 
 from __future__ import annotations
@@ -17,46 +17,46 @@
 
 
 class ConfigurationError(PewtertackError):
-    """The operators' tree cannot be read, parsed or accepted."""
+    """The operators' configuration tree cannot be read, parsed or accepted."""
 
     code: ClassVar[str] = "configuration-error"
 
 
 class SettingsError(PewtertackError):
-    """A settings file or flag of a process is wrong."""
+    """A settings file or command-line flag of a process is invalid."""
 
     code: ClassVar[str] = "settings-error"
 
 
 class ProtocolError(PewtertackError):
-    """A frame from a peer is refused."""
+    """A frame from a peer is rejected."""
 
     code: ClassVar[str] = "protocol-error"
 
 
 class CoordinationError(PewtertackError):
-    """A coordination state machine was used against its contract."""
+    """A coordination state machine was used contrary to its contract."""
 
     code: ClassVar[str] = "coordination-error"
 
 
 class ReadFailure(StrEnum):
-    """How a read of the configuration source or the machine list ended without a usable answer."""
+    """Why a read of the configuration source or the machine list gave no usable answer."""
 
     NO_CONNECTION = "no-connection"
-    """No connection was made."""
+    """No connection could be established."""
     REFUSED = "refused"
-    """The service answered that it does not serve the read."""
+    """The service responded that it does not serve the read."""
     SLOW = "slow"
-    """Given up before the answer began, on a connection that stood."""
+    """Timed out on an established connection before the response began."""
     UNFINISHED = "unfinished"
-    """Given up, or cut off, after the answer had begun."""
+    """Timed out or disconnected after the response had begun."""
     SILENT = "silent"
-    """The other machine acknowledged nothing more on the connection."""
+    """The remote machine stopped acknowledging data on the connection."""
     CLOSED = "closed"
-    """The other end closed the connection before the answer began."""
+    """The remote end closed the connection before the response began."""
     UNUSABLE = "unusable"
-    """A whole answer came that must not or cannot be used."""
+    """A complete response arrived that is invalid or must not be used."""
 
 
 class PlatformError(PewtertackError):
@@ -65,16 +65,16 @@
     code: ClassVar[str] = "platform-error"
 
     failure = ReadFailure.UNUSABLE
-    """How the read ended."""
+    """Why the read failed."""
 
 
 class RequestError(PewtertackError):
-    """A caller's request ends without the back end's answer."""
+    """A caller's request ends without a response of a back end."""
 
     code: ClassVar[str] = "request-error"
 
 
 class LabError(PewtertackError):
-    """A stand-in, scenario or measurement tool cannot do what it was asked."""
+    """A stand-in, scenario or measurement tool cannot do what was requested."""
 
     code: ClassVar[str] = "lab-error"
--- a/src/pewtertack/events.py
+++ b/src/pewtertack/events.py
@@ -1,96 +1,106 @@
 """The catalogue of numbered log events. docs/EVENTS.md is generated from it.
 
-Numbers are never reused. 1xx process life, 2xx configuration, 3xx membership,
-4xx platform, 5xx peers' protocol, 6xx requests, 9xx lab.
+Numbers are never reused. 1xx: process life cycle, 2xx: configuration, 3xx: membership,
+4xx: platform, 5xx: peer protocol, 6xx: requests, 9xx: lab.
 """
 
 from __future__ import annotations
 
 from enum import Enum
 
-REQUEST_EVENTS = 6
-"""The first digit of their numbers."""
+REQUEST_EVENT_SERIES = 6
+"""The hundreds digit of the numbers of request events."""
 
 
 class Event(Enum):
-    """Number and meaning of each log event."""
+    """Number and description of each log event, and whether it is routine."""
 
     NODE_READY = (101, "The node listens on all its addresses.")
-    NODE_SERVING = (102, "The node accepts callers' requests.")
-    NODE_JOINING = (103, "The node refuses requests until it knows the newest version.")
-    NODE_DRAINING = (104, "The node takes no new work and finishes what is in flight.")
-    NODE_STOPPED = (105, "The node has finished and exits.")
-    NODE_WOKE = (106, "The process was paused longer than allowed and joins again.")
-    NODE_SUPERSEDED = (107, "Another process lives under this name; this one serves no more.")
-    NODE_FAILED = (108, "An unexpected error ended the process with exit code 1.")
-    SETTINGS_RELOADED = (109, "The settings file was read again; some changes need a restart.")
-    SETTINGS_REFUSED = (110, "The settings file is wrong; the settings in use stay.")
-    LOG_LINES_LEFT_OUT = (111, "So many lines were not written: too many, or nobody read them.")
-    NODE_SUSPENDED = (112, "The machine was suspended; what ran out meanwhile ends now.")
-    NODE_PARTS = (113, "What the process took of processor time so far, by part; where asked for.")
-    REVISION_HELD = (201, "A revision is stored whole, valid, and not yet in force.")
-    REVISION_COMMITTED = (202, "A quorum of replicas holds the revision.")
-    REVISION_IN_FORCE = (203, "The proxy serves by this revision from now on.")
-    REVISION_REJECTED = (204, "A revision breaks a rule and is refused whole.")
-    REVISION_CONFLICT = (205, "Two digests for one revision number; neither replaces ours.")
-    REVISION_STALE = (206, "The source answered with an older revision; ignored.")
-    ZONES_EVACUATED = (207, "The zones changed whose back ends get nothing; who is left out.")
-    REVISION_HEARD = (208, "A peer tells of a newer revision than any known here.")
+    NODE_SERVING = (102, "The node accepts requests of callers.")
+    NODE_JOINING = (103, "The node rejects requests until it has the newest configuration.")
+    NODE_DRAINING = (104, "The node accepts no new requests and finishes those in flight.")
+    NODE_STOPPED = (105, "The node has shut down and exits.")
+    NODE_WOKE = (106, "The process was paused for longer than allowed and rejoins the fleet.")
+    NODE_SUPERSEDED = (107, "A newer process uses this node's name; this process stops serving.")
+    NODE_FAILED = (108, "An unexpected error terminated the process with exit code 1.")
+    SETTINGS_RELOADED = (109, "The settings file was reloaded; some changes need a restart.")
+    SETTINGS_REFUSED = (110, "The settings file is invalid; the current settings stay in use.")
+    LOG_LINES_LEFT_OUT = (111, "Number of log lines dropped: rate exceeded, or the reader stalled.")
+    NODE_SUSPENDED = (112, "The machine was suspended; timers that expired meanwhile fire now.")
+    NODE_PARTS = (113, "Processor time of the process so far, by part; only if enabled.")
+    REVISION_HELD = (201, "A complete and valid revision is stored but not yet in force.")
+    REVISION_COMMITTED = (202, "A quorum of replicas stores the revision.")
+    REVISION_IN_FORCE = (203, "The proxy serves according to this revision from now on.")
+    REVISION_REJECTED = (204, "A revision violates a validation rule and is rejected as a whole.")
+    REVISION_CONFLICT = (205, "A revision number has two digests; the stored document is kept.")
+    REVISION_STALE = (206, "The source returned an older revision, which is ignored.")
+    ZONES_EVACUATED = (
+        207,
+        "The evacuated zones, whose back ends get no requests, changed; who is unserved.",
+    )
+    REVISION_HEARD = (208, "A peer reported a newer revision than any known to this node.")
     MEMBER_ALIVE = (301, "A member joined or refuted a suspicion.")
     MEMBER_SUSPECT = (302, "A member answered neither direct nor indirect probes.")
-    MEMBER_DEAD = (303, "A suspected member did not refute in time.")
+    MEMBER_DEAD = (303, "A suspected member did not refute the suspicion in time.")
     MEMBER_LEAVING = (304, "A member is draining.")
-    SOURCE_LOST = (405, "Reads of the source or the machine list fail from now on.")
-    SOURCE_REGAINED = (406, "The source or the machine list answers again.")
-    SOURCE_FAILED = (401, "The configuration source gave no usable answer.")
-    MACHINE_LIST_FAILED = (402, "The machine list gave no usable answer.")
-    READER_STARTED = (403, "This node reads the platform for its zone from now on.")
-    READER_STOPPED = (404, "This node no longer reads the platform.")
-    ITEM_PASSED_OVER = (407, "An item of the platform makes no sense; the others hold.")
-    SOURCE_RETURNED = (408, "The source has come back from an older copy: a new era; what it lost.")
-    SOURCE_BOUND_WIDER = (409, "The source accepts longer configurations than are surely taken.")
-    FRAME_REFUSED = (501, "A peer's frame was refused.")
-    PULL_REFUSED = (502, "A pull was answered with a come-back time.")
-    REQUEST_REFUSED = (601, "A request ended without the back end's answer.")
-    BACKEND_EJECTED = (602, "A back end failed repeatedly and gets no work for a while.")
-    BACKEND_RETURNED = (603, "An ejected back end gets work again.")
-    HTTP_SERVER_WARNING = (604, "The HTTP server cut an answer short or met an error.")
-    BACKEND_SEEN = (605, "The machine list names a back end that was not on it before.")
-    BACKEND_LEAVING = (606, "A back end gets no new work: the list, or its own answer, says so.")
-    BACKEND_GONE = (607, "A back end is on the machine list no longer.")
-    BACKEND_CRASHED = (608, "A back end ended while it ran these requests.")
-    REQUEST_ENDS_BACKENDS = (609, "So many back ends ended while they ran one request.")
-    REQUEST_ROUTED = (610, "The proxy chose a back end for an attempt, and why.", True)
-    REQUEST_RETRIED = (611, "An attempt failed; the request is sent once more, and why.")
-    REQUEST_NOT_RETRIED = (612, "An attempt failed; the request is not sent again, and why.")
-    REQUEST_ANSWERED = (613, "The back end's whole answer went to the caller.", True)
-    REQUEST_CUT = (614, "An answer broke off after its head had gone to the caller.")
-    REQUEST_CANCELLED = (615, "The caller left before its answer.")
-    REQUEST_UNFINISHED = (616, "The time to stop is over while the request is under way.")
+    SOURCE_LOST = (405, "Reads of the source or of the machine list have started to fail.")
+    SOURCE_REGAINED = (406, "The source or the machine list responds again.")
+    SOURCE_FAILED = (401, "A read of the configuration source failed.")
+    MACHINE_LIST_FAILED = (402, "A read of the machine list failed.")
+    READER_STARTED = (403, "This node starts to read the platform for its zone.")
+    READER_STOPPED = (404, "This node stops reading the platform.")
+    ITEM_PASSED_OVER = (407, "An invalid item of the platform is skipped; other items are used.")
+    SOURCE_RETURNED = (408, "The source was restored from an older copy: a new era; what it lacks.")
+    SOURCE_BOUND_WIDER = (409, "The source accepts longer configurations than nodes surely accept.")
+    FRAME_REFUSED = (501, "A frame from a peer was rejected.")
+    PULL_REFUSED = (502, "A pull was rejected with a retry delay.")
+    REQUEST_REFUSED = (601, "A request ended without a response of a back end.")
+    BACKEND_EJECTED = (602, "A back end failed repeatedly and gets no requests for a while.")
+    BACKEND_RETURNED = (603, "An ejected back end gets requests again.")
+    HTTP_SERVER_WARNING = (604, "The HTTP server truncated a response or reported an error.")
+    BACKEND_SEEN = (605, "A back end was added to the machine list.")
+    BACKEND_LEAVING = (606, "The list or a response says that a back end takes no new requests.")
+    BACKEND_GONE = (607, "A back end was removed from the machine list.")
+    BACKEND_CRASHED = (608, "A back end crashed while it executed these requests.")
+    REQUEST_ENDS_BACKENDS = (609, "Number of back ends that crashed while executing one request.")
+    REQUEST_ROUTED = (610, "The proxy chose a back end for an attempt; with the reason.", True)
+    REQUEST_RETRIED = (611, "An attempt failed and the request is retried; with the reason.")
+    REQUEST_NOT_RETRIED = (
+        612,
+        "An attempt failed and the request is not retried; with the reason.",
+    )
+    REQUEST_ANSWERED = (613, "The complete response of the back end was sent to the caller.", True)
+    REQUEST_CUT = (614, "A response was truncated after its head had been sent to the caller.")
+    REQUEST_CANCELLED = (615, "The caller disconnected before the response.")
+    REQUEST_UNFINISHED = (616, "The shutdown deadline passed while the request was in flight.")
     GATEWAY_QUEUED = (620, "A request waits at the gateway for a slot of the back end.", True)
     GATEWAY_ADMITTED = (621, "The gateway sends a request to the back end.", True)
-    GATEWAY_REFUSED = (622, "The gateway refused a request before the back end saw it.")
-    GATEWAY_ANSWERED = (623, "The back end's whole answer went back to the proxy.", True)
-    GATEWAY_FAILED = (624, "A request that was offered to the back end has no whole answer.")
-    GATEWAY_CANCELLED = (625, "The proxy gave up a request at the gateway.")
-    GATEWAY_UNFINISHED = (626, "The time to stop is over while the gateway holds the request.")
+    GATEWAY_REFUSED = (622, "The gateway rejected a request before the back end received it.")
+    GATEWAY_ANSWERED = (
+        623,
+        "The complete response of the back end was returned to the proxy.",
+        True,
+    )
+    GATEWAY_FAILED = (624, "A request forwarded to the back end got no complete response.")
+    GATEWAY_CANCELLED = (625, "The proxy cancelled a request at the gateway.")
+    GATEWAY_UNFINISHED = (626, "The shutdown deadline passed while the gateway held the request.")
 
-    ROUTE_ORIGIN = (627, "The gateway has found who calls a route: callers, or back ends that run.")
+    ROUTE_ORIGIN = (627, "The gateway inferred who calls a route: callers or busy back ends.")
 
-    GATEWAY_SENT = (628, "All of a long answer has left the gateway.", True)
-    SENDER_STOPS = (629, "A node that stops says until when it carries answers to its requests.")
+    GATEWAY_SENT = (628, "All of a long response has left the gateway.", True)
+    SENDER_STOPS = (629, "A stopping node announced until when it forwards responses.")
     GATEWAY_GAVE_BACK = (
         630,
-        "The gateway's or the sender's node stops before a long answer could leave: not sent on.",
+        "A request was handed back: a node stops before a long response could be transferred.",
     )
 
     def __init__(self, number: int, meaning: str, routine: bool = False) -> None:
         self.number = number
         self.meaning = meaning
         self.routine = routine
-        """Of a request that goes well: left out first when too much is logged."""
+        """Whether it records successful processing; dropped first when too much is logged."""
 
     @property
-    def of_request(self) -> bool:
-        """Whether it tells of a request or a back end; an overload has many of them."""
-        return self.number // 100 == REQUEST_EVENTS
+    def is_request_event(self) -> bool:
+        """Whether it concerns a request or a back end; an overload logs many of these."""
+        return self.number // 100 == REQUEST_EVENT_SERIES
--- a/src/pewtertack/log.py
+++ b/src/pewtertack/log.py
@@ -1,8 +1,8 @@
 """Numbered events as JSON lines on standard output, through logbook.
 
 One line is ``{"time", "number", "event", "node", "incarnation", "uptime", ...}``:
-``time`` is Unix time in seconds, ``uptime`` steady seconds since the process began to
-log, the rest are the event's fields.
+``time`` is Unix time in seconds, ``uptime`` is monotonic seconds since the process started
+logging, and the rest are the fields of the event.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 import logbook
 import msgspec
 
-from pewtertack.events import REQUEST_EVENTS, Event
+from pewtertack.events import REQUEST_EVENT_SERIES, Event
 from pewtertack.log_writer import BoundedWriter, LineSink
 
 CHANNEL = "pewtertack"
 
 
-_steady = partial(time.clock_gettime_ns, time.CLOCK_BOOTTIME)
-"""Returns nanoseconds that also pass while the machine is suspended, as on the node's clock."""
-HALF_MICROSECOND = 500
-MICROSECOND = 1000
-PER_SECOND = 1_000_000
+_boot_time_ns = partial(time.clock_gettime_ns, time.CLOCK_BOOTTIME)
+"""Returns monotonic nanoseconds that include the time suspended, like the node's clock."""
+HALF_MICROSECOND_NS = 500
+MICROSECOND_NS = 1000
+MICROSECONDS_PER_SECOND = 1_000_000
 
 
 class _StreamSink:
-    """Writes each line to a text stream at once."""
+    """Writes each line to a text stream immediately."""
 
     def __init__(self, stream: TextIO) -> None:
         self._stream = stream
@@ -45,7 +45,7 @@
 
 
 class _SinkHandler(logbook.Handler):  # type: ignore[misc]
-    """Hands every record's line to a sink."""
+    """Passes the line of every record to a sink."""
 
     def __init__(self, sink: LineSink) -> None:
         super().__init__(level=logbook.INFO)
@@ -59,8 +59,8 @@
 class EventLog:
     """Records numbered events of one process under its name and incarnation.
 
-    Without a ``stream`` lines go to standard output and never block
-    (``pewtertack.log_writer``), whose monotonic time is ``clock``.
+    Without a ``stream``, lines go to standard output through a writer that never blocks
+    (``pewtertack.log_writer``); ``clock`` is the monotonic time of that writer.
     """
 
     def __init__(
@@ -72,52 +72,55 @@
     ) -> None:
         self._logger = logbook.Logger(CHANNEL)
         self._identity = {"node": node, "incarnation": incarnation}
-        self._constants: dict[int, dict[str, Any]] = {}
-        """What every line of an event has, by the event's number."""
-        self._started = _steady()
+        self._common_fields: dict[int, dict[str, Any]] = {}
+        """The fields common to all lines of an event, by the number of the event."""
+        self._started = _boot_time_ns()
         self._writer: BoundedWriter | None = None
-        sink = self._sink_of(stream, clock)
+        sink = self._make_sink(stream, clock)
         self._write = sink.write
         self._logger.handlers.append(_SinkHandler(sink))
 
-    def _sink_of(self, stream: TextIO | None, clock: Callable[[], float]) -> LineSink:
+    def _make_sink(self, stream: TextIO | None, clock: Callable[[], float]) -> LineSink:
         if stream is not None:
             return _StreamSink(stream)
-        self._writer = BoundedWriter(sys.stdout.fileno(), self._left_out_line, clock)
+        self._writer = BoundedWriter(sys.stdout.fileno(), self._dropped_line, clock)
         return self._writer
 
     def record(self, event: Event, **fields: Any) -> None:
-        """Write one line. Fields may not be named like those that every line has.
+        """Write one line. No field may have the name of a field that all lines have.
 
-        Lines of requests, several each, go to the sink without logbook's record, which took
-        a tenth of a served request's processor time; a refused one has as many.
+        Request events bypass logbook and go directly to the sink: each request, served or
+        rejected, logs several, and logbook's records took a tenth of the processor time of
+        a served request.
         """
         line = self._line(event, fields)
-        if event.number // 100 == REQUEST_EVENTS:
+        if event.number // 100 == REQUEST_EVENT_SERIES:
             self._write(_encode(line), event.routine)
         else:
             self._logger.info(event.name, extra={"line": line, "routine": False})
 
     def close(self) -> None:
-        """Write what is still buffered; the process is about to end."""
+        """Write the buffered lines before the process exits."""
         if self._writer is not None:
             self._writer.close()
 
     def _line(self, event: Event, fields: dict[str, Any]) -> dict[str, Any]:
-        constants = self._constants.get(event.number)
-        if constants is None:
-            constants = {"number": event.number, "event": event.name, **self._identity}
-            self._constants[event.number] = constants
-        # Seconds to the microsecond, here and by whole numbers: ``round(seconds, 6)`` takes 5 us,
-        # this 0.1, and a hop has four lines.
-        uptime = _steady() - self._started
+        common = self._common_fields.get(event.number)
+        if common is None:
+            common = {"number": event.number, "event": event.name, **self._identity}
+            self._common_fields[event.number] = common
+        # Rounds to microseconds with integer arithmetic, which takes 0.1 us; ``round(seconds, 6)``
+        # takes 5 us, and each hop of a request logs four lines.
+        uptime = _boot_time_ns() - self._started
         return {
-            "time": (time.time_ns() + HALF_MICROSECOND) // MICROSECOND / PER_SECOND,
-            **constants,
-            "uptime": (uptime + HALF_MICROSECOND) // MICROSECOND / PER_SECOND,
+            "time": (time.time_ns() + HALF_MICROSECOND_NS)
+            // MICROSECOND_NS
+            / MICROSECONDS_PER_SECOND,
+            **common,
+            "uptime": (uptime + HALF_MICROSECOND_NS) // MICROSECOND_NS / MICROSECONDS_PER_SECOND,
             **fields,
         }
 
-    def _left_out_line(self, routine: int, other: int) -> bytes:
+    def _dropped_line(self, routine: int, other: int) -> bytes:
         line = self._line(Event.LOG_LINES_LEFT_OUT, {"routine": routine, "other": other})
         return msgspec.json.encode(line)
--- a/src/pewtertack/tree_files.py
+++ b/src/pewtertack/tree_files.py
@@ -1,4 +1,4 @@
-"""Reads trees from TOML and JSON files. The only place where a tree is read from disk."""
+"""Reads configuration trees from TOML and JSON files; nothing else reads a tree from disk."""
 
 from __future__ import annotations
 
@@ -11,50 +11,50 @@
 from pewtertack.core.revision import Document
 from pewtertack.errors import ConfigurationError
 
-FILE_SIZE_LIMIT = 16 * 1024 * 1024
-"""Bytes of the largest tree file that is read."""
+MAX_FILE_BYTES = 16 * 1024 * 1024
+"""Larger tree files are rejected."""
 
 _TOML_POSITION = re.compile(r" \(at (?:line (\d+), column \d+|end of document)\)$")
 
 
 class TreeUnreadableError(ConfigurationError):
-    """The file of a tree cannot be read, is too large or no text in UTF-8."""
+    """The tree file cannot be read, is too large or is not valid UTF-8."""
 
     code: ClassVar[str] = "tree-unreadable"
 
 
 class TreeFormatError(ConfigurationError):
-    """The file's suffix is neither ``.toml`` nor ``.json``."""
+    """The suffix of the file is neither ``.toml`` nor ``.json``."""
 
     code: ClassVar[str] = "tree-format"
 
 
 class TreeSyntaxError(ConfigurationError):
-    """The text is no TOML or JSON; ``line`` is 0 where the parser names none."""
+    """The text is not valid TOML or JSON; ``line`` is 0 if the parser reports no line."""
 
     code: ClassVar[str] = "tree-syntax"
 
     def __init__(self, file: str, line: int, reason: str) -> None:
-        place = f"{file}:{line}" if line else file
-        super().__init__(f"{place}: {reason}")
+        location = f"{file}:{line}" if line else file
+        super().__init__(f"{location}: {reason}")
         self.file = file
         self.line = line
 
 
 class _DuplicateKeyError(ValueError):
-    """A JSON object holds a key twice."""
+    """A JSON object has a duplicate key."""
 
 
 def load_tree(path: Path) -> Document:
-    """Return the document in the file at ``path``; ``.json`` is JSON, ``.toml`` TOML.
+    """Return the document in the file at ``path``, whose suffix selects the format.
 
     Raises:
         TreeUnreadableError: the file cannot be read.
-        TreeFormatError: the suffix is neither of the two.
-        TreeSyntaxError: the text is no document of its format.
+        TreeFormatError: the suffix is neither ``.json`` nor ``.toml``.
+        TreeSyntaxError: the text is not valid in its format.
     """
     if path.suffix not in (".json", ".toml"):
-        raise TreeFormatError(f"{path}: the file's name must end with .toml or .json")
+        raise TreeFormatError(f"{path}: the file name must end with .toml or .json")
     text = _read_text(path)
     return parse_json(text, str(path)) if path.suffix == ".json" else parse_toml(text, str(path))
 
@@ -62,19 +62,19 @@
 def _read_text(path: Path) -> str:
     try:
         with path.open("rb") as file:
-            content = file.read(FILE_SIZE_LIMIT + 1)
+            content = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
         raise TreeUnreadableError(f"{path}: {error.strerror or error}") from error
-    if len(content) > FILE_SIZE_LIMIT:
-        raise TreeUnreadableError(f"{path}: larger than {FILE_SIZE_LIMIT} bytes")
+    if len(content) > MAX_FILE_BYTES:
+        raise TreeUnreadableError(f"{path}: larger than {MAX_FILE_BYTES} bytes")
     try:
         return content.decode()
     except UnicodeDecodeError as error:
-        raise TreeUnreadableError(f"{path}: no text in UTF-8 at byte {error.start}") from error
+        raise TreeUnreadableError(f"{path}: invalid UTF-8 at byte {error.start}") from error
 
 
 def parse_toml(text: str, file: str) -> Document:
-    """Return the document that ``text`` holds; ``file`` names it in errors.
+    """Parse a TOML document; ``file`` is the name of its source in errors.
 
     Raises:
         TreeSyntaxError: not a TOML document.
@@ -88,34 +88,34 @@
         line = int(position[1] or text.count("\n") + 1) if position else 0
         raise TreeSyntaxError(file, line, reason) from error
     except (RecursionError, ValueError) as error:
-        raise TreeSyntaxError(file, 0, _reason(error)) from error
+        raise TreeSyntaxError(file, 0, _error_text(error)) from error
 
 
 def parse_json(text: str, file: str) -> Document:
-    """Return the document that ``text`` holds; ``file`` names it in errors.
+    """Parse a JSON document; ``file`` is the name of its source in errors.
 
     Raises:
-        TreeSyntaxError: not a JSON object, or an object with a key twice.
+        TreeSyntaxError: not a JSON object, or an object has a duplicate key.
     """
     try:
-        document = json.loads(text, object_pairs_hook=_object_of_different_keys)
+        document = json.loads(text, object_pairs_hook=_object_without_duplicate_keys)
     except json.JSONDecodeError as error:
         raise TreeSyntaxError(file, error.lineno, error.msg) from error
     except (RecursionError, ValueError) as error:
-        raise TreeSyntaxError(file, 0, _reason(error)) from error
+        raise TreeSyntaxError(file, 0, _error_text(error)) from error
     if not isinstance(document, dict):
         raise TreeSyntaxError(file, 1, "not a JSON object")
     return document
 
 
-def _object_of_different_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _object_without_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     result: dict[str, Any] = {}
     for key, value in pairs:
         if key in result:
-            raise _DuplicateKeyError(f"key {key!r} stands twice in one object")
+            raise _DuplicateKeyError(f"duplicate key {key!r} in one object")
         result[key] = value
     return result
 
 
-def _reason(error: Exception) -> str:
-    return "nested too deep" if isinstance(error, RecursionError) else str(error)
+def _error_text(error: Exception) -> str:
+    return "nested too deeply" if isinstance(error, RecursionError) else str(error)
--- a/tests/test_import_boundaries.py
+++ b/tests/test_import_boundaries.py
@@ -1,4 +1,4 @@
-"""core, routing and wire do no input or output: they import nothing that does."""
+"""The packages core, routing and wire do no I/O: they import no module that does."""
 
 import ast
 import unittest
@@ -16,8 +16,8 @@
         *("urllib", "uvicorn", "uvloop"),
     }
 )
-NEVER_IN_A_NODE = frozenset({"multiprocessing", "subprocess", "uvloop"})
-"""A node starts no process, shares no memory and opens no io_uring."""
+FORBIDDEN_IN_NODE = frozenset({"multiprocessing", "subprocess", "uvloop"})
+"""A node starts no processes, uses no shared memory and opens no io_uring."""
 
 
 def imported_modules(path: Path) -> Iterator[str]:
@@ -30,12 +30,12 @@
             yield from (f"{node.module}.{alias.name}" for alias in node.names)
 
 
-def is_below(module: str, package: str) -> bool:
+def is_within(module: str, package: str) -> bool:
     return module == package or module.startswith(f"{package}.")
 
 
 class ImportBoundaryTest(unittest.TestCase):
-    def offenders(self, package: str, forbidden: frozenset[str]) -> list[str]:
+    def forbidden_imports(self, package: str, forbidden: frozenset[str]) -> list[str]:
         files = sorted((SOURCE / package).rglob("*.py"))
         self.assertTrue(files)
         return [
@@ -45,31 +45,31 @@
             if module.split(".")[0] in forbidden
         ]
 
-    def test_pure_packages_import_no_library_that_does_io(self) -> None:
+    def test_pure_packages_import_no_io_library(self) -> None:
         for package in PURE_PACKAGES:
             with self.subTest(package):
-                self.assertEqual(self.offenders(package, FORBIDDEN), [])
+                self.assertEqual(self.forbidden_imports(package, FORBIDDEN), [])
 
-    def test_pure_packages_import_no_package_that_does_io(self) -> None:
+    def test_pure_packages_import_no_io_package(self) -> None:
         allowed = {"core", "routing", "wire", "errors", "events"}
         for package in PURE_PACKAGES:
             for path in sorted((SOURCE / package).rglob("*.py")):
                 for module in imported_modules(path):
-                    if is_below(module, "pewtertack") and module != "pewtertack":
+                    if is_within(module, "pewtertack") and module != "pewtertack":
                         with self.subTest(path=path.name, module=module):
                             self.assertIn(module.split(".")[1], allowed)
 
-    def test_a_node_imports_no_library_for_processes_or_shared_memory(self) -> None:
+    def test_node_imports_no_process_or_shared_memory_library(self) -> None:
         for package in (*PURE_PACKAGES, "node", "settings"):
             with self.subTest(package):
-                self.assertEqual(self.offenders(package, NEVER_IN_A_NODE), [])
+                self.assertEqual(self.forbidden_imports(package, FORBIDDEN_IN_NODE), [])
 
-    def test_random_numbers_come_from_a_generator_that_is_passed_in(self) -> None:
+    def test_pure_packages_import_only_the_class_random(self) -> None:
         for package in PURE_PACKAGES:
             for path in sorted((SOURCE / package).rglob("*.py")):
                 for node in ast.walk(ast.parse(path.read_text())):
                     if isinstance(node, ast.Import):
                         names = [alias.name for alias in node.names]
-                        self.assertNotIn("random", names, f"{path}: import the class Random alone")
+                        self.assertNotIn("random", names, f"{path}: import only the class Random")
                     if isinstance(node, ast.ImportFrom) and node.module == "random":
                         self.assertEqual([alias.name for alias in node.names], ["Random"])
--- a/tests/test_log_writer.py
+++ b/tests/test_log_writer.py
@@ -1,4 +1,4 @@
-"""A stalled or absent reader of the log costs lines, which are counted, and no time."""
+"""A stalled or absent reader of the log loses lines, which are counted, but blocks nothing."""
 
 import asyncio
 import json
@@ -13,8 +13,8 @@
 LINE = b"x" * 200
 
 
-def left_out(routine: int, other: int) -> bytes:
-    return json.dumps({"left_out": [routine, other]}).encode()
+def dropped_line(routine: int, other: int) -> bytes:
+    return json.dumps({"dropped": [routine, other]}).encode()
 
 
 class BoundedWriterTest(unittest.IsolatedAsyncioTestCase):
@@ -22,7 +22,7 @@
         self.reader, descriptor = os.pipe()
         self.addCleanup(os.close, self.reader)
         self.addCleanup(os.close, descriptor)
-        self.writer = BoundedWriter(descriptor, left_out)
+        self.writer = BoundedWriter(descriptor, dropped_line)
 
     async def read_until_quiet(self) -> list[bytes]:
         os.set_blocking(self.reader, False)
@@ -37,15 +37,15 @@
                 quiet += 1
         return bytes(received).splitlines()
 
-    async def test_lines_arrive_whole_and_in_order(self) -> None:
+    async def test_lines_arrive_complete_and_in_order(self) -> None:
         for index in range(100):
             self.writer.write(b"%d" % index, routine=False)
         self.assertEqual(await self.read_until_quiet(), [b"%d" % index for index in range(100)])
 
-    async def test_lines_of_an_active_process_go_out_without_a_wake_of_their_own(self) -> None:
-        with mock.patch.object(log_writer, "BATCH_SECONDS", 3600.0):
+    async def test_old_lines_are_written_along_with_a_new_one_without_the_timer(self) -> None:
+        with mock.patch.object(log_writer, "FLUSH_INTERVAL_SECONDS", 3600.0):
             self.writer.write(b"first", routine=False)
-            await asyncio.sleep(log_writer.GATHER_SECONDS)
+            await asyncio.sleep(log_writer.COALESCE_SECONDS)
             self.writer.write(b"second", routine=False)
             self.writer.write(b"third", routine=False)
             self.assertEqual(await self.read_until_quiet(), [b"first", b"second", b"third"])
@@ -54,22 +54,22 @@
             self.writer.write(b"fifth", routine=False)
             self.assertEqual(await self.read_until_quiet(), [b"fourth", b"fifth"])
 
-    async def test_a_full_pipe_delays_nobody_and_what_is_left_out_is_counted(self) -> None:
+    async def test_full_pipe_does_not_block_and_dropped_lines_are_counted(self) -> None:
         slowest = 0.0
         for index in range(3000):
-            began = time.perf_counter()
+            started = time.perf_counter()
             self.writer.write(LINE, routine=index % 2 == 0)
-            slowest = max(slowest, time.perf_counter() - began)
+            slowest = max(slowest, time.perf_counter() - started)
             if index % 50 == 0:
                 await asyncio.sleep(0.001)
         self.assertLess(slowest, 0.05)
         lines = await self.read_until_quiet()
-        told = [json.loads(line)["left_out"] for line in lines if line.startswith(b"{")]
+        reported = [json.loads(line)["dropped"] for line in lines if line.startswith(b"{")]
         written = sum(1 for line in lines if line == LINE)
-        self.assertEqual(written + sum(map(sum, told)), 3000)
-        self.assertGreater(sum(pair[0] for pair in told), 0)
+        self.assertEqual(written + sum(map(sum, reported)), 3000)
+        self.assertGreater(sum(pair[0] for pair in reported), 0)
 
-    async def test_lines_of_failures_are_kept_before_routine_ones(self) -> None:
+    async def test_failure_lines_have_precedence_over_routine_lines(self) -> None:
         for _ in range(1000):
             self.writer.write(LINE, routine=True)
         for index in range(500):
@@ -77,30 +77,32 @@
         lines = await self.read_until_quiet()
         self.assertEqual(sum(line.startswith(b"failure") for line in lines), 500)
 
-    async def test_what_is_left_out_goes_by_the_clock_that_was_given(self) -> None:
+    async def test_rate_limit_uses_the_given_clock(self) -> None:
         now, per_second = 0.0, int(log_writer.ROUTINE_LINES_PER_SECOND)
-        writer = BoundedWriter(self.writer._descriptor, left_out, lambda: now)
+        writer = BoundedWriter(self.writer._descriptor, dropped_line, lambda: now)
         for _ in range(per_second + 5):
-            writer.write(b"still", routine=True)
+            writer.write(b"initial", routine=True)
         for _ in range(per_second):
             now += 1 / per_second
-            writer.write(b"going", routine=True)
+            writer.write(b"refilled", routine=True)
         lines = await self.read_until_quiet()
-        self.assertEqual(lines.count(b"still"), per_second)
-        self.assertGreaterEqual(lines.count(b"going"), per_second - 1)  # by rounding
-        told = [json.loads(line)["left_out"] for line in lines if line.startswith(b"{")]
-        self.assertEqual(sum(map(sum, told)) + len(lines) - len(told), 2 * per_second + 5)
+        self.assertEqual(lines.count(b"initial"), per_second)
+        self.assertGreaterEqual(
+            lines.count(b"refilled"), per_second - 1
+        )  # one may be lost to rounding
+        reported = [json.loads(line)["dropped"] for line in lines if line.startswith(b"{")]
+        self.assertEqual(sum(map(sum, reported)) + len(lines) - len(reported), 2 * per_second + 5)
 
-    async def test_the_buffer_is_bounded(self) -> None:
+    async def test_buffer_is_bounded(self) -> None:
         for _ in range(5000):
             self.writer.write(LINE, routine=False)
         self.assertLessEqual(len(self.writer._buffer), BUFFER_BYTES)
 
-    async def test_a_reader_that_has_gone_is_no_error(self) -> None:
+    async def test_closed_reader_raises_no_error(self) -> None:
         reader, descriptor = os.pipe()
         os.close(reader)
         self.addCleanup(os.close, descriptor)
-        writer = BoundedWriter(descriptor, left_out)
+        writer = BoundedWriter(descriptor, dropped_line)
         writer.write(LINE, routine=False)
         await asyncio.sleep(0.05)
         writer.close()
--- a/tests/test_operators_pages.py
+++ b/tests/test_operators_pages.py
@@ -1,4 +1,4 @@
-"""Pages and examples for operators follow the code."""
+"""The pages and examples for operators match the code."""
 
 import re
 import unittest
@@ -29,7 +29,7 @@
 
 
 class DependenciesPageTest(unittest.TestCase):
-    def test_every_pinned_package_has_a_row_and_no_other_has(self) -> None:
+    def test_rows_are_exactly_the_pinned_packages(self) -> None:
         pins = {
             line.split("==")[0]
             for name in ("requirements.txt", "requirements-dev.txt")
@@ -41,7 +41,7 @@
 
 
 class ExampleSettingsTest(unittest.TestCase):
-    def test_both_deployments_have_a_node_that_could_start(self) -> None:
+    def test_node_settings_of_both_deployments_are_valid(self) -> None:
         for deployment, profile in (("lagos", "frugal"), ("kolkata", "fast")):
             settings = load_settings(ROOT / "examples" / deployment / "node.toml")
             self.assertEqual(settings.profile.name.value, profile)
--- a/tests/test_tree_files.py
+++ b/tests/test_tree_files.py
@@ -1,4 +1,4 @@
-"""Files of trees: both formats, and a typed error with file and line for each fault."""
+"""Tree files: both formats, and a typed error with file and line for each kind of fault."""
 
 import tempfile
 import unittest
@@ -37,7 +37,7 @@
         path.write_bytes(content)
         return path
 
-    def test_both_formats_give_the_same_document(self):
+    def test_both_formats_yield_the_same_document(self):
         toml = self.write("tree.toml", b"[services.logbook]\nslow_start = '1s'\n")
         text = b'{"services": {"logbook": {"slow_start": "1s"}}}'
         self.assertEqual(load_tree(toml), load_tree(self.write("tree.json", text)))
@@ -52,7 +52,7 @@
                 )
                 self.assertTrue(str(raised.exception).startswith("some-tree"))
 
-    def test_files_that_cannot_be_read_are_refused(self):
+    def test_unreadable_files_are_rejected(self):
         with self.assertRaises(TreeUnreadableError):
             load_tree(self.directory / "none.toml")
         with self.assertRaises(TreeUnreadableError):
