--- a/src/pewtertack/platform/__init__.py
+++ b/src/pewtertack/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Translation between the users' platform and pewtertack; nothing else knows its names."""
+"""Adapter for the users' platform; no other package uses the platform's names."""
--- a/src/pewtertack/platform/__main__.py
+++ b/src/pewtertack/platform/__main__.py
@@ -1,7 +1,6 @@
-"""A node on the users' platform: ``python -m pewtertack.platform``.
+"""Runs a node on the users' platform: ``python -m pewtertack.platform``.
 
-The platform names the settings file, which ``deploy/node.toml.template`` shapes, in an
-environment variable.
+The settings file, made from ``deploy/node.toml.template``, is named by an environment variable.
 """
 
 from __future__ import annotations
@@ -37,7 +36,7 @@
 
 
 def _make_reader(settings: Settings) -> StoreReader:
-    """Return the reader of the platform's store; its modules load after the sockets are bound."""
+    """Return the reader of the platform's store, importing its modules after sockets are bound."""
     from pewtertack.platform.store import make_reader
 
     return make_reader(settings)
--- a/src/pewtertack/platform/documents.py
+++ b/src/pewtertack/platform/documents.py
@@ -1,4 +1,4 @@
-"""The operator's configuration and evacuations as a tree, as near as a tree comes to them."""
+"""Converts the operator's configuration and evacuations to the closest equivalent tree."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 _Weight = Annotated[float, msgspec.Meta(ge=0, le=1e15)]
 
 
-class _Share(msgspec.Struct, frozen=True, rename="pascal"):
+class _SplitShare(msgspec.Struct, frozen=True, rename="pascal"):
     service: str
     weight: _Weight
 
@@ -32,7 +32,7 @@
     target_latency: str = "0s"
     priority: _Number = 0
     service: str | None = None
-    traffic_split: tuple[_Share, ...] | None = None
+    traffic_split: tuple[_SplitShare, ...] | None = None
     max_attempts: _Number = 1
 
 
@@ -59,23 +59,21 @@
 
 
 def parse_configuration(
-    value: bytes, zones: Sequence[str] = (), known: RouteCache | None = None
+    value: bytes, zones: Sequence[str] = (), cache: RouteCache | None = None
 ) -> tuple[int, dict[str, Any]]:
-    """Return the version and the tree of a configuration while some zones are evacuated.
-
-    Routes that are ``known`` from the one before are the same tables.
+    """Return the version and tree of a configuration; unchanged routes are from ``cache``.
 
     Raises:
-        ItemFormatError: it lacks a field, or one has a wrong value.
+        ItemFormatError: a field is missing or has an invalid value.
     """
-    given = parse_item(value, _Configuration)
-    version = int(given.version.removeprefix("r"))
-    routes = (known or RouteCache()).parse(given.routes or (), _read_route)
+    parsed = parse_item(value, _Configuration)
+    version = int(parsed.version.removeprefix("r"))
+    routes = (cache or RouteCache()).parse(parsed.routes or (), _read_route)
     tree: dict[str, Any] = {
-        "services": {item.name: _service_of(item) for item in given.services or ()},
+        "services": {item.name: _service_table(item) for item in parsed.services or ()},
         "routes": conversion.unique_routes(routes),
     }
-    tree |= conversion.head_bytes_settings(given.limits.max_header_bytes)
+    tree |= conversion.head_bytes_settings(parsed.limits.max_header_bytes)
     if zones:
         tree[RootSection.EVACUATED_ZONES.value] = list(zones)
     return version, tree
@@ -83,15 +81,15 @@
 
 def _read_route(text: bytes) -> tuple[str, dict[str, Any]]:
     route = parse_item(text, _Route)
-    return route.name, _route_of(route)
+    return route.name, _route_table(route)
 
 
-def _service_of(service: _Service) -> dict[str, Any]:
+def _service_table(service: _Service) -> dict[str, Any]:
     cold = (service.health_path, service.cold_start) if service.cold_per_s > 0 else None
     return conversion.service_settings(service.connection_limit, service.cold_per_s, cold)
 
 
-def _route_of(route: _Route) -> dict[str, Any]:
+def _route_table(route: _Route) -> dict[str, Any]:
     shares = [(share.service, share.weight) for share in route.traffic_split or ()]
     times = (route.timeout, route.target_latency)
     table = conversion.route_match_settings(
--- a/src/pewtertack/platform/entries.py
+++ b/src/pewtertack/platform/entries.py
@@ -1,4 +1,4 @@
-"""The back ends' entries as a machine list. One that cannot be understood harms no other."""
+"""Converts the entries of back ends to a machine list; an invalid entry affects no other."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
     normalize_machine_address,
 )
 
-DRAINING = "draining"
-NODE = MachineRole.NODE.value
-ENTRIES_KEPT = 2048
-"""Entries that are read once while they stay as they are: 82 take 1.5 ms, kept ones 0.2 ms."""
-NO_TIME = ("ms", "s")
-"""What is left of a length of time without the zeros of its number."""
+DRAINING_STATE = "draining"
+NODE_ROLE = MachineRole.NODE.value
+ENTRY_CACHE_SIZE = 2048
+"""Number of parsed entries that are cached: parsing 82 takes 1.5 ms, looking them up 0.2 ms."""
+ZERO_DURATION_UNITS = ("ms", "s")
+"""What remains of the text of a zero duration after stripping zeros and the decimal point."""
 _ENTRY_NAME = re.compile("[!-~]{1,200}")
-"""It goes into a header, as it is."""
+"""Restricted to characters that are valid in a header, as the name is sent unescaped in one."""
 _Name = Annotated[str, msgspec.Meta(pattern=rf"\A{NAME_PATTERN}\Z")]
 _ZoneName = Annotated[str, msgspec.Meta(pattern=rf"\A{ZONE_NAME_PATTERN}\Z")]
 
 
 class _Entry(msgspec.Struct, frozen=True, rename="pascal"):
-    """All that a back end says of itself; its pages leave out none but ``born``."""
+    """The entry that a back end writes; the platform's pages document all fields but ``born``."""
 
     service: _Name
     address: str
@@ -43,46 +43,45 @@
     state: Literal["ready", "draining"]
     cold_remaining: Annotated[str, msgspec.Meta(pattern=r"\A[0-9]{1,18}(\.[0-9]{1,18})?m?s\Z")]
     sequence: Annotated[int, msgspec.Meta(ge=0)]
-    born: Annotated[int, msgspec.Meta(ge=0, le=STARTED_AT_MAX_MS)] = msgspec.field(
+    started_at_ms: Annotated[int, msgspec.Meta(ge=0, le=STARTED_AT_MAX_MS)] = msgspec.field(
         name="born", default=0
     )
 
 
-def machine_list_from_entries(
+def parse_entries(
     entries: Mapping[str, bytes],
     gateway_port: int,
     peer_port: int,
-    made: Mapping[str, int] | None = None,
+    created_revisions: Mapping[str, int] | None = None,
 ) -> tuple[dict[str, dict[str, Any]], tuple[ItemFinding, ...]]:
-    """Return the machine list of the back ends ``{id: entry}`` and the nodes beside them.
+    """Return the machine list of the back ends ``{id: entry}`` and the nodes on their machines.
 
-    Nodes have the same ports on all machines and are named by their IP numbers. An entry that
-    cannot be understood is among the findings and names no machine. Several may name one
-    address, since that of a back end that has ended is given to another before its entry
-    goes; where they differ on the machine's zone, the first of ``entries`` holds. ``made`` are
-    the revisions of their creation, which tell who has an address now.
+    Nodes have the same ports on all machines and are named by their IP addresses. An invalid
+    entry adds a finding and no machine. Several entries may have one address, because that of
+    a terminated back end is reused before its entry is removed; if they differ on the zone of
+    the machine, the first one is used. ``created_revisions`` tell who has an address now.
     """
     machines: dict[str, dict[str, Any]] = {}
     findings: list[ItemFinding] = []
     for name, value in entries.items():
         try:
-            entry, address = _entry_of(name, value)
+            entry, address = _parse_entry(name, value)
         except ItemFormatError as error:
             findings.append(error.finding_for(name))
             continue
         host = address.rpartition(":")[0]
-        machines[name] = _backend_of(entry, address, f"{host}:{gateway_port}")
-        if made and made.get(name):
-            machines[name]["listed_at"] = made[name]
-        node = {"role": NODE, "zone": entry.zone, "address": f"{host}:{peer_port}"}
+        machines[name] = _backend_table(entry, address, f"{host}:{gateway_port}")
+        if created_revisions and created_revisions.get(name):
+            machines[name]["listed_at"] = created_revisions[name]
+        node = {"role": NODE_ROLE, "zone": entry.zone, "address": f"{host}:{peer_port}"}
         if machines.setdefault(host, node)["zone"] != entry.zone:
-            claimed = f"zone {entry.zone}, where {machines[host]['zone']} was named first"
-            findings.append(ItemFinding(name, ItemProblem.CLAIMED, claimed))
+            conflict = f"zone {entry.zone}, but an earlier entry says {machines[host]['zone']}"
+            findings.append(ItemFinding(name, ItemProblem.CLAIMED, conflict))
     return machines, tuple(findings)
 
 
-def _backend_of(entry: _Entry, address: str, gateway: str) -> dict[str, Any]:
-    leaving = entry.state == DRAINING
+def _backend_table(entry: _Entry, address: str, gateway: str) -> dict[str, Any]:
+    leaving = entry.state == DRAINING_STATE
     backend = {
         "role": MachineRole.BACKEND.value,
         "zone": entry.zone,
@@ -92,18 +91,18 @@
         "gateway": gateway,
         "slots": entry.slots,
     }
-    if entry.born:
-        backend["started_at"] = entry.born
-    if entry.cold_remaining.strip("0.") not in NO_TIME:
+    if entry.started_at_ms:
+        backend["started_at"] = entry.started_at_ms
+    if entry.cold_remaining.strip("0.") not in ZERO_DURATION_UNITS:
         backend["cold"] = True
     return backend
 
 
-@lru_cache(ENTRIES_KEPT)
-def _entry_of(name: str, value: bytes) -> tuple[_Entry, str]:
-    """Return a back end's entry, and its address as nodes write addresses."""
+@lru_cache(ENTRY_CACHE_SIZE)
+def _parse_entry(name: str, value: bytes) -> tuple[_Entry, str]:
+    """Return the entry of a back end, and its address in the normalized form."""
     if not _ENTRY_NAME.fullmatch(name) or is_ip_address(name):
-        raise ItemFormatError(ItemProblem.NAME, "no name that a back end may have")
+        raise ItemFormatError(ItemProblem.NAME, "not a valid name of a back end")
     entry = parse_item(value, _Entry)
     address = normalize_machine_address(entry.address)
     if address is None:
--- a/src/pewtertack/platform/items.py
+++ b/src/pewtertack/platform/items.py
@@ -1,4 +1,4 @@
-"""Items as the store hands them out."""
+"""Items in the format of the store."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class StoreItem(_Key, frozen=True, kw_only=True):
-    """An item, or the word that it is gone."""
+    """An item, or the notice that it was removed."""
 
     revision: int = msgspec.field(name="Revision")
     value: str = msgspec.field(name="Value", default="")
@@ -25,7 +25,7 @@
     gone: bool = False
 
     def content(self) -> bytes | None:
-        """Return the item's bytes; ``None`` if it is gone, ``UNREADABLE`` in no known form."""
+        """Return the item's bytes, ``None`` if removed, or ``UNREADABLE`` if not valid base64."""
         if self.gone:
             return None
         try:
@@ -34,13 +34,13 @@
             return UNREADABLE
 
 
-def parse_items(parts: Iterable[msgspec.Raw]) -> list[StoreItem]:
-    """Return the items of an answer; one in no known form is ``UNREADABLE``, or nobody's."""
+def parse_items(raw_items: Iterable[msgspec.Raw]) -> list[StoreItem]:
+    """Return the items of a response; malformed ones are ``UNREADABLE``, or skipped if keyless."""
     items: list[StoreItem] = []
-    for part in parts:
+    for raw in raw_items:
         try:
-            items.append(parse_item(part, StoreItem))
+            items.append(parse_item(raw, StoreItem))
         except ItemFormatError:
             with contextlib.suppress(ItemFormatError):
-                items.append(StoreItem(parse_item(part, _Key).key, revision=0))
+                items.append(StoreItem(parse_item(raw, _Key).key, revision=0))
     return items
--- a/src/pewtertack/platform/store.py
+++ b/src/pewtertack/platform/store.py
@@ -1,4 +1,4 @@
-"""Reads the platform's metadata store: one item and one range, each by list and watch."""
+"""Reads two key ranges of the platform's metadata store, each by listing and watching."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     ServiceUnreachableError,
 )
 from pewtertack.platform.documents import RouteCache, parse_configuration
-from pewtertack.platform.entries import machine_list_from_entries
+from pewtertack.platform.entries import parse_entries
 from pewtertack.platform.items import parse_items
 from pewtertack.settings import Settings
 from pewtertack.wire.messages import DocumentKind
@@ -33,28 +33,27 @@
 OPERATOR_PREFIX = "op/"
 CONFIGURATION_KEY = "op/config"
 EVACUATIONS_PREFIX = "op/evacuate/"
-"""Below it lies an item for each zone whose back ends are to be sent nothing."""
-BACKENDS_PREFIX = "servers/"
+"""Prefix of the items that each name a zone whose back ends must get no requests."""
+ENTRY_PREFIX = "servers/"
 ERA_HEADER = "Store-Era"
 STATUS_OK = 200
 STATUS_HISTORY_GONE = 410
-STATUS_BUSY = (429, 503)
-STATUS_OF_STORE = (STATUS_OK, STATUS_HISTORY_GONE)
-"""What the store itself answers: with its era, where it has any."""
+BUSY_STATUSES = (429, 503)
+STORE_STATUSES = (STATUS_OK, STATUS_HISTORY_GONE)
+"""Statuses of the store itself, whose responses carry its era if it has one."""
 CONNECT_TIMEOUT_SECONDS = 1.0
 RESPONSE_HEAD_TIMEOUT_SECONDS = 8.0
-"""For the head of an answer, beyond the time for which a watch may wait."""
-RESPONSE_CHUNK_TIMEOUT_SECONDS = 3.0
-"""Without a further part of an answer that has begun."""
+"""Limit for the head of a response, beyond the time for which a watch may wait."""
+CHUNK_TIMEOUT_SECONDS = 3.0
+"""Limit between two chunks of a response body."""
 MAX_RESPONSE_BYTES = 4 * 1024 * 1024
-"""The longest answer that is read, of each of the reads under way. A list follows a watch whose
-answer is longer."""
+"""Limit of each response, several of which may be read at once. Longer watches become lists."""
 
-Answer = TypeVar("Answer")
+Response = TypeVar("Response")
 
 
 class StoreUnreachableError(PlatformError):
-    """The store did not answer."""
+    """The store did not respond."""
 
     code: ClassVar[str] = "store-unreachable"
 
@@ -64,33 +63,33 @@
 
 
 class StoreBusyError(PlatformError):
-    """The store refuses or throttles calls."""
+    """The store rejects or throttles requests."""
 
     code: ClassVar[str] = "store-busy"
     failure = ReadFailure.REFUSED
 
 
 class StoreStatusError(PlatformError):
-    """The store answered with a status that is not in its interface."""
+    """The store responded with a status that its interface does not define."""
 
     code: ClassVar[str] = "store-status"
     failure = ReadFailure.REFUSED
 
 
 class StoreBodyError(PlatformError):
-    """The store's answer is not what the platform's pages say."""
+    """The body of a response does not have the documented format."""
 
     code: ClassVar[str] = "store-body"
 
 
 class StoreEmptyError(PlatformError):
-    """The store, or the old state of it that a stale read shows, lacks what was asked for."""
+    """The store, or the older state that a stale read returns, has no items to read."""
 
     code: ClassVar[str] = "store-empty"
 
 
 class _HistoryGoneError(PlatformError):
-    """The store has forgotten the changes after the cursor: list again."""
+    """The store has discarded the history after the watched revision; items must be listed."""
 
     code: ClassVar[str] = "store-history-gone"
 
@@ -107,7 +106,7 @@
 
 
 class StoreReader:
-    """Answers the core's ``ReadDocument`` effects; keeps a mirror for each document."""
+    """Executes the core's ``ReadDocument`` effects, with a mirror of the items per document."""
 
     def __init__(
         self,
@@ -117,7 +116,7 @@
         hold_after_return: float = 0.0,
         now: Callable[[], float] = clock.now,
     ) -> None:
-        """``hold_after_return``: seconds for which evacuations known before a new era hold."""
+        """``hold_after_return``: seconds for which evacuations stay valid in a new era."""
         self._gateway_port = gateway_port
         self._peer_port = peer_port
         self._hold_after_return = hold_after_return
@@ -126,11 +125,11 @@
         self._routes = RouteCache()
         self._mirrors = {
             DocumentKind.CONFIGURATION: Mirror(OPERATOR_PREFIX, EVACUATIONS_PREFIX),
-            DocumentKind.MACHINE_LIST: Mirror(BACKENDS_PREFIX),
+            DocumentKind.MACHINE_LIST: Mirror(ENTRY_PREFIX),
         }
         self._client = HttpClient(address, MAX_RESPONSE_BYTES)
-        self._took: float | None = None
-        """Seconds that the store needed for the last answer whose time is known."""
+        self._last_seconds: float | None = None
+        """Seconds that the store took for the last response whose duration is known."""
 
     async def close(self) -> None:
         """Close the connections."""
@@ -139,14 +138,14 @@
     async def read(
         self, effect: ReadDocument
     ) -> DocumentRead | DocumentUnchanged | DocumentReadFailed:
-        """Do one read; every failure becomes ``DocumentReadFailed``."""
+        """Perform one read; every failure is returned as ``DocumentReadFailed``."""
         try:
             answer = await self._read(effect, self._mirrors[effect.kind])
         except PlatformError as error:
             reason = f"{error.code}: {error}"
             answer = DocumentReadFailed(effect.kind, reason, failure=error.failure)
-        found, took, self._took = self._era.pop_findings(), self._took, None
-        return msgspec.structs.replace(answer, answer_findings=found, answer_seconds=took)
+        findings, seconds, self._last_seconds = self._era.pop_findings(), self._last_seconds, None
+        return msgspec.structs.replace(answer, answer_findings=findings, answer_seconds=seconds)
 
     async def _read(
         self, effect: ReadDocument, mirror: Mirror
@@ -157,7 +156,7 @@
                 raise StoreEmptyError(mirror.prefix)
             if not mirror.evacuated_zones():
                 return self._document(effect, mirror, stale=True)
-            # which evacuations hold as of which revision a stale answer does not tell
+            # a stale list does not tell as of which revision its evacuations are valid
             mirror.watch_revision = 0
         try:
             refreshed = await self._refresh(mirror, effect.wait)
@@ -165,7 +164,7 @@
             mirror.watch_revision = 0
             raise
         if effect.era > self._era.number:
-            raise SourceEraError(f"of era {self._era.number}; peers have heard of {effect.era}")
+            raise SourceEraError(f"of era {self._era.number}; peers reported era {effect.era}")
         same = refreshed is RefreshResult.SAME and not self._lacks_change(effect, mirror)
         if same or refreshed is RefreshResult.OVERTAKEN:
             return DocumentUnchanged(effect.kind)
@@ -174,12 +173,12 @@
     def _lacks_change(self, effect: ReadDocument, mirror: Mirror) -> bool:
         if effect.kind is not DocumentKind.CONFIGURATION:
             return False
-        return evacuations_differ(effect, mirror, self._holds(effect))
+        return evacuations_differ(effect, mirror, self._in_hold_period(effect))
 
-    def _holds(self, effect: ReadDocument) -> bool:
-        """Tell whether the era has begun so shortly ago that what was known before it holds.
+    def _in_hold_period(self, effect: ReadDocument) -> bool:
+        """Return whether evacuations known before the era stay valid, because it began recently.
 
-        This node may have read nothing of it for long and have heard of it by others.
+        Peers may have reported the era long before this node read anything of it.
         """
         since = self._era.known_since
         if effect.era == self._era.number:
@@ -196,14 +195,14 @@
             if not mirror.stale:
                 raise
         except AnswerTooLargeError:
-            pass  # it has each write of an item; a list has the last ones
+            pass  # a watch returns every write of an item; a list only the last one
         await self._list(mirror)
         return RefreshResult.CHANGED
 
     async def _list(self, mirror: Mirror, stale: bool = False) -> None:
-        """Read all items; what changes between two pages is seen by the watch that follows."""
-        fresh = mirror.new_empty()
-        fresh.stale = stale
+        """List all items; the next watch returns changes made between two pages."""
+        listed = mirror.new_empty()
+        listed.stale = stale
         after = ""
         while True:
             path = f"/kv-range?PathPrefix={mirror.prefix}" + (
@@ -211,88 +210,84 @@
             )
             page = _decode(await self._get(path + ("&stale=1" if stale else "")), _Range)
             items = parse_items(page.items)
-            fresh.apply_page(items, page.at)
+            listed.apply_page(items, page.at)
             if not page.more or not items:
                 break
             after = items[-1].key
-        fresh.era = self._era.known
-        mirror.replace_with(fresh)
+        listed.era = self._era.known
+        mirror.replace_with(listed)
         if after and not stale and mirror.prefix == OPERATOR_PREFIX:
-            await self._watch(mirror, 0.0)  # pages are no snapshot; their number must be exact
+            await self._watch(mirror, 0.0)  # pages are no snapshot; the revision must be exact
 
     async def _watch(self, mirror: Mirror, wait: float) -> RefreshResult:
-        """Take in what has changed; other reads may have changed the mirror meanwhile."""
+        """Apply the changes to the mirror, which concurrent reads may change meanwhile."""
         after = mirror.watch_revision
         query = f"PathPrefix={mirror.prefix}&after={after}&WaitMs={int(wait * 1000)}"
-        found = _decode(await self._get(f"/kv-watch?{query}", wait), _Events)
-        if wait and found.events:
-            self._took = None  # a change has ended the wait
+        changes = _decode(await self._get(f"/kv-watch?{query}", wait), _Events)
+        if wait and changes.events:
+            self._last_seconds = None  # a change ended the wait early, so the duration is unknown
         if mirror.watch_revision == 0:
-            return await self._refresh(mirror, 0.0)  # another read has found the history gone
-        return mirror.apply_changes(after, found.at, parse_items(found.events))
+            return await self._refresh(mirror, 0.0)  # a concurrent read found the history discarded
+        return mirror.apply_changes(after, changes.at, parse_items(changes.events))
 
     async def _get(self, path: str, wait: float = 0.0) -> bytes:
         timeouts = ServiceTimeouts(
-            CONNECT_TIMEOUT_SECONDS,
-            wait + RESPONSE_HEAD_TIMEOUT_SECONDS,
-            RESPONSE_CHUNK_TIMEOUT_SECONDS,
+            CONNECT_TIMEOUT_SECONDS, wait + RESPONSE_HEAD_TIMEOUT_SECONDS, CHUNK_TIMEOUT_SECONDS
         )
-        sent_in = self._era.known
+        sent_in_era = self._era.known
         try:
             answer = await self._client.get(path, timeouts)
         except ServiceUnreachableError as error:
             raise StoreUnreachableError(str(error), error.failure) from error
         if answer.head_seconds >= wait:
-            self._took = answer.head_seconds - wait
-        self._note_era(answer, sent_in)
+            self._last_seconds = answer.head_seconds - wait
+        self._note_era(answer, sent_in_era)
         if answer.status == STATUS_HISTORY_GONE:
-            raise _HistoryGoneError("listing again")
-        if answer.status in STATUS_BUSY:
+            raise _HistoryGoneError("items must be listed again")
+        if answer.status in BUSY_STATUSES:
             raise StoreBusyError(f"status {answer.status}")
         if answer.status != STATUS_OK:
             raise StoreStatusError(f"status {answer.status}")
         return answer.body
 
-    def _note_era(self, answer: ServiceResponse, sent_in: int | None) -> None:
-        """Take in the era of an answer; refusals may come from others than the store.
+    def _note_era(self, answer: ServiceResponse, sent_in_era: int | None) -> None:
+        """Process the era of a response; errors without an era may come from a proxy.
 
         Raises:
-            SourceEraError: the answer must not be used.
+            SourceEraError: the response must not be used.
         """
         value = answer.header(ERA_HEADER.lower().encode())
-        if value is None and answer.status not in STATUS_OF_STORE:
+        if value is None and answer.status not in STORE_STATUSES:
             return
         try:
-            self._era.update(self._now(), value, sent_in, answer.new_connection)
+            self._era.update(self._now(), value, sent_in_era, answer.new_connection)
         except SourceEraError:
-            self._client.close()  # what is asked next goes over new connections
+            self._client.close()  # the next requests use new connections
             raise
 
     def _document(
         self, effect: ReadDocument, mirror: Mirror, stale: bool = False
     ) -> DocumentRead | DocumentUnchanged:
         if effect.kind is DocumentKind.CONFIGURATION:
-            holds = self._holds(effect)
-            read = partial(parse_configuration, known=self._routes)
-            return tree_document(effect, mirror, CONFIGURATION_KEY, read, holds, stale)
-        entries = mirror.values_by_age(BACKENDS_PREFIX)
-        made = {name: mirror.created_revisions.get(BACKENDS_PREFIX + name, 0) for name in entries}
-        machines, findings = machine_list_from_entries(
-            entries, self._gateway_port, self._peer_port, made
-        )
+            in_hold_period = self._in_hold_period(effect)
+            read = partial(parse_configuration, cache=self._routes)
+            return tree_document(effect, mirror, CONFIGURATION_KEY, read, in_hold_period, stale)
+        entries = mirror.values_by_age(ENTRY_PREFIX)
+        created = {name: mirror.created_revisions.get(ENTRY_PREFIX + name, 0) for name in entries}
+        machines, findings = parse_entries(entries, self._gateway_port, self._peer_port, created)
         number = list_number(mirror.era or 0, mirror.change_revision)
         return DocumentRead(effect.kind, number, machines, stale, findings)
 
 
-def _decode(body: bytes, answer_type: type[Answer]) -> Answer:
+def _decode(body: bytes, response_type: type[Response]) -> Response:
     try:
-        return msgspec.json.decode(body, type=answer_type)
+        return msgspec.json.decode(body, type=response_type)
     except msgspec.MsgspecError as error:
         raise StoreBodyError(str(error)) from error
 
 
 def make_reader(settings: Settings) -> StoreReader:
-    """Return the reader for a node with these settings."""
+    """Return the reader for a node with the given settings."""
     return StoreReader(
         str(settings.source.url.address),
         settings.listen.gateway.port if settings.listen.gateway is not None else 0,
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -10,7 +10,7 @@
 from pewtertack.core.machines import MachineRole, MachineState, machine_list_from_document
 from pewtertack.core.revision import revision_id_of
 from pewtertack.platform.documents import RouteCache, parse_configuration
-from pewtertack.platform.entries import machine_list_from_entries
+from pewtertack.platform.entries import parse_entries
 
 ROUTE = {
     "Name": "r-1",
@@ -120,7 +120,7 @@
 
 class MachinesTest(unittest.TestCase):
     def test_an_entry_becomes_a_back_end_and_the_node_beside_it(self) -> None:
-        document, _ = machine_list_from_entries({"i-1": encoded(ENTRY)}, 8146, 7380)
+        document, _ = parse_entries({"i-1": encoded(ENTRY)}, 8146, 7380)
         machines = machine_list_from_document(3, document).machines
         node, backend = sorted(machines, key=lambda machine: machine.role, reverse=True)
         self.assertEqual((node.role, node.name), (MachineRole.NODE, "10.1.0.8"))
@@ -129,29 +129,23 @@
         self.assertEqual((backend.slots, backend.state), (6, MachineState.LIVE))
 
     def test_a_draining_back_end_is_leaving(self) -> None:
-        document, _ = machine_list_from_entries(
-            {"i-1": encoded({**ENTRY, "State": "draining"})}, 1, 2
-        )
+        document, _ = parse_entries({"i-1": encoded({**ENTRY, "State": "draining"})}, 1, 2)
         self.assertEqual(document["i-1"]["state"], "leaving")
 
     def test_the_start_is_told_where_the_entry_has_it(self) -> None:
-        document, _ = machine_list_from_entries({"i-1": encoded(ENTRY)}, 1, 2)
+        document, _ = parse_entries({"i-1": encoded(ENTRY)}, 1, 2)
         self.assertNotIn("started_at", document["i-1"])
-        document, _ = machine_list_from_entries(
-            {"i-1": encoded({**ENTRY, "born": 1_700_000_000_000})}, 1, 2
-        )
+        document, _ = parse_entries({"i-1": encoded({**ENTRY, "born": 1_700_000_000_000})}, 1, 2)
         machine = machine_list_from_document(3, {"i-1": document["i-1"]}).machines[0]
         self.assertEqual(machine.started_at, 1_700_000_000_000)
 
     def test_a_start_that_is_no_whole_number_names_no_back_end(self) -> None:
         for born in (None, "1700000000000", 1.5, -1, True, 2**60, [5]):
             with self.subTest(born=born):
-                document, findings = machine_list_from_entries(
-                    {"i-1": encoded({**ENTRY, "born": born})}, 1, 2
-                )
+                document, findings = parse_entries({"i-1": encoded({**ENTRY, "born": born})}, 1, 2)
                 self.assertEqual((document, len(findings)), ({}, 1))
 
     def test_an_entry_that_is_wrong_is_a_finding_with_its_name(self) -> None:
-        document, findings = machine_list_from_entries({"i-1": b'{"Service": "desk"}'}, 1, 2)
+        document, findings = parse_entries({"i-1": b'{"Service": "desk"}'}, 1, 2)
         self.assertEqual(document, {})
         self.assertEqual([item.item for item in findings], ["i-1"])
--- a/tests/platform/test_era_header.py
+++ b/tests/platform/test_era_header.py
@@ -10,7 +10,7 @@
 from pewtertack.core.items import ItemProblem
 from pewtertack.events import Event
 from pewtertack.lab.metadata_store.application import MetadataStore, StoreFaults
-from pewtertack.platform.entries import machine_list_from_entries
+from pewtertack.platform.entries import parse_entries
 from pewtertack.platform.store import StoreReader
 from pewtertack.wire.messages import DocumentKind
 from tests.node.proxy.harness import ProxyTestCase
@@ -102,9 +102,7 @@
             state = nodes[1].core.replication.state()
             self.assertEqual(state.held.number, 12 * 1_000_000_000 + asked_at)
             self.assertEqual(state.machine_list, revision)
-            machines, _ = machine_list_from_entries(
-                {"i-1": entry(1)}, 8146, 7380, {"i-1": revision}
-            )
+            machines, _ = parse_entries({"i-1": entry(1)}, 8146, 7380, {"i-1": revision})
             store = nodes[1].core.replication.machine_list.store
             self.assertEqual(store.document, machines)
             reads = [effect for node in nodes for effect in node.reads]
--- a/tests/platform/test_large_lists.py
+++ b/tests/platform/test_large_lists.py
@@ -6,7 +6,7 @@
 from pewtertack.core.machines import MachineRole, machine_list_from_document
 from pewtertack.core.replication.machine_lists import MachineListReplica
 from pewtertack.core.revision import revision_id_of
-from pewtertack.platform.entries import machine_list_from_entries
+from pewtertack.platform.entries import parse_entries
 from pewtertack.wire.frames import Envelope, FrameReader, encode_frame
 from pewtertack.wire.messages import DocumentKind, PackedAnswer, SnapshotAnswer
 from pewtertack.wire.packing import pack, unpack
@@ -27,7 +27,7 @@
 
 class LargeListTest(unittest.TestCase):
     def test_every_entry_reaches_a_node_that_a_peer_tells(self) -> None:
-        document, findings = machine_list_from_entries(entries(), 8146, 7380)
+        document, findings = parse_entries(entries(), 8146, 7380)
         self.assertEqual(findings, ())
         revision = revision_id_of(7, document)
         answer = SnapshotAnswer(DocumentKind.MACHINE_LIST, revision, document)
@@ -45,7 +45,7 @@
         self.assertEqual({machine.slots for machine in backends}, {4096})
 
     def test_every_entry_is_in_use(self) -> None:
-        document, _ = machine_list_from_entries(entries(), 8146, 7380)
+        document, _ = parse_entries(entries(), 8146, 7380)
         replica = MachineListReplica(0.0)
         replica.offer(0.0, revision_id_of(7, document), document)
         self.assertEqual(len(replica.machines.machines), 2 * BACKENDS)
--- a/tests/platform/test_malformed_items.py
+++ b/tests/platform/test_malformed_items.py
@@ -20,7 +20,7 @@
 from pewtertack.core.revision import revision_id_of
 from pewtertack.lab.metadata_store.application import MetadataStore
 from pewtertack.platform.documents import parse_configuration
-from pewtertack.platform.entries import machine_list_from_entries
+from pewtertack.platform.entries import parse_entries
 from pewtertack.platform.store import StoreReader
 from pewtertack.wire.messages import DocumentKind
 from tests.node.proxy.harness import ProxyTestCase
@@ -58,10 +58,8 @@
 
 class SpoiltEntryTest(unittest.TestCase):
     def check_passed_over(self, value: bytes, problem: ItemProblem, name: str = "i-1") -> None:
-        alone, _ = machine_list_from_entries(GOOD, 8146, 7380)
-        document, findings = machine_list_from_entries(
-            {"i-0": GOOD["i-0"], name: value, **GOOD}, 8146, 7380
-        )
+        alone, _ = parse_entries(GOOD, 8146, 7380)
+        document, findings = parse_entries({"i-0": GOOD["i-0"], name: value, **GOOD}, 8146, 7380)
         self.assertEqual(document, alone)
         self.assertEqual([(item.item, item.problem) for item in findings], [(name, problem)])
 
@@ -112,14 +110,14 @@
 
     def test_the_zone_of_a_machine_is_what_its_first_entry_said(self) -> None:
         claim = encoded({**ENTRY, "Zone": "elsewhere"})
-        document, findings = machine_list_from_entries({**GOOD, "i-5": claim}, 8146, 7380)
+        document, findings = parse_entries({**GOOD, "i-5": claim}, 8146, 7380)
         self.assertEqual(document["10.1.0.8"]["zone"], ENTRY["Zone"])
         self.assertIn("i-0", document)
         self.assertEqual([item.problem for item in findings], [ItemProblem.CLAIMED])
 
     def test_an_address_that_is_used_again_is_no_finding(self) -> None:
         heir = encoded({**ENTRY, "Service": "vault"})
-        document, findings = machine_list_from_entries({**GOOD, "i-5": heir}, 8146, 7380)
+        document, findings = parse_entries({**GOOD, "i-5": heir}, 8146, 7380)
         self.assertEqual(
             (document["i-5"]["service"], document["i-0"]["service"]), ("vault", "desk")
         )
@@ -129,8 +127,8 @@
     def test_no_entry_raises_or_costs_a_good_one(self, value: bytes, name: str) -> None:
         if name in GOOD:
             name += "x"
-        document, findings = machine_list_from_entries({**GOOD, name: value}, 8146, 7380)
-        alone, _ = machine_list_from_entries(GOOD, 8146, 7380)
+        document, findings = parse_entries({**GOOD, name: value}, 8146, 7380)
+        alone, _ = parse_entries(GOOD, 8146, 7380)
         for good in alone:
             self.assertEqual(document[good], alone[good])
         self.assertTrue(name in document or len(findings) == 1)
--- a/tests/platform/test_unusual_configurations.py
+++ b/tests/platform/test_unusual_configurations.py
@@ -13,7 +13,7 @@
 from pewtertack.core.machines import machine_list_from_document
 from pewtertack.core.revision import revision_id_of
 from pewtertack.platform.documents import parse_configuration
-from pewtertack.platform.entries import machine_list_from_entries
+from pewtertack.platform.entries import parse_entries
 from pewtertack.routing.outcomes import RouteNotFoundError
 from pewtertack.routing.splits import SplitPicker
 from pewtertack.routing.table import RouteTable
@@ -53,7 +53,7 @@
                 services = [{"Name": name, "HealthPath": "/health", "ConnectionLimit": 130}]
                 found = resolved(Routes=[{**ROUTE, "Service": name}], Services=services)
                 self.assertEqual(found.routes[0].service, name)
-                document, findings = machine_list_from_entries(
+                document, findings = parse_entries(
                     {"i-1": encoded({**ENTRY, "Service": name})}, 1, 2
                 )
                 self.assertEqual(findings, ())
@@ -64,7 +64,7 @@
             with self.subTest(text):
                 self.assertEqual(route_with(Timeout=text).timeout, seconds)
                 self.assertEqual(route_with(TargetLatency=text).objective, seconds)
-                document, findings = machine_list_from_entries(
+                document, findings = parse_entries(
                     {"i-1": encoded({**ENTRY, "ColdRemaining": text})}, 1, 2
                 )
                 self.assertEqual((document["i-1"].get("cold"), findings), (True, ()))
