--- a/src/pewtertack/platform/documents.py
+++ b/src/pewtertack/platform/documents.py
@@ -13,6 +13,7 @@
 
 REPEATABLE_KINDS = frozenset({"safe", "download"})
 RouteCache = ParsedItems[tuple[str, dict[str, Any]]]
+"""Parsed routes of the previous configuration; unchanged ones keep their table objects."""
 
 _Number = Annotated[float, msgspec.Meta(ge=-1e15, le=1e15)]
 _Weight = Annotated[float, msgspec.Meta(ge=0, le=1e15)]
@@ -61,7 +62,7 @@
 def parse_configuration(
     value: bytes, zones: Sequence[str] = (), cache: RouteCache | None = None
 ) -> tuple[int, dict[str, Any]]:
-    """Return the version and tree of a configuration; unchanged routes are from ``cache``.
+    """Return the version and tree of a configuration with evacuated ``zones``, using ``cache``.
 
     Raises:
         ItemFormatError: a field is missing or has an invalid value.
--- a/src/pewtertack/settings/__init__.py
+++ b/src/pewtertack/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Checked settings of a node: flags over a TOML file over defaults."""
+"""Validated settings of a node: flags override a TOML file, which overrides defaults."""
 
 from pewtertack.settings.checks import advertised_address
 from pewtertack.settings.loading import SettingKey, load_settings
--- a/src/pewtertack/settings/errors.py
+++ b/src/pewtertack/settings/errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with the settings of a process, one type for each mistake."""
+"""Errors in the settings of a process, one type for each kind."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 
 class SettingError(SettingsError):
-    """One setting is wrong.
+    """A setting is invalid.
 
-    ``place`` names the file or flag, ``key`` the setting as ``section.key``
-    (empty when the whole file is at fault), ``accepted`` the values that would do.
+    ``location`` is the path of the file, or ``flag``; ``key`` is the setting as ``section.key``,
+    or empty if the error concerns the whole file; ``accepted`` describes valid values.
     """
 
     code: ClassVar[str] = "setting"
 
-    def __init__(self, place: str, key: str, problem: str, accepted: str) -> None:
-        self.place = place
+    def __init__(self, location: str, key: str, problem: str, accepted: str) -> None:
+        self.location = location
         self.key = key
         self.problem = problem
         self.accepted = accepted
-        where = f"{place}: {key}" if key else place
-        super().__init__(f"{where}: {problem}; accepted: {accepted}")
+        origin = f"{location}: {key}" if key else location
+        super().__init__(f"{origin}: {problem}; accepted: {accepted}")
 
 
 class FileUnreadableError(SettingError):
-    """The settings file does not exist or may not be read."""
+    """The settings file does not exist or cannot be read."""
 
     code: ClassVar[str] = "settings-file-unreadable"
 
@@ -44,37 +44,37 @@
 
 
 class UnknownSectionError(SettingError):
-    """There is no such section."""
+    """The section does not exist."""
 
     code: ClassVar[str] = "section-unknown"
 
 
 class SectionTypeError(SettingError):
-    """A section's name stands for a plain value."""
+    """The name of a section has a plain value instead of a table."""
 
     code: ClassVar[str] = "section-type"
 
 
 class MissingSectionError(SettingError):
-    """A section with required keys is absent."""
+    """A section with required keys is missing."""
 
     code: ClassVar[str] = "section-missing"
 
 
 class UnknownKeyError(SettingError):
-    """There is no such key in the section."""
+    """The key does not exist in the section."""
 
     code: ClassVar[str] = "key-unknown"
 
 
 class MissingKeyError(SettingError):
-    """A required key is absent."""
+    """A required key is missing."""
 
     code: ClassVar[str] = "key-missing"
 
 
 class ValueTypeError(SettingError):
-    """The value has another type than the key takes."""
+    """The value has the wrong type for the key."""
 
     code: ClassVar[str] = "value-type"
 
@@ -86,7 +86,7 @@
 
 
 class NameFormatError(SettingError):
-    """A node, zone or region name has characters that names may not have."""
+    """The name of a node, zone or region is too long or has invalid characters."""
 
     code: ClassVar[str] = "name-format"
 
@@ -98,49 +98,49 @@
 
 
 class HostNameRefusedError(SettingError):
-    """A host name stands where an IP number is needed."""
+    """A host name is given where an IP address is required."""
 
     code: ClassVar[str] = "address-host-name"
 
 
 class PortRangeError(SettingError):
-    """The port is not a port number."""
+    """The port is not a valid port number."""
 
     code: ClassVar[str] = "address-port"
 
 
 class AdvertisedAddressError(SettingError):
-    """The advertised address is one that no peer can reach."""
+    """The advertised address is not reachable by peers."""
 
     code: ClassVar[str] = "address-not-advertisable"
 
 
 class AddressRepeatedError(SettingError):
-    """Two listeners are given one address."""
+    """Two listeners have the same address."""
 
     code: ClassVar[str] = "address-repeated"
 
 
 class AddressInUseError(SettingError):
-    """Another process listens on the address."""
+    """Another process already listens on the address."""
 
     code: ClassVar[str] = "address-in-use"
 
 
 class AddressUnavailableError(SettingError):
-    """The address belongs to no interface of this machine, or may not be bound."""
+    """The address belongs to no interface of this machine, or binding it is not permitted."""
 
     code: ClassVar[str] = "address-unavailable"
 
 
 class UrlFormatError(SettingError):
-    """The value is not a URL with an IP number as its host."""
+    """The value is not a URL with an IP address as its host."""
 
     code: ClassVar[str] = "url-format"
 
 
 class UrlSchemeError(SettingError):
-    """The URL's scheme is not spoken."""
+    """The scheme of the URL is not supported."""
 
     code: ClassVar[str] = "url-scheme"
 
@@ -158,13 +158,13 @@
 
 
 class FleetKeyRepeatedError(SettingError):
-    """An accepted key is the fleet key, or stands twice."""
+    """An accepted key is repeated or equals the fleet key."""
 
     code: ClassVar[str] = "fleet-key-repeated"
 
 
 class ProfileUnknownError(SettingError):
-    """There is no such timing profile."""
+    """The timing profile does not exist."""
 
     code: ClassVar[str] = "profile-unknown"
 
@@ -182,6 +182,6 @@
 
 
 class FlagFormatError(SettingError):
-    """A command-line flag is unknown or lacks its value."""
+    """A command-line flag is unknown or has no value."""
 
     code: ClassVar[str] = "flag-format"
--- a/src/pewtertack/settings/schema.py
+++ b/src/pewtertack/settings/schema.py
@@ -13,9 +13,9 @@
 class ProfileName(StrEnum):
     """Timing profiles: ``fast`` converges sooner, ``frugal`` sends fewer bytes.
 
-    With ``direct`` every node reads the source, which must bear so many readers. With
-    ``leased`` one a zone does and tells the others how old the source's word is; in a small
-    fleet every node.
+    With ``direct``, every node reads the source, which must support that many readers. With
+    ``leased``, one node per zone reads it and reports the age of its data to the others; in a
+    small fleet, every node reads it.
     """
 
     FAST = "fast"
@@ -25,21 +25,21 @@
 
 
 class NodeSection(msgspec.Struct, frozen=True, kw_only=True):
-    """Who the node is. A replacement machine may take its predecessor's name."""
+    """Identity of the node. A replacement machine may take the name of its predecessor."""
 
     name: Name
     zone: Name
     region: Name
     first_start: bool = False
-    """The whole fleet starts for the first time; not set for a replaced or restarted node."""
+    """The entire fleet starts for the first time; not set for a replaced or restarted node."""
     link_mbps: float = 0.0
-    """Megabits a second of the machine's link, 0 while unknown."""
+    """Bandwidth of the machine's link in Mbit/s; 0 if unknown."""
 
 
 class ListenSection(msgspec.Struct, frozen=True, kw_only=True):
-    """Where the node listens. Without ``proxy`` it only replicates.
+    """Listening addresses. Without ``proxy``, the node only replicates.
 
-    ``gateway`` is for other nodes: requests for the back end beside this node.
+    ``gateway`` accepts requests of other nodes for the local back end.
     """
 
     peer: Address
@@ -47,11 +47,11 @@
     proxy: Address | None = None
     gateway: Address | None = None
     metrics: Address | None = None
-    """A second address of the admin interface, for collectors of metrics."""
+    """An additional address of the admin interface, for metrics collectors."""
 
 
 class AdvertiseSection(msgspec.Struct, frozen=True, kw_only=True):
-    """How peers reach the node, where that differs from ``listen.peer``."""
+    """The address at which peers reach the node, if it differs from ``listen.peer``."""
 
     peer: Address | None = None
 
@@ -61,14 +61,14 @@
 
     url: Url
     durable: bool = False
-    """It never forgets or forks a revision that it has answered with."""
+    """Whether it never loses or forks a revision that it has returned."""
     hold_after_return: Duration = Duration(6.0)
-    """After the source has come back from an older copy of itself: for how long back ends and
-    evacuations hold that were known before and that the copy lacks, and back ends stay away
-    that were known to have left. Callers gain that no service is emptied by the gap."""
+    """How long, after the source was restored from an older copy, known back ends and evacuations
+    that the copy lacks stay valid, and back ends known to have left stay excluded. This keeps
+    services from losing their back ends because of the gap."""
     document_size: Size | None = None
-    """The longest configuration that it accepts, where that is known. The node warns at its start
-    of one that it might have to refuse."""
+    """The largest configuration that it accepts, if known. The node logs a warning at startup if
+    it might have to reject one of that size."""
 
 
 class MachinesSection(msgspec.Struct, frozen=True, kw_only=True):
@@ -78,91 +78,91 @@
 
 
 class BackendSection(msgspec.Struct, frozen=True, kw_only=True):
-    """The back end beside this node, which others reach through ``listen.gateway``."""
+    """The local back end, which other nodes reach through ``listen.gateway``."""
 
     address: Address | None = None
     service: str = ""
-    """Its service; told to back ends as the caller's service of its requests."""
+    """Its service, sent to other back ends as the service of the caller."""
 
 
 class HeadersSection(msgspec.Struct, frozen=True, kw_only=True):
-    """Names of headers that callers and back ends use; an empty name is not used."""
+    """Names of the headers that callers and back ends use; an empty name disables a header."""
 
     request_id: str = "x-request-id"
     deadline: str = "x-deadline-ms"
-    """Time left in whole milliseconds."""
+    """Remaining time in whole milliseconds."""
     expected_backend: str = ""
-    """Sent to a back end: the name under which it is listed."""
+    """Sent to a back end: its name on the machine list."""
     caller_service: str = ""
-    """Sent to a back end: ``backend.service`` of the node that took the request in."""
+    """Sent to a back end: ``backend.service`` of the node that received the caller's request."""
     not_run: str = ""
-    """In a back end's answer: it did not run the request, whatever the status."""
+    """In a response: the back end did not execute the request, whatever the status."""
     identified_answers: bool = False
-    """Every answer of a back end that ran the request carries its ``request_id``."""
+    """Whether every response of a back end that executed the request has its ``request_id``."""
     unframed_answers: bool = False
-    """A back end's answer without a length is whole when its connection ends cleanly."""
+    """Whether a response without a length is complete when its connection closes cleanly."""
     cold_milliseconds: str = ""
-    """In a back end's health answer: for how many more milliseconds it is cold."""
+    """In a health response: for how many more milliseconds the back end is cold."""
     fractional_retry_after: bool = False
-    """Callers understand fractions of a second in ``Retry-After``."""
+    """Whether callers support fractions of a second in ``Retry-After``."""
 
 
 class PeersSection(msgspec.Struct, frozen=True, kw_only=True):
-    """The other nodes: the fleet key and addresses to ask first."""
+    """The other nodes: the fleet key and the addresses to contact first."""
 
     key: FleetKey
     accepted_keys: tuple[FleetKey, ...] = ()
-    """Keys of frames that are accepted besides ``key``; none signs a frame."""
+    """Additional keys with which received frames are accepted; frames are signed with ``key``."""
     seeds: tuple[Address, ...] = ()
 
 
 class ProfileSection(msgspec.Struct, frozen=True, kw_only=True):
-    """Which timing profile the coordination core runs."""
+    """The timing profile of the coordination core."""
 
     name: ProfileName = ProfileName.FAST
 
 
 class LimitsSection(msgspec.Struct, frozen=True, kw_only=True):
-    """Bounds on what the node spends and waits for."""
+    """Limits on resources and waiting times of the node."""
 
     document_size: Size = Size(4 * 1024 * 1024)
-    """Largest answer read from the platform."""
+    """Largest response read from the platform."""
     platform_timeout: Duration = Duration(5.0)
-    """For connecting to the platform, and for an answer beyond the long poll."""
+    """For connecting to the platform, and for a response in addition to the long poll."""
     stream_timeout: Duration = Duration(10.0)
-    """For one frame over TCP from or to a peer, connecting included."""
+    """For one frame over TCP from or to a peer, including the connection setup."""
     streams: int = 32
-    """Frames over TCP under way at once, for each direction."""
+    """Frames over TCP in flight at once, per direction."""
     keep_alive: Duration = Duration(75.0)
-    """How long a caller's idle connection stays open."""
+    """How long an idle connection of a caller stays open."""
     drain_timeout: Duration | None = None
-    """How long a stopping node waits for requests in flight; for ever by default."""
+    """How long a stopping node waits for requests in flight; unlimited by default."""
     stop_within: Duration | None = None
-    """When a process that was told to stop is ended, from the signal on. Notice and drain fit
-    in; without ``drain_timeout`` the drain takes what is left."""
+    """Time from the stop signal until the process is killed, which includes notice and drain;
+    without ``drain_timeout`` the drain may take the remaining time."""
     cold_overage: float = 1.0
-    """How many times its service's ``cold_rate`` a cold back end may be given."""
+    """Factor on the ``cold_rate`` of the service, which limits requests to a cold back end."""
     cold_slack: float = 0.0
-    """How many requests more than that may reach it within one second."""
+    """Number of requests that may exceed this limit within one second."""
     retry_ratio: float = 0.0
-    """For ``policies.retry_budget = "window"``: retries to a service as a share of the
+    """For ``policies.retry_budget = "window"``: retries to a service as a fraction of the
     requests for it, over all nodes, in any ``retry_window``."""
     retry_window: Duration = Duration(10.0)
     retry_slack: float = 0.0
-    """Retries that all nodes together may make in a window beyond that share."""
+    """Retries beyond that fraction that all nodes together may make in a window."""
     drain_notice: Duration = Duration(0.0)
-    """How long a stopping node, no longer ready, still accepts callers' requests."""
+    """How long a stopping node that is no longer ready still accepts requests of callers."""
 
 
 class LogSection(msgspec.Struct, frozen=True, kw_only=True):
-    """What the node logs beside its events."""
+    """Optional logging."""
 
     parts_every: Duration | None = None
-    """How often it logs what its parts took of processor time; not at all by default."""
+    """Interval at which the processor time of the node's parts is logged; never by default."""
 
 
 class Settings(msgspec.Struct, frozen=True, kw_only=True):
-    """All settings of one node, checked."""
+    """All settings of one node, validated."""
 
     node: NodeSection
     listen: ListenSection
@@ -176,4 +176,4 @@
     limits: LimitsSection = LimitsSection()
     log: LogSection = LogSection()
     policies: Policies = Policies()
-    """Which way of deciding is in force, for each decision that has several."""
+    """The policy in use for each decision that can be made in more than one way."""
--- a/src/pewtertack/settings/values.py
+++ b/src/pewtertack/settings/values.py
@@ -1,7 +1,7 @@
-"""Typed values of settings and their text forms.
+"""Typed values of settings, parsed from text.
 
-A parser takes the text and raises ``ValueProblemError``, which the loader turns into
-a ``SettingError`` with the file and key.
+Parsers raise ``ValueProblemError``, which the loader converts to a ``SettingError`` that
+names the file and the key.
 """
 
 from __future__ import annotations
@@ -36,26 +36,26 @@
 _SECONDS = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3600.0}
 _BYTES = {"B": 1, "KiB": 1024, "MiB": 1024 * 1024}
 
-ACCEPTED_ADDRESS = '"ip:port" with an IP number, as "127.0.0.1:7001" or "[::1]:7001"'
-ACCEPTED_URL = '"http://ip:port", as "http://127.0.0.1:9000"'
-ACCEPTED_DURATION = 'a number with a unit of ms, s, m or h, as "500ms"'
-ACCEPTED_SIZE = 'a number with a unit of B, KiB or MiB, as "4MiB"'
-ACCEPTED_NAME = f"letters, digits, '.', '_' and '-', {NAME_LENGTH_MAX} at most"
+ACCEPTED_ADDRESS = '"ip:port" with an IP address, such as "127.0.0.1:7001" or "[::1]:7001"'
+ACCEPTED_URL = '"http://ip:port", such as "http://127.0.0.1:9000"'
+ACCEPTED_DURATION = 'a number with the unit ms, s, m or h, such as "500ms"'
+ACCEPTED_SIZE = 'a number with the unit B, KiB or MiB, such as "4MiB"'
+ACCEPTED_NAME = f"letters, digits, '.', '_' and '-', at most {NAME_LENGTH_MAX}"
 ACCEPTED_KEY = f"{2 * KEY_BYTES_MIN} to {2 * KEY_BYTES_MAX} hexadecimal digits"
 
 
 class ValueProblemError(Exception):
-    """A text is no value of its type; ``kind`` is the error to report it by."""
+    """A text is not a valid value; ``error_type`` is the ``SettingError`` to raise for it."""
 
-    def __init__(self, kind: type[SettingError], problem: str, accepted: str) -> None:
-        self.kind = kind
+    def __init__(self, error_type: type[SettingError], problem: str, accepted: str) -> None:
+        self.error_type = error_type
         self.problem = problem
         self.accepted = accepted
         super().__init__(problem)
 
 
 class Address(msgspec.Struct, frozen=True):
-    """An IP number and a port; port 0 lets the system choose one."""
+    """An IP address and a port; with port 0 the system chooses one."""
 
     accepted: ClassVar[str] = ACCEPTED_ADDRESS
 
@@ -68,23 +68,23 @@
 
     @property
     def is_ipv6(self) -> bool:
-        """Whether the IP number is of version 6."""
+        """Whether the host is an IPv6 address."""
         return ":" in self.host
 
     @classmethod
     def parse(cls, text: str) -> Address:
-        """Read ``ip:port``; an IPv6 number stands in brackets."""
+        """Parse ``ip:port``, with an IPv6 address in brackets."""
         host, separator, port = text.rpartition(":")
         if not separator or not host or not port:
             raise ValueProblemError(AddressFormatError, f"{text!r}", ACCEPTED_ADDRESS)
         if not port.isascii() or not port.isdigit() or int(port) > PORT_MAX:
             raise ValueProblemError(PortRangeError, f"port {port!r}", f"0 to {PORT_MAX}")
-        bare = host[1:-1] if host.startswith("[") and host.endswith("]") else host
+        address = host[1:-1] if host.startswith("[") and host.endswith("]") else host
         try:
-            return cls(str(ipaddress.ip_address(bare)), int(port))
+            return cls(str(ipaddress.ip_address(address)), int(port))
         except ValueError:
             raise ValueProblemError(
-                HostNameRefusedError, f"{host!r} is no IP number", ACCEPTED_ADDRESS
+                HostNameRefusedError, f"{host!r} is not an IP address", ACCEPTED_ADDRESS
             ) from None
 
 
@@ -96,11 +96,11 @@
     text: str
     address: Address
     path: str = ""
-    """What comes after the port, without a trailing slash."""
+    """The path without a trailing slash."""
 
     @classmethod
     def parse(cls, text: str) -> Url:
-        """Read ``http://ip:port[/path]``."""
+        """Parse ``http://ip:port[/path]``."""
         parts = urlsplit(text)
         if parts.scheme != "http":
             raise ValueProblemError(UrlSchemeError, f"scheme of {text!r}", ACCEPTED_URL)
@@ -115,7 +115,7 @@
 
 
 class Duration(msgspec.Struct, frozen=True):
-    """A length of time."""
+    """A duration."""
 
     accepted: ClassVar[str] = ACCEPTED_DURATION
 
@@ -123,8 +123,8 @@
 
     @classmethod
     def parse(cls, text: str) -> Duration:
-        """Read a number with a unit, as ``500ms``."""
-        return cls(_quantity(text, _SECONDS, DurationUnitError, ACCEPTED_DURATION))
+        """Parse a number with a unit, such as ``500ms``."""
+        return cls(_parse_quantity(text, _SECONDS, DurationUnitError, ACCEPTED_DURATION))
 
 
 class Size(msgspec.Struct, frozen=True):
@@ -136,21 +136,24 @@
 
     @classmethod
     def parse(cls, text: str) -> Size:
-        """Read a number with a unit, as ``4MiB``."""
-        return cls(int(_quantity(text, _BYTES, SizeUnitError, ACCEPTED_SIZE)))
+        """Parse a number with a unit, such as ``4MiB``."""
+        return cls(int(_parse_quantity(text, _BYTES, SizeUnitError, ACCEPTED_SIZE)))
 
 
-def _quantity(
-    text: str, units: dict[str, float] | dict[str, int], kind: type[SettingError], accepted: str
+def _parse_quantity(
+    text: str,
+    units: dict[str, float] | dict[str, int],
+    error_type: type[SettingError],
+    accepted: str,
 ) -> float:
-    found = _QUANTITY.fullmatch(text)
-    if found is None or found[2] not in units:
-        raise ValueProblemError(kind, f"{text!r}", accepted)
-    return float(found[1]) * units[found[2]]
+    match = _QUANTITY.fullmatch(text)
+    if match is None or match[2] not in units:
+        raise ValueProblemError(error_type, f"{text!r}", accepted)
+    return float(match[1]) * units[match[2]]
 
 
 class Name(msgspec.Struct, frozen=True):
-    """A node's, zone's or region's name."""
+    """The name of a node, zone or region."""
 
     accepted: ClassVar[str] = ACCEPTED_NAME
 
@@ -158,7 +161,7 @@
 
     @classmethod
     def parse(cls, text: str) -> Name:
-        """Check that ``text`` may be a name."""
+        """Return ``text`` as a name if it is valid."""
         if len(text) > NAME_LENGTH_MAX or _NAME.fullmatch(text) is None:
             raise ValueProblemError(NameFormatError, f"{text!r}", ACCEPTED_NAME)
         return cls(text)
@@ -176,7 +179,7 @@
 
     @classmethod
     def parse(cls, text: str) -> FleetKey:
-        """Read hexadecimal digits."""
+        """Parse hexadecimal digits."""
         try:
             secret = bytes.fromhex(text)
         except ValueError:
--- a/tests/settings/test_loading.py
+++ b/tests/settings/test_loading.py
@@ -1,4 +1,4 @@
-"""Settings: defaults, flags over file, and 20 bad files with a type each."""
+"""Settings: defaults, flags that override the file, and a typed error for each invalid file."""
 
 import tempfile
 import unittest
@@ -9,7 +9,7 @@
 from pewtertack.settings.schema import ProfileName, Settings
 from pewtertack.settings.values import Address
 
-GOOD = """\
+VALID_FILE = """\
 [node]
 name = "yaba-1"
 zone = "yaba"
@@ -31,8 +31,8 @@
 document_size = "64KiB"
 """
 
-BAD_FILES: dict[str, tuple[str, str, str]] = {
-    # code: (old text, new text, key that the message names)
+INVALID_FILES: dict[str, tuple[str, str, str]] = {
+    # code: (old text, new text, key in the message)
     "settings-file-syntax": ("[node]", "[node", ""),
     "section-unknown": ("[limits]", "[limit]", "limit"),
     "section-type": ("[node]", "profile = 1\n[node]", "profile"),
@@ -68,8 +68,8 @@
         self.path.write_text(text)
         return load_settings(self.path, flags)
 
-    def test_a_good_file_is_read_with_defaults(self) -> None:
-        settings = self.load(GOOD)
+    def test_valid_file_is_loaded_with_defaults(self) -> None:
+        settings = self.load(VALID_FILE)
         self.assertEqual(settings.listen.peer, Address("127.0.0.1", 7001))
         self.assertEqual(settings.source.url.text, "http://127.0.0.1:9000")
         self.assertEqual(settings.limits.stream_timeout.seconds, 0.5)
@@ -80,32 +80,36 @@
         self.assertIsNone(settings.limits.drain_timeout)
 
     def test_without_a_proxy_address_the_node_only_replicates(self) -> None:
-        self.assertIsNone(self.load(GOOD.replace('proxy = "127.0.0.1:7000"\n', "")).listen.proxy)
+        self.assertIsNone(
+            self.load(VALID_FILE.replace('proxy = "127.0.0.1:7000"\n', "")).listen.proxy
+        )
 
-    def test_flags_win_over_the_file(self) -> None:
+    def test_flags_override_the_file(self) -> None:
         flags: dict[SettingKey, object] = {
             SettingKey("listen", "peer"): "[::1]:8001",
             SettingKey("peers", "seeds"): ["127.0.0.3:1"],
             SettingKey("limits", "streams"): "8",
         }
-        settings = self.load(GOOD, flags)
+        settings = self.load(VALID_FILE, flags)
         self.assertEqual(str(settings.listen.peer), "[::1]:8001")
         self.assertEqual(settings.peers.seeds, (Address("127.0.0.3", 1),))
         self.assertEqual(settings.limits.streams, 8)
 
-    def test_each_bad_file_has_its_own_code_and_names_file_key_and_values(self) -> None:
-        self.assertGreaterEqual(len(BAD_FILES), 20)
-        for code, (old, new, key) in BAD_FILES.items():
+    def test_each_invalid_file_has_its_own_code_and_reports_file_key_and_accepted_values(
+        self,
+    ) -> None:
+        self.assertGreaterEqual(len(INVALID_FILES), 20)
+        for code, (old, new, key) in INVALID_FILES.items():
             with self.subTest(code):
-                self.assertIn(old, GOOD)
+                self.assertIn(old, VALID_FILE)
                 with self.assertRaises(SettingError) as caught:
-                    self.load(GOOD.replace(old, new, 1))
+                    self.load(VALID_FILE.replace(old, new, 1))
                 self.assertEqual(caught.exception.code, code)
                 self.assertEqual(caught.exception.key, key)
                 self.assertIn(str(self.path), str(caught.exception))
                 self.assertRegex(str(caught.exception), "; accepted: .+")
 
-    def test_a_file_that_cannot_be_read(self) -> None:
+    def test_unreadable_file(self) -> None:
         for path, code in ((self.path, "settings-file-unreadable"), (self.path.parent, None)):
             with self.subTest(path), self.assertRaises(SettingError) as caught:
                 load_settings(path)
@@ -115,49 +119,51 @@
             load_settings(self.path)
         self.assertEqual(caught.exception.code, "settings-file-encoding")
 
-    def test_a_bad_flag_is_named_as_the_flag(self) -> None:
+    def test_error_in_a_flag_reports_the_flag(self) -> None:
         with self.assertRaises(SettingError) as caught:
-            self.load(GOOD, {SettingKey("listen", "admin"): "host:1"})
-        self.assertEqual((caught.exception.place, caught.exception.key), ("flag", "listen.admin"))
+            self.load(VALID_FILE, {SettingKey("listen", "admin"): "host:1"})
+        self.assertEqual(
+            (caught.exception.location, caught.exception.key), ("flag", "listen.admin")
+        )
         with self.assertRaises(SettingError) as caught:
-            self.load(GOOD, {SettingKey("limits", "streams"): "many"})
+            self.load(VALID_FILE, {SettingKey("limits", "streams"): "many"})
         self.assertEqual(caught.exception.code, "value-type")
 
-    def test_a_window_of_retries_needs_its_share(self) -> None:
+    def test_retry_window_requires_a_ratio_or_slack(self) -> None:
         window = '[policies]\nretry_budget = "window"\n'
         with self.assertRaises(SettingError) as caught:
-            self.load(GOOD + window)
+            self.load(VALID_FILE + window)
         self.assertEqual(caught.exception.code, "key-missing")
         self.assertIn("limits.retry_ratio", str(caught.exception))
-        loaded = self.load(GOOD + "retry_ratio = 0.2\n" + window)
+        loaded = self.load(VALID_FILE + "retry_ratio = 0.2\n" + window)
         self.assertEqual(loaded.limits.retry_ratio, 0.2)
 
-    def test_an_unknown_way_of_deciding_is_refused(self) -> None:
+    def test_unknown_policy_is_rejected(self) -> None:
         with self.assertRaises(SettingError) as caught:
-            self.load(GOOD + '[policies]\nretry_budget = "all"\n')
+            self.load(VALID_FILE + '[policies]\nretry_budget = "all"\n')
         self.assertIn('"share", "window"', str(caught.exception))
 
-    def test_accepted_keys_are_few(self) -> None:
+    def test_number_of_accepted_keys_is_limited(self) -> None:
         keys = ", ".join(f'"{index:032x}"' for index in range(4))
         with self.assertRaises(SettingError) as caught:
-            self.load(GOOD.replace('["ff', f'[{keys}, "ff'))
+            self.load(VALID_FILE.replace('["ff', f'[{keys}, "ff'))
         self.assertEqual(caught.exception.code, "value-range")
 
-    def test_parts_are_logged_as_often_as_asked_for_and_not_without_end(self) -> None:
-        self.assertIsNone(self.load(GOOD).log.parts_every)
-        asked = self.load(GOOD + '[log]\nparts_every = "2s"\n').log.parts_every
-        assert asked is not None
-        self.assertEqual(asked.seconds, 2.0)
+    def test_interval_of_part_times_has_a_minimum(self) -> None:
+        self.assertIsNone(self.load(VALID_FILE).log.parts_every)
+        interval = self.load(VALID_FILE + '[log]\nparts_every = "2s"\n').log.parts_every
+        assert interval is not None
+        self.assertEqual(interval.seconds, 2.0)
         with self.assertRaises(SettingError) as caught:
-            self.load(GOOD + '[log]\nparts_every = "10ms"\n')
+            self.load(VALID_FILE + '[log]\nparts_every = "10ms"\n')
         self.assertEqual(caught.exception.code, "value-range")
         self.assertIn("log.parts_every", str(caught.exception))
 
-    def test_the_fleet_key_is_not_printed(self) -> None:
-        self.assertNotIn("0011", repr(self.load(GOOD)).lower())
+    def test_fleet_key_is_not_printed(self) -> None:
+        self.assertNotIn("0011", repr(self.load(VALID_FILE)).lower())
         with self.assertRaises(SettingError) as caught:
-            self.load(GOOD.replace('"00112233445566778899aabbccddeeff"', '"77secret"'))
+            self.load(VALID_FILE.replace('"00112233445566778899aabbccddeeff"', '"77secret"'))
         self.assertNotIn("secret", str(caught.exception))
         with self.assertRaises(SettingError) as caught:
-            self.load(GOOD.replace('"00112233445566778899aabbccddeeff"', "778899"))
+            self.load(VALID_FILE.replace('"00112233445566778899aabbccddeeff"', "778899"))
         self.assertNotIn("7788", str(caught.exception))
