--- a/src/pewtertack/cli/__init__.py
+++ b/src/pewtertack/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""The command-line interface."""
--- a/src/pewtertack/cli/lab.py
+++ b/src/pewtertack/cli/lab.py
@@ -26,15 +26,15 @@
 
 ANY_PORT = "127.0.0.1:0"
 
-Listen = Annotated[str, typer.Option(help="Address for the readers, ip:port.")]
-Control = Annotated[str, typer.Option(help="Address for the lab, ip:port.")]
+Listen = Annotated[str, typer.Option(help="Address for readers, ip:port.")]
+Control = Annotated[str, typer.Option(help="Address of the lab's control interface, ip:port.")]
 
 
 def read_json_object(path: Path) -> dict[str, Any]:
     """Read a JSON object from a file.
 
     Raises:
-        LabUsageError: the file is missing or holds something else.
+        LabUsageError: the file is unreadable or not a JSON object.
     """
     try:
         value = json.loads(path.read_text())
@@ -46,10 +46,10 @@
 
 
 def run_fleet(function: Callable[..., Awaitable[Result]], *arguments: object) -> Result:
-    """Run a coroutine that runs a fleet.
+    """Run an asynchronous function that runs a fleet.
 
     Raises:
-        LabError: the first error of the fleet, out of the groups around it.
+        LabError: the first error of the fleet, unwrapped from exception groups.
     """
     try:
         return anyio.run(function, *arguments)
@@ -65,7 +65,7 @@
     tree: Annotated[Path, typer.Option(help="JSON file with the first tree.")],
     listen: Listen = ANY_PORT,
     control: Control = ANY_PORT,
-    max_readers: Annotated[int, typer.Option(help="Reads at once before 503.")] = 32,
+    max_readers: Annotated[int, typer.Option(help="Concurrent reads before 503.")] = 32,
     seed: int = 0,
 ) -> None:
     """Run the stand-in of the configuration source."""
@@ -86,8 +86,8 @@
     file: Annotated[Path, typer.Option(help="JSON file with the first list.")],
     listen: Listen = ANY_PORT,
     control: Control = ANY_PORT,
-    lag: Annotated[float, typer.Option(help="Seconds until a change shows.")] = 0.0,
-    max_readers: Annotated[int, typer.Option(help="Reads at once before 503.")] = 32,
+    lag: Annotated[float, typer.Option(help="Seconds until a change is visible.")] = 0.0,
+    max_readers: Annotated[int, typer.Option(help="Concurrent reads before 503.")] = 32,
 ) -> None:
     """Run the stand-in of the platform's machine list."""
     from pewtertack.lab.machines.service import MachineListService
@@ -104,13 +104,13 @@
 
 @app.command()
 def backend(
-    host: Annotated[list[str], typer.Option(help="name=ip:port, once for each back end.")],
+    host: Annotated[list[str], typer.Option(help="name=ip:port, repeated for each back end.")],
     control: Control = ANY_PORT,
     slots: int = 6,
     connections: int = 130,
-    queue: Annotated[int, typer.Option(help="Requests that wait for a slot.")] = 2,
-    work_ms: Annotated[float, typer.Option(help="Default work time.")] = 5.0,
-    cold_ms: Annotated[float, typer.Option(help="Slow for this long after the start.")] = 0.0,
+    queue: Annotated[int, typer.Option(help="Requests that may wait for a slot.")] = 2,
+    work_ms: Annotated[float, typer.Option(help="Default work time in milliseconds.")] = 5.0,
+    cold_ms: Annotated[float, typer.Option(help="Milliseconds of slowness after the start.")] = 0.0,
     seed: int = 0,
 ) -> None:
     """Run the stand-ins of one or more back ends in one process."""
@@ -129,24 +129,24 @@
 
 
 def parse_named_address(text: str) -> tuple[str, Address]:
-    """Read ``name=ip:port``.
+    """Parse ``name=ip:port``.
 
     Raises:
-        LabUsageError: the text has another form.
+        LabUsageError: the text does not have this form.
     """
     name, equals, address = text.partition("=")
     if not equals:
-        raise LabUsageError(f"{text!r}: write name=ip:port")
+        raise LabUsageError(f"{text!r}: expected name=ip:port")
     return name, parse_address(address)
 
 
 @app.command()
 def relay(
-    nodes: Annotated[Path, typer.Option(help="JSON file: a list of relayed nodes.")],
+    nodes: Annotated[Path, typer.Option(help="JSON file with a list of relayed nodes.")],
     control: Control = ANY_PORT,
     seed: int = 0,
 ) -> None:
-    """Run the relay of the nodes' peer traffic."""
+    """Run the relay for the peer traffic of the nodes."""
     from pewtertack.lab.relay.links import RelayedNode
     from pewtertack.lab.relay.service import Relay
 
@@ -157,13 +157,15 @@
 @app.command()
 def load(
     tree: Annotated[Path, typer.Option(help="JSON file with the tree whose routes are used.")],
-    node: Annotated[list[str], typer.Option(help="name=ip:port of a proxy, once for each.")],
-    rate: Annotated[float, typer.Option(help="Requests begun per second.")] = 50.0,
-    seconds: Annotated[float, typer.Option(help="Endless by default; SIGTERM ends it.")] = math.inf,
+    node: Annotated[list[str], typer.Option(help="name=ip:port of a proxy, repeatable.")],
+    rate: Annotated[float, typer.Option(help="Requests started per second.")] = 50.0,
+    seconds: Annotated[
+        float, typer.Option(help="Unlimited by default; SIGTERM stops it.")
+    ] = math.inf,
     seed: int = 0,
-    prefix: Annotated[str, typer.Option(help="Begins each request's id.")] = "load",
+    prefix: Annotated[str, typer.Option(help="Prefix of the request ids.")] = "load",
 ) -> None:
-    """Send an open-loop load and print what each caller was told."""
+    """Send an open-loop load and print the outcome of each request."""
     from pewtertack.lab.load.caller import Target
     from pewtertack.lab.load.generator import LoadGenerator
     from pewtertack.lab.load.mix import mix_of_tree
@@ -192,14 +194,16 @@
 def run(
     scenario: Annotated[str, typer.Argument(help="One of `pewtertack lab scenarios`.")],
     seed: int = 1,
-    report: Annotated[Path | None, typer.Option(help="Takes the report as JSON.")] = None,
-    history: Annotated[Path | None, typer.Option(help="Takes the history, JSON lines.")] = None,
+    report: Annotated[Path | None, typer.Option(help="File for the report, as JSON.")] = None,
+    history: Annotated[
+        Path | None, typer.Option(help="File for the history, as JSON lines.")
+    ] = None,
     deployment: Annotated[str, typer.Option(help="lagos or kolkata.")] = "lagos",
     nodes_per_zone: int = 3,
     examples: Annotated[Path, typer.Option(help="Directory of the trees.")] = Path("examples"),
-    without: Annotated[str, typer.Option(help="Mechanism to switch off in all nodes.")] = "",
+    without: Annotated[str, typer.Option(help="Mechanism to disable in all nodes.")] = "",
 ) -> None:
-    """Run a scenario in real processes; exit code 1 when anything is off."""
+    """Run a scenario in real processes; exit code 1 if any check fails."""
     from pewtertack.lab.deployments import shape_of
     from pewtertack.lab.report.table import format_report
     from pewtertack.lab.scenarios.catalogue import find_scenario
@@ -226,7 +230,7 @@
     nodes_per_zone: int = 3,
     examples: Annotated[Path, typer.Option(help="Directory of the trees.")] = Path("examples"),
 ) -> None:
-    """Run a four-zone fleet, one edit, and requests around it; exit code 1 when anything is off."""
+    """Run a four-zone fleet with one edit during requests; exit code 1 if any check fails."""
     from pewtertack.lab.demo import format_demo, run_demo
     from pewtertack.lab.deployments import shape_of
 
@@ -239,10 +243,10 @@
 def hop(
     calls: Annotated[int, typer.Option(help="Pairs of a direct and a proxied call.")] = 900,
     rate: Annotated[float, typer.Option(help="Pairs per second.")] = 45.0,
-    saturated_seconds: Annotated[float, typer.Option(help="Length of the saturated run.")] = 3.0,
-    samples: Annotated[Path | None, typer.Option(help="Takes all times as JSON.")] = None,
+    saturated_seconds: Annotated[float, typer.Option(help="Duration of the saturated run.")] = 3.0,
+    samples: Annotated[Path | None, typer.Option(help="File for all times, as JSON.")] = None,
 ) -> None:
-    """Measure what one hop through the proxy adds to a call, and print it as JSON."""
+    """Measure the latency that one proxy hop adds to a call, and print it as JSON."""
     from pewtertack.lab.hop.measurement import measure_hop
 
     measurement = anyio.run(measure_hop, calls, rate, saturated_seconds)
@@ -256,7 +260,7 @@
     role: Annotated[str, typer.Argument(help="backend or proxy.")],
     backend: Annotated[list[str] | None, typer.Option(help="ip:port, for the proxy.")] = None,
 ) -> None:
-    """Run one process of ``hop``."""
+    """Run one of the processes of ``hop``."""
     from pewtertack.lab.hop.targets import run_backend, run_proxy
 
     if role == "backend":
@@ -267,10 +271,10 @@
 
 @app.command()
 def weak_node(
-    without: Annotated[str, typer.Argument(help="The mechanism that is switched off.")],
+    without: Annotated[str, typer.Argument(help="The mechanism to disable.")],
     settings: Annotated[Path, typer.Option(help="The node's settings file.")],
 ) -> None:
-    """Run a node with one mechanism switched off, to prove a scenario."""
+    """Run a node with one mechanism disabled, to show that a scenario detects it."""
     from pewtertack.cli.node import run as run_node
     from pewtertack.lab.weakening import switch_off
 
@@ -281,7 +285,7 @@
 @app.command(hidden=True)
 def era_node(
     settings: Annotated[Path, typer.Option(help="The node's settings file.")],
-    without: Annotated[str, typer.Option(help="The mechanism that is switched off.")] = "",
+    without: Annotated[str, typer.Option(help="The mechanism to disable.")] = "",
 ) -> None:
     """Run a node that reads the eras of the lab's platform."""
     from pewtertack.lab.source.era_reader import make_era_reader
--- a/src/pewtertack/cli/lab_depth.py
+++ b/src/pewtertack/cli/lab_depth.py
@@ -1,4 +1,4 @@
-"""``pewtertack lab depth``: what many levels of calls do to retries and deadlines."""
+"""``pewtertack lab depth``: effect of call depth on retries, deadlines and latency."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 def depth(
     depth: Annotated[int, typer.Option(min=1, help="Levels of the deepest chain.")] = 19,
     seed: int = 1,
-    report: Annotated[Path | None, typer.Option(help="Takes the report as JSON.")] = None,
+    report: Annotated[Path | None, typer.Option(help="File for the report, as JSON.")] = None,
 ) -> None:
-    """Simulate chains of services under faults, against fixed retries at every level."""
+    """Simulate service chains under faults, compared with fixed retries at every level."""
     from pewtertack.lab.depth.simulation import DEPTHS, compare
     from pewtertack.lab.depth.table import lines_of
 
@@ -33,7 +33,7 @@
     depth: Annotated[int, typer.Option(min=1, help="Levels of the deepest chain.")] = 19,
     seed: int = 1,
 ) -> None:
-    """Work out what the proxies of many levels add to a call, from one hop's times."""
+    """Compute the latency that the proxies of a call chain add, from the samples of one hop."""
     from pewtertack.lab.depth.latency import added_over
     from pewtertack.lab.depth.simulation import DEPTHS
     from pewtertack.lab.hop.measurement import HopSamples
--- a/src/pewtertack/cli/lab_restores.py
+++ b/src/pewtertack/cli/lab_restores.py
@@ -1,4 +1,4 @@
-"""``pewtertack lab returns``: the store comes back from older copies, in series."""
+"""``pewtertack lab returns``: a series of restores of the store from older copies."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 def returns(
-    seconds: Annotated[float, typer.Option(help="How long faults go on.")] = 30.0,
-    seed: Annotated[int, typer.Option(help="Decides the faults.")] = 1,
+    seconds: Annotated[float, typer.Option(help="Duration of the faults in seconds.")] = 30.0,
+    seed: Annotated[int, typer.Option(help="Seed of the faults.")] = 1,
     hold: Annotated[str, typer.Option(help="source.hold_after_return of the nodes.")] = "6s",
 ) -> None:
-    """Bring the store back from copies beside edits and stops; exit code 1 on an offence."""
+    """Restore the store from copies during edits and node stops; exit code 1 on a violation."""
     import anyio
     import msgspec
 
@@ -28,9 +28,9 @@
 
 def store_node(
     settings: Annotated[Path, typer.Option(help="The node's settings file.")],
-    without: Annotated[str, typer.Option(help="The mechanism that is switched off.")] = "",
+    without: Annotated[str, typer.Option(help="The mechanism to disable.")] = "",
 ) -> None:
-    """Run a node that reads the platform's store, until it is told to stop."""
+    """Run a node that reads the platform's store, until it receives a stop signal."""
     from pewtertack.lab.weakening import switch_off
     from pewtertack.node.start import start_node
     from pewtertack.platform.store import make_reader
--- a/src/pewtertack/cli/lab_scale.py
+++ b/src/pewtertack/cli/lab_scale.py
@@ -1,4 +1,4 @@
-"""``pewtertack lab scale`` and ``lab report``: runs at fleet size, and their pages."""
+"""``pewtertack lab scale`` and ``lab report``: simulations at fleet size, and report pages."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 
 def scale(
-    nodes: Annotated[int, typer.Option(help="Hollow nodes, all in this process.")] = 200,
+    nodes: Annotated[int, typer.Option(help="Simulated nodes, all in this process.")] = 200,
     zones: int = 5,
     regions: int = 2,
     services: Annotated[
         int, typer.Option(help="Services of the tree, with two routes each.")
     ] = 240,
-    edits: Annotated[int, typer.Option(help="Edits of the phase of that name.")] = 4,
+    edits: Annotated[int, typer.Option(help="Edits in the phase named edits.")] = 4,
     seed: int = 1,
     profile: Annotated[str, typer.Option(help="fast or frugal.")] = "fast",
-    report: Annotated[Path | None, typer.Option(help="Takes the report as JSON.")] = None,
+    report: Annotated[Path | None, typer.Option(help="File for the report, as JSON.")] = None,
     quiet: Annotated[bool, typer.Option(help="Print no progress.")] = False,
 ) -> None:
-    """Run hollow nodes in virtual time and measure bytes, processor time and convergence."""
+    """Simulate nodes in virtual time; measure traffic, processor time and convergence."""
     from pewtertack.lab.scale.report import format_summary, write_report
     from pewtertack.lab.scale.run import ScaleSettings, run_scale
 
@@ -34,9 +34,9 @@
 
 def report(
     files: Annotated[list[Path], typer.Argument(help="Reports of lab scale and lab run.")],
-    out: Annotated[Path, typer.Option(help="Directory of the page.")],
+    out: Annotated[Path, typer.Option(help="Directory for the page.")],
 ) -> None:
-    """Write a page with tables and plots; the first and last scale run are compared."""
+    """Write a page with tables and plots, comparing the first and the last scale run."""
     from pewtertack.lab.pages.inputs import read_reports
     from pewtertack.lab.pages.page import write_page
 
--- a/src/pewtertack/cli/lab_simulations.py
+++ b/src/pewtertack/cli/lab_simulations.py
@@ -13,17 +13,21 @@
 
 
 def crashes(
-    nodes: Annotated[int, typer.Option(help="Nodes, a back end of the service beside each.")] = 12,
+    nodes: Annotated[
+        int, typer.Option(help="Nodes, each with a local back end of the service.")
+    ] = 12,
     seconds: Annotated[float, typer.Option(help="Virtual seconds.")] = 20.0,
     repeat: Annotated[float, typer.Option(help="Seconds between two sends of the request.")] = 0.2,
-    burst: Annotated[int, typer.Option(help="How often it is sent at once.")] = 1,
-    away: Annotated[float, typer.Option(help="Seconds until a back end is back.")] = 3.0,
-    loss: Annotated[float, typer.Option(help="Share of datagrams that get lost.")] = 0.02,
-    ledger: Annotated[bool, typer.Option(help="Whether ends are told and remembered.")] = True,
+    burst: Annotated[int, typer.Option(help="Number of concurrent sends.")] = 1,
+    away: Annotated[
+        float, typer.Option(help="Seconds until a crashed back end is available again.")
+    ] = 3.0,
+    loss: Annotated[float, typer.Option(help="Fraction of datagrams that are lost.")] = 0.02,
+    ledger: Annotated[bool, typer.Option(help="Whether crashes are reported and recorded.")] = True,
     seed: int = 1,
-    plot: Annotated[Path | None, typer.Option(help="Takes a plot by second, SVG.")] = None,
+    plot: Annotated[Path | None, typer.Option(help="File for a plot over time, as SVG.")] = None,
 ) -> None:
-    """Simulate it beside ordinary requests, and print the result as JSON."""
+    """Simulate a request that crashes back ends among ordinary ones; print the result as JSON."""
     from pewtertack.lab.crashes.simulation import CrashShape, simulate_crashes
 
     shape = CrashShape(
@@ -45,29 +49,41 @@
 
 def overload(
     nodes: Annotated[int, typer.Option(help="Proxies that share the back ends.")] = 8,
-    load: Annotated[float, typer.Option(help="Offered load, in capacities.")] = 2.0,
+    load: Annotated[float, typer.Option(help="Offered load, as a multiple of the capacity.")] = 2.0,
     seconds: Annotated[float, typer.Option(help="Virtual seconds.")] = 20.0,
     seed: int = 1,
-    gateways: Annotated[bool, typer.Option(help="A gateway beside each back end.")] = False,
+    gateways: Annotated[bool, typer.Option(help="Use a gateway for each back end.")] = False,
     returning: Annotated[
-        bool, typer.Option(help="With --gateways: callers that come back; worth is counted.")
+        bool,
+        typer.Option(help="With --gateways: callers retry, and the worth of responses is counted."),
     ] = False,
-    burst: Annotated[float, typer.Option(min=0, help="Seconds of a burst, returning only.")] = 0,
+    burst: Annotated[
+        float, typer.Option(min=0, help="Duration of a burst in seconds; needs --returning.")
+    ] = 0,
     slowness: Annotated[
-        float, typer.Option(min=1, help="One back end slower for 3 s, returning only.")
+        float,
+        typer.Option(
+            min=1, help="Factor by which one back end slows down for 3 s; needs --returning."
+        ),
     ] = 1,
     speeds: Annotated[
-        str, typer.Option(help="Of each zone's back ends in turn, as 0.5,1.4, returning only.")
+        str,
+        typer.Option(help="Speeds of the back ends of a zone, such as 0.5,1.4; needs --returning."),
     ] = "1",
     long_share: Annotated[
         float,
-        typer.Option(min=0, max=1, help="Requests that take seven times as long, returning only."),
+        typer.Option(
+            min=0,
+            max=1,
+            help="Fraction of requests that take seven times as long; needs --returning.",
+        ),
     ] = 0,
     margin: Annotated[
-        WaitMarginPolicy, typer.Option(help="Until when requests may wait, returning only.")
+        WaitMarginPolicy,
+        typer.Option(help="Policy of how long requests may wait; needs --returning."),
     ] = WaitMarginPolicy.SPREAD,
 ) -> None:
-    """Simulate an overload against round robin with fixed retries, and print it as JSON."""
+    """Simulate an overload, compared with round robin and fixed retries; print it as JSON."""
     from pewtertack.lab.overload.returning import ReturningShape, simulate_returning
     from pewtertack.lab.overload.simulation import Shape, compare, simulate_gateways
 
@@ -76,7 +92,7 @@
         raise typer.BadParameter("--returning needs --gateways")
     result: msgspec.Struct
     if returning:
-        world = ReturningShape(
+        returning_shape = ReturningShape(
             seconds=seconds,
             load=load,
             burst=burst,
@@ -85,7 +101,7 @@
             long_share=long_share,
             policies=Policies(margin=margin),
         )
-        result = simulate_returning(world, seed)
+        result = simulate_returning(returning_shape, seed)
     else:
         result = simulate_gateways(shape, load, seed) if gateways else compare(shape, load, seed)
     _print(result)
@@ -97,7 +113,7 @@
     except ValueError:
         speeds = ()
     if not speeds or not all(0 < speed < math.inf for speed in speeds):
-        raise typer.BadParameter("speeds are positive numbers, separated by commas")
+        raise typer.BadParameter("speeds must be positive numbers separated by commas")
     return speeds
 
 
--- a/src/pewtertack/cli/lab_slow_source.py
+++ b/src/pewtertack/cli/lab_slow_source.py
@@ -1,4 +1,4 @@
-"""``pewtertack lab slow-source``: edits and starts in series while the store is slow."""
+"""``pewtertack lab slow-source``: a series of edits and starts while the store is slow."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 
 def slow_source(
-    seconds: Annotated[float, typer.Option(help="How long faults go on.")] = 60.0,
-    seed: Annotated[int, typer.Option(help="Decides the faults.")] = 1,
-    nodes: Annotated[int, typer.Option(help="Nodes, dealt to three zones.")] = 4,
+    seconds: Annotated[float, typer.Option(help="Duration of the faults in seconds.")] = 60.0,
+    seed: Annotated[int, typer.Option(help="Seed of the faults.")] = 1,
+    nodes: Annotated[int, typer.Option(help="Nodes, distributed over three zones.")] = 4,
     bound: Annotated[
-        float, typer.Option(help="Seconds beyond an answer until an edit is in force.")
+        float, typer.Option(help="Time limit until an edit is in force, after the response.")
     ] = 3.0,
     virtual: Annotated[
         bool, typer.Option("--virtual", help="Simulate the nodes in virtual time.")
     ] = False,
-    without: Annotated[str, typer.Option(help="Mechanism to switch off in all nodes.")] = "",
+    without: Annotated[str, typer.Option(help="Mechanism to disable in all nodes.")] = "",
 ) -> None:
-    """Edit and restart a fleet whose store is slow; exit code 1 when an edit is late."""
+    """Edit and restart a fleet whose store is slow; exit code 1 if an edit is late."""
     import msgspec
 
     from pewtertack.cli.lab import run_fleet
--- a/src/pewtertack/cli/lab_soak.py
+++ b/src/pewtertack/cli/lab_soak.py
@@ -1,4 +1,4 @@
-"""``pewtertack lab soak``: faults in overlapping series against a small fleet."""
+"""``pewtertack lab soak``: overlapping series of faults in a small fleet."""
 
 from __future__ import annotations
 
@@ -11,15 +11,17 @@
 
 
 def soak(
-    minutes: Annotated[float, typer.Option(help="How long faults go on.")] = 5.0,
-    seed: Annotated[int, typer.Option(help="Decides faults and requests.")] = 1,
+    minutes: Annotated[float, typer.Option(help="Duration of the faults in minutes.")] = 5.0,
+    seed: Annotated[int, typer.Option(help="Seed of faults and requests.")] = 1,
     nodes: Annotated[int, typer.Option(help="Nodes, half of them in each of two zones.")] = 6,
-    report: Annotated[Path | None, typer.Option(help="Takes the report as Markdown.")] = None,
-    history: Annotated[Path | None, typer.Option(help="Takes the history, JSON lines.")] = None,
-    without: Annotated[str, typer.Option(help="Mechanism to switch off in all nodes.")] = "",
+    report: Annotated[Path | None, typer.Option(help="File for the report, as Markdown.")] = None,
+    history: Annotated[
+        Path | None, typer.Option(help="File for the history, as JSON lines.")
+    ] = None,
+    without: Annotated[str, typer.Option(help="Mechanism to disable in all nodes.")] = "",
     quiet: Annotated[bool, typer.Option(help="Print no progress.")] = False,
 ) -> None:
-    """Stop, kill, pause and edit a fleet in series; exit code 1 when a promise is broken."""
+    """Stop, kill, pause and edit a fleet in series; exit code 1 if a promise is violated."""
     from pewtertack.cli.lab import run_fleet
     from pewtertack.lab.soak.options import SoakOptions
     from pewtertack.lab.soak.report import format_result, write_report
@@ -37,13 +39,13 @@
 
 def soak_callers(
     tree: Annotated[Path, typer.Option(help="JSON file with the tree whose routes are used.")],
-    node: Annotated[list[str], typer.Option(help="name=ip:port of a proxy, once for each.")],
-    callers: Annotated[int, typer.Option(help="Callers of each node.")] = 2,
+    node: Annotated[list[str], typer.Option(help="name=ip:port of a proxy, repeatable.")],
+    callers: Annotated[int, typer.Option(help="Callers per node.")] = 2,
     seed: int = 0,
-    prefix: Annotated[str, typer.Option(help="Begins each request's id.")] = "callers",
-    downloads: Annotated[bool, typer.Option("--downloads", help="Long answers only.")] = False,
+    prefix: Annotated[str, typer.Option(help="Prefix of the request ids.")] = "callers",
+    downloads: Annotated[bool, typer.Option("--downloads", help="Only long responses.")] = False,
 ) -> None:
-    """Run callers that keep their connections, and print what each was told."""
+    """Run callers with persistent connections, and print the outcome of each request."""
     import anyio
 
     from pewtertack.cli.lab import parse_named_address, read_json_object
--- a/src/pewtertack/cli/lab_verification.py
+++ b/src/pewtertack/cli/lab_verification.py
@@ -1,4 +1,4 @@
-"""``pewtertack lab check`` and ``lab explore``: judging histories, searching schedules."""
+"""``pewtertack lab check`` and ``lab explore``: checking histories, exploring schedules."""
 
 from __future__ import annotations
 
@@ -18,14 +18,16 @@
 
 
 def check(
-    history: Annotated[list[Path], typer.Argument(help="Files of one run, JSON lines.")],
+    history: Annotated[list[Path], typer.Argument(help="Files of one run, as JSON lines.")],
     promises: Annotated[str, typer.Option(help="all, configuration or requests.")] = "all",
     as_json: Annotated[bool, typer.Option("--json", help="Print the verdicts as JSON.")] = False,
-    convergence: Annotated[float, typer.Option(help="Seconds to be in force everywhere.")] = 12.0,
-    recovery: Annotated[float, typer.Option(help="Seconds to recover from a fault.")] = 60.0,
-    leaving: Annotated[float, typer.Option(help="Seconds until no new work arrives.")] = 5.0,
+    convergence: Annotated[
+        float, typer.Option(help="Time limit until a revision is in force everywhere.")
+    ] = 12.0,
+    recovery: Annotated[float, typer.Option(help="Time limit for recovery from a fault.")] = 60.0,
+    leaving: Annotated[float, typer.Option(help="Time limit until no new requests arrive.")] = 5.0,
 ) -> None:
-    """Judge a history; exit code 1 when a promise is broken or was not put to the test."""
+    """Check a history; exit code 1 if a promise was violated or not sufficiently tested."""
     from pewtertack.lab.history.checker import all_held, check_files, check_group
     from pewtertack.lab.history.verdicts import CheckBounds
 
@@ -49,14 +51,14 @@
 
 
 def explore(
-    schedules: Annotated[int, typer.Option(help="How many schedules to run.")] = 2000,
+    schedules: Annotated[int, typer.Option(help="Number of schedules to run.")] = 2000,
     seed: int = 1,
-    workers: Annotated[int, typer.Option(help="Processes that share the work.")] = 3,
-    without: Annotated[str | None, typer.Option(help="A mechanism to switch off.")] = None,
+    workers: Annotated[int, typer.Option(help="Number of worker processes.")] = 3,
+    without: Annotated[str | None, typer.Option(help="Mechanism to disable.")] = None,
     shrink: Annotated[bool, typer.Option(help="Shrink failing schedules.")] = True,
     out: Annotated[Path | None, typer.Option(help="Directory for failing schedules.")] = None,
 ) -> None:
-    """Run the coordination core under random schedules of faults, in virtual time."""
+    """Run the coordination core under random fault schedules in virtual time."""
     from pewtertack.lab.simulation.exploration import explore as run_exploration
 
     results = run_exploration(schedules, seed, workers, without, shrink, _print_batch)
--- a/src/pewtertack/cli/main.py
+++ b/src/pewtertack/cli/main.py
@@ -1,7 +1,7 @@
-"""The typer application; every command group is a module beside this one.
+"""The typer application; each command group is another module of this package.
 
-Modules of command groups import what they run inside their functions, so that
-``pewtertack node`` does not load the lab and ``pewtertack check`` not the daemon.
+The modules import their implementations inside functions, so that ``pewtertack node`` does not
+load the lab and ``pewtertack check`` does not load the daemon.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 @app.command(context_settings=PASS_THROUGH, add_help_option=False)
 def node(context: typer.Context) -> None:
-    """Run one node until it is told to stop (see ``pewtertack node --help``)."""
+    """Run one node until it receives a stop signal (see ``pewtertack node --help``)."""
     from pewtertack.cli.node import run
 
     raise typer.Exit(run(context.args))
--- a/src/pewtertack/cli/node.py
+++ b/src/pewtertack/cli/node.py
@@ -1,8 +1,7 @@
-"""``pewtertack node``: run one node until it is told to stop.
+"""``pewtertack node``: run one node until it receives a stop signal.
 
-This command reads its flags with argparse instead of typer: the node's memory
-is bounded, and typer brings libraries that it does not need
-(docs/decisions/0003-daemon.md).
+This command parses its flags with argparse instead of typer: the memory of a node is limited,
+and typer imports libraries that a node does not need (docs/decisions/0003-daemon.md).
 """
 
 from __future__ import annotations
@@ -25,32 +24,41 @@
     "--listen-proxy": (SettingKey("listen", "proxy"), "ip:port for callers"),
     "--listen-peer": (SettingKey("listen", "peer"), "ip:port for other nodes, UDP and TCP"),
     "--listen-admin": (SettingKey("listen", "admin"), "ip:port of the admin interface"),
-    "--advertise-peer": (SettingKey("advertise", "peer"), "ip:port that other nodes are told"),
+    "--advertise-peer": (SettingKey("advertise", "peer"), "ip:port advertised to other nodes"),
     "--source-url": (SettingKey("source", "url"), "http://ip:port of the configuration source"),
     "--machines-url": (SettingKey("machines", "url"), "http://ip:port of the machine list"),
     "--profile": (SettingKey("profile", "name"), "fast or frugal"),
-    "--document-size": (SettingKey("limits", "document_size"), "largest answer of the platform"),
-    "--platform-timeout": (SettingKey("limits", "platform_timeout"), "for the platform"),
+    "--document-size": (SettingKey("limits", "document_size"), "largest response of the platform"),
+    "--platform-timeout": (
+        SettingKey("limits", "platform_timeout"),
+        "for a response of the platform",
+    ),
     "--stream-timeout": (SettingKey("limits", "stream_timeout"), "for one peer frame over TCP"),
-    "--streams": (SettingKey("limits", "streams"), "peer frames over TCP at once"),
+    "--streams": (SettingKey("limits", "streams"), "concurrent peer frames over TCP"),
     "--keep-alive": (SettingKey("limits", "keep_alive"), "for idle connections of callers"),
-    "--drain-timeout": (SettingKey("limits", "drain_timeout"), "for requests in flight at a stop"),
-    "--stop-within": (SettingKey("limits", "stop_within"), "from the signal to the process's end"),
+    "--drain-timeout": (
+        SettingKey("limits", "drain_timeout"),
+        "for requests in flight at shutdown",
+    ),
+    "--stop-within": (
+        SettingKey("limits", "stop_within"),
+        "from the stop signal until the process is killed",
+    ),
 }
 SEEDS = SettingKey("peers", "seeds")
 
 
 class _Parser(argparse.ArgumentParser):
-    """Raises a typed error where argparse would exit."""
+    """Raises a typed error instead of exiting."""
 
     def error(self, message: str) -> NoReturn:
         raise FlagFormatError("flag", "", message, "see pewtertack node --help")
 
 
-def _parser() -> argparse.ArgumentParser:
+def _make_parser() -> argparse.ArgumentParser:
     parser = _Parser(
         prog="pewtertack node",
-        description="Run one node. Flags win over the settings file.",
+        description="Run one node. Flags override the settings file.",
         allow_abbrev=False,
     )
     parser.add_argument("--settings", required=True, help="the settings file (TOML)")
@@ -63,17 +71,17 @@
 
 
 def run(arguments: Sequence[str], make_reader: ReaderFactory | None = None) -> int:
-    """Run a node with these command-line arguments and return its exit code.
+    """Run a node with the parsed command-line arguments and return its exit code.
 
-    ``make_reader`` replaces the reader of pewtertack's own source interface.
+    ``make_reader`` replaces the reader for pewtertack's own source interface.
 
     Raises:
-        SettingError: a flag or the settings file is wrong.
+        SettingError: a flag or the settings file is invalid.
     """
-    given = vars(_parser().parse_args(arguments))
-    path: str = given.pop("settings")
+    parsed = vars(_make_parser().parse_args(arguments))
+    path: str = parsed.pop("settings")
     keys = [key for key, _ in FLAGS.values()] + [SEEDS]
     flags: dict[SettingKey, Any] = {
-        key: given[str(key)] for key in keys if given[str(key)] is not None
+        key: parsed[str(key)] for key in keys if parsed[str(key)] is not None
     }
     return start_node(path, flags, make_reader)
--- a/src/pewtertack/cli/policies.py
+++ b/src/pewtertack/cli/policies.py
@@ -1,4 +1,4 @@
-"""``pewtertack policies``: the ways of each decision, and which one is in force."""
+"""``pewtertack policies``: the policies for each decision, and which one is in use."""
 
 from __future__ import annotations
 
@@ -10,13 +10,14 @@
 from pewtertack.cli.exit_codes import ExitCode
 
 SettingsOption = Annotated[
-    Path | None, typer.Option("--settings", help="Settings file of a node; without it, defaults.")
+    Path | None,
+    typer.Option("--settings", help="Settings file of a node; without it, the defaults."),
 ]
-HEADERS = ("DECISION", "WAY", "IN FORCE", "WHAT IT DOES", "PARAMETERS")
+HEADERS = ("DECISION", "POLICY", "IN USE", "DESCRIPTION", "PARAMETERS")
 
 
 def policies(settings: SettingsOption = None) -> None:
-    """List the ways of each decision that has several, with what they depend on."""
+    """List the policies for each decision that has several, with their parameters."""
     from pewtertack.cli.tables import format_table
     from pewtertack.routing.policies import DEFAULT_POLICIES, Parameter, all_policies
     from pewtertack.settings import load_settings
@@ -28,7 +29,7 @@
         typer.echo(f"{error.code}: {error}", err=True)
         raise typer.Exit(ExitCode.UNUSABLE_INPUT) from error
 
-    def told(parameter: Parameter) -> str:
+    def format_parameter(parameter: Parameter) -> str:
         if parameter.value is None:
             return f"{parameter.name}: {parameter.source}"
         unit = f" {parameter.unit}" if parameter.unit else ""
@@ -36,12 +37,12 @@
 
     rows = [
         (
-            way.kind.value,
-            way.name,
-            "yes" if getattr(chosen, way.kind.value) == way.name else "",
-            way.purpose,
-            "; ".join(told(parameter) for parameter in way.parameters),
+            policy.kind.value,
+            policy.name,
+            "yes" if getattr(chosen, policy.kind.value) == policy.name else "",
+            policy.purpose,
+            "; ".join(format_parameter(parameter) for parameter in policy.parameters),
         )
-        for way in all_policies()
+        for policy in all_policies()
     ]
     typer.echo(format_table(HEADERS, rows))
--- a/src/pewtertack/cli/rollout.py
+++ b/src/pewtertack/cli/rollout.py
@@ -1,4 +1,4 @@
-"""``pewtertack rollout``: where a version is in force, and why not elsewhere."""
+"""``pewtertack rollout``: where a version is in force, and why it is not elsewhere."""
 
 from __future__ import annotations
 
@@ -20,12 +20,14 @@
 VersionOption = Annotated[
     int | None,
     typer.Option(
-        "--version", min=1, help="Version to look for; else the newest that a node has heard of."
+        "--version", min=1, help="Version to check; by default the newest that any node knows of."
     ),
 ]
 WaitOption = Annotated[
     float,
-    typer.Option("--wait", min=0.0, help="Seconds to wait until it is in force everywhere."),
+    typer.Option(
+        "--wait", min=0.0, help="Seconds to wait until the version is in force everywhere."
+    ),
 ]
 JsonOption = Annotated[bool, typer.Option("--json", help="Print one JSON object.")]
 
@@ -42,10 +44,10 @@
     as_json: JsonOption = False,
     timeout: TimeoutOption = 3.0,
 ) -> None:
-    """Print how far a version has come, and which nodes lack it and why.
+    """Print the progress of a version, and which nodes lack it and why.
 
-    Exit code 0 when it is in force on every node, 1 when not, 3 when a node rejected it,
-    4 when only nodes that do not answer may lack it.
+    Exit code 0 if it is in force on every node, 3 if a node rejected it, 4 if it is in force on
+    all nodes but unreachable ones, otherwise 1.
     """
     import msgspec
 
@@ -54,11 +56,13 @@
 
     admins = tuple(dict.fromkeys((*admin, *(others or ()))))
 
-    async def follow() -> RolloutReport:
-        show = _progress_printer() if wait > 0 else _ignore_progress
-        return await follow_rollout(lambda: read_reports(admins, timeout), version, wait, show)
+    async def poll() -> RolloutReport:
+        report_progress = _progress_printer() if wait > 0 else _ignore_progress
+        return await follow_rollout(
+            lambda: read_reports(admins, timeout), version, wait, report_progress
+        )
 
-    report = anyio.run(follow)
+    report = anyio.run(poll)
     if as_json:
         typer.echo(msgspec.json.format(msgspec.json.encode(report), indent=2).decode())
     else:
@@ -67,7 +71,7 @@
 
 
 def exit_code_for(report: RolloutReport) -> ExitCode:
-    """Return the exit code that tells a rollout's outcome."""
+    """Return the exit code for the outcome of a rollout."""
     from pewtertack.cli.rollout_reports import Outcome
 
     codes = {
@@ -80,25 +84,25 @@
 
 
 def _ignore_progress(waited: float, report: RolloutReport) -> None:
-    """Show no progress."""
+    """Print nothing."""
 
 
 def _progress_printer() -> Callable[[float, RolloutReport], None]:
-    """Return what prints a line on standard error when the counts have changed."""
+    """Return a function that prints the counts to standard error whenever they change."""
     last = ""
 
-    def show(waited: float, report: RolloutReport) -> None:
+    def report_progress(waited: float, report: RolloutReport) -> None:
         nonlocal last
         line = format_progress(report)
         if line != last:
             typer.echo(f"{waited:7.1f} s  {line}", err=True)
         last = line
 
-    return show
+    return report_progress
 
 
 def format_progress(report: RolloutReport) -> str:
-    """Return the counts of nodes on one line."""
+    """Return the number of nodes at each stage on one line."""
     counts = [f"{_stage_label(item.stage)} {item.nodes}" for item in report.stages]
     return (
         f"revision {_format_revision(report.revision)} of {report.nodes} nodes: {', '.join(counts)}"
@@ -118,17 +122,17 @@
         format_table(STAGE_HEADERS, [_stage_row(item, report.nodes) for item in report.stages]),
     ]
     if report.lacking:
-        rows = [_lagging_row(lack) for lack in report.lacking]
+        rows = [_lagging_row(lagging) for lagging in report.lacking]
         lines += ["", format_table(LAGGING_HEADERS, rows)]
-    return "\n".join([*lines, *_findings(report)])
+    return "\n".join([*lines, *_finding_lines(report)])
 
 
 def _arrival_lines(report: RolloutReport) -> list[str]:
     if report.first_heard is None:
         return []
     first = datetime.fromtimestamp(report.first_heard, UTC).isoformat(timespec="milliseconds")
-    ways = ", ".join(f"{way} {count}" for way, count in report.ways.items()) or NO_VALUE
-    return [f"first heard at {first}; came by: {ways}"]
+    deliveries = ", ".join(f"{method} {count}" for method, count in report.ways.items()) or NO_VALUE
+    return [f"first reported at {first}; delivered by: {deliveries}"]
 
 
 def _stage_row(item: StageSummary, nodes: int) -> tuple[str, ...]:
@@ -137,29 +141,29 @@
     return (_stage_label(item.stage), f"{item.nodes}/{nodes}", *times)
 
 
-def _lagging_row(lack: LaggingNode) -> tuple[str, ...]:
+def _lagging_row(lagging: LaggingNode) -> tuple[str, ...]:
     return (
-        lack.node or lack.admin,
-        lack.zone or NO_VALUE,
-        _format_revision(lack.in_force),
-        _format_revision(lack.held),
-        lack.why,
-        _format_detail(lack),
+        lagging.node or lagging.admin,
+        lagging.zone or NO_VALUE,
+        _format_revision(lagging.in_force),
+        _format_revision(lagging.held),
+        lagging.why,
+        _format_detail(lagging),
     )
 
 
-def _format_detail(lack: LaggingNode) -> str:
-    parts = [lack.problem] if lack.problem else []
-    if lack.phase and lack.phase != "serving":
-        parts.append(lack.phase)
-    if lack.heard_for is not None:
-        parts.append(f"heard {_format_seconds(lack.heard_for)} ago")
-    if lack.read is not None:
-        parts += _read_details(lack.read)
-        if lack.answer_seconds is not None:
-            parts.append(f"answers take {_format_seconds(lack.answer_seconds)}")
-    if lack.source_age is not None:
-        parts.append(f"source answered {_format_seconds(lack.source_age)} ago")
+def _format_detail(lagging: LaggingNode) -> str:
+    parts = [lagging.problem] if lagging.problem else []
+    if lagging.phase and lagging.phase != "serving":
+        parts.append(lagging.phase)
+    if lagging.heard_for is not None:
+        parts.append(f"reported {_format_seconds(lagging.heard_for)} ago")
+    if lagging.read is not None:
+        parts += _read_details(lagging.read)
+        if lagging.answer_seconds is not None:
+            parts.append(f"responses take {_format_seconds(lagging.answer_seconds)}")
+    if lagging.source_age is not None:
+        parts.append(f"source responded {_format_seconds(lagging.source_age)} ago")
     return ", ".join(parts) or NO_VALUE
 
 
@@ -167,7 +171,7 @@
     parts = []
     if read.failures:
         parts.append(
-            f"failed reads in a row: {read.failures}, the last {read.failure or 'unknown'}"
+            f"consecutive failed reads: {read.failures}, the last {read.failure or 'unknown'}"
         )
     if read.open_for is not None:
         reads = "read" if read.open_reads < 2 else f"{read.open_reads} reads, the oldest"
@@ -175,11 +179,11 @@
     return parts
 
 
-def _findings(report: RolloutReport) -> list[str]:
-    """Return each finding once, with the number of nodes that refused the revision for it."""
+def _finding_lines(report: RolloutReport) -> list[str]:
+    """Return each finding once, with the number of nodes that rejected the revision for it."""
     nodes: dict[str, int] = {}
-    for lack in report.lacking:
-        for finding in lack.findings:
+    for lagging in report.lacking:
+        for finding in lagging.findings:
             text = f"{finding.path}: {finding.code}: {finding.message}"
             nodes[text] = nodes.get(text, 0) + 1
     lines = [f"rejected on {count} nodes: {text}" for text, count in nodes.items()]
@@ -187,13 +191,13 @@
 
 
 def _format_revision(revision: int) -> str:
-    """Return a revision as operators know it: of a store's the version, and its moment if any."""
+    """Return a revision as shown to operators: for a store, its version and logical time if any."""
     from pewtertack.core.eras import TREE_NUMBERS_PER_VERSION, split_tree_number
 
     if revision < TREE_NUMBERS_PER_VERSION:
         return str(revision or NO_VALUE)
-    version, moment = split_tree_number(revision)
-    return f"{version}+{moment}" if moment else str(version)
+    version, logical_time = split_tree_number(revision)
+    return f"{version}+{logical_time}" if logical_time else str(version)
 
 
 def _stage_label(stage: str) -> str:
--- a/src/pewtertack/cli/rollout_lag.py
+++ b/src/pewtertack/cli/rollout_lag.py
@@ -1,4 +1,4 @@
-"""Why a node does not have a revision in force."""
+"""Determines reason a node does not have a revision in force."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 CONFIGURATION = "configuration"
 TIMEOUT_FAILURES = frozenset({ReadFailure.SLOW.value, ReadFailure.UNFINISHED.value})
 OVERDUE_READ_SECONDS = 1.0
-"""A read that is open for so much longer than the source may wait is called slow."""
+"""A read is slow if it is open for this much longer than the source may hold it open."""
 LEAVING_PHASES = ("leaving", "superseded")
 
 
@@ -24,27 +24,27 @@
     """Why a node does not have a revision in force."""
 
     UNREACHABLE = "unreachable"
-    """Its admin interface does not answer."""
+    """Its admin interface does not respond."""
     LEAVING = "leaving"
-    """It stops, or another process has its name: it serves no new requests."""
+    """It is shutting down, or another process uses its name, so it serves no new requests."""
     REJECTED = "rejected"
-    """Validation refused the revision."""
+    """Validation rejected the revision."""
     SOURCE_FAILING = "source-failing"
-    """It reads the source, has not heard of the revision, and its reads fail."""
+    """It reads the source, does not know of the revision, and its reads fail."""
     SOURCE_SLOW = "source-slow"
-    """It reads the source, has not heard of the revision, and no answer comes in time."""
+    """It reads the source, does not know of the revision, and responses are late."""
     NOT_HEARD = "not-heard"
-    """Nobody has told it of the revision."""
+    """No peer has reported the revision to it."""
     NOT_HELD = "not-held"
-    """It has heard of the revision and not received it yet."""
+    """It knows of the revision but has not received it yet."""
     NOT_COMMITTED = "not-committed"
-    """It holds the revision and knows of no quorum that does."""
+    """It stores the revision but does not know of a quorum that does."""
     NOT_IN_FORCE = "not-in-force"
-    """The revision is committed there; a node that joins waits until it may serve."""
+    """It knows that the revision is committed; a joining node waits until it may serve."""
 
 
 class LaggingNode(msgspec.Struct, frozen=True):
-    """A node without the revision in force. Ages are seconds before its answer."""
+    """A node that does not have the revision in force. Ages are seconds before its response."""
 
     admin: str
     why: LagReason
@@ -54,42 +54,42 @@
     held: int = 0
     in_force: int = 0
     heard_for: float | None = None
-    """Since it first heard of the revision or a newer one."""
+    """Time since the revision or a newer one was first reported to it."""
     source_age: float | None = None
-    """Since its last usable answer of the source."""
+    """Time since the last usable response of the source."""
     answer_seconds: float | None = None
-    """What its reads take beyond the time for which the source may hold them open."""
+    """Duration of its reads beyond the time for which the source may hold them open."""
     read: ReadStatus | None = None
-    """How its reads of the configuration fare, where it reads the source."""
+    """Its reads of the configuration, if it reads the source."""
     findings: tuple[FindingStatus, ...] = ()
-    """Why it was rejected."""
+    """Why it rejected the revision."""
     problem: str = ""
-    """Why the admin interface does not answer."""
+    """Why its admin interface does not respond."""
 
 
 def lagging_node(revision: int, report: NodeReport) -> LaggingNode | None:
-    """Return why a node does not have ``revision`` or a newer one in force, if so."""
+    """Return the state of a node without ``revision`` or a newer one in force, else ``None``."""
     node = report.status
     if node is None:
         return LaggingNode(report.admin, LagReason.UNREACHABLE, problem=report.problem)
     if node.in_force.number >= revision:
         return None
-    why = _lag_reason(revision, node)
-    heard = stage_times(revision, node).get(Stage.REPORTED)
+    reason = _lag_reason(revision, node)
+    reported_at = stage_times(revision, node).get(Stage.REPORTED)
     rejection = node.last_rejection
     return LaggingNode(
         report.admin,
-        why,
+        reason,
         node.name,
         node.zone,
         node.phase,
         node.held.number,
         node.in_force.number,
-        None if heard is None else round(max(report.read_at - heard, 0.0), 3),
+        None if reported_at is None else round(max(report.read_at - reported_at, 0.0), 3),
         node.source_age,
         node.source_answer_seconds,
         node.reads.get(CONFIGURATION) if node.reading else None,
-        rejection.findings if rejection is not None and why is LagReason.REJECTED else (),
+        rejection.findings if rejection is not None and reason is LagReason.REJECTED else (),
     )
 
 
@@ -115,12 +115,12 @@
     return _reason_not_read(read, node.source_answer_seconds or 0.0)
 
 
-def _reason_not_read(read: ReadStatus, usual: float) -> LagReason:
-    """Return why a reader has not heard of the revision; ``usual``: what its reads take."""
+def _reason_not_read(read: ReadStatus, usual_seconds: float) -> LagReason:
+    """Return why a reader, whose reads take ``usual_seconds``, does not know of the revision."""
     if read.failures:
         return (
             LagReason.SOURCE_SLOW if read.failure in TIMEOUT_FAILURES else LagReason.SOURCE_FAILING
         )
     if read.open_for is not None and read.open_for > read.may_wait + OVERDUE_READ_SECONDS:
         return LagReason.SOURCE_SLOW
-    return LagReason.SOURCE_SLOW if usual > SLOW_ANSWER_SECONDS else LagReason.NOT_HEARD
+    return LagReason.SOURCE_SLOW if usual_seconds > SLOW_ANSWER_SECONDS else LagReason.NOT_HEARD
--- a/src/pewtertack/cli/rollout_polling.py
+++ b/src/pewtertack/cli/rollout_polling.py
@@ -1,4 +1,4 @@
-"""Follows a rollout until it is settled or its time is over."""
+"""Polls the nodes until a rollout is settled or the time limit has passed."""
 
 from __future__ import annotations
 
@@ -18,30 +18,30 @@
 POLL_SECONDS = 0.5
 
 ReadReports = Callable[[], Awaitable[Sequence[NodeReport]]]
-ShowProgress = Callable[[float, RolloutReport], None]
-"""Takes the seconds since the start, and what the nodes told."""
+ReportProgress = Callable[[float, RolloutReport], None]
+"""Receives the seconds since the start and the latest report."""
 
 
 async def follow_rollout(
-    read: ReadReports, version: int | None, wait: float, show: ShowProgress
+    read_reports: ReadReports, version: int | None, wait: float, report_progress: ReportProgress
 ) -> RolloutReport:
-    """Ask the nodes until the rollout is settled or ``wait`` seconds are over.
+    """Poll the nodes until the rollout is settled or ``wait`` seconds have passed.
 
-    Without a ``version`` the newest that any node has heard of is followed; which one that
-    is does not change any more once a node has told of one.
+    Without a ``version``, the newest one known to any node is followed; the choice stays fixed
+    once a node has reported one.
 
     Raises:
-        NoRevisionError: no ``version`` is given, and no node tells of one in time.
+        NoRevisionError: no ``version`` is given, and no node reports one in time.
     """
-    began = anyio.current_time()
-    chosen = version
+    started_at = anyio.current_time()
+    followed = version
     while True:
-        reports = await read()
-        waited = anyio.current_time() - began
-        chosen = chosen or newest_revision(reports) or None
-        if chosen is not None:
-            report = rollout_report(revision_of_version(chosen, reports), reports)
-            show(waited, report)
+        reports = await read_reports()
+        waited = anyio.current_time() - started_at
+        followed = followed or newest_revision(reports) or None
+        if followed is not None:
+            report = rollout_report(revision_of_version(followed, reports), reports)
+            report_progress(waited, report)
             if report.settled or waited >= wait:
                 return report
         elif waited >= wait:
@@ -50,7 +50,7 @@
 
 
 def _no_revision_error(reports: Sequence[NodeReport]) -> NoRevisionError:
-    mute = [report for report in reports if report.status is None]
-    text = f"none of {len(reports) - len(mute)} nodes that answer has heard of a revision"
-    problems = "; ".join(f"{report.admin}: {report.problem}" for report in mute)
+    unreachable = [report for report in reports if report.status is None]
+    text = f"none of {len(reports) - len(unreachable)} reachable nodes knows of a revision"
+    problems = "; ".join(f"{report.admin}: {report.problem}" for report in unreachable)
     return NoRevisionError(f"{text}; {problems}" if problems else text)
--- a/src/pewtertack/cli/rollout_reports.py
+++ b/src/pewtertack/cli/rollout_reports.py
@@ -1,4 +1,4 @@
-"""How far a revision has come over several nodes, from their status pages."""
+"""The progress of a revision over several nodes, from their status reports."""
 
 from __future__ import annotations
 
@@ -25,27 +25,27 @@
 
 
 class NoRevisionError(RolloutError):
-    """No node that answers has heard of a revision."""
+    """No reachable node knows of a revision."""
 
     code: ClassVar[str] = "no-revision"
 
 
 class Outcome(StrEnum):
-    """What a rollout has come to."""
+    """Outcome of a rollout."""
 
     COMPLETE = "complete"
-    """In force on every node that does not leave."""
+    """In force on every node that is not leaving."""
     INCOMPLETE = "incomplete"
     REJECTED = "rejected"
-    """A node has refused it."""
+    """A node has rejected it."""
     UNREACHABLE = "unreachable"
-    """In force on every node that answers; others do not answer."""
+    """In force on every reachable node; other nodes are unreachable."""
 
 
 class StageSummary(msgspec.Struct, frozen=True):
-    """The nodes that a revision has reached at one stage.
+    """The nodes at which a revision has reached one stage.
 
-    Seconds count from when any node first heard of the revision, by the clocks of the machines.
+    Times are seconds since the revision was first reported to any node, by the machines' clocks.
     """
 
     stage: Stage
@@ -56,23 +56,23 @@
 
 
 class RolloutReport(msgspec.Struct, frozen=True):
-    """Where one revision is in force, and where not."""
+    """Where a revision is in force, and where it is not."""
 
     revision: int
     outcome: Outcome
     nodes: int
-    """Nodes that were asked."""
+    """Number of queried nodes."""
     first_heard: float | None
-    """Unix time at which any node first heard of it."""
+    """Unix time at which it was first reported to any node."""
     stages: tuple[StageSummary, ...]
     ways: dict[str, int]
-    """How it came, by the number of nodes."""
+    """Number of nodes by the method that delivered the revision to them."""
     lacking: tuple[LaggingNode, ...]
 
     @property
     def settled(self) -> bool:
-        """Whether waiting for longer cannot change the outcome."""
-        pending = {lack.why for lack in self.lacking} - {LagReason.LEAVING}
+        """Whether further waiting cannot change the outcome."""
+        pending = {lagging.why for lagging in self.lacking} - {LagReason.LEAVING}
         if pending <= {LagReason.REJECTED}:
             return True
         held = next(item.nodes for item in self.stages if item.stage is Stage.HELD)
@@ -80,86 +80,96 @@
 
 
 def newest_revision(reports: Iterable[NodeReport]) -> int:
-    """Return the newest revision that any node has heard of; 0 without one."""
+    """Return the newest revision known to any node, or 0 if there is none."""
     return max(
         (newest_reported_revision(report.status) for report in reports if report.status), default=0
     )
 
 
 def revision_of_version(version: int, reports: Iterable[NodeReport]) -> int:
-    """Return the lowest revision that carries ``version``.
+    """Return the lowest revision that contains ``version``.
 
-    Where the fleet reads a metadata store, a revision is a version with what follows from
-    evacuations; the operator's version is accepted there as well as the revision.
+    If the fleet reads a metadata store, a revision number combines the operator's version with
+    later evacuations; ``version`` may then be either of the two numbers.
     """
     by_version = version < TREE_NUMBERS_PER_VERSION <= newest_revision(reports)
     return tree_number(version) if by_version else version
 
 
 def rollout_report(revision: int, reports: Sequence[NodeReport]) -> RolloutReport:
-    """Return how far ``revision``, or a newer one, has come."""
+    """Return the progress of ``revision`` or a newer one."""
     nodes = [report for report in reports if report.status is not None]
-    moments = {
+    stage_times_by_admin = {
         report.admin: stage_times(revision, report.status) for report in nodes if report.status
     }
-    heard = [times[Stage.REPORTED] for times in moments.values() if Stage.REPORTED in times]
-    first_heard = min(heard, default=None)
+    reported_at = [
+        times[Stage.REPORTED] for times in stage_times_by_admin.values() if Stage.REPORTED in times
+    ]
+    first_reported_at = min(reported_at, default=None)
     lacking = tuple(
-        lack for lack in (lagging_node(revision, report) for report in reports) if lack is not None
+        lagging
+        for lagging in (lagging_node(revision, report) for report in reports)
+        if lagging is not None
     )
-    counted = [moments[report.admin] for report in nodes if _was_running(report, first_heard)]
+    counted_times = [
+        stage_times_by_admin[report.admin]
+        for report in nodes
+        if _was_running(report, first_reported_at)
+    ]
     return RolloutReport(
         revision,
         _outcome(lacking, len(reports)),
         len(reports),
-        first_heard,
-        tuple(_summary(revision, stage, nodes, counted, first_heard) for stage in Stage),
+        first_reported_at,
+        tuple(
+            _summary(revision, stage, nodes, counted_times, first_reported_at) for stage in Stage
+        ),
         _delivery_counts(revision, nodes),
         lacking,
     )
 
 
-def _was_running(report: NodeReport, first_heard: float | None) -> bool:
-    """Tell whether a node had started when the first node heard of the revision."""
-    if report.status is None or first_heard is None:
+def _was_running(report: NodeReport, first_reported_at: float | None) -> bool:
+    """Return whether a node was running when the revision was first reported to any node."""
+    if report.status is None or first_reported_at is None:
         return False
-    return report.read_at - report.status.uptime <= first_heard
+    return report.read_at - report.status.uptime <= first_reported_at
 
 
 def _summary(
     revision: int,
     stage: Stage,
     nodes: Sequence[NodeReport],
-    counted: Sequence[dict[Stage, float]],
-    first_heard: float | None,
+    counted_times: Sequence[dict[Stage, float]],
+    first_reported_at: float | None,
 ) -> StageSummary:
     reached = sum(
         report.status is not None and revision_at_stage(report.status, stage) >= revision
         for report in nodes
     )
-    times = [moments[stage] for moments in counted if stage in moments]
-    if not times or first_heard is None:
+    times = [node_times[stage] for node_times in counted_times if stage in node_times]
+    if not times or first_reported_at is None:
         return StageSummary(stage, reached)
-    seconds = [round(at - first_heard, 3) for at in times]
+    seconds = [round(at - first_reported_at, 3) for at in times]
     return StageSummary(stage, reached, min(seconds), round(median(seconds), 3), max(seconds))
 
 
 def _delivery_counts(revision: int, nodes: Sequence[NodeReport]) -> dict[str, int]:
-    ways: Counter[str] = Counter()
+    counts: Counter[str] = Counter()
     for report in nodes:
-        kept = report.status.stages if report.status is not None else ()
-        arrived = [item for item in kept if item.number >= revision and item.held is not None]
-        if arrived:
-            ways[min(arrived, key=lambda item: item.number).way] += 1
-    return dict(sorted(ways.items()))
+        tracked = report.status.stages if report.status is not None else ()
+        delivered = [item for item in tracked if item.number >= revision and item.held is not None]
+        if delivered:
+            counts[min(delivered, key=lambda item: item.number).way] += 1
+    return dict(sorted(counts.items()))
 
 
-def _outcome(lacking: Sequence[LaggingNode], asked: int) -> Outcome:
-    reasons = {lack.why for lack in lacking} - {LagReason.LEAVING}
+def _outcome(lacking: Sequence[LaggingNode], queried_count: int) -> Outcome:
+    reasons = {lagging.why for lagging in lacking} - {LagReason.LEAVING}
     if not reasons:
-        return Outcome.COMPLETE if len(lacking) < asked else Outcome.INCOMPLETE
+        return Outcome.COMPLETE if len(lacking) < queried_count else Outcome.INCOMPLETE
     if LagReason.REJECTED in reasons:
         return Outcome.REJECTED
-    if reasons == {LagReason.UNREACHABLE} and len(lacking) < asked:
+    if reasons == {LagReason.UNREACHABLE} and len(lacking) < queried_count:
         return Outcome.UNREACHABLE
     return Outcome.INCOMPLETE
--- a/src/pewtertack/cli/rollout_stages.py
+++ b/src/pewtertack/cli/rollout_stages.py
@@ -1,4 +1,4 @@
-"""Which stages a revision has reached at one node, and when, from what the node tells."""
+"""The stages that a revision has reached at one node, and when, from the node's status."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def newest_reported_revision(node: NodeStatus) -> int:
-    """Return the newest revision that a node has heard of."""
+    """Return the newest revision known to a node."""
     return max(node.newest_heard, node.held.number, node.committed.number)
 
 
@@ -24,19 +24,19 @@
 
 def stage_times(revision: int, node: NodeStatus) -> dict[Stage, float]:
     """Return the Unix times at which ``revision`` or a newer one reached its stages."""
-    kept = node.stages
-    if len(kept) >= MAX_TRACKED_REVISIONS and kept[-1].number > revision:
-        return {}  # when it was heard of is no longer known
-    moments: dict[Stage, float] = {}
-    for item in kept:
+    tracked = node.stages
+    if len(tracked) >= MAX_TRACKED_REVISIONS and tracked[-1].number > revision:
+        return {}  # the node no longer tracks when the revision was reported
+    times: dict[Stage, float] = {}
+    for item in tracked:
         if item.number < revision:
             continue
-        for stage, at in _times(item):
-            moments[stage] = min(at, moments.get(stage, at))
-    return moments
+        for stage, at in _recorded_times(item):
+            times[stage] = min(at, times.get(stage, at))
+    return times
 
 
-def _times(item: StagesStatus) -> list[tuple[Stage, float]]:
+def _recorded_times(item: StagesStatus) -> list[tuple[Stage, float]]:
     times = {
         Stage.REPORTED: item.heard,
         Stage.HELD: item.held,
--- a/src/pewtertack/cli/status.py
+++ b/src/pewtertack/cli/status.py
@@ -1,4 +1,4 @@
-"""``pewtertack status``: one row a node, read from the admin interfaces."""
+"""``pewtertack status``: one row per node, read from the admin interfaces."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     list[str], typer.Option("--admin", help="http://ip:port of a node's admin interface.")
 ]
 OthersArgument = Annotated[
-    list[str] | None, typer.Argument(metavar="[URL]...", help="More of them, without --admin.")
+    list[str] | None, typer.Argument(metavar="[URL]...", help="Further admin interfaces.")
 ]
 JsonOption = Annotated[bool, typer.Option("--json", help="Print one JSON array.")]
 TimeoutOption = Annotated[float, typer.Option(help="Seconds to wait for each node.")]
@@ -38,7 +38,7 @@
     as_json: JsonOption = False,
     timeout: TimeoutOption = 3.0,
 ) -> None:
-    """Print the state of nodes; exit code 1 when one does not answer."""
+    """Print the status of nodes; exit code 1 if one is unreachable."""
     import msgspec
 
     from pewtertack.cli.status_reports import read_reports
@@ -53,7 +53,7 @@
 
 
 def format_reports(reports: Sequence[NodeReport]) -> str:
-    """Return the table, with the reasons of rejections and failures below it."""
+    """Return the table, followed by the reasons for rejections and failures."""
     from pewtertack.cli.tables import format_table
 
     notes = [note for report in reports for note in _notes(report)]
@@ -92,44 +92,44 @@
     return [
         *_behind_notes(node),
         *_read_notes(node),
-        *_rejection_notes(node),
-        *_refused_notes(node),
+        *_rejected_revision_notes(node),
+        *_rejected_request_notes(node),
     ]
 
 
 def _behind_notes(node: NodeStatus) -> list[str]:
     if node.behind_for is None:
         return []
-    known = f"knows of revision {node.newest_heard} for {node.behind_for:.1f} s"
-    return [f"{node.name}: behind: {known}, has {node.in_force.number} in force"]
+    known = f"has known of revision {node.newest_heard} for {node.behind_for:.1f} s"
+    return [f"{node.name}: behind: {known} but has {node.in_force.number} in force"]
 
 
 def _read_notes(node: NodeStatus) -> list[str]:
     return [
-        f"{node.name}: failed reads of {document} in a row: {read.failures}, "
+        f"{node.name}: consecutive failed reads of {document}: {read.failures}, "
         f"the last {read.failure or 'unknown'}"
         for document, read in node.reads.items()
         if read.failures
     ]
 
 
-def _refused_notes(node: NodeStatus) -> list[str]:
+def _rejected_request_notes(node: NodeStatus) -> list[str]:
     return [
-        f"{node.name}: request {item.fingerprint} is refused: {item.ends} back ends ended while "
-        f"they ran it, the first {item.since:.0f} s ago, the last {item.last:.0f} s"
+        f"{node.name}: request {item.fingerprint} is rejected: {item.ends} back ends crashed while "
+        f"executing it, the first {item.since:.0f} s ago, the last {item.last:.0f} s ago"
         for item in node.refused_requests
     ]
 
 
-def _rejection_notes(node: NodeStatus) -> list[str]:
+def _rejected_revision_notes(node: NodeStatus) -> list[str]:
     rejection = node.last_rejection
     if rejection is None:
         return []
-    start = f"{node.name}: revision {rejection.revision.number} refused"
+    prefix = f"{node.name}: revision {rejection.revision.number} rejected"
     if rejection.since is not None:
-        moment = time.strftime(UTC_TIME, time.gmtime(rejection.since))
-        start += f", newer ones than held since {moment}"
+        since = time.strftime(UTC_TIME, time.gmtime(rejection.since))
+        prefix += f", rejecting newer revisions since {since}"
     return [
-        f"{start}: {finding.path}: {finding.code}: {finding.message}"
+        f"{prefix}: {finding.path}: {finding.code}: {finding.message}"
         for finding in rejection.findings
     ]
--- a/src/pewtertack/cli/status_reports.py
+++ b/src/pewtertack/cli/status_reports.py
@@ -1,4 +1,4 @@
-"""Reads the status of several nodes at once."""
+"""Reads the status of several nodes concurrently."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 from pewtertack.settings.values import Url, ValueProblemError
 
 STATUS_OK = 200
-NODES_AT_ONCE = 200
-"""A node's time begins when it is asked."""
+MAX_CONCURRENT_QUERIES = 200
+"""Limit of concurrent queries; the timeout of a node starts with its query."""
 
 
 class AdminUrlError(SettingsError):
-    """A value of ``--admin`` is no URL of an admin interface."""
+    """A value of ``--admin`` is not the URL of an admin interface."""
 
     code: ClassVar[str] = "admin-url"
 
 
 class NodeReport(msgspec.Struct, frozen=True):
-    """One node's answer; ``problem`` says why ``status`` is missing.
+    """The response of one node; ``problem`` tells why ``status`` is missing.
 
-    ``read_at`` is the Unix time of the answer.
+    ``read_at`` is the Unix time of the response.
     """
 
     admin: str
@@ -37,10 +37,10 @@
 
 
 async def read_reports(admins: tuple[str, ...], timeout: float) -> list[NodeReport]:
-    """Ask all nodes, ``NODES_AT_ONCE`` of them at a time; ``timeout`` in seconds bounds each.
+    """Query all nodes, ``MAX_CONCURRENT_QUERIES`` at a time, each for up to ``timeout`` seconds.
 
     Raises:
-        AdminUrlError: a URL is wrong.
+        AdminUrlError: a URL is invalid.
     """
     urls = [_admin_url(admin) for admin in admins]
     reports: dict[str, NodeReport] = {}
@@ -49,8 +49,8 @@
         async with limiter:
             reports[url] = await _read_report(pool, url, timeout)
 
-    limiter = anyio.CapacityLimiter(NODES_AT_ONCE)
-    connections = httpcore.AsyncConnectionPool(max_connections=NODES_AT_ONCE)
+    limiter = anyio.CapacityLimiter(MAX_CONCURRENT_QUERIES)
+    connections = httpcore.AsyncConnectionPool(max_connections=MAX_CONCURRENT_QUERIES)
     async with connections as pool, anyio.create_task_group() as tasks:
         for url in urls:
             tasks.start_soon(read, url)
@@ -74,11 +74,11 @@
         if response.status == STATUS_OK:
             status = msgspec.json.decode(response.content, type=NodeStatus)
         else:
-            problem = f"answered with status {response.status}"
+            problem = f"responded with status {response.status}"
     except TimeoutError:
-        problem = f"no answer within {timeout:g} s"
+        problem = f"no response within {timeout:g} s"
     except msgspec.MsgspecError as error:
-        problem = f"not a node's status: {error}"
+        problem = f"not the status of a node: {error}"
     except (httpcore.NetworkError, httpcore.ProtocolError, OSError) as error:
         problem = str(error) or type(error).__name__
     return NodeReport(url, status, problem, time.time())
--- a/src/pewtertack/cli/tables.py
+++ b/src/pewtertack/cli/tables.py
@@ -8,7 +8,7 @@
 
 
 def format_table(headers: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
-    """Return ``rows`` below ``headers`` in columns as wide as their widest cell."""
+    """Return ``rows`` below ``headers``, each column as wide as its widest cell."""
     lines = [headers, *rows]
     widths = [max(len(line[column]) for line in lines) for column in range(len(headers))]
     return "\n".join(_format_row(line, widths) for line in lines)
--- a/src/pewtertack/cli/trace.py
+++ b/src/pewtertack/cli/trace.py
@@ -1,4 +1,4 @@
-"""``pewtertack trace``: one request's way over all nodes, from their logs."""
+"""``pewtertack trace``: the path of one request over all nodes, from their logs."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     logs: Annotated[list[Path], typer.Argument(help="Log files of nodes.")],
     as_json: Annotated[bool, typer.Option("--json", help="Print JSON.")] = False,
 ) -> None:
-    """Show a request's way over all nodes, and what each believed at that timed_line."""
+    """Show the path of a request over all nodes, and their state changes at that time."""
     import msgspec
 
     from pewtertack.tracing.reading import ReadCounts, read_logs
--- a/src/pewtertack/cli/tree.py
+++ b/src/pewtertack/cli/tree.py
@@ -1,4 +1,4 @@
-"""Commands on trees: ``check``, ``explain`` and ``diff``."""
+"""Commands for configuration trees: ``check``, ``explain`` and ``diff``."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def check(tree: TreeArgument, as_json: JsonOption = False) -> None:
-    """Check a tree; exit code 1 and one line a finding when it is refused."""
+    """Check a tree; exit code 1 and one line per finding if it is rejected."""
     from pewtertack.cli.tree_reports import report_findings
     from pewtertack.core.configuration.validation import check_document
     from pewtertack.tree_files import load_tree
@@ -37,14 +37,14 @@
     else:
         for finding in findings:
             typer.echo(str(finding))
-        typer.echo(f"{tree}: refused, {len(findings)} findings" if findings else f"{tree}: valid")
+        typer.echo(f"{tree}: rejected, {len(findings)} findings" if findings else f"{tree}: valid")
     raise typer.Exit(ExitCode.FOUND if findings else ExitCode.OK)
 
 
 def explain(
     tree: TreeArgument, zone: ZoneOption, route: RouteOption, as_json: JsonOption = False
 ) -> None:
-    """Print each resolved value of a route and its service with the level that gave it."""
+    """Print each resolved value of a route and its service with the level that defines it."""
     from pewtertack.cli.tree_reports import ExplainReport, report_values
     from pewtertack.core.configuration.explanation import explain as explain_route
     from pewtertack.core.configuration.explanation import explain_service
@@ -54,7 +54,7 @@
     route_values = explain_route(document, zone, route)
     service = next(value for value in route_values if value.setting == "service").winner.value
     service_values = explain_service(document, zone, service)
-    _warn_of_unnamed_zone(document, zone)
+    _warn_of_unknown_zone(document, zone)
     if as_json:
         route_reports = report_values(route_values)
         service_reports = report_values(service_values)
@@ -67,7 +67,7 @@
 def diff(
     old: TreeArgument, new: TreeArgument, zone: ZoneOption, as_json: JsonOption = False
 ) -> None:
-    """Print what an edit changes in a zone once resolved; exit code 1 when anything."""
+    """Print how an edit changes the resolved tree of a zone; exit code 1 if it does."""
     from pewtertack.cli.tree_reports import report_changes
     from pewtertack.core.configuration.changes import compare_resolved
 
@@ -88,15 +88,15 @@
 
     document = load_tree(tree)
     resolved = resolve_document(document, NO_REVISION, zone)
-    _warn_of_unnamed_zone(document, zone)
+    _warn_of_unknown_zone(document, zone)
     return resolved
 
 
-def _warn_of_unnamed_zone(document: Document, zone: str) -> None:
+def _warn_of_unknown_zone(document: Document, zone: str) -> None:
     from pewtertack.core.configuration.model import ZONES
 
     if zone not in document.get(ZONES, {}):
-        typer.echo(f"zone {zone} is not in the tree: the root's view is used", err=True)
+        typer.echo(f"zone {zone} is not in the tree: the values of the root are used", err=True)
 
 
 def _print_json(report: msgspec.Struct) -> None:
@@ -113,21 +113,21 @@
     for value in values:
         rows.append((value.setting, *_format_level(value.winner)))
         rows.extend(("", *_format_level(loser)) for loser in value.losers)
-    return format_table(("SETTING", "VALUE", "LEVEL", "PLACE"), rows)
+    return format_table(("SETTING", "VALUE", "LEVEL", "PATH"), rows)
 
 
 def _format_level(value: LevelValue) -> tuple[str, str, str]:
-    """Return the cells value, level and place."""
+    """Return the cells for value, level and path."""
     level = f"{value.level} (deleted)" if value.deleted else value.level.value
     return json.dumps(value.value), level, ".".join(value.path)
 
 
 def _format_change(change: Change) -> str:
-    place = ".".join(filter(None, (change.section, change.name, change.setting)))
+    path = ".".join(filter(None, (change.section, change.name, change.setting)))
     if not change.setting:
-        return f"{change.kind} {place}"
-    return f"{change.kind} {place}: {_as_json(change.old)} -> {_as_json(change.new)}"
+        return f"{change.kind} {path}"
+    return f"{change.kind} {path}: {_format_json(change.old)} -> {_format_json(change.new)}"
 
 
-def _as_json(value: Any) -> str:
+def _format_json(value: Any) -> str:
     return json.dumps(value)
--- a/src/pewtertack/cli/tree_reports.py
+++ b/src/pewtertack/cli/tree_reports.py
@@ -1,4 +1,4 @@
-"""What the tree commands print with ``--json``, and its making."""
+"""The reports that the tree commands print with ``--json``."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class FindingReport(msgspec.Struct, frozen=True):
-    """One finding; ``path`` in the tree, ``zone`` where only its resolved view is broken."""
+    """One finding at ``path``; ``zone`` is set if only the resolved tree of a zone is invalid."""
 
     code: str
     path: tuple[str, ...]
@@ -23,14 +23,14 @@
 
 
 class CheckReport(msgspec.Struct, frozen=True):
-    """Answer of ``pewtertack check``."""
+    """Output of ``pewtertack check``."""
 
     valid: bool
     findings: tuple[FindingReport, ...]
 
 
 class LevelValueReport(msgspec.Struct, frozen=True):
-    """What one level says of a setting."""
+    """The value of a setting at one level."""
 
     level: str
     path: tuple[str, ...]
@@ -39,7 +39,7 @@
 
 
 class ValueReport(msgspec.Struct, frozen=True):
-    """One setting: the value in force and those that lose, the most specific first."""
+    """One setting: the effective value and the overridden ones, most specific first."""
 
     setting: str
     winner: LevelValueReport
@@ -47,7 +47,7 @@
 
 
 class ExplainReport(msgspec.Struct, frozen=True):
-    """Answer of ``pewtertack explain``."""
+    """Output of ``pewtertack explain``."""
 
     zone: str
     route: str
@@ -57,7 +57,7 @@
 
 
 class ChangeReport(msgspec.Struct, frozen=True):
-    """One difference; durations in seconds, secrets masked."""
+    """One difference; durations are in seconds and secrets are masked."""
 
     kind: str
     section: str
@@ -68,14 +68,14 @@
 
 
 class DiffReport(msgspec.Struct, frozen=True):
-    """Answer of ``pewtertack diff``."""
+    """Output of ``pewtertack diff``."""
 
     zone: str
     changes: tuple[ChangeReport, ...]
 
 
 def report_findings(findings: Iterable[Finding]) -> CheckReport:
-    """Return the report on a tree with these findings."""
+    """Return the report for a tree with the given findings."""
     reports = tuple(
         FindingReport(
             finding.code.label, finding.path, finding.message, finding.accepted, finding.zone
@@ -86,7 +86,7 @@
 
 
 def report_values(values: Iterable[ExplainedValue]) -> tuple[ValueReport, ...]:
-    """Return the reports on explained values."""
+    """Return the reports for explained values."""
     return tuple(
         ValueReport(
             value.setting,
@@ -102,7 +102,7 @@
 
 
 def report_changes(zone: str, changes: Iterable[Change]) -> DiffReport:
-    """Return the report on what an edit changes in ``zone``."""
+    """Return the report for the changes of an edit in ``zone``."""
     reports = tuple(
         ChangeReport(
             change.kind.value,
--- a/src/pewtertack/events.py
+++ b/src/pewtertack/events.py
@@ -17,7 +17,7 @@
 
     NODE_READY = (101, "The node listens on all its addresses.")
     NODE_SERVING = (102, "The node accepts requests of callers.")
-    NODE_JOINING = (103, "The node rejects requests until it has the newest configuration.")
+    NODE_JOINING = (103, "The node rejects requests until it has the newest version.")
     NODE_DRAINING = (104, "The node accepts no new requests and finishes those in flight.")
     NODE_STOPPED = (105, "The node has shut down and exits.")
     NODE_WOKE = (106, "The process was paused for longer than allowed and rejoins the fleet.")
@@ -51,7 +51,10 @@
     READER_STOPPED = (404, "This node stops reading the platform.")
     ITEM_PASSED_OVER = (407, "An invalid item of the platform is skipped; other items are used.")
     SOURCE_RETURNED = (408, "The source was restored from an older copy: a new era; what it lacks.")
-    SOURCE_BOUND_WIDER = (409, "The source accepts longer configurations than nodes surely accept.")
+    SOURCE_BOUND_WIDER = (
+        409,
+        "The source accepts longer configurations than nodes are guaranteed to accept.",
+    )
     FRAME_REFUSED = (501, "A frame from a peer was rejected.")
     PULL_REFUSED = (502, "A pull was rejected with a retry delay.")
     REQUEST_REFUSED = (601, "A request ended without a response of a back end.")
@@ -85,13 +88,16 @@
     GATEWAY_CANCELLED = (625, "The proxy cancelled a request at the gateway.")
     GATEWAY_UNFINISHED = (626, "The shutdown deadline passed while the gateway held the request.")
 
-    ROUTE_ORIGIN = (627, "The gateway inferred who calls a route: callers or busy back ends.")
+    ROUTE_ORIGIN = (
+        627,
+        "The gateway inferred who sends a route's requests: callers or nested calls.",
+    )
 
     GATEWAY_SENT = (628, "All of a long response has left the gateway.", True)
     SENDER_STOPS = (629, "A stopping node announced until when it forwards responses.")
     GATEWAY_GAVE_BACK = (
         630,
-        "A request was handed back: a node stops before a long response could be transferred.",
+        "Request handed back: the gateway's or sender's node stops before a long response leaves.",
     )
 
     def __init__(self, number: int, meaning: str, routine: bool = False) -> None:
--- a/src/pewtertack/tracing/__init__.py
+++ b/src/pewtertack/tracing/__init__.py
@@ -1,1 +1,1 @@
-"""The way of one request over all nodes, from their logs."""
+"""Reconstructs the path of one request over all nodes from their logs."""
--- a/src/pewtertack/tracing/crashes.py
+++ b/src/pewtertack/tracing/crashes.py
@@ -1,4 +1,4 @@
-"""The ends of back ends under one request, by what stays of it when it comes again."""
+"""Back-end crashes caused by a request, identified by the fingerprint that its retries share."""
 
 from __future__ import annotations
 
@@ -7,45 +7,47 @@
 
 from pewtertack.tracing.reading import LogLine
 
-BACKEND_CRASHED = "BACKEND_CRASHED"
+CRASH_EVENT = "BACKEND_CRASHED"
 CRASH_REFUSAL_TYPE = "request-ends-back-ends"
-"""Type of a refusal whose detail names the fingerprint."""
+"""Type of a refusal whose detail contains the fingerprint."""
 FINGERPRINT = re.compile(r"\b[0-9a-f]{32}\b")
 
 
 def crashes_during(lines: Sequence[LogLine], request: str) -> tuple[LogLine, ...]:
-    """Return the ends of back ends that speak against ``request``, in the order of time.
+    """Return the back-end crashes that count against ``request``, ordered by time.
 
-    Also those that ran another attempt of the same request, under another id.
+    They include crashes during retries of the same request, which have other ids.
     """
-    ends = [line for line in lines if line.event == BACKEND_CRASHED]
-    known = _fingerprints(lines, ends, request)
-    found = [
-        line for line in ends if known & {fingerprint for _, fingerprint in running_requests(line)}
+    crashes = [line for line in lines if line.event == CRASH_EVENT]
+    fingerprints = _fingerprints(lines, crashes, request)
+    matching = [
+        line
+        for line in crashes
+        if fingerprints & {fingerprint for _, fingerprint in running_requests(line)}
     ]
-    return tuple(sorted(found, key=lambda line: line.time))
+    return tuple(sorted(matching, key=lambda line: line.time))
 
 
 def _fingerprints(
-    lines: Iterable[LogLine], ends: Iterable[LogLine], request: str
+    lines: Iterable[LogLine], crashes: Iterable[LogLine], request: str
 ) -> frozenset[str]:
-    ran = {
+    logged = {
         fingerprint
-        for line in ends
+        for line in crashes
         for name, fingerprint in running_requests(line)
         if name == request
     }
-    told = {
+    refused = {
         fingerprint
         for line in lines
         if line.request == request and line.fields.get("type") == CRASH_REFUSAL_TYPE
         for fingerprint in FINGERPRINT.findall(str(line.fields.get("detail", "")))
     }
-    return frozenset(ran | told) - {""}
+    return frozenset(logged | refused) - {""}
 
 
 def running_requests(line: LogLine) -> list[tuple[str, str]]:
-    """Return id and fingerprint of each request that the line says was running."""
+    """Return id and fingerprint of each request that was running at the crash in ``line``."""
     requests = line.fields.get("requests")
     if not isinstance(requests, list):
         return []
--- a/src/pewtertack/tracing/errors.py
+++ b/src/pewtertack/tracing/errors.py
@@ -1,4 +1,4 @@
-"""Typed failures of the trace command."""
+"""Typed errors of the trace command."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class TraceError(PewtertackError):
-    """Base of all failures of a trace."""
+    """Base of all errors of a trace."""
 
     code: ClassVar[str] = "trace"
 
@@ -20,12 +20,12 @@
 
 
 class LogWithoutLinesError(TraceError):
-    """A file holds no line of a node's log."""
+    """A file contains no line of a node's log."""
 
     code: ClassVar[str] = "log-without-lines"
 
 
 class RequestUnknownError(TraceError):
-    """No line of any file names the request."""
+    """No line of any file mentions the request."""
 
     code: ClassVar[str] = "request-unknown"
--- a/src/pewtertack/tracing/reading.py
+++ b/src/pewtertack/tracing/reading.py
@@ -1,4 +1,4 @@
-"""Reads nodes' logs: JSON lines, with or without another program's prefix on each line."""
+"""Reads logs of nodes: JSON lines, which may have a prefix from another program."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 class LogLine:
     """One event of one process.
 
-    ``time`` is the node's Unix time and may jump; ``uptime`` is steady within the
+    ``time`` is the node's Unix time and may jump; ``uptime`` is monotonic within the
     process ``(node, incarnation)``.
     """
 
@@ -31,18 +31,18 @@
 
     @property
     def request(self) -> str:
-        """Id of the request that the line is about, "" for none."""
+        """Id of the request that the event concerns, or an empty string."""
         return str(self.fields.get("request", ""))
 
 
 @dataclass(slots=True)
 class ReadCounts:
-    """What was read. ``broken`` lines begin like an event but are cut or damaged."""
+    """Numbers of lines. ``malformed`` ones begin like an event but are truncated or corrupt."""
 
     lines: int = 0
-    broken: int = 0
-    left_out: int = 0
-    """Lines that nodes say they did not write."""
+    malformed: int = 0
+    dropped: int = 0
+    """Lines that nodes report to have dropped."""
 
 
 def read_logs(paths: Iterable[Path], counts: ReadCounts) -> list[LogLine]:
@@ -50,7 +50,7 @@
 
     Raises:
         LogUnreadableError: a file cannot be read.
-        LogWithoutLinesError: a file holds no event.
+        LogWithoutLinesError: a file contains no event.
     """
     found: list[LogLine] = []
     for path in paths:
@@ -78,23 +78,23 @@
         return None
     try:
         value = msgspec.json.decode(raw[start:])
-        line = _line_of(value)
+        line = _make_log_line(value)
     except (msgspec.MsgspecError, KeyError, TypeError, ValueError):
-        counts.broken += 1
+        counts.malformed += 1
         return None
     counts.lines += 1
     if line.event == "LOG_LINES_LEFT_OUT":
-        counts.left_out += int(line.fields["routine"]) + int(line.fields["other"])
+        counts.dropped += int(line.fields["routine"]) + int(line.fields["other"])
     return line
 
 
-def _line_of(value: dict[str, Any]) -> LogLine:
-    rest = {name: item for name, item in value.items() if name not in COMMON_FIELDS}
+def _make_log_line(value: dict[str, Any]) -> LogLine:
+    fields = {name: item for name, item in value.items() if name not in COMMON_FIELDS}
     return LogLine(
         time=float(value["time"]),
         event=str(value["event"]),
         node=str(value["node"]),
         incarnation=int(value["incarnation"]),
         uptime=float(value.get("uptime", value["time"])),
-        fields=rest,
+        fields=fields,
     )
--- a/src/pewtertack/tracing/report.py
+++ b/src/pewtertack/tracing/report.py
@@ -1,4 +1,4 @@
-"""A timeline as text and as plain data for JSON."""
+"""Formats a timeline as text and as plain data for JSON."""
 
 from __future__ import annotations
 
@@ -10,52 +10,54 @@
 from pewtertack.tracing.timeline import TimedLine, Timeline
 
 ORDER_NOTE = (
-    "Ordered within a node by its steady clock, between nodes by cause;"
-    " a node's wall clock is not used where cause says enough."
+    "Ordered by the monotonic clock within a node and by causality between nodes;"
+    " wall clocks are used only where causality does not determine the order."
 )
 INDENT = "  "
-LONG_FIELDS = frozenset({"routes", "services", "secrets", "digest", "request"})
-"""Not shown: they name a whole revision, or what the heading names."""
+HIDDEN_FIELDS = frozenset({"routes", "services", "secrets", "digest", "request"})
+"""Fields that are not shown, as they describe a whole revision or repeat the heading."""
 
 
 def report_lines(timeline: Timeline, counts: ReadCounts) -> Iterator[str]:
     """Yield the lines of the report."""
     yield f"request {timeline.request}"
     yield ORDER_NOTE
-    if counts.left_out or counts.broken:
+    if counts.dropped or counts.malformed:
         yield (
-            f"Incomplete: nodes left out {counts.left_out} lines in all,"
-            f" {counts.broken} lines were cut or damaged."
+            f"Incomplete: nodes dropped {counts.dropped} lines in total,"
+            f" {counts.malformed} lines were truncated or corrupt."
         )
     yield from _timeline_lines(timeline, "")
 
 
 def _timeline_lines(timeline: Timeline, indent: str) -> Iterator[str]:
     for timed_line in timeline.timed_lines:
-        yield indent + _timed_line_line(timed_line)
+        yield indent + _format_timed_line(timed_line)
     for node, seconds in sorted(timeline.uncertainty.items()):
-        yield f"{indent}lines of {node} may be off by {seconds * 1000:.1f} ms"
+        yield f"{indent}times of {node} are accurate to {seconds * 1000:.1f} ms"
     if timeline.state_changes:
-        yield f"{indent}what these nodes came to believe, from 3 s before:"
+        yield f"{indent}state changes of these nodes, from 3 s before the request:"
         for timed_line in timeline.state_changes:
-            yield indent + INDENT + _timed_line_line(timed_line)
+            yield indent + INDENT + _format_timed_line(timed_line)
     if timeline.crashes:
-        yield f"{indent}back ends that ended while they ran this request, under whichever id:"
+        yield f"{indent}back ends that crashed while they executed this request, under any id:"
         for line in timeline.crashes:
-            ran = ", ".join(name for name, _ in running_requests(line))
-            ended = f"{line.time:.3f}  {line.node:<15} {line.fields.get('backend')} ran {ran}"
-            yield indent + INDENT + ended
+            requests = ", ".join(name for name, _ in running_requests(line))
+            crash = (
+                f"{line.time:.3f}  {line.node:<15} {line.fields.get('backend')} executed {requests}"
+            )
+            yield indent + INDENT + crash
     for nested in timeline.nested:
-        yield f"{indent}call within it: request {nested.request}"
+        yield f"{indent}nested call: request {nested.request}"
         yield from _timeline_lines(nested, indent + INDENT)
 
 
-def _timed_line_line(timed_line: TimedLine) -> str:
+def _format_timed_line(timed_line: TimedLine) -> str:
     line = timed_line.line
     fields = " ".join(
         f"{name}={_format_value(value)}"
         for name, value in line.fields.items()
-        if name not in LONG_FIELDS and value not in (None, "")
+        if name not in HIDDEN_FIELDS and value not in (None, "")
     )
     return f"{timed_line.at * 1000:10.1f} ms  {line.node:<15} {line.event:<20} {fields}"
 
@@ -66,12 +68,12 @@
 
 
 def report_data(timeline: Timeline, counts: ReadCounts) -> dict[str, Any]:
-    """Return the report as plain data; times in seconds from the first line."""
+    """Return the report as plain data; times are seconds since the first line."""
     return {
         **_timeline_data(timeline),
         "order": ORDER_NOTE,
-        "lines_left_out": counts.left_out,
-        "lines_broken": counts.broken,
+        "lines_left_out": counts.dropped,
+        "lines_broken": counts.malformed,
     }
 
 
@@ -95,5 +97,5 @@
         "node": line.node,
         "incarnation": line.incarnation,
         "event": line.event,
-        **{name: value for name, value in line.fields.items() if name not in LONG_FIELDS},
+        **{name: value for name, value in line.fields.items() if name not in HIDDEN_FIELDS},
     }
--- a/src/pewtertack/tracing/timeline.py
+++ b/src/pewtertack/tracing/timeline.py
@@ -1,9 +1,9 @@
-"""Orders the lines of one request, and of the calls within it, over machines.
+"""Orders the log lines of a request and its nested calls across machines.
 
-Within a process lines are ordered by its steady clock. Between processes the clocks are
-set against each other by cause: an attempt reaches its gateway after the proxy has chosen
-it and ends there before the proxy knows. The middle of what this allows is taken; the
-spread is told as the uncertainty.
+Within a process, lines are ordered by its monotonic clock. Clocks of different processes are
+aligned by causality: an attempt reaches its gateway after the proxy has chosen it, and ends
+there before the proxy learns of its end. The midpoint of the possible offsets is used, and
+half of their range is reported as the uncertainty.
 """
 
 from __future__ import annotations
@@ -32,9 +32,9 @@
     }
 )
 NESTED_ID_SEPARATOR = "."
-"""A call within a request has the request's id, this and an id of its own."""
+"""The id of a nested call consists of its request's id, this separator and an id of its own."""
 STATE_CHANGE_LOOKBACK_SECONDS = 3.0
-"""Changes of belief this long before the request's first line are shown with it."""
+"""State changes from this long before the first line of the request are included."""
 
 Process = tuple[str, int]
 """Name and incarnation."""
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimedLine:
-    """A line at its place on the common time line; ``at`` in seconds from the first line."""
+    """A line with its time ``at`` on the common clock, in seconds since the first line."""
 
     at: float
     line: LogLine
@@ -50,23 +50,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Timeline:
-    """One request's way."""
+    """The path of one request over the nodes."""
 
     request: str
     timed_lines: tuple[TimedLine, ...]
     state_changes: tuple[TimedLine, ...]
-    """What the nodes on the way had come to believe shortly before, and meanwhile."""
+    """State changes of the involved nodes, shortly before and during the request."""
     uncertainty: dict[str, float]
-    """Seconds by which a node's lines may be off against the first node's."""
+    """Seconds by which the lines of a node may be off relative to those of the first node."""
     nested: tuple[Timeline, ...] = ()
-    """Calls that the back end made while it ran the request."""
+    """Calls that the back end made while it executed the request."""
     crashes: tuple[LogLine, ...] = ()
-    """Ends of back ends that speak against the request, whichever id it came under."""
+    """Back-end crashes that count against the request, under any of its ids."""
 
 
 @dataclass(slots=True)
 class _Clocks:
-    """Offsets that bring each process's steady clock to the first process's."""
+    """Offsets that align the monotonic clock of each process with that of the first one."""
 
     offsets: dict[Process, float] = field(default_factory=dict)
     uncertainty: dict[str, float] = field(default_factory=dict)
@@ -76,19 +76,19 @@
 
 
 def build_timeline(lines: Sequence[LogLine], request: str) -> Timeline:
-    """Return the way of ``request``.
+    """Return the timeline of ``request``.
 
     Raises:
-        RequestUnknownError: no line names it.
+        RequestUnknownError: no line mentions it.
     """
-    own = [line for line in lines if line.request == request]
-    if not own:
-        raise RequestUnknownError(f"no line names request {request}")
-    clocks = _set_clocks(own)
-    ordered = sorted(own, key=clocks.at)
-    begin = clocks.at(ordered[0])
-    timed_lines = tuple(TimedLine(clocks.at(line) - begin, line) for line in ordered)
-    state_changes = _state_changes(lines, clocks, begin, timed_lines[-1].at)
+    request_lines = [line for line in lines if line.request == request]
+    if not request_lines:
+        raise RequestUnknownError(f"no line mentions request {request}")
+    clocks = _align_clocks(request_lines)
+    ordered = sorted(request_lines, key=clocks.at)
+    first_at = clocks.at(ordered[0])
+    timed_lines = tuple(TimedLine(clocks.at(line) - first_at, line) for line in ordered)
+    state_changes = _state_changes(lines, clocks, first_at, timed_lines[-1].at)
     nested = tuple(build_timeline(lines, name) for name in _nested_requests(lines, request))
     crashes = crashes_during(lines, request)
     return Timeline(request, timed_lines, state_changes, clocks.uncertainty, nested, crashes)
@@ -98,39 +98,41 @@
     return line.node, line.incarnation
 
 
-def _set_clocks(own: list[LogLine]) -> _Clocks:
+def _align_clocks(request_lines: list[LogLine]) -> _Clocks:
     clocks = _Clocks()
-    proxy_lines = [line for line in own if not line.event.startswith(GATEWAY_PREFIX)]
-    first = min(proxy_lines or own, key=lambda line: line.time)
+    proxy_lines = [line for line in request_lines if not line.event.startswith(GATEWAY_PREFIX)]
+    first = min(proxy_lines or request_lines, key=lambda line: line.time)
     clocks.offsets[_process(first)] = 0.0
-    for process in {_process(line) for line in own} - {_process(first)}:
-        _set_clock(clocks, own, proxy_lines, process, first)
+    for process in {_process(line) for line in request_lines} - {_process(first)}:
+        _align_process(clocks, request_lines, proxy_lines, process, first)
     return clocks
 
 
-def _set_clock(
+def _align_process(
     clocks: _Clocks,
-    own: list[LogLine],
+    request_lines: list[LogLine],
     proxy_lines: list[LogLine],
     process: Process,
     first: LogLine,
 ) -> None:
-    there = sorted(
-        (line for line in own if _process(line) == process), key=lambda item: item.uptime
+    process_lines = sorted(
+        (line for line in request_lines if _process(line) == process), key=lambda item: item.uptime
     )
-    backend = there[0].fields.get("backend")
+    backend = process_lines[0].fields.get("backend")
     bounds = _attempt_bounds(proxy_lines, str(backend))
     if bounds is None:
-        clocks.offsets[process] = there[0].time - first.time + first.uptime - there[0].uptime
+        clocks.offsets[process] = (
+            process_lines[0].time - first.time + first.uptime - process_lines[0].uptime
+        )
         return
-    earliest = bounds[0] - there[0].uptime
-    latest = max(earliest, bounds[1] - there[-1].uptime)
+    earliest = bounds[0] - process_lines[0].uptime
+    latest = max(earliest, bounds[1] - process_lines[-1].uptime)
     clocks.offsets[process] = (earliest + latest) / 2
     clocks.uncertainty[process[0]] = round((latest - earliest) / 2, 6)
 
 
 def _attempt_bounds(proxy_lines: list[LogLine], backend: str) -> tuple[float, float] | None:
-    """Return when the proxy chose ``backend`` and when it knew the attempt's end."""
+    """Return when the proxy chose ``backend`` and when it learned that the attempt ended."""
     ordered = sorted(proxy_lines, key=lambda line: line.uptime)
     chosen: float | None = None
     for line in ordered:
@@ -142,21 +144,23 @@
 
 
 def _state_changes(
-    lines: Iterable[LogLine], clocks: _Clocks, begin: float, end: float
+    lines: Iterable[LogLine], clocks: _Clocks, first_at: float, end: float
 ) -> tuple[TimedLine, ...]:
-    found = [
-        TimedLine(clocks.at(line) - begin, line)
+    candidates = [
+        TimedLine(clocks.at(line) - first_at, line)
         for line in lines
         if line.event in STATE_CHANGE_EVENTS and _process(line) in clocks.offsets
     ]
-    near = [
-        timed_line for timed_line in found if -STATE_CHANGE_LOOKBACK_SECONDS <= timed_line.at <= end
+    recent = [
+        timed_line
+        for timed_line in candidates
+        if -STATE_CHANGE_LOOKBACK_SECONDS <= timed_line.at <= end
     ]
-    return tuple(sorted(near, key=lambda timed_line: timed_line.at))
+    return tuple(sorted(recent, key=lambda timed_line: timed_line.at))
 
 
 def _nested_requests(lines: Sequence[LogLine], request: str) -> list[str]:
-    """Return the ids of the calls that the back end made: its request's id and more."""
+    """Return the ids of the direct nested calls of ``request``."""
     prefix = request + NESTED_ID_SEPARATOR
-    named = (line.request for line in lines if line.request.startswith(prefix))
-    return [name for name in dict.fromkeys(named) if NESTED_ID_SEPARATOR not in name[len(prefix) :]]
+    ids = (line.request for line in lines if line.request.startswith(prefix))
+    return [name for name in dict.fromkeys(ids) if NESTED_ID_SEPARATOR not in name[len(prefix) :]]
--- a/tests/cli/node_samples.py
+++ b/tests/cli/node_samples.py
@@ -1,4 +1,4 @@
-"""What nodes tell of themselves, for tests of the commands that ask them."""
+"""Sample status reports of nodes, for tests of the commands that query nodes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 )
 
 NOW = 1000.0
-"""The Unix time of every answer."""
+"""Unix time of every response."""
 NO_BYTES = ByteStatus(0, 0)
 
 
@@ -53,10 +53,10 @@
 
 
 def report(status: NodeStatus) -> NodeReport:
-    """Return the answer of a node."""
+    """Return the report of a node that responded."""
     return NodeReport(f"http://{status.name}", status, "", NOW)
 
 
 def unreachable(name: str) -> NodeReport:
-    """Return what stands for a node that does not answer."""
-    return NodeReport(f"http://{name}", None, "no answer within 3 s", NOW)
+    """Return the report of a node that did not respond."""
+    return NodeReport(f"http://{name}", None, "no response within 3 s", NOW)
--- a/tests/cli/test_lab_cost.py
+++ b/tests/cli/test_lab_cost.py
@@ -9,7 +9,7 @@
 
 
 class RequestCostCommandTest(unittest.TestCase):
-    def test_a_part_that_there_is_not_is_a_typed_error_that_names_those_there_are(self) -> None:
+    def test_unknown_kind_raises_typed_error_that_lists_the_kinds(self) -> None:
         result = CliRunner().invoke(app, ["lab", "request-cost", "--kind", "nonsense"])
         self.assertIsInstance(result.exception, LabUsageError)
         self.assertIn("refused hop", str(result.exception))
--- a/tests/cli/test_lab_overload.py
+++ b/tests/cli/test_lab_overload.py
@@ -18,13 +18,13 @@
         assert isinstance(worth, float)
         return worth
 
-    def test_the_way_chosen_is_the_way_played(self) -> None:
+    def test_chosen_margin_policy_is_simulated(self) -> None:
         uneven = ("--load", "1.2", "--speeds", "0.5,1.4", "--long-share", "0.05")
         self.assertNotEqual(
             self.worth(*uneven, "--margin", "half"), self.worth(*uneven, "--margin", "spread")
         )
 
-    def test_speeds_that_make_no_sense_are_refused(self) -> None:
+    def test_invalid_speeds_are_rejected(self) -> None:
         for speeds in ("", "0", "1,x", "nan", "inf"):
             with self.subTest(speeds=speeds):
                 result = CliRunner().invoke(app, [*SHORT, "--speeds", speeds])
--- a/tests/cli/test_lab_verification.py
+++ b/tests/cli/test_lab_verification.py
@@ -27,18 +27,18 @@
         result = CliRunner().invoke(app, ["lab", "check", str(self.history), *arguments])
         return result.exit_code, result.output
 
-    def test_a_sound_history_held(self) -> None:
+    def test_valid_history_fulfils_all_promises(self) -> None:
         code, output = self.check("--promises", "configuration")
         self.assertEqual(code, 0, output)
         self.assertEqual(output.count("held"), 6)
 
-    def test_promises_that_were_not_put_to_the_test_fail_the_check(self) -> None:
+    def test_insufficiently_tested_promises_fail_the_check(self) -> None:
         code, output = self.check("--json")
         self.assertEqual(code, 1)
         judgements = {verdict["promise"]: verdict["judgement"] for verdict in json.loads(output)}
         self.assertEqual(judgements["non-repeatable-at-most-once"], "too-thin")
 
-    def test_an_offending_event_is_named(self) -> None:
+    def test_violating_event_is_reported(self) -> None:
         line = msgspec.json.decode(self.history.read_bytes().splitlines()[-1])
         forged = {"event": "REVISION_IN_FORCE", "number": 203, "node": "node-1", "incarnation": 9}
         forged |= {"time": line["time"], "revision": 1, "digest": "00"}
@@ -51,7 +51,7 @@
 
 
 class ExploreCommandTest(unittest.TestCase):
-    def test_a_counterexample_is_shrunk_and_written(self) -> None:
+    def test_counterexample_is_shrunk_and_written(self) -> None:
         with tempfile.TemporaryDirectory() as name:
             arguments = ["--schedules", "30", "--workers", "1", "--without", "validation"]
             command = ["lab", "explore", *arguments, "--out", name]
--- a/tests/cli/test_rollout_processes.py
+++ b/tests/cli/test_rollout_processes.py
@@ -1,4 +1,4 @@
-"""The command against real nodes: late, in force, rejected, a node that is gone."""
+"""The rollout command against real nodes: incomplete, in force, rejected, unreachable node."""
 
 import contextlib
 import copy
@@ -20,20 +20,20 @@
     "services": {"logbook": {}},
     "routes": {"lookup": {"service": "logbook", "path_prefix": "/"}},
 }
-WRONG: dict[str, Any] = {**TREE, "services": {}}
+INVALID_TREE: dict[str, Any] = {**TREE, "services": {}}
 
 
 class RolloutProcessesTest(unittest.IsolatedAsyncioTestCase):
     @contextlib.asynccontextmanager
     async def fleet(self) -> AsyncIterator[tuple[NodeProcess, NodeProcess]]:
-        """Node a reads the source; node b can reach nobody but a."""
+        """Run node a, which reads the source, and node b, which can reach only a."""
         async with reader_and_peer(TREE, {}) as (source, a, b):
             self.source = source.service
             listening = (a.lines[-1], await b.wait_event("NODE_READY"))
             self.admins = [line["admin"] for line in listening]
             yield a, b
 
-    async def ask(self, method: str, path: str, content: Any) -> None:
+    async def send_control(self, method: str, path: str, content: Any) -> None:
         url = f"http://{self.source.control.address}{path}"
         async with httpcore.AsyncConnectionPool() as pool:
             answer = await pool.request(method, url, content=json.dumps(content).encode())
@@ -55,52 +55,52 @@
         ]
         environment = os.environ | {"PYTHONPATH": str(SOURCE_DIRECTORY)}
         with anyio.fail_after(TIMEOUT_SECONDS):
-            ended = await anyio.run_process(
+            process = await anyio.run_process(
                 [*command, *arguments], check=False, env=environment, stderr=-1
             )
-        return ended.returncode, json.loads(ended.stdout), ended.stderr.decode()
+        return process.returncode, json.loads(process.stdout), process.stderr.decode()
 
-    def reasons(self, found: Any) -> dict[str, str]:
-        return {lack["node"]: lack["why"] for lack in found["lacking"]}
+    def reasons(self, result: Any) -> dict[str, str]:
+        return {lagging["node"]: lagging["why"] for lagging in result["lacking"]}
 
-    async def code_with_reasons(self, expected: dict[str, str], *arguments: str) -> int:
-        """Ask until the nodes lack it for these reasons: one that has just joined reads nothing."""
+    async def wait_for_reasons(self, expected: dict[str, str], *arguments: str) -> int:
+        """Poll until the reasons are as expected; a node that has just joined does not read yet."""
         with anyio.fail_after(TIMEOUT_SECONDS):
             while True:
-                code, found, _ = await self.rollout(*arguments)
-                if self.reasons(found) == expected:
+                code, result, _ = await self.rollout(*arguments)
+                if self.reasons(result) == expected:
                     return code
 
-    async def test_a_rollout_from_late_to_everywhere_and_one_that_is_refused(self) -> None:
+    async def test_rollouts_that_complete_and_that_are_rejected(self) -> None:
         async with self.fleet() as (_, b):
-            code, found, progress = await self.rollout("--wait", "30")
-            self.assertEqual((code, found["revision"], found["outcome"]), (0, 1, "complete"))
+            code, result, progress = await self.rollout("--wait", "30")
+            self.assertEqual((code, result["revision"], result["outcome"]), (0, 1, "complete"))
             self.assertRegex(progress, r"revision 1 of 2 nodes: .*in force 2\n$")
 
-            await self.ask("POST", "/faults", {"availability": "closed"})
+            await self.send_control("POST", "/faults", {"availability": "closed"})
             failing = dict.fromkeys(("a", "b"), "source-failing")
-            self.assertEqual(await self.code_with_reasons(failing, "--version", "2"), 1)
+            self.assertEqual(await self.wait_for_reasons(failing, "--version", "2"), 1)
 
-            await self.ask("POST", "/faults", {"availability": "up"})
+            await self.send_control("POST", "/faults", {"availability": "up"})
             edited = copy.deepcopy(TREE)
             edited["routes"]["more"] = {"service": "logbook", "path_prefix": "/more"}
-            await self.ask("PUT", "/tree", edited)
-            code, found, _ = await self.rollout("--version", "2", "--wait", "30")
-            self.assertEqual((code, found["outcome"], found["lacking"]), (0, "complete", []))
-            self.assertEqual([stage["nodes"] for stage in found["stages"]], [2, 2, 2, 2])
-            self.assertEqual(found["ways"].pop("source"), 1)
-            self.assertEqual(sum(found["ways"].values()), 1)
-
-            await self.ask("PUT", "/tree", WRONG)
-            code, found, _ = await self.rollout("--version", "3", "--wait", "30")
-            self.assertEqual((code, found["outcome"]), (3, "rejected"))
-            self.assertEqual(self.reasons(found)["a"], "rejected")
-            self.assertIn("routes.lookup", found["lacking"][0]["findings"][0]["path"])
+            await self.send_control("PUT", "/tree", edited)
+            code, result, _ = await self.rollout("--version", "2", "--wait", "30")
+            self.assertEqual((code, result["outcome"], result["lacking"]), (0, "complete", []))
+            self.assertEqual([stage["nodes"] for stage in result["stages"]], [2, 2, 2, 2])
+            self.assertEqual(result["ways"].pop("source"), 1)
+            self.assertEqual(sum(result["ways"].values()), 1)
+
+            await self.send_control("PUT", "/tree", INVALID_TREE)
+            code, result, _ = await self.rollout("--version", "3", "--wait", "30")
+            self.assertEqual((code, result["outcome"]), (3, "rejected"))
+            self.assertEqual(self.reasons(result)["a"], "rejected")
+            self.assertIn("routes.lookup", result["lacking"][0]["findings"][0]["path"])
 
             b.signal(signal.SIGKILL)
             await b.wait_exit()
-            code, found, _ = await self.rollout("--version", "2")
-            self.assertEqual((code, found["outcome"]), (4, "unreachable"))
+            code, result, _ = await self.rollout("--version", "2")
+            self.assertEqual((code, result["outcome"]), (4, "unreachable"))
 
 
 if __name__ == "__main__":
--- a/tests/cli/test_status_reports.py
+++ b/tests/cli/test_status_reports.py
@@ -1,4 +1,4 @@
-"""Asking many nodes at once."""
+"""Concurrent queries of many nodes."""
 
 import asyncio
 import unittest
@@ -10,11 +10,11 @@
 from tests.node.listening import Listener
 
 SILENT_NODES = 30
-"""More than the connections that a pool opens unless told otherwise."""
+"""More than the default number of connections of a pool."""
 
 
 class ReadReportsTest(unittest.IsolatedAsyncioTestCase):
-    async def test_nodes_that_are_silent_do_not_make_others_unreachable(self) -> None:
+    async def test_silent_nodes_do_not_delay_queries_of_others(self) -> None:
         async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.read()
             writer.close()
@@ -30,7 +30,7 @@
         reports = await read_reports(tuple(urls), 1.0)
         self.assertEqual([report.status is not None for report in reports][-1:], [True])
         problems = {report.problem for report in reports[:-1]}
-        self.assertEqual(problems, {"no answer within 1 s"})
+        self.assertEqual(problems, {"no response within 1 s"})
 
 
 if __name__ == "__main__":
--- a/tests/cli/test_tree.py
+++ b/tests/cli/test_tree.py
@@ -43,7 +43,7 @@
         code, out, _ = self.run_command(*arguments, "--json")
         return code, json.loads(out)
 
-    def test_check_tells_valid_from_refused(self):
+    def test_check_distinguishes_valid_and_rejected_trees(self):
         code, out, _ = self.run_command("check", self.valid)
         self.assertEqual((0, f"{self.valid}: valid\n"), (code, out))
         self.assertEqual((0, {"valid": True, "findings": []}), self.run_json("check", self.valid))
@@ -55,7 +55,7 @@
             (1, False, "wrong-unit"), (code, report["valid"], report["findings"][0]["code"])
         )
 
-    def test_explain_prints_values_with_level_and_place(self):
+    def test_explain_prints_values_with_level_and_path(self):
         arguments = ("explain", self.changed, "--zone", "lekki", "--route", "lookup")
         code, out, _ = self.run_command(*arguments)
         self.assertEqual(0, code)
@@ -71,7 +71,7 @@
         self.assertEqual(("3s", "route"), (timeout["winner"]["value"], timeout["winner"]["level"]))
         self.assertEqual("zone defaults", timeout["losers"][0]["level"])
 
-    def test_diff_prints_what_changes_once_resolved(self):
+    def test_diff_prints_changes_of_the_resolved_tree(self):
         code, out, _ = self.run_command("diff", self.valid, self.changed, "--zone", "yaba")
         self.assertEqual(1, code)
         self.assertIn("changed routes.lookup.timeout: 10.0 -> 3.0\n", out)
@@ -81,7 +81,7 @@
         self.assertEqual(0, code)
         self.assertIn("zone unnamed is not in the tree", err)
 
-    def test_unusable_input_ends_with_code_2_and_a_typed_line(self):
+    def test_unusable_input_exits_with_code_2_and_prints_the_error_code(self):
         broken = self.directory / "broken.toml"
         broken.write_text("[routes]\nx = \n")
         zone, route = ("--zone", "yaba"), ("--route", "none")
--- a/tests/tracing/test_trace.py
+++ b/tests/tracing/test_trace.py
@@ -1,4 +1,4 @@
-"""Traces from logs of several nodes: order, state_changes, missing and damaged input."""
+"""Traces from logs of several nodes: order, state changes, missing and corrupt input."""
 
 import json
 import tempfile
@@ -55,7 +55,7 @@
             self.write("b.log", FIRST_GATEWAY),
         ]
 
-    def test_ends_of_back_ends_are_found_whichever_id_the_request_came_under(self) -> None:
+    def test_crashes_are_found_under_all_ids_of_the_request(self) -> None:
         same, other = "ab" * 16, "cd" * 16
         detail = f"3 back ends ended while they ran request {same}"
         refused = line(
@@ -77,9 +77,9 @@
         found = [item.fields["backend"] for item in build_timeline(lines, "r9").crashes]
         self.assertEqual(found, ["b2", "b3"])
         printed = CliRunner().invoke(app, ["trace", "r9", str(self.directory / "a.log")])
-        self.assertIn("b3 ran r4", printed.output)
+        self.assertIn("b3 executed r4", printed.output)
 
-    def test_lines_are_ordered_by_cause_where_clocks_disagree(self) -> None:
+    def test_lines_are_ordered_by_causality_if_clocks_disagree(self) -> None:
         timeline = build_timeline(read_logs(self.write_all(), ReadCounts()), "r1")
         events = [
             (timed_line.line.node, timed_line.line.event) for timed_line in timeline.timed_lines
@@ -101,7 +101,7 @@
             [timed_line.line.event for timed_line in timeline.state_changes], ["BACKEND_SEEN"]
         )
 
-    def test_calls_within_a_request_are_told_below_it(self) -> None:
+    def test_nested_calls_are_listed_below_their_request(self) -> None:
         inner = [
             line("c", 70.1, "REQUEST_ROUTED", request="r1.x", backend="b7"),
             line("c", 70.15, "REQUEST_ROUTED", request="r1.x.y", backend="b8"),
@@ -112,12 +112,12 @@
         self.assertEqual([call.request for call in timeline.nested], ["r1.x"])
         self.assertEqual([call.request for call in timeline.nested[0].nested], ["r1.x.y"])
 
-    def test_an_id_that_is_nowhere_is_a_typed_error(self) -> None:
+    def test_unknown_request_id_raises_typed_error(self) -> None:
         lines = read_logs(self.write_all(), ReadCounts())
         with self.assertRaises(RequestUnknownError):
             build_timeline(lines, "r9")
 
-    def test_a_missing_file_and_one_without_events_are_typed_errors(self) -> None:
+    def test_missing_file_and_file_without_events_raise_typed_errors(self) -> None:
         with self.assertRaises(LogUnreadableError):
             read_logs([self.directory / "none.log"], ReadCounts())
         other = self.directory / "other.txt"
@@ -125,14 +125,14 @@
         with self.assertRaises(LogWithoutLinesError):
             read_logs([other], ReadCounts())
 
-    def test_a_cut_line_is_counted_and_the_rest_is_read(self) -> None:
+    def test_truncated_line_is_counted_and_others_are_read(self) -> None:
         path = self.write("a.log", PROXY)
         path.write_text(path.read_text() + '{"time": 1, "event": "REQU'.replace(": ", ":"))
         counts = ReadCounts()
         self.assertEqual(len(read_logs([path], counts)), len(PROXY))
-        self.assertEqual(counts.broken, 1)
+        self.assertEqual(counts.malformed, 1)
 
-    def test_the_command_prints_text_and_json(self) -> None:
+    def test_command_prints_text_and_json(self) -> None:
         paths = [str(path) for path in self.write_all()]
         text = CliRunner().invoke(app, ["trace", "r1", *paths])
         self.assertEqual(text.exit_code, 0)
