--- a/src/pewtertack/cli/lab_restores.py
+++ b/src/pewtertack/cli/lab_restores.py
@@ -19,9 +19,9 @@
     import anyio
     import msgspec
 
-    from pewtertack.lab.returns.run import run_returns
+    from pewtertack.lab.returns.run import run_restores
 
-    result = anyio.run(run_returns, seconds, seed, hold)
+    result = anyio.run(run_restores, seconds, seed, hold)
     typer.echo(msgspec.json.encode(result).decode())
     raise typer.Exit(ExitCode.FOUND if result.offences else ExitCode.OK)
 
@@ -31,10 +31,10 @@
     without: Annotated[str, typer.Option(help="The mechanism to disable.")] = "",
 ) -> None:
     """Run a node that reads the platform's store, until it receives a stop signal."""
-    from pewtertack.lab.weakening import switch_off
+    from pewtertack.lab.disabled_mechanisms import disable_mechanism
     from pewtertack.node.start import start_node
     from pewtertack.platform.store import make_reader
 
     if without:
-        switch_off(without)
+        disable_mechanism(without)
     raise typer.Exit(start_node(str(settings), {}, make_reader))
--- a/src/pewtertack/cli/lab_verification.py
+++ b/src/pewtertack/cli/lab_verification.py
@@ -28,11 +28,11 @@
     leaving: Annotated[float, typer.Option(help="Time limit until no new requests arrive.")] = 5.0,
 ) -> None:
     """Check a history; exit code 1 if a promise was violated or not sufficiently tested."""
-    from pewtertack.lab.history.checker import all_held, check_files, check_group
+    from pewtertack.lab.history.checker import all_held, check_files, parse_check_group
     from pewtertack.lab.history.verdicts import CheckBounds
 
     bounds = CheckBounds(convergence=convergence, recovery=recovery, leaving=leaving)
-    verdicts = check_files(history, bounds, check_group(promises))
+    verdicts = check_files(history, bounds, parse_check_group(promises))
     if as_json:
         typer.echo(msgspec.json.format(msgspec.json.encode(verdicts)).decode())
     else:
--- a/src/pewtertack/lab/returns/world.py
+++ b/src/pewtertack/lab/returns/store_environment.py
@@ -11,8 +11,8 @@
 import anyio.abc
 import msgspec
 
-from pewtertack.lab.asgi import Answer as HttpAnswer
-from pewtertack.lab.asgi import Receive, Scope, Send, read_body, send_answer
+from pewtertack.lab.asgi import Receive, Scope, Send, read_body, send_response
+from pewtertack.lab.asgi import Response as HttpAnswer
 from pewtertack.lab.metadata_store.application import MetadataStore, StoreCopy
 from pewtertack.lab.serving import Listener
 from pewtertack.settings import Address
@@ -128,10 +128,10 @@
             caller = dict(scope["headers"]).get(CALLER_HEADER, b"").decode()
             asked = LateRequest(self.host, now, now - self._left_at, caller.partition("/")[0])
             self.late_requests.append(asked)
-        await send_answer(send, HttpAnswer(200 if self.name else 503, b"done"))
+        await send_response(send, HttpAnswer(200 if self.name else 503, b"done"))
 
 
-class StoreWorld:
+class StoreEnvironment:
     """The store with all who write to it. Writers that reach no store write again."""
 
     def __init__(self, backends: list[Backend], seed: int) -> None:
@@ -178,7 +178,7 @@
         }
         self.store.put("op/config", msgspec.json.encode(value))
 
-    async def come_back(self, tasks: anyio.abc.TaskGroup, away: float, age: int) -> None:
+    async def restore(self, tasks: anyio.abc.TaskGroup, away: float, age: int) -> None:
         """Be away for ``away`` seconds, then come back from the copy before ``age`` others."""
         self.is_up = False
         self.listener.close()
