--- a/src/pewtertack/lab/scenarios/configuration.py
+++ b/src/pewtertack/lab/scenarios/configuration.py
@@ -5,7 +5,7 @@
 import anyio
 
 from pewtertack.lab.errors import NumberConflictError
-from pewtertack.lab.platform.store import Availability, Faults
+from pewtertack.lab.platform.store import Availability, PlatformFaults
 from pewtertack.lab.relay.links import Link
 from pewtertack.lab.scenarios.context import ScenarioContext
 
@@ -94,7 +94,7 @@
 
 
 async def holders_killed(context: ScenarioContext) -> None:
-    """All holders of a new edit are killed while the other nodes are paused; the source is stale."""
+    """All holders of a new edit are killed while the others are paused; the source is stale."""
     fleet = context.fleet
     zone = context.random.choice(fleet.plan.shape.zones)
     holders = [name for name, node in fleet.plan.nodes.items() if node.zone == zone]
@@ -106,14 +106,14 @@
         fleet.pause_node(name)
     await context.edit()
     await anyio.sleep(EDIT_SPREAD_SECONDS)
-    await fleet.platform.fail_source(Faults(stale_number=before), "stale")
+    await fleet.platform.inject_source_faults(PlatformFaults(stale_number=before), "stale")
     await fleet.kill_nodes(holders)
     for name in others:
         fleet.resume_node(name)
     await fleet.start_nodes(holders)
     await fleet.wait_serving()
     await anyio.sleep(STALE_SECONDS)
-    await fleet.platform.heal_source()
+    await fleet.platform.clear_source_faults()
     await context.wait_for_newest()
 
 
@@ -122,7 +122,7 @@
     zone = context.random.choice(context.fleet.plan.shape.zones)
     await context.edit()
     await context.wait_for_newest()
-    await context.fleet.links.cut_off(zone)
+    await context.fleet.links.isolate_zone(zone)
     await context.edit_for(CUT_SECONDS, EDIT_INTERVAL_SECONDS)
     await context.fleet.links.heal()
     await context.wait_for_newest()
@@ -140,7 +140,7 @@
     await context.edit_for(CUT_SECONDS, EDIT_INTERVAL_SECONDS)
     await context.fleet.links.heal()
     await context.wait_for_newest()
-    await context.fleet.links.disturb(delay=0.05, loss=0.2)
+    await context.fleet.links.impair(delay=0.05, loss=0.2)
     await context.edit_for(CUT_SECONDS, EDIT_INTERVAL_SECONDS)
     await context.wait_for_newest()
     await context.fleet.links.heal()
@@ -150,8 +150,8 @@
     """The source stays down until the end while half of the fleet is replaced, twice."""
     await context.edit()
     await context.wait_for_newest()
-    closed = Faults(availability=Availability.CLOSED)
-    await context.fleet.platform.fail_source(closed, "closed")
+    closed = PlatformFaults(availability=Availability.CLOSED)
+    await context.fleet.platform.inject_source_faults(closed, "closed")
     await _replace(context, context.pick_half_of_nodes())
     await context.wait_for_newest()
     await _replace(context, context.pick_half_of_nodes())
@@ -161,15 +161,15 @@
 async def source_stale(context: ScenarioContext) -> None:
     """The source returns older revisions, first at times, then always, while nodes are killed."""
     await context.edit_for(3.0, EDIT_INTERVAL_SECONDS)
-    await context.fleet.platform.fail_source(Faults(older_share=0.5), "older")
+    await context.fleet.platform.inject_source_faults(PlatformFaults(older_share=0.5), "older")
     await context.edit_for(3.0, EDIT_INTERVAL_SECONDS)
     await context.wait_for_newest()
-    stale = Faults(stale_number=max(1, context.newest_valid - 2))
-    await context.fleet.platform.fail_source(stale, "stale")
+    stale = PlatformFaults(stale_number=max(1, context.newest_valid - 2))
+    await context.fleet.platform.inject_source_faults(stale, "stale")
     await _replace(context, context.pick_half_of_nodes())
     await context.wait_for_newest()
     await anyio.sleep(OUTAGE_SECONDS)
-    await context.fleet.platform.heal_source()
+    await context.fleet.platform.clear_source_faults()
     await context.edit()
     await context.wait_for_newest()
 
@@ -178,22 +178,24 @@
     """The source admits only a few concurrent readers, then also shows edits late."""
     await context.edit_for(OUTAGE_SECONDS, EDIT_INTERVAL_SECONDS)
     await context.wait_for_newest()
-    await context.fleet.platform.fail_source(Faults(lag=SOURCE_LAG_SECONDS), "lagging")
+    await context.fleet.platform.inject_source_faults(
+        PlatformFaults(lag=SOURCE_LAG_SECONDS), "lagging"
+    )
     await context.edit_for(OUTAGE_SECONDS, EDIT_INTERVAL_SECONDS)
     await context.wait_for_newest()
-    await context.fleet.platform.heal_source()
+    await context.fleet.platform.clear_source_faults()
     counters = await context.fleet.platform.source_counters()
     context.expect(counters.refused > 0, "the source refused no reader")
 
 
 async def machine_list_down(context: ScenarioContext) -> None:
     """The machine list service is down while half of the fleet is replaced during edits."""
-    await context.fleet.platform.fail_machine_list(Availability.CLOSED)
+    await context.fleet.platform.inject_machine_list_fault(Availability.CLOSED)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(context.edit_for, OUTAGE_SECONDS, EDIT_INTERVAL_SECONDS)
         await _replace(context, context.pick_half_of_nodes())
     await context.wait_for_newest()
-    await context.fleet.platform.heal_machine_list()
+    await context.fleet.platform.clear_machine_list_faults()
     await context.edit()
     await context.wait_for_newest()
 
--- a/src/pewtertack/lab/scenarios/requests.py
+++ b/src/pewtertack/lab/scenarios/requests.py
@@ -24,14 +24,14 @@
     """A back end breaks off responses; others are killed under load and restart cold."""
     breaking, *killed = context.pick_backends(4)
     faults = BackendFaults(die_mid_answer_share=0.3)
-    await context.fleet.backends.fail(breaking, faults, "breaks answers off")
+    await context.fleet.backends.inject_faults(breaking, faults, "breaks answers off")
     for name in killed:
         async with anyio.create_task_group() as callers:
             await _fill_backends(context, callers, f"killed-{name}")
             await context.fleet.kill_backend_process(name)
         await anyio.sleep(RESTART_DELAY_SECONDS)
         await context.fleet.start_backend_process(name)
-    await context.fleet.backends.heal(breaking)
+    await context.fleet.backends.clear_faults(breaking)
     await anyio.sleep(FAULT_SECONDS)
 
 
@@ -44,7 +44,7 @@
     for name in context.fleet.plan.nodes:
         for kind in (*non_repeatable, context.random.choice(kinds)):
             request_id = f"{prefix}-{name}-{kind.route}-{context.random.randrange(10**9)}"
-            callers.start_soon(context.fleet.ask, name, kind, request_id)
+            callers.start_soon(context.fleet.send_request, name, kind, request_id)
     await anyio.sleep(FAULT_DELAY_SECONDS)
 
 
@@ -66,12 +66,12 @@
     """Some back ends shed half of their requests, one sheds all of them."""
     shedding_all, *shedding_half = context.pick_backends(5)
     control = context.fleet.backends
-    await control.fail(shedding_all, BackendFaults(shedding_share=1.0), "sheds all")
+    await control.inject_faults(shedding_all, BackendFaults(shedding_share=1.0), "sheds all")
     for name in shedding_half:
-        await control.fail(name, BackendFaults(shedding_share=0.5), "sheds half")
+        await control.inject_faults(name, BackendFaults(shedding_share=0.5), "sheds half")
     await anyio.sleep(2 * FAULT_SECONDS)
     for name in (shedding_all, *shedding_half):
-        await control.heal(name)
+        await control.clear_faults(name)
     await anyio.sleep(1.0)
 
 
@@ -79,9 +79,9 @@
     """One back end announces that it leaves, another is only marked in the lagging machine list."""
     fleet = context.fleet
     announcing, listed = context.pick_backends(2)
-    await fleet.backends.leave(announcing)
+    await fleet.backends.announce_leaving(announcing)
     await fleet.platform.mark_leaving(announcing)
-    await fleet.leave_by_list(listed)
+    await fleet.mark_backend_leaving(listed)
     await anyio.sleep(LEAVING_SECONDS)
     for name in (announcing, listed):
         await fleet.platform.remove_machine(name)
@@ -94,14 +94,16 @@
     slow, broken, misreported = context.pick_backends(3)
     control = context.fleet.backends
     reports_idle = BackendFaults(reported_load="0/6", slowdown=10.0)
-    await control.fail(slow, reports_idle, "slow, reports no load")
+    await control.inject_faults(slow, reports_idle, "slow, reports no load")
     reports_healthy = BackendFaults(health=HealthReport.ALWAYS_WELL, die_mid_answer_share=0.8)
-    await control.fail(broken, reports_healthy, "broken, reports good health")
+    await control.inject_faults(broken, reports_healthy, "broken, reports good health")
     reports_failed = BackendFaults(health=HealthReport.ALWAYS_FAILED, reported_load="6/6")
-    await control.fail(misreported, reports_failed, "well, reports bad health and full load")
+    await control.inject_faults(
+        misreported, reports_failed, "well, reports bad health and full load"
+    )
     await anyio.sleep(2 * FAULT_SECONDS)
     for name in (slow, broken, misreported):
-        await control.heal(name)
+        await control.clear_faults(name)
     await anyio.sleep(1.0)
 
 
@@ -109,12 +111,12 @@
     """Back ends respond after the deadline, and swap the responses of two callers."""
     late, *crossing = context.pick_backends(4)
     control = context.fleet.backends
-    await control.fail(late, BackendFaults(late=3.0), "answers late")
+    await control.inject_faults(late, BackendFaults(late=3.0), "answers late")
     for name in crossing:
-        await control.fail(name, BackendFaults(crossed=True), "crosses answers")
+        await control.inject_faults(name, BackendFaults(crossed=True), "crosses answers")
     await anyio.sleep(2 * FAULT_SECONDS)
     for name in (late, *crossing):
-        await control.heal(name)
+        await control.clear_faults(name)
     await anyio.sleep(1.0)
 
 
@@ -135,7 +137,7 @@
     async with anyio.create_task_group() as callers:
         for index, kind in enumerate(context.long_calls(LONG_WORK_MILLISECONDS, UPLOAD_BYTES)):
             request_id = f"long-{name}-{index}-{context.newest_valid}"
-            callers.start_soon(fleet.ask, name, kind, request_id)
+            callers.start_soon(fleet.send_request, name, kind, request_id)
         await anyio.sleep(FAULT_DELAY_SECONDS)
         code = await fleet.stop_node(name)
         context.expect(code == 0, f"{name} ended its graceful shutdown with exit code {code}")
