--- a/src/pewtertack/node/gateway/forwarding.py
+++ b/src/pewtertack/node/gateway/forwarding.py
@@ -168,7 +168,9 @@
             self._note_cancelled()
             raise CallerGoneError
         if self._exchange.started:
-            raise TruncatedAnswerError("the deadline passed while the response was being sent")
+            raise TruncatedAnswerError(
+                "the request ran out of time while its response was being sent"
+            )
         error = end_error(end)
         error.reached_backend = self._may_have_run
         raise error.with_outcome(Outcome.UNKNOWN if self._may_have_run else Outcome.NOT_RUN)
--- a/src/pewtertack/node/proxy/forwarding.py
+++ b/src/pewtertack/node/proxy/forwarding.py
@@ -218,7 +218,9 @@
         if end is LifetimeEnd.CALLER_GONE:
             raise CallerGoneError
         if self._exchange.started:
-            raise TruncatedAnswerError("the deadline passed while the response was being sent")
+            raise TruncatedAnswerError(
+                "the request ran out of time while its response was being sent"
+            )
         raise end_error(end).with_outcome(
             Outcome.UNKNOWN if self._may_have_run else Outcome.NOT_RUN
         )
