--- a/src/pewtertack/lab/soak/run.py
+++ b/src/pewtertack/lab/soak/run.py
@@ -13,7 +13,7 @@
 import anyio
 
 from pewtertack.errors import LabError
-from pewtertack.lab.errors import leaves_of
+from pewtertack.lab.errors import flatten_exception_group
 from pewtertack.lab.fleet.fleet import Fleet
 from pewtertack.lab.fleet.history import HistoryRecorder
 from pewtertack.lab.fleet.plan import plan_fleet
@@ -23,7 +23,7 @@
 from pewtertack.lab.report.report import routes_of
 from pewtertack.lab.scenarios.context import ScenarioContext
 from pewtertack.lab.scenarios.edits import TreeEditor
-from pewtertack.lab.scenarios.runner import errors_written
+from pewtertack.lab.scenarios.runner import stderr_problems
 from pewtertack.lab.soak.context import CALLERS_PER_NODE, SoakContext
 from pewtertack.lab.soak.faults import DrawnFault, Lane, draw_faults
 from pewtertack.lab.soak.options import SoakOptions
@@ -31,7 +31,7 @@
 from pewtertack.lab.soak.resources import ResourceWatch
 from pewtertack.lab.soak.result import SoakResult
 from pewtertack.lab.soak.returns import leaving_over_return
-from pewtertack.lab.soak.shape import shape_of_soak
+from pewtertack.lab.soak.shape import soak_fleet_shape
 
 BOUNDS = CheckBounds(convergence=12.0, recovery=30.0)
 """The users' bound of 12 s, and room for a node that starts while the source is down."""
@@ -85,7 +85,7 @@
                 return
 
     async def _start_callers(self) -> LabProcess:
-        return await self._fleet.start_lasting_callers(
+        return await self._fleet.start_persistent_callers(
             "callers", self.options.seed, CALLERS_PER_NODE
         )
 
@@ -109,7 +109,8 @@
             await drawn.kind.body(self.context, random.Random(drawn.seed))
         except* (LabError, TimeoutError) as group:
             self.context.scenario.problems += [
-                f"{drawn.kind.name}: {type(error).__name__}: {error}" for error in leaves_of(group)
+                f"{drawn.kind.name}: {type(error).__name__}: {error}"
+                for error in flatten_exception_group(group)
             ]
 
     async def _settle(self, callers: LabProcess) -> None:
@@ -125,7 +126,7 @@
             context.problems.append(f"{type(error).__name__}: {error}")
         await anyio.sleep(SETTLE_SECONDS)
         code = await self._fleet.stop_load(callers)
-        context.expect(code == 0, f"the callers ended with {code}: {callers.error_tail()}")
+        context.expect(code == 0, f"the callers ended with {code}: {callers.stderr_tail()}")
         for name in sorted(set(self._fleet.plan.nodes) - set(self._fleet.running_nodes())):
             context.problems.append(f"{name} does not run at the end")
 
@@ -136,7 +137,7 @@
         await context.evacuate(zone)
         await context.wait_for_newest()
         await anyio.sleep(2 * BOUNDS.evacuated)
-        await context.take_back(zone)
+        await context.end_evacuation(zone)
         await context.wait_for_newest()
 
 
@@ -146,7 +147,7 @@
     Raises:
         LabError: the fleet could not be started.
     """
-    plan = plan_fleet(shape_of_soak(options))
+    plan = plan_fleet(soak_fleet_shape(options))
     began = time.monotonic()
     with tempfile.TemporaryDirectory(prefix="pewtertack-soak-") as name:
         directory = Path(name)
@@ -158,7 +159,7 @@
                 *run.context.scenario.problems,
                 *run.watch.problems(),
                 *recorder.stray_lines,
-                *errors_written(plan, directory),
+                *stderr_problems(plan, directory),
             ]
     return _result(run, recorder, problems, time.monotonic() - began)
 
@@ -174,7 +175,7 @@
         minutes=options.minutes,
         seed=options.seed,
         nodes=options.nodes,
-        without=options.without,
+        disabled_mechanism=options.disabled_mechanism,
         seconds=round(seconds, 1),
         interrupted=run.interrupted_at is not None,
         faults=dict(sorted(run.context.made.items())),
--- a/src/pewtertack/lab/store_fleet/fleet.py
+++ b/src/pewtertack/lab/store_fleet/fleet.py
@@ -155,7 +155,7 @@
         """Kill all nodes and close the listeners."""
         with anyio.CancelScope(shield=True):
             for process in self._processes.values():
-                await process.end()
+                await process.kill()
         self._listener.close()
         if self._relay is not None:
             self._relay.control.close()
@@ -185,14 +185,14 @@
         """Signal the process of a node and wait for its end."""
         process = self._processes[name]
         process.send_signal(how)
-        await process.wait_ended()
+        await process.wait_for_exit()
 
     def received_bytes(self) -> None:
         """Return nothing: what processes send one another is not counted."""
 
     def cut_watches(self) -> int:
         """Reset the connections of all watches that wait; return how many there were."""
-        return self._listener.cut_waiting(WATCH_PATH)
+        return self._listener.abort_unanswered(WATCH_PATH)
 
     async def _open_relay(self, tasks: anyio.abc.TaskGroup) -> None:
         nodes = [self._relayed(index) for index in range(len(self._hosts))]
