--- a/src/pewtertack/node/gateway/application.py
+++ b/src/pewtertack/node/gateway/application.py
@@ -292,7 +292,7 @@
         elif name == FINISH_BY:
             self._handle_finish_by(value)
         elif self.leaving or self.requests.draining:
-            error: NotRunError = DrainingError("the node of the back end is shutting down")
+            error: NotRunError = DrainingError("the node beside the back end is stopping")
             await _refuse(send, error, RequestHead(), [])
             return
         elif self._evacuated:
@@ -364,7 +364,7 @@
     def _admit(self, request: HopRequest) -> Incarnation:
         incarnation = self._incarnations.get(request.backend)
         if self.requests.draining or not self._fits_before_stop(incarnation, request):
-            raise _mark_not_offered(DrainingError("the node of the back end is shutting down"))
+            raise _mark_not_offered(DrainingError("the node beside the back end is stopping"))
         self._check_accepting(incarnation, request)
         return incarnation
 
--- a/src/pewtertack/node/gateway/forwarding.py
+++ b/src/pewtertack/node/gateway/forwarding.py
@@ -205,7 +205,7 @@
         if self._sender_end_timer is not None:
             self._sender_end_timer.cancel()
         seconds = self._link_check.sender_stops_at - REFUSAL_LEAD_SECONDS - self._context.clock()
-        refusal = WithdrawnError("the node that sent the request is shutting down")
+        refusal = WithdrawnError("the node that sent the request is stopping")
         loop = asyncio.get_running_loop()
         self._sender_end_timer = loop.call_later(max(0.0, seconds), self._refuse_unstarted, refusal)
 
@@ -219,9 +219,9 @@
     async def withdraw(self) -> None:
         """Refuse the request if it is still waiting (``ActiveRequest``)."""
         if self._context.requests.draining:
-            refusal: NotRunError = DrainingError("the node of the back end is shutting down")
+            refusal: NotRunError = DrainingError("the node beside the back end is stopping")
         else:
-            refusal = WithdrawnError("the node that sent the request is shutting down")
+            refusal = WithdrawnError("the node that sent the request is stopping")
         self._refuse_unstarted(refusal)
 
     def _refuse_unstarted(self, refusal: NotRunError) -> None:
--- a/src/pewtertack/node/gateway/hop.py
+++ b/src/pewtertack/node/gateway/hop.py
@@ -195,10 +195,10 @@
     )
     numbers = (work_class, priority, objective, crash_limit, incarnation)
     if not all(map(str.isdecimal, numbers)):
-        raise InvalidRequestError("the request's rank, objective or limit is not a number")
+        raise InvalidRequestError("the request's rank, objective or limit is no number")
     wait_policy = WAIT_POLICIES.get(values[WAIT_POLICY])
     if wait_policy is None:
-        raise InvalidRequestError("the request's lateness header has an unknown value")
+        raise InvalidRequestError("the request's lateness is none that is known")
     return HopRequest(
         backend=values[BACKEND],
         service=values[SERVICE],
--- a/src/pewtertack/node/gateway/link_check.py
+++ b/src/pewtertack/node/gateway/link_check.py
@@ -79,9 +79,7 @@
         if transfer and self._pacer is not None:
             queued = self._pacer.scheduler.queue_time(self.rank, now)
             if not (self._fits(now, transfer, queued) or self._may_probe(queued, now)):
-                raise DeadlineUnmeetableError(
-                    "the link is occupied for too long", queued + transfer
-                )
+                raise DeadlineUnmeetableError("the link is taken for too long", queued + transfer)
         self._limit_deadline(self.sender_stops_at - transfer - queued)
 
     def _fits(self, now: float, transfer: float, queued: float) -> bool:
@@ -124,6 +122,6 @@
         route = self._ticket.route
         run_seconds = self._admission.expected_time(route)
         if self._pacer.stops_before(route, self.rank, run_seconds):
-            error = DrainingError("the node of the back end is shutting down")
+            error = DrainingError("the node beside the back end is stopping")
             error.reached_backend = False
             raise error
--- a/src/pewtertack/node/proxy/application.py
+++ b/src/pewtertack/node/proxy/application.py
@@ -287,7 +287,7 @@
 
     def _check_serving(self) -> None:
         if self.requests.draining:
-            raise DrainingError("the node is shutting down")
+            raise DrainingError("the node is stopping")
         if not self._serving or self._table is None or not self._may_serve():
             raise NotServingError("the node is not serving yet", self._retry_after)
 
--- a/src/pewtertack/node/proxy/crash_guard.py
+++ b/src/pewtertack/node/proxy/crash_guard.py
@@ -90,7 +90,7 @@
         broken = BrokenExchange(request_id, self._content.fingerprint)
         ended = await self._detector.has_crashed(backend, address, broken)
         if ended and isinstance(error, BackendFailedError):
-            raise BackendCrashedError("the back end crashed") from error
+            raise BackendCrashedError("the back end has ended") from error
 
     async def _fingerprint_if_suspect(self) -> bytes | None:
         ledger = self._reporter.ledger
@@ -101,4 +101,4 @@
 
     def _refusal(self, fingerprint: bytes) -> RequestEndsBackendsError:
         execution = f"they ran request {fingerprint.hex()}"
-        return RequestEndsBackendsError(f"{self.crash_count} back ends crashed while {execution}")
+        return RequestEndsBackendsError(f"{self.crash_count} back ends ended while {execution}")
--- a/src/pewtertack/node/proxy/exchange.py
+++ b/src/pewtertack/node/proxy/exchange.py
@@ -171,9 +171,7 @@
         bodiless = self._scope["method"] == "HEAD" or start.status in NO_BODY_STATUSES
         if not (meta.framed or bodiless or self._edge.unframed_answers):
             connection.abort()
-            raise BackendFailedError(
-                "the back end's response has neither a length nor chunked encoding"
-            )
+            raise BackendFailedError("the end of the back end's answer cannot be told")
 
     async def _relay(
         self, connection: BackendConnection, start: ResponseHead, meta: ResponseMeta
@@ -229,7 +227,7 @@
     try:
         return await connection.read_body()
     except ExchangeBrokenError as error:
-        raise BackendFailedError(f"the response broke off: {error}") from error
+        raise BackendFailedError(f"the answer broke off: {error}") from error
 
 
 async def _read_start(connection: BackendConnection) -> bytes:
@@ -245,7 +243,7 @@
             chunks.append(chunk)
             size += len(chunk)
     except ExchangeBrokenError as error:
-        raise BackendFailedError(f"the response broke off: {error}") from error
+        raise BackendFailedError(f"the answer broke off: {error}") from error
     return b"".join(chunks)
 
 
--- a/src/pewtertack/node/proxy/forwarding.py
+++ b/src/pewtertack/node/proxy/forwarding.py
@@ -192,7 +192,7 @@
     async def withdraw(self) -> None:
         """Start no further attempt; withdraw one that is waiting (``ActiveRequest``)."""
         self._withdrawn = True
-        self._context.dispatcher.refuse(self._ticket, DrainingError("the node is shutting down"))
+        self._context.dispatcher.refuse(self._ticket, DrainingError("the node is stopping"))
         backend = self._ticket.backend
         if self.progress is not Progress.OFFERED or backend is None:
             return
@@ -264,7 +264,7 @@
 
     def _check_withdrawn(self) -> None:
         if self._withdrawn:
-            raise DrainingError("the node is shutting down")
+            raise DrainingError("the node is stopping")
 
     def _log_decision(self, error: RequestFailedError, decision: RetryDecision) -> None:
         if self._context.metrics is not None:
--- a/src/pewtertack/node/proxy/headers.py
+++ b/src/pewtertack/node/proxy/headers.py
@@ -111,7 +111,7 @@
     if host_count != 1:
         raise InvalidRequestError("a request needs exactly one host header")
     if b"upgrade" in head.connection_options:
-        raise UpgradeRefusedError("protocol upgrades are not supported")
+        raise UpgradeRefusedError("no other protocol is spoken here")
 
 
 def _parse_host(value: bytes) -> str:
--- a/src/pewtertack/node/proxy/lifetime.py
+++ b/src/pewtertack/node/proxy/lifetime.py
@@ -28,7 +28,7 @@
 def end_error(end: LifetimeEnd) -> RequestFailedError:
     """Return the failure of a request whose work was cancelled; the caller sets its outcome."""
     if end is LifetimeEnd.STOPPED:
-        return DrainingError("the node is shutting down and has no more time for the request")
+        return DrainingError("the node stops and has no more time for the request")
     return DeadlineExceededError("the deadline passed")
 
 
