--- a/tests/platform/restored_fleet.py
+++ b/tests/platform/restored_fleet.py
@@ -1,4 +1,4 @@
-"""Cores with store readers around one stand-in of the store, on a clock of their own."""
+"""Node cores with store readers around one stand-in of the store, in virtual time."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from tests.platform.test_documents import CONFIGURATION, ENTRY, encoded
 
 ZONE = "garia"
-FEW_READERS = msgspec.structs.replace(LEASED, reads_alone_below=1)
-"""One node of a zone reads, however few there are."""
+SINGLE_READER_PROFILE = msgspec.structs.replace(LEASED, reads_alone_below=1)
+"""A single node per zone reads, even in a small fleet."""
 
 
 def entry(number: int, **fields: object) -> bytes:
-    """Return a back end's entry at an address of its own."""
+    """Return the entry of a back end with a distinct address."""
     return encoded({**ENTRY, "Address": f"10.1.2.{number}:8080", **fields})
 
 
@@ -34,49 +34,49 @@
     return encoded({**CONFIGURATION, "Version": f"r{version}"})
 
 
-class StoreCalls:
-    """Calls the stand-in as `HttpClient` calls a service."""
+class StoreClient:
+    """Replaces `HttpClient` with direct calls of the stand-in."""
 
     def __init__(self, store: MetadataStore) -> None:
         self._store = store
-        self.cut = False
-        self.fresh = True
+        self.disconnected = False
+        self.new_connection = True
 
     def close(self) -> None:
-        self.fresh = True
+        self.new_connection = True
 
     async def get(self, target: str, *_: object) -> ServiceResponse:
-        if self.cut:
-            self.fresh = True
-            raise ServiceUnreachableError("cut off", ReadFailure.NO_CONNECTION)
+        if self.disconnected:
+            self.new_connection = True
+            raise ServiceUnreachableError("disconnected", ReadFailure.NO_CONNECTION)
         path, _, query = target.partition("?")
-        pairs = dict(part.partition("=")[::2] for part in query.split("&"))
-        answer = await self._store.application.answer(Request("GET", path, pairs, {}))
+        parameters = dict(part.partition("=")[::2] for part in query.split("&"))
+        answer = await self._store.application.answer(Request("GET", path, parameters, {}))
         headers = [(name.encode(), value.encode()) for name, value in answer.headers.items()]
-        fresh, self.fresh = self.fresh, False
-        return ServiceResponse(answer.status, headers, answer.body, fresh)
+        new_connection, self.new_connection = self.new_connection, False
+        return ServiceResponse(answer.status, headers, answer.body, new_connection)
 
 
 class FleetNode:
-    """One node: its core, its reader, and what it was told to use."""
+    """One node: its core, its reader, and the effects of the core."""
 
-    def __init__(self, fleet: ReturningFleet, name: str, number: int) -> None:
+    def __init__(self, fleet: RestoredFleet, name: str, number: int) -> None:
         self.address = f"127.0.0.1:{number}"
         identity = NodeIdentity(name, self.address, ZONE, "", 1000 + number)
         source = SourceProperties(durable=True, hold_after_return=fleet.hold_after_return)
         self.name = name
-        self.calls = StoreCalls(fleet.store)
+        self.client = StoreClient(fleet.store)
         hold, now = fleet.hold_after_return, fleet.clock
         self.reader = StoreReader("127.0.0.1:1", 8146, 7380, hold, now)
-        self.reader._client = self.calls  # type: ignore[assignment]
+        self.reader._client = self.client  # type: ignore[assignment]
         seeds = tuple(node.address for node in fleet.nodes)
         self.core = NodeCore(identity, fleet.profile, Random(number), fleet.now, seeds, source)
         self.machines = MachineList(0, ())
         self.versions: list[int] = []
         self.list_numbers: list[int] = []
-        self.once_ready: set[str] = set()
-        self.served_by: set[str] = set()
-        """The back ends that were ready while the node served."""
+        self.ever_ready: set[str] = set()
+        self.ready_while_serving: set[str] = set()
+        """Back ends that were ready at any time while the node served."""
         self.logged: list[Log] = []
         self.reads: list[ReadDocument] = []
 
@@ -86,7 +86,7 @@
 
     @property
     def ready(self) -> list[str]:
-        """The back ends that get new work."""
+        """Back ends that get new requests."""
         return sorted(
             machine.name
             for machine in self.machines.machines
@@ -103,28 +103,28 @@
         return frozenset(in_force.evacuated) if in_force is not None else frozenset()
 
 
-class ReturningFleet:
-    """Steps nodes over a common clock; messages arrive at the step after they were sent."""
+class RestoredFleet:
+    """Steps nodes with a common clock; messages arrive one step after they were sent."""
 
     hold_after_return = 6.0
 
-    def __init__(self, era: int | None = 0, profile: TimingProfile = FEW_READERS) -> None:
+    def __init__(self, era: int | None = 0, profile: TimingProfile = SINGLE_READER_PROFILE) -> None:
         self.store = MetadataStore(era)
         self.profile = profile
         self.now = 100.0
         self.nodes: list[FleetNode] = []
-        self._started = 0
-        self.dark: set[str] = set()
-        """Nodes whose messages are lost."""
+        self._started_count = 0
+        self.isolated: set[str] = set()
+        """Names of nodes whose messages are lost."""
         self.sent: list[Message] = []
-        self._under_way: list[tuple[FleetNode, Send]] = []
+        self._in_flight: list[tuple[FleetNode, Send]] = []
 
     def clock(self) -> float:
         return self.now
 
     def start_node(self) -> FleetNode:
-        self._started += 1
-        node = FleetNode(self, f"n{self._started}", 7000 + self._started)
+        self._started_count += 1
+        node = FleetNode(self, f"n{self._started_count}", 7000 + self._started_count)
         self.nodes.append(node)
         return node
 
@@ -134,29 +134,31 @@
 
     async def step(self) -> None:
         self.now += self.profile.tick
-        arriving, self._under_way = self._under_way, []
-        for sender, send in arriving:
+        delivered, self._in_flight = self._in_flight, []
+        for sender, send in delivered:
             await self._deliver(sender, send)
         for node in self.nodes:
             await self._feed(node, Ticked())
 
     async def _deliver(self, sender: FleetNode, send: Send) -> None:
         for node in self.nodes:
-            if node.address == send.address and not {node.name, sender.name} & self.dark:
-                own = sender.core.identity
-                event = MessageReceived(own.name, own.address, own.incarnation, send.message)
-                await self._feed(node, event)
-
-    async def _feed(self, node: FleetNode, event: Input) -> None:
-        for effect in node.core.handle(self.now, event):
-            await self._carry_out(node, effect)
+            if node.address == send.address and not {node.name, sender.name} & self.isolated:
+                identity = sender.core.identity
+                core_input = MessageReceived(
+                    identity.name, identity.address, identity.incarnation, send.message
+                )
+                await self._feed(node, core_input)
+
+    async def _feed(self, node: FleetNode, core_input: Input) -> None:
+        for effect in node.core.handle(self.now, core_input):
+            await self._execute(node, effect)
         if node.serving:
-            node.served_by.update(node.ready)
+            node.ready_while_serving.update(node.ready)
 
-    async def _carry_out(self, node: FleetNode, effect: Effect) -> None:
+    async def _execute(self, node: FleetNode, effect: Effect) -> None:
         match effect:
             case Send():
-                self._under_way.append((node, effect))
+                self._in_flight.append((node, effect))
                 self.sent.append(effect.message)
             case ReadDocument():
                 node.reads.append(effect)
@@ -165,7 +167,7 @@
             case UseMachineList(machines):
                 node.machines = machines
                 node.list_numbers.append(machines.number)
-                node.once_ready.update(node.ready)
+                node.ever_ready.update(node.ready)
             case BringIntoForce(configuration):
                 node.versions.append(configuration.revision.number // 10**9)
             case Log():
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -1,4 +1,4 @@
-"""The operator's configuration and the back ends' entries, translated."""
+"""Conversion of the operator's configuration and of back-end entries."""
 
 import json
 import unittest
@@ -61,7 +61,7 @@
 
 
 class TreeTest(unittest.TestCase):
-    def test_a_configuration_becomes_a_valid_tree(self) -> None:
+    def test_configuration_becomes_a_valid_tree(self) -> None:
         number, tree = parse_configuration(encoded(CONFIGURATION))
         self.assertEqual(number, 12)
         self.assertEqual(check_document(tree), ())
@@ -71,7 +71,7 @@
         self.assertEqual((hold.repeatable, hold.retry_limit, hold.priority), (False, 1, 1))
         self.assertEqual((read.repeatable, dict(read.split)), (True, {"desk": 90, "vault": 10}))
 
-    def test_a_download_may_be_repeated_as_what_is_safe_may(self) -> None:
+    def test_safe_and_download_routes_are_repeatable(self) -> None:
         kinds = {"safe": True, "download": True, "unsafe": False, "upload": False, "Safe": False}
         for kind, repeatable in kinds.items():
             _, tree = parse_configuration(
@@ -79,7 +79,7 @@
             )
             self.assertEqual(tree["routes"]["r-1"]["repeatable"], repeatable, kind)
 
-    def test_a_configuration_that_is_wrong_is_refused_with_its_place(self) -> None:
+    def test_invalid_configuration_is_rejected(self) -> None:
         broken = [
             encoded(CONFIGURATION)[:-20],
             encoded({**CONFIGURATION, "Version": "twelve"}),
@@ -91,35 +91,37 @@
             with self.subTest(value[:40]), self.assertRaises(ItemFormatError):
                 parse_configuration(value)
 
-    def test_routes_that_are_written_as_before_are_the_same_tables(self) -> None:
-        known = RouteCache()
-        _, before = parse_configuration(encoded(CONFIGURATION), (), known)
-        edited = {**ROUTE, "Timeout": "900ms"}
-        value = encoded({**CONFIGURATION, "Version": "r13", "Routes": [edited, SPLIT_ROUTE]})
-        number, after = parse_configuration(value, (), known)
+    def test_unchanged_routes_reuse_their_tables(self) -> None:
+        cache = RouteCache()
+        _, before = parse_configuration(encoded(CONFIGURATION), (), cache)
+        changed_route = {**ROUTE, "Timeout": "900ms"}
+        value = encoded({**CONFIGURATION, "Version": "r13", "Routes": [changed_route, SPLIT_ROUTE]})
+        number, after = parse_configuration(value, (), cache)
         self.assertEqual((number, after), parse_configuration(value))
         self.assertIs(after["routes"]["r-2"], before["routes"]["r-2"])
         self.assertEqual(after["routes"]["r-1"]["timeout"], "900ms")
-        twice = encoded({**CONFIGURATION, "Routes": [SPLIT_ROUTE, ROUTE, SPLIT_ROUTE]})
-        self.assertEqual(parse_configuration(twice, (), known), parse_configuration(twice))
-
-    def test_a_wrong_route_changes_nothing_for_the_next(self) -> None:
-        known = RouteCache()
-        _, before = parse_configuration(encoded(CONFIGURATION), (), known)
+        with_duplicate = encoded({**CONFIGURATION, "Routes": [SPLIT_ROUTE, ROUTE, SPLIT_ROUTE]})
+        self.assertEqual(
+            parse_configuration(with_duplicate, (), cache), parse_configuration(with_duplicate)
+        )
+
+    def test_invalid_route_does_not_corrupt_the_cache(self) -> None:
+        cache = RouteCache()
+        _, before = parse_configuration(encoded(CONFIGURATION), (), cache)
         with self.assertRaises(ItemFormatError):
             parse_configuration(
-                encoded({**CONFIGURATION, "Routes": [SPLIT_ROUTE, {"Name": "x"}]}), (), known
+                encoded({**CONFIGURATION, "Routes": [SPLIT_ROUTE, {"Name": "x"}]}), (), cache
             )
-        self.assertEqual(parse_configuration(encoded(CONFIGURATION), (), known)[1], before)
+        self.assertEqual(parse_configuration(encoded(CONFIGURATION), (), cache)[1], before)
 
-    def test_a_route_to_an_unknown_service_is_found_by_validation(self) -> None:
+    def test_route_to_unknown_service_is_a_validation_finding(self) -> None:
         route = {**ROUTE, "Service": "nobody"}
         _, tree = parse_configuration(encoded({**CONFIGURATION, "Routes": [route]}))
         self.assertEqual([item.code.label for item in check_document(tree)], ["missing-service"])
 
 
 class MachinesTest(unittest.TestCase):
-    def test_an_entry_becomes_a_back_end_and_the_node_beside_it(self) -> None:
+    def test_entry_becomes_a_back_end_and_the_node_of_its_machine(self) -> None:
         document, _ = parse_entries({"i-1": encoded(ENTRY)}, 8146, 7380)
         machines = machine_list_from_document(3, document).machines
         node, backend = sorted(machines, key=lambda machine: machine.role, reverse=True)
@@ -128,24 +130,24 @@
         self.assertEqual((backend.name, backend.gateway), ("i-1", "10.1.0.8:8146"))
         self.assertEqual((backend.slots, backend.state), (6, MachineState.LIVE))
 
-    def test_a_draining_back_end_is_leaving(self) -> None:
+    def test_draining_back_end_is_leaving(self) -> None:
         document, _ = parse_entries({"i-1": encoded({**ENTRY, "State": "draining"})}, 1, 2)
         self.assertEqual(document["i-1"]["state"], "leaving")
 
-    def test_the_start_is_told_where_the_entry_has_it(self) -> None:
+    def test_start_time_is_optional(self) -> None:
         document, _ = parse_entries({"i-1": encoded(ENTRY)}, 1, 2)
         self.assertNotIn("started_at", document["i-1"])
         document, _ = parse_entries({"i-1": encoded({**ENTRY, "born": 1_700_000_000_000})}, 1, 2)
         machine = machine_list_from_document(3, {"i-1": document["i-1"]}).machines[0]
         self.assertEqual(machine.started_at, 1_700_000_000_000)
 
-    def test_a_start_that_is_no_whole_number_names_no_back_end(self) -> None:
+    def test_entry_with_invalid_start_time_is_skipped(self) -> None:
         for born in (None, "1700000000000", 1.5, -1, True, 2**60, [5]):
             with self.subTest(born=born):
                 document, findings = parse_entries({"i-1": encoded({**ENTRY, "born": born})}, 1, 2)
                 self.assertEqual((document, len(findings)), ({}, 1))
 
-    def test_an_entry_that_is_wrong_is_a_finding_with_its_name(self) -> None:
+    def test_invalid_entry_is_a_finding_with_its_name(self) -> None:
         document, findings = parse_entries({"i-1": b'{"Service": "desk"}'}, 1, 2)
         self.assertEqual(document, {})
         self.assertEqual([item.item for item in findings], ["i-1"])
--- a/tests/platform/test_large_lists.py
+++ b/tests/platform/test_large_lists.py
@@ -1,4 +1,4 @@
-"""Very large lists of machines and zones lose nothing on the way to nodes."""
+"""Very large lists of machines and zones reach the nodes completely."""
 
 import unittest
 
@@ -17,16 +17,16 @@
 
 
 def entries() -> dict[str, bytes]:
-    found = {}
+    result = {}
     for number in range(BACKENDS):
         address = f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:8080"
         fields = {**ENTRY, "Address": address, "Slots": 4096, "Service": f"s{number % 240}"}
-        found[f"i-{number:08x}"] = encoded(fields)
-    return found
+        result[f"i-{number:08x}"] = encoded(fields)
+    return result
 
 
 class LargeListTest(unittest.TestCase):
-    def test_every_entry_reaches_a_node_that_a_peer_tells(self) -> None:
+    def test_snapshot_to_a_peer_contains_every_entry(self) -> None:
         document, findings = parse_entries(entries(), 8146, 7380)
         self.assertEqual(findings, ())
         revision = revision_id_of(7, document)
@@ -36,15 +36,15 @@
         frame = encode_frame(Envelope("a", "10.0.0.1:1", 1, 1, packed), KEY)
         message = FrameReader(KEY).read(frame).message
         assert isinstance(message, PackedAnswer)
-        told = unpack(message)
-        assert isinstance(told, SnapshotAnswer)
-        self.assertEqual(revision_id_of(7, told.document), revision)
-        machines = machine_list_from_document(7, told.document).machines
+        received = unpack(message)
+        assert isinstance(received, SnapshotAnswer)
+        self.assertEqual(revision_id_of(7, received.document), revision)
+        machines = machine_list_from_document(7, received.document).machines
         backends = [machine for machine in machines if machine.role is MachineRole.BACKEND]
         self.assertEqual(len(backends), BACKENDS)
         self.assertEqual({machine.slots for machine in backends}, {4096})
 
-    def test_every_entry_is_in_use(self) -> None:
+    def test_replica_uses_every_entry(self) -> None:
         document, _ = parse_entries(entries(), 8146, 7380)
         replica = MachineListReplica(0.0)
         replica.offer(0.0, revision_id_of(7, document), document)
@@ -52,7 +52,7 @@
 
 
 class ZonesTest(unittest.TestCase):
-    def test_evacuations_up_to_the_bound_hold_and_further_ones_are_told(self) -> None:
+    def test_evacuations_beyond_the_limit_are_findings(self) -> None:
         names = [f"zone-{number:03d}" for number in range(LIST_LENGTH_LIMIT + 1)]
         zones, findings = valid_evacuated_zones(names[:-1])
         self.assertEqual((zones, findings), (names[:-1], ()))
--- a/tests/platform/test_random_restores.py
+++ b/tests/platform/test_random_restores.py
@@ -1,4 +1,4 @@
-"""Returns of the store in random order with writes, cuts, ends and starts of nodes."""
+"""Restores of the store in random order with writes, disconnections, node stops and starts."""
 
 from __future__ import annotations
 
@@ -13,52 +13,57 @@
 from pewtertack.core.profile import LEASED
 from pewtertack.lab.metadata_store.application import StoreCopy
 from tests.platform.restored_fleet import (
-    FEW_READERS,
+    SINGLE_READER_PROFILE,
     FleetNode,
-    ReturningFleet,
+    RestoredFleet,
     configuration,
     entry,
 )
 
 STEPS = st.lists(
     st.sampled_from(
-        ["edit", "ask", "take-back", "come", "leave", "drain"]
-        + ["beat", "copy", "return", "return", "cut", "heal", "dark", "light", "start", "stop"]
+        ["edit", "evacuate", "withdraw", "add", "remove", "drain"]
+        + ["heartbeat", "copy", "restore", "restore", "disconnect", "reconnect"]
+        + ["isolate", "rejoin", "start", "stop"]
     ),
     max_size=14,
 )
-WRITTEN_AGAIN = 2.0
-"""Seconds within which all has been written again that was lost."""
-ENOUGH = 14.0
-"""Seconds in which the time to hold what was known is over and all nodes have read."""
+REWRITE_SECONDS = 2.0
+"""Seconds within which operator and back ends rewrite everything that was lost."""
+SETTLE_SECONDS = 14.0
+"""Seconds after which the hold period has ended and all nodes have read the store."""
 
 
-class World:
-    """A fleet, and what operator and back ends believe to have written."""
+class Scenario:
+    """A fleet, and the state that operator and back ends have written to the store."""
 
-    def __init__(self, few_readers: bool) -> None:
-        self.fleet = ReturningFleet(profile=FEW_READERS if few_readers else LEASED)
+    def __init__(self, single_reader: bool) -> None:
+        self.fleet = RestoredFleet(profile=SINGLE_READER_PROFILE if single_reader else LEASED)
         self.store = self.fleet.store
-        self.version, self.asked = 12, False
+        self.version, self.evacuated_by_operator = 12, False
         self.entries: dict[str, dict[str, Any]] = {}
-        self.comers = 0
+        self.added_count = 0
         self.copy: StoreCopy | None = None
-        self.wrong: list[str] = []
-        """What nodes believed between a return and the first write after it."""
+        self.violations: list[str] = []
+        """Invalid states of nodes between a restore and the first write after it."""
 
-    async def begin(self) -> None:
+    async def start_fleet(self) -> None:
         self.store.put("op/config", configuration(self.version))
         for _ in range(3):
-            self.come()
+            self.add_backend()
         for _ in range(3):
             self.fleet.start_node()
         await self.fleet.run(4.0)
         self.copy = self.store.copy()
 
-    def come(self) -> None:
-        self.comers += 1
-        name = f"i-{self.comers}"
-        self.entries[name] = {"number": self.comers, "State": "ready", "born": self.comers}
+    def add_backend(self) -> None:
+        self.added_count += 1
+        name = f"i-{self.added_count}"
+        self.entries[name] = {
+            "number": self.added_count,
+            "State": "ready",
+            "born": self.added_count,
+        }
         self.put(name)
 
     def put(self, name: str) -> None:
@@ -68,48 +73,48 @@
         self.version += 3
         self.store.put("op/config", configuration(self.version))
 
-    def ask(self, asked: bool) -> None:
-        self.asked = asked
-        if asked:
+    def set_evacuated(self, evacuated_by_operator: bool) -> None:
+        self.evacuated_by_operator = evacuated_by_operator
+        if evacuated_by_operator:
             self.store.put("op/evacuate/howrah", b"{}")
         elif "op/evacuate/howrah" in self.store._items:
             self.store.remove("op/evacuate/howrah")
 
-    def leave(self) -> None:
+    def remove_backend(self) -> None:
         for name in list(self.entries)[:1]:
             del self.entries[name]
             self.store.remove(f"servers/{name}")
 
-    def drain(self) -> None:
+    def drain_backend(self) -> None:
         for name in list(self.entries)[:1]:
             self.entries[name]["State"] = "draining"
             self.put(name)
 
-    async def come_back(self) -> None:
+    async def restore_store(self) -> None:
         assert self.copy is not None
-        cut = [node.calls.cut for node in self.fleet.nodes]
+        disconnected = [node.client.disconnected for node in self.fleet.nodes]
         for node in self.fleet.nodes:
-            node.calls.cut = True
+            node.client.disconnected = True
         await self.fleet.run(0.3)
         before = {node.name: set(node.ready) for node in self.fleet.nodes}
-        left = {node.name: node.once_ready - before[node.name] for node in self.fleet.nodes}
+        removed = {node.name: node.ever_ready - before[node.name] for node in self.fleet.nodes}
         evacuated = {node.name: node.evacuated for node in self.fleet.nodes}
-        hear_each_other = not self.fleet.dark and not any(cut)
-        was_over = hear_each_other and not self.asked and self.has_seen_end()
+        all_connected = not self.fleet.isolated and not any(disconnected)
+        had_ended = all_connected and not self.evacuated_by_operator and self.has_recorded_end()
         self.store.come_back_from(self.copy)
-        for node, was_cut in zip(self.fleet.nodes, cut, strict=True):
-            node.calls.cut = was_cut
-        await self.fleet.run(WRITTEN_AGAIN / 2)
+        for node, was_disconnected in zip(self.fleet.nodes, disconnected, strict=True):
+            node.client.disconnected = was_disconnected
+        await self.fleet.run(REWRITE_SECONDS / 2)
         for node in self.fleet.nodes:
-            self.look_at(node, before[node.name], self.known_to(node, left))
-            if self.asked and not evacuated[node.name] <= node.evacuated:
-                self.wrong.append(f"{node.name}: evacuates {set(node.evacuated)}")
-            if was_over and node.evacuated:
-                self.wrong.append(f"{node.name}: evacuates {set(node.evacuated)} again")
-        self.ask(self.asked)
-        await self.fleet.run(WRITTEN_AGAIN / 4)
+            self.check_backends(node, before[node.name], self.known_removed(node, removed))
+            if self.evacuated_by_operator and not evacuated[node.name] <= node.evacuated:
+                self.violations.append(f"{node.name}: evacuates only {set(node.evacuated)}")
+            if had_ended and node.evacuated:
+                self.violations.append(f"{node.name}: evacuates {set(node.evacuated)} again")
+        self.set_evacuated(self.evacuated_by_operator)
+        await self.fleet.run(REWRITE_SECONDS / 4)
         self.store.put("op/config", configuration(self.version))
-        await self.fleet.run(WRITTEN_AGAIN / 4)
+        await self.fleet.run(REWRITE_SECONDS / 4)
         for name in self.entries:
             self.put(name)
         for key in list(self.store._items):
@@ -118,54 +123,54 @@
                 self.store.remove(key)
         self.copy = self.store.copy()
 
-    def has_seen_end(self) -> bool:
-        """Tell whether no node evacuates, and most have seen an evacuation end."""
+    def has_recorded_end(self) -> bool:
+        """Return whether no node has an evacuation, and most recorded the end of one."""
         nodes = self.fleet.nodes
         seen = [node for node in nodes if node.core.replication._ended_evacuations.ended]
         return not any(node.evacuated for node in nodes) and 2 * len(seen) > len(nodes)
 
-    def known_to(self, node: FleetNode, left: dict[str, set[str]]) -> set[str]:
-        """Return who is known to have left: by the node, or by peers that it has heard to serve."""
-        dark = self.fleet.dark
-        hears_peers = node.serving and node.name not in dark
-        peers = left.keys() - dark if hears_peers else set()
-        told = set().union(*(left[name] for name in peers)) - self.alive()
-        return left[node.name] | told
+    def known_removed(self, node: FleetNode, removed: dict[str, set[str]]) -> set[str]:
+        """Return the back ends known as removed to the node or to peers that it receives from."""
+        isolated = self.fleet.isolated
+        receives_from_peers = node.serving and node.name not in isolated
+        peers = removed.keys() - isolated if receives_from_peers else set()
+        removed_by_peers = set().union(*(removed[name] for name in peers)) - self.ready_backends()
+        return removed[node.name] | removed_by_peers
 
-    def alive(self) -> set[str]:
+    def ready_backends(self) -> set[str]:
         return {name for name, fields in self.entries.items() if fields["State"] == "ready"}
 
-    def look_at(self, node: FleetNode, before: set[str], left: set[str]) -> None:
-        """Note who came back by the copy's word alone, and who was dropped for want of it."""
+    def check_backends(self, node: FleetNode, before: set[str], removed: set[str]) -> None:
+        """Record back ends that only the copy added again, and those dropped as it lacks them."""
         ready = set(node.ready)
-        came_back = (ready - before) & left
-        dropped = (before & self.alive()) - ready
-        if came_back or dropped:
-            self.wrong.append(f"{node.name}: came back {came_back}, dropped {dropped}")
-
-    async def act(self, step: str) -> None:
-        if step == "return":
-            await self.come_back()
+        readded = (ready - before) & removed
+        dropped = (before & self.ready_backends()) - ready
+        if readded or dropped:
+            self.violations.append(f"{node.name}: re-added {readded}, dropped {dropped}")
+
+    async def execute(self, step: str) -> None:
+        if step == "restore":
+            await self.restore_store()
             return
-        acts: dict[str, Callable[[], object]] = {
+        actions: dict[str, Callable[[], object]] = {
             "edit": self.edit,
-            "ask": lambda: self.ask(True),
-            "take-back": lambda: self.ask(False),
-            "come": self.come,
-            "beat": self.beat,
-            "leave": self.leave,
-            "drain": self.drain,
+            "evacuate": lambda: self.set_evacuated(True),
+            "withdraw": lambda: self.set_evacuated(False),
+            "add": self.add_backend,
+            "heartbeat": self.write_heartbeats,
+            "remove": self.remove_backend,
+            "drain": self.drain_backend,
             "copy": self.take_copy,
-            "cut": lambda: self.cut_first(True),
-            "heal": lambda: self.cut_first(False),
-            "dark": lambda: self.fleet.dark.add(self.fleet.nodes[-1].name),
-            "light": self.fleet.dark.clear,
+            "disconnect": lambda: self.set_first_disconnected(True),
+            "reconnect": lambda: self.set_first_disconnected(False),
+            "isolate": lambda: self.fleet.isolated.add(self.fleet.nodes[-1].name),
+            "rejoin": self.fleet.isolated.clear,
             "start": self.start_node,
             "stop": self.stop_node,
         }
-        acts[step]()
+        actions[step]()
 
-    def beat(self) -> None:
+    def write_heartbeats(self) -> None:
         for _ in range(20):
             for name in self.entries:
                 self.put(name)
@@ -173,8 +178,8 @@
     def take_copy(self) -> None:
         self.copy = self.store.copy()
 
-    def cut_first(self, cut: bool) -> None:
-        self.fleet.nodes[0].calls.cut = cut
+    def set_first_disconnected(self, disconnected: bool) -> None:
+        self.fleet.nodes[0].client.disconnected = disconnected
 
     def start_node(self) -> None:
         if len(self.fleet.nodes) < 5:
@@ -184,10 +189,10 @@
         if len(self.fleet.nodes) > 3:
             self.fleet.nodes.pop(0)
 
-    def heal(self) -> None:
-        self.fleet.dark = set()
+    def reconnect_all(self) -> None:
+        self.fleet.isolated = set()
         for node in self.fleet.nodes:
-            node.calls.cut = False
+            node.client.disconnected = False
 
 
 class ReturnsInSeriesTest(unittest.TestCase):
@@ -195,25 +200,29 @@
         self.assertEqual(node.versions, sorted(node.versions), node.name)
         self.assertEqual(node.list_numbers, sorted(node.list_numbers), node.name)
 
-    async def play(self, steps: list[str], few_readers: bool) -> None:
-        world = World(few_readers)
-        await world.begin()
+    async def run_steps(self, steps: list[str], single_reader: bool) -> None:
+        scenario = Scenario(single_reader)
+        await scenario.start_fleet()
         for step in steps:
-            await world.act(step)
-            await world.fleet.run(1.0)
-            for node in world.fleet.nodes:
+            await scenario.execute(step)
+            await scenario.fleet.run(1.0)
+            for node in scenario.fleet.nodes:
                 self.check_order(node)
-        self.assertEqual(world.wrong, [])
-        world.heal()
-        await world.fleet.run(ENOUGH)
-        ready = sorted(name for name, fields in world.entries.items() if fields["State"] == "ready")
-        for node in world.fleet.nodes:
+        self.assertEqual(scenario.violations, [])
+        scenario.reconnect_all()
+        await scenario.fleet.run(SETTLE_SECONDS)
+        ready = sorted(
+            name for name, fields in scenario.entries.items() if fields["State"] == "ready"
+        )
+        for node in scenario.fleet.nodes:
             self.check_order(node)
             self.assertTrue(node.serving)
-            self.assertEqual(node.version, world.version)
-            self.assertEqual(node.evacuated, {"howrah"} if world.asked else set())
+            self.assertEqual(node.version, scenario.version)
+            self.assertEqual(
+                node.evacuated, {"howrah"} if scenario.evacuated_by_operator else set()
+            )
             self.assertEqual(node.ready, ready)
-            self.assertEqual(node.core.replication.era, world.store.era)
+            self.assertEqual(node.core.replication.era, scenario.store.era)
 
     @settings(
         max_examples=40,
@@ -222,13 +231,17 @@
         suppress_health_check=[HealthCheck.too_slow],
     )
     @given(STEPS, st.booleans())
-    @example(["start", "come", "return", "beat", "leave", "start", "heal", "return"], True)
-    @example(["return", "leave", "start", "leave", "start", "drain", "return", "start"], True)
-    @example(["ask", "copy", "take-back", "start", "edit", "edit", "return"], True)
-    @example(["ask", "copy", "take-back", "start", "return"], False)
-    @example(["ask", "return", "start", "take-back", "return", "take-back", "start"], True)
-    @example(["leave", "start", "cut", "come", "leave", "leave", "return", "leave"], False)
-    def test_nothing_goes_back_and_all_come_to_believe_the_same(
-        self, steps: list[str], few_readers: bool
+    @example(
+        ["start", "add", "restore", "heartbeat", "remove", "start", "reconnect", "restore"], True
+    )
+    @example(["restore", "remove", "start", "remove", "start", "drain", "restore", "start"], True)
+    @example(["evacuate", "copy", "withdraw", "start", "edit", "edit", "restore"], True)
+    @example(["evacuate", "copy", "withdraw", "start", "restore"], False)
+    @example(["evacuate", "restore", "start", "withdraw", "restore", "withdraw", "start"], True)
+    @example(
+        ["remove", "start", "disconnect", "add", "remove", "remove", "restore", "remove"], False
+    )
+    def test_nodes_never_revert_and_finally_converge(
+        self, steps: list[str], single_reader: bool
     ) -> None:
-        asyncio.run(self.play(steps, few_readers))
+        asyncio.run(self.run_steps(steps, single_reader))
--- a/tests/platform/test_restored_evacuations.py
+++ b/tests/platform/test_restored_evacuations.py
@@ -1,21 +1,22 @@
-"""Evacuations and edits over a return of the store, at readers that know little of what was before.
+"""Evacuations and edits across a restore of the store.
 
-Also at a reader that has not itself read the version in force.
+They must be kept even if the reader is new and has not itself read the version in force or the
+state before the restore.
 """
 
 import unittest
 
 from pewtertack.lab.metadata_store.application import StoreCopy
-from tests.platform.restored_fleet import ReturningFleet, configuration, entry
+from tests.platform.restored_fleet import RestoredFleet, configuration, entry
 
-USUAL_BOUND = 1.5
-TAKEN_OVER = 2.0
-"""Seconds until another node reads in place of one that has ended."""
+PROPAGATION_SECONDS = 1.5
+TAKEOVER_SECONDS = 2.0
+"""Seconds until another node takes over reading from a stopped one."""
 
 
 class ReturnedEvacuationsTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.fleet = ReturningFleet()
+        self.fleet = RestoredFleet()
         self.store = self.fleet.store
         self.store.put("op/config", configuration(12))
         for number in (1, 2, 3):
@@ -25,136 +26,136 @@
         await self.fleet.run(4.0)
         self.nodes = list(self.fleet.nodes)
 
-    def cut(self, cut: bool) -> None:
+    def set_disconnected(self, disconnected: bool) -> None:
         for node in self.fleet.nodes:
-            node.calls.cut = cut
+            node.client.disconnected = disconnected
 
-    async def come_back(self, copy: StoreCopy, away: float = 0.5) -> None:
-        self.cut(True)
-        await self.fleet.run(away)
+    async def restore_store(self, copy: StoreCopy, outage_seconds: float = 0.5) -> None:
+        self.set_disconnected(True)
+        await self.fleet.run(outage_seconds)
         self.store.come_back_from(copy)
-        self.cut(False)
+        self.set_disconnected(False)
 
     def evacuated(self) -> list[set[str]]:
         return [set(node.evacuated) for node in self.fleet.nodes]
 
-    async def check_all_show(self, zones: set[str]) -> None:
-        """Check that all three nodes show just these evacuations at every tenth of two seconds."""
+    async def check_evacuated_zones(self, zones: set[str]) -> None:
+        """Check for two seconds that all three nodes have exactly these evacuations."""
         for _ in range(20):
             await self.fleet.run(0.1)
             self.assertEqual(self.evacuated(), [zones] * 3)
 
-    def stop_readers(self) -> None:
-        """End the nodes that read: who takes over has not read itself what is in force."""
+    def stop_reader(self) -> None:
+        """Stop the reader; the node that takes over has not itself read the version in force."""
         readers = [node for node in self.fleet.nodes if node.core.replication.reader.reading]
         self.assertEqual(len(readers), 1)
         self.fleet.nodes.remove(readers[0])
 
-    async def test_a_new_reader_shows_evacuations_of_the_new_era_on_the_version_in_force(
+    async def test_new_reader_applies_evacuations_of_the_new_era_to_the_version_in_force(
         self,
     ) -> None:
         copy = self.store.copy()
         self.store.put("op/config", configuration(13))
         await self.fleet.run(1.5)
         self.assertEqual([node.version for node in self.fleet.nodes], [13] * 3)
-        self.cut(True)
-        self.stop_readers()
-        await self.come_back(copy)
+        self.set_disconnected(True)
+        self.stop_reader()
+        await self.restore_store(copy)
         await self.fleet.run(4.0)
         self.store.put("op/evacuate/garia", b"{}")
-        await self.fleet.run(USUAL_BOUND)
+        await self.fleet.run(PROPAGATION_SECONDS)
         self.assertEqual(self.evacuated(), [{"garia"}] * 2)
         self.assertEqual([node.version for node in self.fleet.nodes], [13] * 2)
         self.store.remove("op/evacuate/garia")
-        await self.fleet.run(USUAL_BOUND)
+        await self.fleet.run(PROPAGATION_SECONDS)
         self.assertEqual(self.evacuated(), [set()] * 2)
         self.store.put("op/config", configuration(14))
-        await self.fleet.run(USUAL_BOUND)
+        await self.fleet.run(PROPAGATION_SECONDS)
         self.assertEqual([node.version for node in self.fleet.nodes], [14] * 2)
 
-    async def test_the_first_read_of_an_era_keeps_what_is_held_beside_what_the_copy_shows(
+    async def test_first_read_of_an_era_keeps_held_evacuations_in_addition_to_those_of_the_copy(
         self,
     ) -> None:
-        """It is asked before this node has heard of the era."""
+        """The read starts before the node knows of the era."""
         self.store.put("op/evacuate/garia", b"{}")
-        await self.fleet.run(USUAL_BOUND)
+        await self.fleet.run(PROPAGATION_SECONDS)
         copy = self.store.copy()
         self.store.put("op/evacuate/howrah", b"{}")
-        await self.fleet.run(USUAL_BOUND)
-        await self.come_back(copy)
-        await self.check_all_show({"garia", "howrah"})
+        await self.fleet.run(PROPAGATION_SECONDS)
+        await self.restore_store(copy)
+        await self.check_evacuated_zones({"garia", "howrah"})
 
-    async def test_an_evacuation_that_was_taken_back_stays_so_against_the_copy(self) -> None:
+    async def test_withdrawn_evacuation_of_the_copy_stays_withdrawn(self) -> None:
         self.store.put("op/evacuate/garia", b"{}")
-        await self.fleet.run(USUAL_BOUND)
+        await self.fleet.run(PROPAGATION_SECONDS)
         copy = self.store.copy()
         self.store.remove("op/evacuate/garia")
-        await self.fleet.run(USUAL_BOUND)
+        await self.fleet.run(PROPAGATION_SECONDS)
         self.assertEqual(self.evacuated(), [set()] * 3)
-        await self.come_back(copy)
-        await self.check_all_show(set())
+        await self.restore_store(copy)
+        await self.check_evacuated_zones(set())
         self.store.remove("op/evacuate/garia")
         self.store.put("op/evacuate/garia", b"{}")
-        await self.fleet.run(USUAL_BOUND)
-        with self.subTest("what the new era names anew is believed at once"):
+        await self.fleet.run(PROPAGATION_SECONDS)
+        with self.subTest("an evacuation written in the new era applies immediately"):
             self.assertEqual(self.evacuated(), [{"garia"}] * 3)
 
-    async def test_one_that_was_written_again_and_then_taken_back_stays_so(self) -> None:
-        """Its item was made anew after the first return, under the same tree."""
+    async def test_evacuation_rewritten_after_a_restore_and_withdrawn_stays_withdrawn(self) -> None:
+        """The item was created again after the first restore, but the tree stayed the same."""
         copy = self.store.copy()
         self.store.put("op/evacuate/garia", b"{}")
-        await self.fleet.run(USUAL_BOUND)
-        await self.come_back(copy)
+        await self.fleet.run(PROPAGATION_SECONDS)
+        await self.restore_store(copy)
         for _ in range(5):
             self.store.put("servers/i-1", entry(1))
         self.store.put("op/evacuate/garia", b"{}")
-        await self.fleet.run(USUAL_BOUND)
+        await self.fleet.run(PROPAGATION_SECONDS)
         copy = self.store.copy()
         self.store.remove("op/evacuate/garia")
-        await self.fleet.run(USUAL_BOUND)
+        await self.fleet.run(PROPAGATION_SECONDS)
         self.assertEqual(self.evacuated(), [set()] * 3)
-        await self.come_back(copy)
-        await self.check_all_show(set())
+        await self.restore_store(copy)
+        await self.check_evacuated_zones(set())
 
-    async def test_an_evacuation_taken_back_is_believed_again_once_the_time_is_over(self) -> None:
-        """The operator has not written its end again: the store's word is the newest."""
+    async def test_withdrawn_evacuation_of_the_copy_applies_after_the_hold_period(self) -> None:
+        """The operator has not withdrawn it again, so the state of the store is authoritative."""
         self.store.put("op/evacuate/garia", b"{}")
-        await self.fleet.run(USUAL_BOUND)
+        await self.fleet.run(PROPAGATION_SECONDS)
         copy = self.store.copy()
         self.store.remove("op/evacuate/garia")
-        await self.fleet.run(USUAL_BOUND)
-        await self.come_back(copy)
+        await self.fleet.run(PROPAGATION_SECONDS)
+        await self.restore_store(copy)
         for _ in range(20):
             await self.fleet.run(self.fleet.hold_after_return / 10)
             self.store.put("servers/i-1", entry(1))
         self.assertEqual(self.evacuated(), [{"garia"}] * 3)
 
-    async def test_a_reader_that_takes_over_long_after_a_return_holds_nothing_against_the_store(
+    async def test_reader_that_takes_over_after_the_hold_period_follows_the_store(
         self,
     ) -> None:
         self.store.put("op/evacuate/garia", b"{}")
-        await self.fleet.run(USUAL_BOUND)
-        await self.come_back(self.store.copy())
+        await self.fleet.run(PROPAGATION_SECONDS)
+        await self.restore_store(self.store.copy())
         await self.fleet.run(self.fleet.hold_after_return + 4.0)
         self.assertEqual(self.evacuated(), [{"garia"}] * 3)
-        self.stop_readers()
+        self.stop_reader()
         self.store.remove("op/evacuate/garia")
-        await self.fleet.run(TAKEN_OVER + USUAL_BOUND)
+        await self.fleet.run(TAKEOVER_SECONDS + PROPAGATION_SECONDS)
         self.assertEqual(self.evacuated(), [set()] * 2)
 
-    async def test_edits_written_again_one_by_one_and_one_made_before_all_are(self) -> None:
+    async def test_edits_are_rewritten_one_by_one_after_a_restore(self) -> None:
         copy = self.store.copy()
         for version in (13, 14):
             self.store.put("op/config", configuration(version))
             await self.fleet.run(1.0)
-        await self.come_back(copy)
+        await self.restore_store(copy)
         await self.fleet.run(0.5)
         for version, in_force in ((13, 14), (14, 14), (15, 15)):
             self.store.put("op/config", configuration(version))
-            await self.fleet.run(USUAL_BOUND)
+            await self.fleet.run(PROPAGATION_SECONDS)
             self.assertEqual([node.version for node in self.fleet.nodes], [in_force] * 3)
 
-    async def test_a_fleet_that_starts_as_a_whole_in_the_gap_serves(self) -> None:
+    async def test_fleet_that_restarts_before_lost_edits_are_rewritten_serves(self) -> None:
         copy = self.store.copy()
         self.store.put("op/config", configuration(13))
         await self.fleet.run(1.0)
@@ -166,20 +167,20 @@
         self.assertEqual([node.serving for node in self.fleet.nodes], [True] * 3)
         self.assertEqual([node.versions for node in self.fleet.nodes], [[12]] * 3)
         self.store.put("op/config", configuration(13))
-        await self.fleet.run(USUAL_BOUND)
+        await self.fleet.run(PROPAGATION_SECONDS)
         self.assertEqual([node.version for node in self.fleet.nodes], [13] * 3)
 
-    async def test_the_store_is_seen_by_readers_that_change_hands_at_the_return(self) -> None:
+    async def test_reader_that_takes_over_during_a_restore_reads_the_new_era(self) -> None:
         copy = self.store.copy()
         for number in (4, 5):
             self.store.put(f"servers/i-{number}", entry(number))
         await self.fleet.run(1.0)
-        self.cut(True)
-        self.stop_readers()
+        self.set_disconnected(True)
+        self.stop_reader()
         self.store.come_back_from(copy)
         for number in (4, 5, 6):
             self.store.put(f"servers/i-{number}", entry(number))
-        self.cut(False)
+        self.set_disconnected(False)
         await self.fleet.run(4.0)
         names = [f"i-{number}" for number in (1, 2, 3, 4, 5, 6)]
         self.assertEqual([node.ready for node in self.fleet.nodes], [names] * 2)
--- a/tests/platform/test_restored_store.py
+++ b/tests/platform/test_restored_store.py
@@ -1,24 +1,24 @@
-"""The store comes back from a copy some seconds old; its era is one higher.
+"""The store is restored from a copy that is some seconds old, and its era rises by one.
 
-What was seen: the revisions that were given out after the copy are given out again, for other
-writes. A reader that went on from its cursor missed for good what lay between the copy and the
-cursor; its next lists had lower numbers than the ones before, so that no node took them; an
-evacuation begun after the return had a lower number than the one before it.
+After a restore, the store assigns the revisions since the copy again, to other writes. Without
+eras, a reader that continued from its cursor permanently missed the writes between the copy and
+the cursor; its next lists had lower numbers than earlier ones, so no node accepted them; and an
+evacuation that began after the restore had a lower number than the one before it.
 """
 
 import unittest
 
 from pewtertack.core.profile import LEASED, TimingProfile
 from pewtertack.lab.metadata_store.application import StoreCopy
-from tests.platform.restored_fleet import FEW_READERS, ReturningFleet, configuration, entry
+from tests.platform.restored_fleet import SINGLE_READER_PROFILE, RestoredFleet, configuration, entry
 
 
 class ReturnedStoreTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        await self.begin(FEW_READERS)
+        await self.start_fleet(SINGLE_READER_PROFILE)
 
-    async def begin(self, profile: TimingProfile) -> None:
-        self.fleet = ReturningFleet(profile=profile)
+    async def start_fleet(self, profile: TimingProfile) -> None:
+        self.fleet = RestoredFleet(profile=profile)
         self.store = self.fleet.store
         self.store.put("op/config", configuration(12))
         for number in (1, 2, 3):
@@ -27,16 +27,16 @@
         await self.fleet.run(4.0)
         assert all(node.serving for node in self.nodes)
 
-    def cut(self, cut: bool) -> None:
+    def set_disconnected(self, disconnected: bool) -> None:
         for node in self.fleet.nodes:
-            node.calls.cut = cut
+            node.client.disconnected = disconnected
 
-    async def come_back(self, copy: StoreCopy, away: float = 0.5) -> None:
-        """The store is away for a moment and comes back from ``copy``."""
-        self.cut(True)
-        await self.fleet.run(away)
+    async def restore_store(self, copy: StoreCopy, outage_seconds: float = 0.5) -> None:
+        """Restore the store from ``copy`` after a short outage."""
+        self.set_disconnected(True)
+        await self.fleet.run(outage_seconds)
         self.store.come_back_from(copy)
-        self.cut(False)
+        self.set_disconnected(False)
 
     def ready(self) -> list[list[str]]:
         return [node.ready for node in self.nodes]
@@ -44,63 +44,63 @@
     def evacuated(self) -> list[frozenset[str]]:
         return [node.evacuated for node in self.nodes]
 
-    async def test_what_is_written_after_the_return_is_seen(self) -> None:
-        """The new history has passed the cursor before the reader asks: there is no 410."""
+    async def test_writes_after_the_restore_are_read(self) -> None:
+        """New writes pass the cursor before the next read, so the store does not return 410."""
         copy = self.store.copy()
         self.store.put("servers/i-4", entry(4))
         await self.fleet.run(1.0)
-        self.cut(True)
+        self.set_disconnected(True)
         self.store.come_back_from(copy)
         for number in (5, 6, 4):
             self.store.put(f"servers/i-{number}", entry(number))
-        self.cut(False)
+        self.set_disconnected(False)
         await self.fleet.run(3.0)
-        with self.subTest("in place of a lost revision"):
+        with self.subTest("at the number of a lost revision"):
             self.assertEqual(self.ready(), [["i-1", "i-2", "i-3", "i-4", "i-5", "i-6"]] * 3)
         copy = self.store.copy()
         for _ in range(20):
             self.store.put("servers/i-1", entry(1))
         await self.fleet.run(1.0)
-        await self.come_back(copy)
+        await self.restore_store(copy)
         self.store.put("servers/i-7", entry(7))
         await self.fleet.run(3.0)
-        with self.subTest("under a lower revision than the newest before the return"):
+        with self.subTest("at a lower revision than the newest one before the restore"):
             self.assertIn("i-7", self.nodes[0].ready)
 
-    async def test_a_copy_takes_nothing_back(self) -> None:
+    async def test_copy_does_not_revert_known_changes(self) -> None:
         copy = self.store.copy()
         self.store.put("servers/i-4", entry(4))
         self.store.put("servers/i-3", entry(3, State="draining"))
         self.store.remove("servers/i-2")
         await self.fleet.run(1.0)
-        await self.come_back(copy)
+        await self.restore_store(copy)
         for _ in range(20):
             self.store.put("servers/i-1", entry(1))
         self.store.forget_history()
         await self.fleet.run(1.5)
-        with self.subTest("who the copy lacks is kept, who had left or was leaving stays away"):
+        with self.subTest("added back ends are kept, and removed or draining ones stay excluded"):
             self.assertEqual(self.ready(), [["i-1", "i-4"]] * 3)
-        await self.begin(LEASED)
+        await self.start_fleet(LEASED)
         copy = self.store.copy()
         self.store.put("op/config", configuration(13))
         await self.fleet.run(1.0)
-        await self.come_back(copy)
+        await self.restore_store(copy)
         started = self.fleet.start_node()
-        self.fleet.dark = {started.name}
+        self.fleet.isolated = {started.name}
         await self.fleet.run(0.5)
-        self.fleet.dark = set()
+        self.fleet.isolated = set()
         await self.fleet.run(2.0)
-        with self.subTest("a node that starts meanwhile serves by what its peers hold"):
+        with self.subTest("a node that starts meanwhile serves the version that its peers hold"):
             self.assertEqual((started.serving, started.versions), (True, [13]))
 
-    async def test_evacuations_follow_the_store_after_its_return(self) -> None:
+    async def test_evacuations_follow_the_store_after_the_restore(self) -> None:
         copy = self.store.copy()
         for _ in range(20):
             self.store.put("servers/i-1", entry(1))
         self.store.put("op/evacuate/howrah", b"{}")
         await self.fleet.run(1.5)
         self.assertEqual(self.evacuated(), [{"howrah"}] * 3)
-        await self.come_back(copy)
+        await self.restore_store(copy)
         await self.fleet.run(1.0)
         self.assertEqual(self.evacuated(), [{"howrah"}] * 3)
         self.store.put("op/evacuate/howrah", b"{}")
@@ -111,9 +111,9 @@
         await self.fleet.run(1.5)
         self.assertEqual(self.evacuated(), [{"howrah"}] * 3)
 
-    async def test_what_the_new_era_itself_takes_back_is_not_held(self) -> None:
-        """A node that has just begun to read cannot tell an old era from a new one."""
-        self.fleet = ReturningFleet(era=3)
+    async def test_evacuation_withdrawn_in_the_new_era_ends_immediately(self) -> None:
+        """A node that has just started to read cannot distinguish an old era from a new one."""
+        self.fleet = RestoredFleet(era=3)
         self.fleet.store.put("op/config", configuration(12))
         self.fleet.store.put("servers/i-1", entry(1))
         self.fleet.store.put("op/evacuate/garia", b"{}")
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""The store client against the stand-in, with every trouble that the pages name."""
+"""The store reader against the stand-in, with every fault that the platform documents."""
 
 import json
 from random import Random
@@ -36,14 +36,14 @@
     async def read(self, kind: DocumentKind, wait: float = 0.0) -> Any:
         return await self.reader.read(ReadDocument(kind, 0, wait))
 
-    async def test_the_first_read_lists_and_the_next_watches(self) -> None:
+    async def test_first_read_lists_and_the_next_one_watches(self) -> None:
         first = await self.read(CONFIG)
         self.assertEqual((type(first), first.number), (DocumentRead, 12 * TREE_NUMBERS_PER_VERSION))
         self.assertIsInstance(await self.read(CONFIG), DocumentUnchanged)
         self.store.put("op/config", encoded({**CONFIGURATION, "Version": "r15"}))
         self.assertEqual((await self.read(CONFIG, 5.0)).number, 15 * TREE_NUMBERS_PER_VERSION)
 
-    async def test_a_change_answers_a_waiting_watch(self) -> None:
+    async def test_change_ends_a_waiting_watch(self) -> None:
         await self.read(MACHINES)
         found: list[Any] = []
 
@@ -57,7 +57,7 @@
             self.store.put("servers/i-1", encoded({**ENTRY, "State": "draining"}))
         self.assertEqual(found[0].document["i-1"]["state"], "leaving")
 
-    async def test_many_changes_beyond_the_longest_answer_lead_to_a_list(self) -> None:
+    async def test_items_are_listed_after_a_watch_exceeds_the_size_limit(self) -> None:
         with mock.patch.object(store, "MAX_RESPONSE_BYTES", 16 * 1024):
             reader = StoreReader(await self.serve(self.store.application), 8146, 7380)
         self.addAsyncCleanup(reader.close)
@@ -71,7 +71,7 @@
         self.assertEqual(reads[0].number, 52 * TREE_NUMBERS_PER_VERSION)
         self.assertIsInstance(reads[1], DocumentUnchanged)
 
-    async def test_version_0_is_held_until_the_next(self) -> None:
+    async def test_version_0_is_held_until_the_next_version(self) -> None:
         self.store.put("op/config", encoded({**CONFIGURATION, "Version": "r0"}))
         replica = ConfigurationReplica("garia", Mechanisms())
         for version, evacuated in ((0, False), (0, True), (0, False), (1, False)):
@@ -88,19 +88,19 @@
                 zones = replica.store.document.get("evacuated_zones", [])
                 self.assertEqual(zones, ["garia"] if evacuated else [])
 
-    async def test_a_removed_entry_leaves_the_list(self) -> None:
+    async def test_removed_entry_leaves_the_list(self) -> None:
         await self.read(MACHINES)
         self.store.put("servers/i-2", encoded({**ENTRY, "Address": "10.1.0.9:8080"}))
         self.store.remove("servers/i-1")
         changed = await self.read(MACHINES)
         self.assertEqual(sorted(changed.document), ["10.1.0.9", "i-2"])
 
-    async def test_strange_keys_at_the_end_of_a_page_cost_no_other_item(self) -> None:
-        strange = ["i 1", "i#2", "i%253", "i&4", "i+5", "i?6", "i\u00e97"]
-        keep = MetadataStore(page_items=1)
-        for name in (*strange, "zz"):
-            keep.put(f"servers/{name}", encoded(ENTRY))
-        reader = StoreReader(await self.serve(keep.application), 8146, 7380)
+    async def test_unusual_keys_at_the_end_of_a_page_skip_no_items(self) -> None:
+        unusual_keys = ["i 1", "i#2", "i%253", "i&4", "i+5", "i?6", "i\u00e97"]
+        paged_store = MetadataStore(page_items=1)
+        for name in (*unusual_keys, "zz"):
+            paged_store.put(f"servers/{name}", encoded(ENTRY))
+        reader = StoreReader(await self.serve(paged_store.application), 8146, 7380)
         self.addAsyncCleanup(reader.close)
         with anyio.fail_after(10.0):
             read = await reader.read(ReadDocument(MACHINES, 0, 0.0))
@@ -108,7 +108,7 @@
         assert isinstance(read, DocumentRead)
         self.assertIn("zz", read.document)
         known = {*read.document, *(finding.item for finding in read.findings)}
-        self.assertEqual(known - {"10.1.0.8"}, {*strange, "zz"})
+        self.assertEqual(known - {"10.1.0.8"}, {*unusual_keys, "zz"})
 
     async def test_many_entries_are_listed_page_by_page(self) -> None:
         for index in range(120):
@@ -117,7 +117,7 @@
         listed = await self.read(MACHINES)
         self.assertEqual(len([name for name in listed.document if name[0] in "ix"]), 121)
 
-    async def test_forgotten_history_leads_to_a_new_list_with_what_was_missed(self) -> None:
+    async def test_discarded_history_leads_to_a_new_list_with_missed_changes(self) -> None:
         await self.read(MACHINES)
         self.store.remove("servers/i-1")
         self.store.put("servers/i-2", encoded({**ENTRY, "Address": "10.1.0.9:8080"}))
@@ -126,7 +126,7 @@
         listed = await self.read(MACHINES)
         self.assertEqual(sorted(listed.document), ["10.1.0.9", "i-2"])
 
-    async def test_changes_too_long_for_one_answer_are_listed(self) -> None:
+    async def test_items_are_listed_if_changes_exceed_one_response(self) -> None:
         await self.read(CONFIG)
         value = {**CONFIGURATION, "Padding": "x" * 1_000_000}
         for version in range(20, 34):
@@ -135,7 +135,7 @@
         self.store.put("op/config", encoded({**CONFIGURATION, "Version": "r40"}))
         self.assertEqual((await self.read(CONFIG)).number, 40 * TREE_NUMBERS_PER_VERSION)
 
-    async def test_refusals_are_typed_failures_and_lose_no_change(self) -> None:
+    async def test_rejected_reads_are_typed_failures_and_lose_no_change(self) -> None:
         await self.read(CONFIG)
         for status in (429, 503):
             self.store.faults = StoreFaults(status=status)
@@ -147,7 +147,7 @@
         self.store.faults = StoreFaults()
         self.assertEqual((await self.read(CONFIG)).number, 20 * TREE_NUMBERS_PER_VERSION)
 
-    async def test_a_lost_answer_ends_in_time_and_its_connection_is_not_used_again(self) -> None:
+    async def test_lost_response_times_out_and_its_connection_is_not_reused(self) -> None:
         await self.read(CONFIG)
         self.store.faults = StoreFaults(lost_answers=1)
         with anyio.fail_after(10.0):
@@ -157,7 +157,7 @@
         self.store.put("op/config", encoded({**CONFIGURATION, "Version": "r20"}))
         self.assertEqual((await self.read(CONFIG)).number, 20 * TREE_NUMBERS_PER_VERSION)
 
-    async def test_reads_under_way_at_once_tell_a_change_once_and_lose_none(self) -> None:
+    async def test_concurrent_reads_return_a_change_once_and_lose_none(self) -> None:
         await self.read(MACHINES)
         answers: list[Any] = []
 
@@ -175,14 +175,14 @@
         self.store.remove("servers/i-1")
         self.assertEqual(sorted((await self.read(MACHINES)).document), ["10.1.0.9", "i-2"])
 
-    async def test_a_slow_answer_is_read_to_its_end_and_its_time_is_told(self) -> None:
+    async def test_slow_response_is_read_completely_and_its_duration_reported(self) -> None:
         await self.read(CONFIG)
         self.store.faults = StoreFaults(delay=1.3)
         unchanged = await self.read(CONFIG)
         self.assertIsInstance(unchanged, DocumentUnchanged)
-        self.assertAlmostEqual(unchanged.took, 1.3, delta=0.5)
+        self.assertAlmostEqual(unchanged.answer_seconds, 1.3, delta=0.5)
 
-    async def test_a_closed_store_is_a_typed_failure(self) -> None:
+    async def test_unreachable_store_is_a_typed_failure(self) -> None:
         reader = StoreReader("127.0.0.1:1", 8146, 7380)
         self.addAsyncCleanup(reader.close)
         failed = await reader.read(ReadDocument(CONFIG, 0, 0.0))
@@ -190,18 +190,18 @@
         self.assertIn("store-unreachable", failed.reason)
         self.assertIs(failed.failure, ReadFailure.NO_CONNECTION)
 
-    async def test_a_wrong_item_changes_nothing_until_it_is_mended(self) -> None:
+    async def test_malformed_configuration_changes_nothing_until_repaired(self) -> None:
         first = await self.read(CONFIG)
         self.store.put("op/config", json.dumps(CONFIGURATION).encode()[:-9])
-        spoilt = await self.read(CONFIG)
-        self.assertEqual((spoilt.number, spoilt.document), (first.number, first.document))
-        self.assertEqual([item.item for item in spoilt.findings], ["op/config"])
+        malformed = await self.read(CONFIG)
+        self.assertEqual((malformed.number, malformed.document), (first.number, first.document))
+        self.assertEqual([item.item for item in malformed.findings], ["op/config"])
         self.store.put("op/config", encoded({**CONFIGURATION, "Version": "r21"}))
         self.assertEqual((await self.read(CONFIG)).number, 21 * TREE_NUMBERS_PER_VERSION)
 
 
 class EvacuationTest(ProxyTestCase):
-    """Evacuations change the tree, not the operator's version; all readers number alike."""
+    """Evacuations change the tree but not the operator's version; all readers number it equally."""
 
     async def asyncSetUp(self) -> None:
         self.store = MetadataStore()
@@ -218,43 +218,45 @@
     async def read(self, reader: StoreReader, after: int = 0, stale: bool = False) -> Any:
         return await reader.read(ReadDocument(CONFIG, after, 0.0, stale))
 
-    async def test_asked_and_taken_back_are_two_newer_trees(self) -> None:
+    async def test_evacuation_and_its_withdrawal_are_two_newer_trees(self) -> None:
         reader = self.reader()
         first = await self.read(reader)
-        asked_at = self.store.put("op/evacuate/garia", b"{}")
-        asked = await self.read(reader, first.number)
-        self.assertEqual(asked.document["evacuated_zones"], ["garia"])
-        self.assertEqual(asked.number, 12 * TREE_NUMBERS_PER_VERSION + asked_at)
-        taken_back_at = self.store.remove("op/evacuate/garia")
-        taken_back = await self.read(reader, asked.number)
-        self.assertEqual(taken_back.document, first.document)
-        self.assertEqual(taken_back.number, 12 * TREE_NUMBERS_PER_VERSION + taken_back_at)
-        self.assertIsInstance(await self.read(reader, taken_back.number), DocumentUnchanged)
-
-    async def test_a_newer_version_is_newer_than_any_evacuation_of_the_one_before(self) -> None:
+        evacuated_at = self.store.put("op/evacuate/garia", b"{}")
+        evacuated_read = await self.read(reader, first.number)
+        self.assertEqual(evacuated_read.document["evacuated_zones"], ["garia"])
+        self.assertEqual(evacuated_read.number, 12 * TREE_NUMBERS_PER_VERSION + evacuated_at)
+        withdrawn_at = self.store.remove("op/evacuate/garia")
+        withdrawn = await self.read(reader, evacuated_read.number)
+        self.assertEqual(withdrawn.document, first.document)
+        self.assertEqual(withdrawn.number, 12 * TREE_NUMBERS_PER_VERSION + withdrawn_at)
+        self.assertIsInstance(await self.read(reader, withdrawn.number), DocumentUnchanged)
+
+    async def test_newer_version_has_a_higher_number_than_evacuations_of_the_previous_one(
+        self,
+    ) -> None:
         reader = self.reader()
         await self.read(reader)
         self.store.put("op/evacuate/garia", b"{}")
-        asked = await self.read(reader)
+        evacuated_read = await self.read(reader)
         self.store.put("op/config", encoded({**CONFIGURATION, "Version": "r13"}))
-        newer = await self.read(reader, asked.number)
-        self.assertGreater(newer.number, asked.number)
+        newer = await self.read(reader, evacuated_read.number)
+        self.assertGreater(newer.number, evacuated_read.number)
         self.assertEqual(newer.document["evacuated_zones"], ["garia"])
 
-    async def test_who_begins_to_read_after_it_was_taken_back_ends_it_for_all(self) -> None:
+    async def test_reader_that_starts_after_the_withdrawal_ends_the_evacuation(self) -> None:
         self.store.put("op/evacuate/garia", b"{}")
-        asked = await self.read(self.reader())
+        evacuated_read = await self.read(self.reader())
         self.store.remove("op/evacuate/garia")
         self.store.put("servers/i-9", encoded(ENTRY))
         successor = self.reader()
         found = await self.read(successor)
         self.assertEqual(found.number, 12 * TREE_NUMBERS_PER_VERSION)
-        ended = await self.read(successor, asked.number)
+        ended = await self.read(successor, evacuated_read.number)
         self.assertNotIn("evacuated_zones", ended.document)
-        self.assertGreater(ended.number, asked.number)
+        self.assertGreater(ended.number, evacuated_read.number)
         self.assertIsInstance(await self.read(successor, ended.number), DocumentUnchanged)
 
-    async def test_forgotten_history_hides_neither_the_asking_nor_the_taking_back(self) -> None:
+    async def test_discarded_history_hides_neither_evacuation_nor_withdrawal(self) -> None:
         reader = self.reader()
         held = (await self.read(reader)).number
         for change, zones in (
@@ -269,8 +271,8 @@
             self.assertGreater(listed.number, held)
             held = listed.number
 
-    async def test_one_number_never_stands_for_two_trees(self) -> None:
-        """Readers that come and go while zones are asked and taken back, in random order."""
+    async def test_a_number_never_identifies_two_trees(self) -> None:
+        """Readers start and read while evacuations are written and withdrawn in random order."""
         for seed in range(40):
             random = Random(seed)
             trees: dict[int, Any] = {}
@@ -301,7 +303,7 @@
             ]
         )()
 
-    async def test_an_item_that_names_no_zone_refuses_nothing(self) -> None:
+    async def test_invalid_zone_item_is_ignored(self) -> None:
         self.store.put("op/evacuate/..", b"{}")
         self.store.put("op/other", b"not ours")
         found = await self.read(self.reader())
--- a/tests/platform/test_unusual_configurations.py
+++ b/tests/platform/test_unusual_configurations.py
@@ -1,4 +1,4 @@
-"""What the platform's pages allow a configuration is never refused."""
+"""Configurations that the platform documents as valid are never rejected."""
 
 import string
 import unittest
@@ -24,7 +24,7 @@
 
 
 def resolved(**fields: Any) -> ResolvedConfiguration:
-    """Return what a node makes of the sample configuration with other ``fields``."""
+    """Return the resolved sample configuration with other ``fields``."""
     number, tree = parse_configuration(encoded({**CONFIGURATION, **fields}))
     return resolve_document(tree, revision_id_of(number, tree), "garia")
 
@@ -41,13 +41,13 @@
 
 
 class UnusualValueTest(unittest.TestCase):
-    def test_a_route_may_have_any_name(self) -> None:
+    def test_route_may_have_any_name(self) -> None:
         for name in ("Holds", "desk.holds", "_x", "x" * 100, "x" * 500, "", "a b", "Prüfung", "/"):
             with self.subTest(name):
                 self.assertEqual(route_with(Name=name).path_prefix, "/holds")
         self.assertEqual(route_with(Name="Desk.Holds").name, "Desk.Holds")
 
-    def test_a_service_may_have_upper_case_dots_and_a_long_name(self) -> None:
+    def test_service_name_may_be_long_with_upper_case_and_dots(self) -> None:
         for name in ("Desk", "desk.v2", "_desk", "desk_", "x" * 128):
             with self.subTest(name):
                 services = [{"Name": name, "HealthPath": "/health", "ConnectionLimit": 130}]
@@ -59,7 +59,7 @@
                 self.assertEqual(findings, ())
                 self.assertEqual(machine_list_from_document(1, document).machines[1].service, name)
 
-    def test_a_time_may_have_any_fraction(self) -> None:
+    def test_duration_may_have_any_fraction(self) -> None:
         for text, seconds in (("1200.0625ms", 1.2000625), ("1.23456789012345s", 1.23456789012345)):
             with self.subTest(text):
                 self.assertEqual(route_with(Timeout=text).timeout, seconds)
@@ -69,14 +69,14 @@
                 )
                 self.assertEqual((document["i-1"].get("cold"), findings), (True, ()))
 
-    def test_a_time_beyond_the_bounds_is_the_nearest_and_none_is_the_longest(self) -> None:
+    def test_duration_out_of_bounds_is_clamped_and_zero_means_the_maximum(self) -> None:
         for text, seconds in (("0.25ms", 0.001), ("7200s", HOUR), ("0s", HOUR), ("0.0ms", HOUR)):
             with self.subTest(text):
                 self.assertEqual(route_with(Timeout=text).timeout, seconds)
         self.assertEqual(route_with(TargetLatency="0ms").objective, 0.6)
         self.assertEqual(route_with(TargetLatency="4000000ms").objective, HOUR)
 
-    def test_numbers_beyond_the_bounds_are_the_nearest(self) -> None:
+    def test_numbers_out_of_bounds_are_clamped(self) -> None:
         for attempts, limit in ((0, 0), (1, 0), (12, 10), (10**9, 10), (3.0, 2)):
             with self.subTest(attempts):
                 self.assertEqual(route_with(MaxAttempts=attempts).retry_limit, limit)
@@ -96,10 +96,10 @@
         for parts in (("desk", 0.75), ("vault", 0.25)), (("desk", 3 * 10**9), ("vault", 10**9)):
             split = shares(*parts)
             self.assertAlmostEqual(split["desk"] / split["vault"], 3, places=4)
-        tiny = shares(("desk", 10**12), ("vault", 1))
-        self.assertGreater(tiny["vault"], 0)
+        split_by_extremes = shares(("desk", 10**12), ("vault", 1))
+        self.assertGreater(split_by_extremes["vault"], 0)
 
-    def test_a_route_may_have_hundreds_of_parts(self) -> None:
+    def test_route_may_be_split_over_hundreds_of_services(self) -> None:
         names = [f"s{number}" for number in range(300)]
         services = [{"Name": name, "ConnectionLimit": 5} for name in names]
         split = [{"Service": name, "Weight": 1} for name in names]
@@ -108,24 +108,24 @@
         picked = {picker.pick(found.routes[0]).service for _ in names}
         self.assertEqual(picked, set(names))
 
-    def test_what_is_left_out_may_be_null(self) -> None:
+    def test_optional_fields_may_be_null(self) -> None:
         self.assertEqual(route_with(TrafficSplit=None).service, "desk")
         found = resolved(Routes=[{**SPLIT_ROUTE, "Service": None}])
         self.assertEqual(len(found.routes[0].split), 2)
         self.assertEqual(resolved(Routes=None).routes, ())
 
-    def test_a_version_may_have_many_digits(self) -> None:
+    def test_version_may_have_many_digits(self) -> None:
         for version in (1_764_753_600, 1_764_753_600_000, 20_261_203_093_000):
             number, _ = parse_configuration(encoded({**CONFIGURATION, "Version": f"r{version}"}))
             self.assertEqual(number, version)
 
-    def test_a_longer_head_than_usual_is_allowed_to_callers(self) -> None:
+    def test_header_limit_may_be_raised(self) -> None:
         for given_bytes, head_bytes in ((16_384, 0), (65_536, 65_536), (10**9, 1024 * 1024)):
             with self.subTest(given_bytes):
                 limits = {**CONFIGURATION["Limits"], "MaxHeaderBytes": given_bytes}
                 self.assertEqual(resolved(Limits=limits).head_bytes, head_bytes)
 
-    def test_a_health_path_is_asked_for_as_it_is(self) -> None:
+    def test_health_path_is_used_unchanged(self) -> None:
         for path in ("/health/", "/health?full=1", "/a%20b", "/"):
             with self.subTest(path):
                 service = {"Name": "desk", "HealthPath": path, "ConnectionLimit": 1, "ColdPerS": 2}
@@ -138,7 +138,7 @@
         table = RouteTable(resolved(Routes=[{**ROUTE, **route}]))
         self.assertEqual(table.match(host, path, "GET").service, "desk")
 
-    def test_a_prefix_may_hold_any_character(self) -> None:
+    def test_prefix_may_contain_any_character(self) -> None:
         paths = {
             "/a%20b/": "/a b/x",
             "/a b/": "/a b/x",
@@ -156,13 +156,13 @@
             with self.subTest(prefix):
                 self.assert_matches({"PathPrefix": prefix}, "desk.example", path)
 
-    def test_an_empty_segment_belongs_to_the_prefix(self) -> None:
+    def test_empty_segment_is_part_of_the_prefix(self) -> None:
         short, long = {**ROUTE, "PathPrefix": "/a/"}, {**ROUTE, "PathPrefix": "/a//", "Name": "x"}
         table = RouteTable(resolved(Routes=[short, long]))
         self.assertEqual(table.match("desk.example", "/a//b", "GET").name, "x")
         self.assertEqual(table.match("desk.example", "/a/b", "GET").name, "r-1")
 
-    def test_a_host_may_have_any_usual_form(self) -> None:
+    def test_host_may_have_any_usual_form(self) -> None:
         hosts = {
             "Desk.Example": "desk.example",
             "desk.example:8080": "desk.example",
@@ -177,7 +177,7 @@
             with self.subTest(given_host):
                 self.assert_matches({"Host": given_host}, host, "/holds/x")
 
-    def test_of_two_routes_to_the_same_requests_the_first_holds(self) -> None:
+    def test_first_of_two_routes_with_the_same_match_takes_precedence(self) -> None:
         second = {**ROUTE, "Name": "r-3", "Service": "vault", "Host": "Desk.example"}
         other = {**ROUTE, "Name": "r-4", "PathPrefix": "/other/"}
         found = resolved(Routes=[ROUTE, second, other])
@@ -185,7 +185,7 @@
         self.assertEqual(table.match("desk.example", "/holds/1", "GET").service, "desk")
         self.assertEqual(table.match("desk.example", "/other/1", "GET").service, "desk")
 
-    def test_two_routes_of_one_name_are_two(self) -> None:
+    def test_two_routes_with_the_same_name_are_distinct(self) -> None:
         other = {**ROUTE, "PathPrefix": "/other/", "Service": "vault"}
         table = RouteTable(resolved(Routes=[ROUTE, other]))
         self.assertEqual(table.match("desk.example", "/holds/1", "GET").service, "desk")
@@ -193,7 +193,7 @@
 
 
 class BadConfigurationTest(unittest.TestCase):
-    def test_a_version_that_is_really_bad_is_refused_whole(self) -> None:
+    def test_invalid_configuration_is_rejected(self) -> None:
         bad = (
             {"Service": "nobody"},
             {"Service": "", "TrafficSplit": []},
@@ -212,7 +212,7 @@
                 self.assertNotEqual(check_document(tree), ())
 
 
-# Configurations by the pages' grammar.
+# Random configurations that follow the documented grammar.
 
 LETTERS = string.ascii_letters + string.digits
 SERVICE_NAMES = st.builds(
@@ -223,7 +223,7 @@
 )
 SEGMENTS = st.text(LETTERS + ".-_ !\"#$&'()*+,;:<=>?@[\\]^`{|}\u00e9\u0142", max_size=6)
 LAST_SEGMENT = "/~"
-"""No prefix has it: one without its last slash is served too, though it does not begin the path."""
+"""A segment that no prefix has, as prefixes also match paths without their trailing slash."""
 PREFIXES = st.lists(SEGMENTS, max_size=4).map(lambda parts: "/" + "".join(f"{p}/" for p in parts))
 NUMBERS = st.integers(0, 10**15) | st.floats(0, 10**6, allow_nan=False).map(lambda x: round(x, 6))
 TIMES = st.builds(
@@ -282,12 +282,12 @@
     }
 
 
-def route_by_the_pages(routes: list[dict[str, Any]], host: str, path: str) -> dict[str, Any] | None:
-    """Return the route of the host with the longest prefix that begins the path; the first."""
+def documented_route(routes: list[dict[str, Any]], host: str, path: str) -> dict[str, Any] | None:
+    """Return the first route of the host with the longest prefix of the path."""
     found = None
     for route in routes:
-        fits = route["Host"].lower() == host and path.startswith(route["PathPrefix"])
-        if fits and (found is None or len(route["PathPrefix"]) > len(found["PathPrefix"])):
+        matches = route["Host"].lower() == host and path.startswith(route["PathPrefix"])
+        if matches and (found is None or len(route["PathPrefix"]) > len(found["PathPrefix"])):
             found = route
     return found
 
@@ -295,7 +295,7 @@
 class GrammarTest(unittest.TestCase):
     @PROPERTY
     @given(configurations(), st.data())
-    def test_each_is_accepted_and_matched_as_the_pages_say(
+    def test_each_is_valid_and_matches_as_documented(
         self, configuration: dict[str, Any], data: st.DataObject
     ) -> None:
         number, tree = parse_configuration(encoded(configuration))
@@ -305,7 +305,7 @@
         for given_route in routes:
             host = given_route["Host"].lower()
             path = given_route["PathPrefix"] + data.draw(SEGMENTS) + LAST_SEGMENT
-            expected = route_by_the_pages(routes, host, path)
+            expected = documented_route(routes, host, path)
             assert expected is not None
             self.check_route(table.match(host, path, "GET"), expected)
         with self.assertRaises(RouteNotFoundError):
--- a/tests/platform/test_watches_during_restore.py
+++ b/tests/platform/test_watches_during_restore.py
@@ -1,4 +1,4 @@
-"""Both watches are under way over real connections when the store comes back, in either order."""
+"""Both watches are in flight over real connections when the store is restored."""
 
 from typing import Any
 
@@ -14,12 +14,12 @@
 from tests.platform.restored_fleet import configuration, entry
 
 KINDS = (DocumentKind.CONFIGURATION, DocumentKind.MACHINE_LIST)
-READS = 3
-"""The watch that hears of it, the call on a new connection, the list."""
+MAX_READS = 3
+"""The watch that sees the new era, the request on a new connection, and the list."""
 
 
-class WatchesAtReturnTest(ProxyTestCase):
-    async def begin(self) -> None:
+class WatchesDuringRestoreTest(ProxyTestCase):
+    async def start_reader(self) -> None:
         self.store = MetadataStore(0)
         self.store.put("op/config", configuration(12))
         self.store.put("servers/i-1", entry(1))
@@ -31,12 +31,12 @@
     async def read(self, kind: DocumentKind, wait: float = 0.0) -> Any:
         return await self.reader.read(ReadDocument(kind, 0, wait))
 
-    async def watch_over_return(self, first: DocumentKind) -> dict[DocumentKind, Any]:
-        """Let both wait, ``first`` on the connection that is older; return their answers."""
-        answers: dict[DocumentKind, Any] = {}
+    async def watch_during_restore(self, first: DocumentKind) -> dict[DocumentKind, Any]:
+        """Restore the store during two watches, ``first`` on the older connection."""
+        results: dict[DocumentKind, Any] = {}
 
         async def wait(kind: DocumentKind) -> None:
-            answers[kind] = await self.read(kind, 20.0)
+            results[kind] = await self.read(kind, 20.0)
 
         copy, calls = self.store.copy(), self.store.calls
         async with anyio.create_task_group() as tasks:
@@ -49,35 +49,37 @@
             for number in (2, 3, 4):
                 self.store.put(f"servers/i-{number}", entry(number))
             self.store.put("op/config", configuration(13))
-        return answers
+        return results
 
-    async def test_no_answer_over_the_return_is_used_and_all_is_read_anew(self) -> None:
+    async def test_responses_across_the_restore_are_discarded_and_everything_is_read_again(
+        self,
+    ) -> None:
         for first in KINDS:
             with self.subTest(first=first):
-                await self.begin()
-                for answer in (await self.watch_over_return(first)).values():
+                await self.start_reader()
+                for answer in (await self.watch_during_restore(first)).values():
                     assert isinstance(answer, DocumentReadFailed), answer
                     self.assertIn("source-era", answer.reason)
-                calls, found = self.store.calls, {}
-                for _ in range(READS - 1):
+                calls, documents = self.store.calls, {}
+                for _ in range(MAX_READS - 1):
                     for kind in KINDS:
                         answer = await self.read(kind)
                         if isinstance(answer, DocumentRead):
-                            found[kind] = answer
-                self.assertLessEqual(self.store.calls - calls, len(KINDS) * (READS - 1))
-                listed = found[DocumentKind.MACHINE_LIST].document
+                            documents[kind] = answer
+                self.assertLessEqual(self.store.calls - calls, len(KINDS) * (MAX_READS - 1))
+                machines = documents[DocumentKind.MACHINE_LIST].document
                 self.assertEqual(
-                    sorted(name for name in listed if name.startswith("i-")),
+                    sorted(name for name in machines if name.startswith("i-")),
                     ["i-1", "i-2", "i-3", "i-4"],
                 )
-                self.assertNotIn("x", listed)
-                tree = found[DocumentKind.CONFIGURATION]
+                self.assertNotIn("x", machines)
+                tree = documents[DocumentKind.CONFIGURATION]
                 self.assertEqual(tree.number, 13 * 10**9)
 
-    async def test_the_rise_is_a_finding_only_where_one_connection_told_both(self) -> None:
-        await self.begin()
-        answers = await self.watch_over_return(KINDS[0])
-        problems = {item.problem for answer in answers.values() for item in answer.answer_findings}
+    async def test_rise_is_a_finding_only_on_a_connection_that_returned_both_eras(self) -> None:
+        await self.start_reader()
+        results = await self.watch_during_restore(KINDS[0])
+        problems = {item.problem for answer in results.values() for item in answer.answer_findings}
         self.assertEqual(problems, {ItemProblem.ERA})
         await self.read(KINDS[0])
         for kind in KINDS:
