--- a/src/pewtertack/node/assembly.py
+++ b/src/pewtertack/node/assembly.py
@@ -80,9 +80,9 @@
     profile = PROFILES[settings.profile.name.value]
     gate = ServingGate(profile.pause_threshold)
     reporter = CrashReporter()
-    local_runs = _local_runs(settings)
-    proxy = _create_proxy(settings, gate, registry, log, reporter, local_runs)
-    gateway = _create_gateway(settings, log, registry, reporter, local_runs)
+    local_executions = _create_local_executions(settings)
+    proxy = _create_proxy(settings, gate, registry, log, reporter, local_executions)
+    gateway = _create_gateway(settings, log, registry, reporter, local_executions)
     source = SourceProperties(
         settings.source.durable,
         settings.node.first_start,
@@ -135,7 +135,7 @@
     return CoordinationCollector(view.status, traffic)
 
 
-def _local_runs(settings: Settings) -> LocalExecutions | None:
+def _create_local_executions(settings: Settings) -> LocalExecutions | None:
     """Return the state shared by proxy and gateway; it is imported only where a node has both."""
     if settings.listen.proxy is None or settings.listen.gateway is None:
         return None
@@ -150,7 +150,7 @@
     registry: MetricsRegistry,
     log: EventLog,
     reporter: CrashReporter,
-    local_runs: LocalExecutions | None,
+    local_executions: LocalExecutions | None,
 ) -> ProxyApplication | None:
     """Return the proxy; its modules are imported only where a node has one."""
     if settings.listen.proxy is None:
@@ -173,7 +173,7 @@
             settings.limits.retry_window.seconds,
             settings.limits.retry_slack,
         ),
-        executions=local_runs,
+        executions=local_executions,
     )
 
 
@@ -182,7 +182,7 @@
     log: EventLog,
     registry: MetricsRegistry,
     reporter: CrashReporter,
-    local_runs: LocalExecutions | None,
+    local_executions: LocalExecutions | None,
 ) -> GatewayApplication | None:
     """Return the gateway if the node has a local back end."""
     if settings.listen.gateway is None or settings.backend.address is None:
--- a/src/pewtertack/node/collector.py
+++ b/src/pewtertack/node/collector.py
@@ -12,7 +12,9 @@
 YOUNG_THRESHOLD = 20_000
 """Objects created minus objects freed between two collections of young objects (default: 700)."""
 MIDDLE_THRESHOLD = 10
+"""Collections of young objects before a collection of middle-aged ones."""
 OLD_THRESHOLD = 10
+"""Collections of middle-aged objects before a collection of old ones."""
 
 
 def pause() -> None:
--- a/src/pewtertack/node/crash_reporter.py
+++ b/src/pewtertack/node/crash_reporter.py
@@ -43,7 +43,10 @@
         self._feed(BackendCrashed(fingerprints))
 
     def report_remote_crash(self, backend: str, fingerprints: tuple[bytes, ...]) -> None:
-        """Report a back end's crash under these requests, which other nodes may report too."""
+        """Report a crash of a back end while it ran these requests.
+
+        Other nodes that send requests to the same back end may report it too.
+        """
         self._feed(BackendCrashed(fingerprints, _crash_number(backend, clock.unix_time())))
 
     def report_suspect_answered(self, fingerprint: bytes) -> None:
--- a/src/pewtertack/node/daemon.py
+++ b/src/pewtertack/node/daemon.py
@@ -36,12 +36,13 @@
 """Seconds before the end of a shutdown at which requests still running are answered with an unknown
 outcome; connections linger as long (``node.http.protocol``)."""
 GATEWAY_FINAL_RESPONSE_SECONDS = 0.2
-"""The same for requests that the local back end runs for other nodes: a node reads its response and
-closes the connection at once. An execution that lasts until then is not cancelled earlier."""
+"""Seconds before the end of a shutdown at which requests of other nodes that the local back end
+still runs are answered with an unknown outcome. That is later than for callers: a node reads its
+response and closes the connection at once, and an execution may go on until then."""
 FINAL_LOOP_ITERATIONS = 100
-"""Iterations of the event loop that requests told to end get in any case: if the loop was held up
-until their time was over, their responses are not late but not yet written. A response takes one
-iteration, and each response behind it on its connection one more."""
+"""Iterations of the event loop that run after requests were told to end, even if the time for the
+shutdown is over: a loop that was held up until then has not written any of their responses. A
+response takes one iteration, and each response behind it on its connection one more."""
 PROCESS_EXIT_SECONDS = 0.3
 """Time that the process itself needs to exit before ``limits.stop_within``, on a busy machine."""
 ANNOUNCEMENT_DELAYS = (0.0, 0.5, 1.0)
@@ -286,11 +287,14 @@
         await application.announce_stop()
     except* Exception as errors:
         for error in _flatten(errors):
-            logger.error("cannot announce the shutdown to other nodes", exc_info=error)
+            logger.error(
+                "cannot announce the shutdown to other nodes; shutting down all the same",
+                exc_info=error,
+            )
 
 
 async def _finish_requests(servers: tuple[_RequestServer, ...], seconds: float) -> None:
-    """Wait until every request has its response; enforce one in time."""
+    """Wait until every request has its response; end those that take longer than ``seconds``."""
     ends_at = anyio.current_time() + seconds
     with anyio.move_on_after(max(0.0, seconds - FINAL_RESPONSE_SECONDS)) as finish_scope:
         async with anyio.create_task_group() as tasks:
@@ -313,7 +317,7 @@
 
 
 async def _stop_requests(server: _RequestServer, ends_at: float) -> None:
-    """End the requests still running as late as their responses allow."""
+    """Wait for the requests still running, and end them when only the final responses fit."""
     server.application.log_unfinished()
     server.application.flush_responses()
     with anyio.CancelScope(deadline=ends_at - server.final_response_seconds) as finish_scope:
@@ -333,7 +337,9 @@
     except* Exception as errors:
         # A failure must not prevent the responses to other requests.
         for error in _flatten(errors):
-            logger.error("cannot withdraw waiting requests", exc_info=error)
+            logger.error(
+                "cannot withdraw waiting requests; they end with the shutdown", exc_info=error
+            )
 
 
 async def _drain_all(servers: tuple[_RequestServer, ...]) -> None:
--- a/src/pewtertack/node/gateway/application.py
+++ b/src/pewtertack/node/gateway/application.py
@@ -192,7 +192,7 @@
     def _note_evacuation(self) -> None:
         """Apply a change of the zone's evacuation; after its end the back ends may be cold."""
         if self._evacuated:
-            self._incarnations.refuse_waiting(_evacuated)
+            self._incarnations.refuse_waiting(_evacuation_error)
         else:
             self._incarnations.assume_cold()
 
@@ -296,7 +296,7 @@
             await _refuse(send, error, RequestHead(), [])
             return
         elif self._evacuated:
-            await _refuse(send, _evacuated(), RequestHead(), [])
+            await _refuse(send, _evacuation_error(), RequestHead(), [])
             return
         elif await self._is_backend_down():
             error = BackendUnreachableError("nobody listens at the back end's address")
@@ -364,7 +364,9 @@
     def _admit(self, request: HopRequest) -> Incarnation:
         incarnation = self._incarnations.get(request.backend)
         if self.requests.draining or not self._fits_before_stop(incarnation, request):
-            raise _mark_not_offered(DrainingError("the node beside the back end is stopping"))
+            raise _mark_backend_not_reached(
+                DrainingError("the node beside the back end is stopping")
+            )
         self._check_accepting(incarnation, request)
         return incarnation
 
@@ -373,7 +375,7 @@
         if not incarnation.takes_work:
             raise incarnation.refusal(request.started_at)
         if self._evacuated:
-            raise _evacuated()
+            raise _evacuation_error()
 
     def _fits_before_stop(self, incarnation: Incarnation, request: HopRequest) -> bool:
         """Tell whether the request will probably end before the node stops."""
@@ -392,11 +394,11 @@
     return LinkPacer(clock, LinkScheduler(settings.link_mbps))
 
 
-def _evacuated() -> ZoneEvacuatedError:
+def _evacuation_error() -> ZoneEvacuatedError:
     return ZoneEvacuatedError("the zone is evacuated")
 
 
-def _mark_not_offered(error: RequestFailedError) -> RequestFailedError:
+def _mark_backend_not_reached(error: RequestFailedError) -> RequestFailedError:
     error.reached_backend = False
     return error
 
--- a/src/pewtertack/node/gateway/cold_watch.py
+++ b/src/pewtertack/node/gateway/cold_watch.py
@@ -27,11 +27,14 @@
 """Interval at which the watch checks whether a query is due."""
 UNBOUNDED_CHECK_SECONDS = 1.0
 """The same while the service sets no limit for cold back ends."""
-ANSWER_SECONDS = 0.4
-TIMEOUTS = ServiceTimeouts(ANSWER_SECONDS, ANSWER_SECONDS, ANSWER_SECONDS)
+RESPONSE_TIMEOUT_SECONDS = 0.4
+TIMEOUTS = ServiceTimeouts(
+    RESPONSE_TIMEOUT_SECONDS, RESPONSE_TIMEOUT_SECONDS, RESPONSE_TIMEOUT_SECONDS
+)
 """For the connection and the response; a back end without a free slot queues the query."""
 BODY_BYTES = 64 * 1024
-MILLISECONDS = 1000.0
+"""Limit on the body of a health response."""
+MILLISECONDS_PER_SECOND = 1000.0
 
 
 class WatchedBackend(Protocol):
@@ -92,11 +95,11 @@
         client = self._client_for(self._backend.address)
         sent_at = self._clock()
         try:
-            answer = await client.get(path, TIMEOUTS)
+            response = await client.get(path, TIMEOUTS)
         except (ServiceUnreachableError, AnswerTooLargeError) as error:
             logger.debug("no health response from %s: %s", self._backend.address, error)
             return  # the query is repeated; until then the known state stays in force
-        remaining = self._remaining_of(answer)
+        remaining = self._remaining_of(response)
         if remaining is not None:
             cold.note_remaining(sent_at, self._clock(), remaining)
 
@@ -108,11 +111,11 @@
             self._client = HttpClient(address, BODY_BYTES)
         return self._client
 
-    def _remaining_of(self, answer: ServiceResponse) -> float | None:
-        value = answer.header(self._header)
+    def _remaining_of(self, response: ServiceResponse) -> float | None:
+        value = response.header(self._header)
         if value is None:
             return None
         try:
-            return max(0.0, float(value) / MILLISECONDS)
+            return max(0.0, float(value) / MILLISECONDS_PER_SECOND)
         except ValueError:
             return None
--- a/src/pewtertack/node/gateway/forwarding.py
+++ b/src/pewtertack/node/gateway/forwarding.py
@@ -50,7 +50,7 @@
 REFUSAL_LEAD_SECONDS = 0.5
 """Requests that have not started are refused this long before the sender's node stops relaying
 responses. That node withdraws them as well, but the withdrawal may arrive late or not at all."""
-CONNECT_SECONDS = 0.25
+CONNECT_TIMEOUT_SECONDS = 0.25
 """Connect timeout for the back end, which is on the same machine."""
 MIN_DELAY_CHECK_SECONDS = 0.02
 """Read delays of this node are measured only for responses that took at least this long: the
@@ -280,7 +280,7 @@
     async def _wait_for_body(self, body_task: asyncio.Future[None]) -> None:
         try:
             await body_task
-            self._check_accepting()  # a change during the reception refused only waiting requests
+            self._check_accepting()  # a change meanwhile has refused only waiting requests
         except asyncio.CancelledError:
             self._release_slot()
             refusal, self._pending_refusal = self._pending_refusal, None
@@ -351,9 +351,11 @@
         if self._context.pacer is not None:
             self._link_check.check_before_run()
         # The request may have become known to crash back ends while it waited here.
-        await self._crash_guard.refuse_if_held(self._request.crash_limit, self._context.clock())
+        await self._crash_guard.refuse_if_quarantined(
+            self._request.crash_limit, self._context.clock()
+        )
         connections = self._context.connections
-        connection = await connections.acquire(self._context.address, CONNECT_SECONDS)
+        connection = await connections.acquire(self._context.address, CONNECT_TIMEOUT_SECONDS)
         self._connection = connection
         try:
             await self._run_with_hang_checks(
@@ -395,7 +397,8 @@
     def _report_hang(self) -> None:
         """Report a hang to the sender, which may cancel the request.
 
-        Not while this node is shutting down: it answers what already runs at its back end.
+        No hang is reported while this node is shutting down: a cancelled request would lose an
+        execution that may still end in time.
         """
         if not self._context.requests.leaving:
             self._caller.send_processing(load_headers(self._admission, self._context.clock()))
--- a/src/pewtertack/node/gateway/hop.py
+++ b/src/pewtertack/node/gateway/hop.py
@@ -114,6 +114,7 @@
 """Status of the response to a request that is addressed to the gateway itself."""
 WAIT_POLICIES = {item.value: item for item in WaitPolicy}
 MAX_HEADER_LENGTH = 256
+"""Characters in the value of a hop header."""
 _CLASS_RANKS = {work_class: rank for rank, work_class in enumerate(WorkClass)}
 
 
--- a/src/pewtertack/node/gateway/incarnations.py
+++ b/src/pewtertack/node/gateway/incarnations.py
@@ -100,9 +100,8 @@
         """Return the incarnation; create it if the name is unknown."""
         found = self._by_name.get(name)
         if found is not None and not found.ever_listed:
-            self._by_name[name] = self._by_name.pop(
-                name
-            )  # most recently requested names are evicted last
+            # The most recently requested names are evicted last.
+            self._by_name[name] = self._by_name.pop(name)
         if found is None:
             self._evict_idle()
             cold = ColdStart(DEFAULT_SLOTS, self._clock(), self._bounds)
--- a/src/pewtertack/node/gateway/metrics.py
+++ b/src/pewtertack/node/gateway/metrics.py
@@ -55,33 +55,33 @@
         )
 
     def note_nested(self, route: str, admitted: bool) -> None:
-        """A nested call was sent to the back end, or ended without a response."""
+        """Count a nested call that was sent to the back end or ended without a response."""
         self._nested.inc((route, "admitted" if admitted else "refused"))
 
     def note_deferred(self, route: str) -> None:
-        """A request was deferred because executions of its route often fail at present."""
+        """Count a request that was deferred because executions of its route often fail now."""
         self._deferred.inc((route,))
 
     def note_invalid_stop_time(self) -> None:
-        """Another node's report of its shutdown time was invalid."""
+        """Count an invalid report of another node's shutdown time."""
         self._invalid_stop_times.inc(())
 
     def note_crashed(self) -> None:
-        """The back end crashed while it ran requests."""
+        """Count a crash of the back end while it ran requests."""
         self._crashed.inc(())
 
     def note_admitted(self, route: str, queued: float) -> None:
-        """A request was sent to the back end after ``queued`` seconds."""
+        """Record that a request was sent to the back end after ``queued`` seconds."""
         self._queue_seconds.observe((route,), queued)
 
     def note_answered(self, route: str, seconds: float) -> None:
-        """The back end sent a complete response."""
+        """Record that the back end took ``seconds`` for a complete response."""
         self._backend_seconds.observe((route,), seconds)
 
     def note_sent(self, route: str, seconds: float) -> None:
-        """A long response was sent, ``seconds`` after the back end had completed it."""
+        """Record that a long response was sent ``seconds`` after the back end had completed it."""
         self._link_seconds.observe((route,), seconds)
 
     def note_refused(self, reason: str, reached_backend: bool) -> None:
-        """A request ended without a response from the back end."""
+        """Count a request that ended without a response from the back end."""
         self._refused.inc((reason, str(reached_backend).lower()))
--- a/src/pewtertack/node/gateway/report_headers.py
+++ b/src/pewtertack/node/gateway/report_headers.py
@@ -17,7 +17,7 @@
 
 
 def link_headers(pacer: LinkPacer, route: str) -> RawHeaders:
-    """Return the header with the length of the link queue, if there is something to report."""
+    """Return the header with the times of the link queue and of the route's responses, if any."""
     value = pacer.link_report(route)
     return [(hop.LINK, value.encode())] if value is not None else []
 
--- a/src/pewtertack/node/gateway/sending.py
+++ b/src/pewtertack/node/gateway/sending.py
@@ -222,7 +222,7 @@
         # than the link can serve in time.
         total = self._body_bytes if self._complete else max(self._expected_bytes, self._body_bytes)
         size = total - self._sent_bytes
-        retryable_bytes = (
+        uncommitted_bytes = (
             max(0, START_BUFFER_BYTES - self._sent_bytes) if self._buffers_start else 0
         )
         # Part of a longer response is still at the back end when this process ends, so the
@@ -234,7 +234,7 @@
             self._objective,
             started,
             self._deadline,
-            retryable_bytes,
+            uncommitted_bytes,
             no_alternative,
         ) as queued_body:
             # Not earlier: a request that arrived in between would see an idle link.
--- a/src/pewtertack/node/http/acknowledgement.py
+++ b/src/pewtertack/node/http/acknowledgement.py
@@ -24,7 +24,11 @@
 from pewtertack.node.http.cycle import LOGGER_NAME
 from pewtertack.node.http.outgoing import unacknowledged_bytes
 from pewtertack.node.http.tcp_info import tcp_info
-from pewtertack.node.http.transport import ACK_TIMEOUT_SECONDS, MILLISECONDS, set_user_timeout
+from pewtertack.node.http.transport import (
+    ACK_TIMEOUT_SECONDS,
+    MILLISECONDS_PER_SECOND,
+    set_user_timeout,
+)
 
 CHECK_INTERVAL_SECONDS = 0.1
 """Interval between checks of a connection that carries a long body."""
@@ -139,6 +143,6 @@
     return AcknowledgementState(
         unacknowledged_segments,
         info[PROBES_OFFSET],
-        since_sent / MILLISECONDS,
-        since_acknowledgement / MILLISECONDS,
+        since_sent / MILLISECONDS_PER_SECOND,
+        since_acknowledgement / MILLISECONDS_PER_SECOND,
     )
--- a/src/pewtertack/node/http/connection.py
+++ b/src/pewtertack/node/http/connection.py
@@ -27,7 +27,7 @@
 from pewtertack.node.http.tcp_info import seconds_since_received
 from pewtertack.node.http.transport import (
     ACK_TIMEOUT_SECONDS,
-    MILLISECONDS,
+    MILLISECONDS_PER_SECOND,
     StreamTransport,
     connect_socket,
 )
@@ -50,7 +50,11 @@
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2),
-    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(ACK_TIMEOUT_SECONDS * MILLISECONDS)),
+    (
+        socket.IPPROTO_TCP,
+        socket.TCP_USER_TIMEOUT,
+        int(ACK_TIMEOUT_SECONDS * MILLISECONDS_PER_SECOND),
+    ),
 )
 """Detect a machine that falls silent while a response is awaited. One that lost power or is cut off
 breaks its connections; a back end that is merely quiet does not."""
--- a/src/pewtertack/node/http/cycle.py
+++ b/src/pewtertack/node/http/cycle.py
@@ -223,7 +223,9 @@
         try:
             await application(self.scope, self.receive, self.send)
         except Exception as error:
-            logger.error("the application failed", exc_info=error)
+            logger.error(
+                "the application failed; an incomplete response ends its connection", exc_info=error
+            )
         finally:
             self._release_references()
         if self.response_complete or self.gone:
--- a/src/pewtertack/node/http/messages.py
+++ b/src/pewtertack/node/http/messages.py
@@ -25,8 +25,8 @@
     """The body is sent only after the peer has responded with 100 (Continue) (RFC 9110, section
     10.1.1)."""
     head_with_body: bool = False
-    """The head is sent with the first part of the body: without one the peer has not started
-    anything."""
+    """The head waits for the first part of the body, so that the peer cannot start on the request
+    before there is one."""
 
     def head(self) -> bytes:
         """Return the request line and the headers, with the empty line that ends them."""
--- a/src/pewtertack/node/http/server.py
+++ b/src/pewtertack/node/http/server.py
@@ -128,7 +128,10 @@
         except OSError as error:
             if error.errno not in ACCEPT_RESOURCE_ERRORS:
                 raise
-            logger.error("cannot accept connections", exc_info=error)
+            logger.error(
+                "cannot accept connections for want of resources; accepting is paused",
+                exc_info=error,
+            )
             loop.remove_reader(listener)
             loop.call_later(ACCEPT_RETRY_SECONDS, self._listen, loop, listener)
             return False
@@ -141,7 +144,7 @@
         return True
 
     def enlarge_send_buffers(self) -> None:
-        """Let the kernel accept the rest of the responses, which the process may not outlive."""
+        """Let the kernel accept the rest of the responses, to send it after the process ends."""
         for connection in self.connections:
             enlarge_send_buffer(connection.transport.get_extra_info("socket"))
 
--- a/src/pewtertack/node/http/tcp_info.py
+++ b/src/pewtertack/node/http/tcp_info.py
@@ -5,7 +5,7 @@
 import socket
 import struct
 
-from pewtertack.node.http.transport import MILLISECONDS
+from pewtertack.node.http.transport import MILLISECONDS_PER_SECOND
 
 TCP_INFO_BYTES = 60
 LAST_RECEIVED_OFFSET = 52
@@ -31,4 +31,4 @@
         OSError: the socket is closed.
     """
     (milliseconds,) = UINT32.unpack_from(tcp_info(sock), LAST_RECEIVED_OFFSET)
-    return float(milliseconds) / MILLISECONDS
+    return float(milliseconds) / MILLISECONDS_PER_SECOND
--- a/src/pewtertack/node/http/transport.py
+++ b/src/pewtertack/node/http/transport.py
@@ -27,7 +27,7 @@
 have stopped reading for good, and a node that shuts down would wait for it."""
 ACK_TIMEOUT_SECONDS = 0.4
 """A machine that acknowledges nothing for this long has lost power or is cut off."""
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 ANY_PORT = 0
 MAX_PORT = 65535
 NO_FLOW_INFO = 0
@@ -268,7 +268,7 @@
 
 def set_user_timeout(sock: socket.socket, seconds: float = ACK_TIMEOUT_SECONDS) -> None:
     """Have the kernel end the connection when nothing is acknowledged for this long; 0: never."""
-    milliseconds = int(seconds * MILLISECONDS)
+    milliseconds = int(seconds * MILLISECONDS_PER_SECOND)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, milliseconds)
 
 
--- a/src/pewtertack/node/http/unread.py
+++ b/src/pewtertack/node/http/unread.py
@@ -15,8 +15,8 @@
 SLOW_READER_SECONDS = 4.0
 """A caller that has received no byte for this long is disconnected."""
 CROWDED_SLOW_READER_SECONDS = 0.5
-"""The same limit for the caller that is silent the longest while more than ``MAX_SLOW_READERS`` are
-silent."""
+"""The caller that has been silent the longest is disconnected after this long while more than
+``MAX_SLOW_READERS`` are silent."""
 MAX_SLOW_READER_BYTES = 8 * 1024 * 1024
 """Memory that silent callers may occupy together in one server of a node."""
 BYTES_PER_SLOW_READER = 256 * 1024
--- a/src/pewtertack/node/import_stubs.py
+++ b/src/pewtertack/node/import_stubs.py
@@ -1,15 +1,15 @@
 """Keeps libraries that a node never uses out of its start.
 
 Libraries import ``trio`` where it is installed, though only programs that run on trio need it. On a
-machine that has it this took a fifth of a node's start while httpcore was part of it (measured: 138
-of 650 ms), and a node refuses requests while it starts.
+machine that has it this took a fifth of a node's start (138 of 650 ms) while httpcore was imported,
+and a node refuses requests while it starts.
 
 Other modules are named by asyncio, anyio, logbook and msgspec while these load, but nothing that a
 node calls uses them: it speaks no TLS, starts no process, writes no compressed log files and
 inspects no types. A stub with the few names takes their place until the start is over. Without
 them, OpenSSL's digests and the parser of flags, a node's imports take 1.8 MB less private memory
-(17.2 of 19.0 MB) and 5 MB less resident memory (26.5 of 31.8 MB; four alternating runs on a busy
-machine; no measurable difference in processor time).
+(17.2 instead of 19.0 MB) and 5 MB less resident memory (26.5 instead of 31.8 MB), with no
+measurable difference in processor time.
 """
 
 from __future__ import annotations
--- a/src/pewtertack/node/proxy/application.py
+++ b/src/pewtertack/node/proxy/application.py
@@ -207,7 +207,7 @@
         await self._prober.run()
 
     def set_serving(self, serving: bool, retry_after: float = 1.0) -> None:
-        """Accept requests, or refuse them as not run with ``retry_after`` in seconds."""
+        """Accept requests, or refuse them as not run with ``retry_after``, in seconds."""
         self._serving = serving
         self._retry_after = retry_after
 
--- a/src/pewtertack/node/proxy/body.py
+++ b/src/pewtertack/node/proxy/body.py
@@ -22,7 +22,7 @@
 """Limit on the buffered bytes of all requests' bodies together. Without it, back ends that do not
 read could cause hundreds of bodies to be buffered. An idle node takes 20 MB of memory, and the
 smallest nodes have 200 MB."""
-IDLE_SECONDS = 10.0
+BODY_IDLE_SECONDS = 10.0
 """A request is refused when its caller sends nothing of the body for this long."""
 
 
@@ -108,7 +108,7 @@
 
         Raises:
             CallerGoneError: the caller has gone.
-            SlowRequestError: the caller sent nothing for ``IDLE_SECONDS``; nothing has run.
+            SlowRequestError: the caller sent nothing for ``BODY_IDLE_SECONDS``; nothing has run.
         """
         try:
             while not self.complete and self._received_bytes < size and self._may_buffer:
@@ -121,7 +121,7 @@
 
         Raises:
             CallerGoneError: the caller has gone.
-            SlowRequestError: the caller sent nothing for ``IDLE_SECONDS``.
+            SlowRequestError: the caller sent nothing for ``BODY_IDLE_SECONDS``.
         """
         assert self._chunks is not None
         for chunk in tuple(self._chunks):
@@ -146,7 +146,7 @@
         self._chunks = None
 
     async def _next_chunk(self) -> bytes:
-        with anyio.move_on_after(IDLE_SECONDS) as timeout:
+        with anyio.move_on_after(BODY_IDLE_SECONDS) as timeout:
             message = await self._receive()
         if timeout.cancelled_caught:
             raise SlowRequestError("the request body came too slowly")
--- a/src/pewtertack/node/proxy/configuration_wait.py
+++ b/src/pewtertack/node/proxy/configuration_wait.py
@@ -51,11 +51,11 @@
         """
         if self.waiting >= MAX_WAITING or self.lag() is not Lag.COMING:
             return False
-        swapped, seconds_left = self._changed, deadline - self._clock()
+        changed, seconds_left = self._changed, deadline - self._clock()
         self.waiting += 1
         try:
             with anyio.move_on_after(min(seconds_left * DEADLINE_SHARE, MAX_WAIT_SECONDS)):
-                await swapped.wait()
+                await changed.wait()
         finally:
             self.waiting -= 1
-        return swapped.is_set()
+        return changed.is_set()
--- a/src/pewtertack/node/proxy/crash_guard.py
+++ b/src/pewtertack/node/proxy/crash_guard.py
@@ -38,11 +38,11 @@
         self.crash_count = 0
         """Number of back ends known to have crashed while they ran the request."""
 
-    async def refuse_if_held(self, limit: int, now: float) -> None:
+    async def refuse_if_quarantined(self, limit: int, now: float) -> None:
         """Refuse a request that no node may send to a back end.
 
         Raises:
-            RequestEndsBackendsError: the request is held.
+            RequestEndsBackendsError: the request is quarantined.
         """
         if not len(self._reporter.ledger):
             return
@@ -53,7 +53,7 @@
             raise self._refusal(fingerprint)
 
     async def refuse_unless_admitted(self, limit: int, now: float) -> None:
-        """Refuse a request that this node may not forward; a held one may pass as a trial.
+        """Refuse a request that this node may not forward; a quarantined one may pass on trial.
 
         Raises:
             RequestEndsBackendsError: the request may not be forwarded.
@@ -88,8 +88,8 @@
         if isinstance(error, BackendSilentError):
             return
         broken = BrokenExchange(request_id, self._content.fingerprint)
-        ended = await self._detector.has_crashed(backend, address, broken)
-        if ended and isinstance(error, BackendFailedError):
+        crashed = await self._detector.has_crashed(backend, address, broken)
+        if crashed and isinstance(error, BackendFailedError):
             raise BackendCrashedError("the back end has ended") from error
 
     async def _fingerprint_if_suspect(self) -> bytes | None:
@@ -100,5 +100,5 @@
         return fingerprint
 
     def _refusal(self, fingerprint: bytes) -> RequestEndsBackendsError:
-        execution = f"they ran request {fingerprint.hex()}"
-        return RequestEndsBackendsError(f"{self.crash_count} back ends ended while {execution}")
+        work = f"they ran request {fingerprint.hex()}"
+        return RequestEndsBackendsError(f"{self.crash_count} back ends ended while {work}")
--- a/src/pewtertack/node/proxy/dispatcher_metrics.py
+++ b/src/pewtertack/node/proxy/dispatcher_metrics.py
@@ -29,7 +29,7 @@
         return iter(())
 
     def collect(self) -> Iterator[Metric]:
-        """Yield every family."""
+        """Yield all metric families."""
         total = "pewtertack_requests_in_flight"
         yield GaugeMetricFamily(total, "Requests not finished.", value=self._in_flight())
         waiting = _family("requests_waiting", "Requests waiting.", "work_class")
--- a/src/pewtertack/node/proxy/exchange.py
+++ b/src/pewtertack/node/proxy/exchange.py
@@ -40,8 +40,9 @@
 from pewtertack.routing.response_results import result_of_response
 
 MAX_SHED_BODY_BYTES = 64 * 1024
+"""The body of a refusal is read in order to reuse the connection; a longer one is not read."""
 SHED_BODY_SECONDS = 0.02
-"""The body of a refusal is read for at most this long in order to reuse the connection."""
+"""The body of a refusal is read for at most this long."""
 MAX_RETRY_AFTER_SECONDS = 3600.0
 MISDIRECTED_STATUS = 421
 START_BUFFER_BYTES = 64 * 1024
@@ -189,9 +190,8 @@
             head[WHOLE_BODY] = body
             await self._send(head)
             return
-        buffer_start = (
-            self.buffers_start and meta.length is not None
-        )  # without a length it may be a stream
+        # A response without a length may be a stream, which must not be delayed.
+        buffer_start = self.buffers_start and meta.length is not None
         beginning = await _read_start(connection) if buffer_start else b""
         if self.buffers_start:
             caller.drop_body()
--- a/src/pewtertack/node/proxy/forwarding.py
+++ b/src/pewtertack/node/proxy/forwarding.py
@@ -183,7 +183,8 @@
         backend = self._ticket.backend
         if self._connection is None or backend is None:
             return ""
-        # Also if the request may not have started: it waits there before its body is requested.
+        # Also while the request cannot have started: it waits at the gateway until its body is
+        # requested.
         return backend.gateway
 
     def finish_by(self, moment: float) -> None:
--- a/src/pewtertack/node/proxy/lifetime.py
+++ b/src/pewtertack/node/proxy/lifetime.py
@@ -1,4 +1,4 @@
-"""What can end a request early: its deadline, its caller's disconnect, its node's shutdown."""
+"""Ends a request early at its deadline, its caller's disconnect or its node's shutdown."""
 
 from __future__ import annotations
 
--- a/src/pewtertack/node/proxy/metrics.py
+++ b/src/pewtertack/node/proxy/metrics.py
@@ -48,31 +48,31 @@
         )
 
     def note_invalid_link_report(self) -> None:
-        """A gateway's report of its link queue was invalid."""
+        """Count an invalid report of a gateway on its link queue."""
         self._invalid_link_reports.inc(())
 
     def note_answered(self, route: ResolvedRoute, seconds: float) -> None:
-        """A request was answered completely."""
+        """Record a request that was answered completely after ``seconds``."""
         labels = (route.name, route.work_class.value)
         self._requests.inc((*labels, ANSWERED))
         self._seconds.observe(labels, seconds)
 
     def note_zone(self, service: str, zone: str) -> None:
-        """A back end in ``zone`` answered a request."""
+        """Count a request that a back end in ``zone`` answered."""
         self._zones.inc((service, zone))
 
     def note_decision(self, reason: str) -> None:
-        """An attempt failed, and it was decided for ``reason`` whether to retry the request."""
+        """Count a failed attempt by the reason why the request was or was not retried."""
         self._decisions.inc((reason,))
 
     def note_failed(self, route: ResolvedRoute | None, result: str) -> None:
-        """A request ended with another result; ``route`` is ``None`` if none was matched."""
+        """Count a request with another result; ``route`` is ``None`` if none was matched."""
         if route is None:
             self._requests.inc((NO_ROUTE, NO_ROUTE, result))
         else:
             self._requests.inc((route.name, route.work_class.value, result))
 
     def note_retries(self, route: ResolvedRoute, count: int) -> None:
-        """A request ended after ``count`` retries."""
+        """Add the ``count`` retries of a request that has ended."""
         if count:
             self._retries.inc((route.name, route.work_class.value), count)
--- a/src/pewtertack/node/proxy/refusals.py
+++ b/src/pewtertack/node/proxy/refusals.py
@@ -1,4 +1,7 @@
-"""Typed refusals of input that is not a valid request, with the headers and body of any other."""
+"""Typed refusals of input that is not a valid request.
+
+They have the same headers and body format as refusals of valid requests.
+"""
 
 from __future__ import annotations
 
--- a/src/pewtertack/node/proxy/request_log.py
+++ b/src/pewtertack/node/proxy/request_log.py
@@ -69,14 +69,14 @@
     """Log events of a proxy. Durations in fields are in milliseconds, ages in seconds."""
 
     def __init__(
-        self, record: RecordEvent, clock: Callable[[], float], beliefs: KnownVersions
+        self, record: RecordEvent, clock: Callable[[], float], versions: KnownVersions
     ) -> None:
         self._record = record
         self._clock = clock
-        self._versions = beliefs
+        self._versions = versions
 
     def routed(self, request: str, ticket: Ticket, revision: int) -> None:
-        """A back end was chosen for an attempt."""
+        """Log that a back end was chosen for an attempt."""
         backend = ticket.backend
         assert backend is not None
         now = self._clock()
@@ -103,13 +103,13 @@
     def retried(
         self, request: str, ticket: Ticket, error: RequestFailedError, reason: RetryReason
     ) -> None:
-        """An attempt failed and the request is retried."""
+        """Log that an attempt failed and the request is retried."""
         self._after_failure(Event.REQUEST_RETRIED, request, ticket, error, reason)
 
     def not_retried(
         self, request: str, ticket: Ticket, error: RequestFailedError, reason: RetryReason
     ) -> None:
-        """An attempt failed and the request is not retried."""
+        """Log that an attempt failed and the request is not retried."""
         self._after_failure(Event.REQUEST_NOT_RETRIED, request, ticket, error, reason)
 
     def _after_failure(
@@ -135,7 +135,7 @@
         )
 
     def answered(self, request: str, ticket: Ticket, status: int, seconds: float) -> None:
-        """The complete response was sent to the caller."""
+        """Log that the complete response was sent to the caller."""
         backend = ticket.backend
         self._record(
             Event.REQUEST_ANSWERED,
@@ -148,7 +148,7 @@
         )
 
     def refused(self, request: str, route: ResolvedRoute | None, error: RequestFailedError) -> None:
-        """The request ended without a response from a back end."""
+        """Log that the request ended without a response from a back end."""
         self._record(
             Event.REQUEST_REFUSED,
             request=request,
@@ -165,7 +165,7 @@
     def unfinished(
         self, request: str, ticket: Ticket, progress: Progress, received: bool, seconds: float
     ) -> None:
-        """The time for the shutdown is over; ``received`` tells whether the body is complete."""
+        """Log a request in flight when the shutdown ends; ``received``: its body is complete."""
         backend = ticket.backend
         self._record(
             Event.REQUEST_UNFINISHED,
@@ -180,11 +180,11 @@
         )
 
     def crashed(self, backend: str, broken: Iterable[BrokenExchange]) -> None:
-        """A back end without a gateway has crashed."""
+        """Log a crash of a back end without a gateway."""
         _record_crash(self._record, backend, broken)
 
     def ended(self, event: Event, request: str, route: ResolvedRoute, seconds: float) -> None:
-        """The response was cut, or the caller disconnected."""
+        """Log that the response was cut or the caller disconnected."""
         self._record(event, request=request, route=route.name, took=milliseconds(seconds))
 
 
@@ -198,17 +198,17 @@
     def queued(
         self, request: str, backend: str, ticket: AdmissionTicket, admission: Admission
     ) -> None:
-        """The request waits for a slot."""
+        """Log that the request waits for a slot."""
         self._on_ticket(Event.GATEWAY_QUEUED, request, backend, ticket, admission)
 
     def admitted(
         self, request: str, backend: str, ticket: AdmissionTicket, admission: Admission
     ) -> None:
-        """The request is sent to the back end."""
+        """Log that the request is sent to the back end."""
         self._on_ticket(Event.GATEWAY_ADMITTED, request, backend, ticket, admission)
 
     def origin_known(self, route: str, origin: str) -> None:
-        """The gateway has redetermined who makes the route's requests; empty if unknown."""
+        """Log who makes the route's requests, after a change; ``origin`` is empty if unknown."""
         self._record(Event.ROUTE_ORIGIN, route=route, origin=origin)
 
     def _on_ticket(
@@ -236,7 +236,7 @@
         )
 
     def refused(self, request: str, backend: str, error: RequestFailedError, load: str) -> None:
-        """The request ended here; ``load`` is the back end's load, if known."""
+        """Log that the request ended here; ``load`` is the back end's load, if known."""
         event = Event.GATEWAY_FAILED if error.reached_backend else Event.GATEWAY_REFUSED
         self._record(
             event,
@@ -250,11 +250,11 @@
         )
 
     def crashed(self, backend: str, broken: Iterable[BrokenExchange]) -> None:
-        """The back end has crashed."""
+        """Log a crash of the local back end."""
         _record_crash(self._record, backend, broken)
 
     def answered(self, request: str, backend: str, status: int, ticket: AdmissionTicket) -> None:
-        """The back end's complete response was received."""
+        """Log that the back end's complete response was received."""
         seconds = self._clock() - ticket.started_at
         self._record(
             Event.GATEWAY_ANSWERED,
@@ -265,21 +265,21 @@
         )
 
     def sent(self, request: str, backend: str, seconds: float) -> None:
-        """A long response was sent completely, ``seconds`` after the back end completed it."""
+        """Log that a long response was sent ``seconds`` after the back end had completed it."""
         took = milliseconds(seconds)
         self._record(Event.GATEWAY_SENT, request=request, backend=backend, took=took)
 
     def handed_back(self, request: str, backend: str) -> None:
-        """A request was handed back: its long response cannot be sent before a node stops."""
+        """Log a request handed back: its long response cannot be sent before a node stops."""
         self._record(Event.GATEWAY_GAVE_BACK, request=request, backend=backend)
 
     def sender_stopping(self, seconds: float, named: int, found: int) -> None:
-        """Another node stops in ``seconds``; of the ``named`` requests ``found`` are here."""
+        """Log that another node stops in ``seconds``; ``found`` of ``named`` requests are here."""
         left = milliseconds(seconds)
         self._record(Event.SENDER_STOPS, left=left, named=named, found=found)
 
     def unfinished(self, request: str, backend: str, progress: Progress, seconds: float) -> None:
-        """The time for the shutdown is over, ``seconds`` after the request arrived."""
+        """Log a request in flight when the shutdown ends, ``seconds`` after it arrived."""
         self._record(
             Event.GATEWAY_UNFINISHED,
             request=request,
@@ -289,7 +289,7 @@
         )
 
     def cancelled(self, request: str, backend: str, sent: bool, hung: bool) -> None:
-        """The proxy has cancelled the request; ``sent`` tells whether it may have run.
+        """Log that the proxy has cancelled the request; ``sent`` tells whether it may have run.
 
         ``hung`` tells whether a hang of the back end had been reported to the proxy.
         """
--- a/src/pewtertack/node/proxy/stop_time.py
+++ b/src/pewtertack/node/proxy/stop_time.py
@@ -53,13 +53,13 @@
 
 
 async def notify_gateways(
-    stop: ShutdownDeadline,
+    shutdown: ShutdownDeadline,
     clock: Callable[[], float],
     connections: ConnectionPool,
     requests: RequestsInFlight,
 ) -> None:
     """Notify each gateway that has requests of this node how long their responses are relayed."""
-    if not stop.started:
+    if not shutdown.started:
         return  # the node waits for all responses without a time limit
     ids_by_gateway: dict[str, list[str]] = defaultdict(list)
     for request in requests.active:
@@ -68,15 +68,15 @@
     async with anyio.create_task_group() as tasks:
         for gateway, ids in ids_by_gateway.items():
             for request_ids in group_request_ids(ids):
-                build_request = partial(_build_notice, stop, clock, gateway, request_ids)
+                build_request = partial(_build_notice, shutdown, clock, gateway, request_ids)
                 tasks.start_soon(_notify, connections, gateway, build_request)
 
 
 def _build_notice(
-    stop: ShutdownDeadline, clock: Callable[[], float], gateway: str, request_ids: Sequence[str]
+    shutdown: ShutdownDeadline, clock: Callable[[], float], gateway: str, request_ids: Sequence[str]
 ) -> OutgoingRequest:
     """Return the notice about some requests, with the time left at this moment."""
-    return finish_by_request(gateway, stop.seconds_left(clock()), request_ids)
+    return finish_by_request(gateway, shutdown.seconds_left(clock()), request_ids)
 
 
 async def _notify(
@@ -86,7 +86,12 @@
         with anyio.move_on_after(NOTIFY_SECONDS) as timeout:
             await send_to_gateway(connections, gateway, build_request)
     except (BackendUnreachableError, ExchangeBrokenError) as error:
-        logger.warning("a gateway could not be notified of the shutdown: %s", error)
+        logger.warning(
+            "cannot notify a gateway of the shutdown; its responses may be cut: %s", error
+        )
         return
     if timeout.cancelled_caught:
-        logger.warning("a gateway could not be notified of the shutdown in time: %s", gateway)
+        logger.warning(
+            "a gateway did not confirm the shutdown notice in time; its responses may be cut: %s",
+            gateway,
+        )
--- a/src/pewtertack/node/proxy/taking_back.py
+++ b/src/pewtertack/node/proxy/taking_back.py
@@ -19,7 +19,7 @@
 from pewtertack.node.proxy.upstream import ConnectionPool
 from pewtertack.routing.outcomes import BackendUnreachableError
 
-WITHDRAW_SECONDS = 0.3
+WITHDRAW_TIMEOUT_SECONDS = 0.3
 """Timeout for the connection and the response together; an unreachable gateway would not refuse
 anything in time."""
 
@@ -32,12 +32,14 @@
     Whether the gateway did so shows in the response to the request itself.
     """
     try:
-        with anyio.move_on_after(WITHDRAW_SECONDS):
+        with anyio.move_on_after(WITHDRAW_TIMEOUT_SECONDS):
             await send_to_gateway(
                 connections, gateway, lambda: withdrawal_request(gateway, request_id)
             )
     except (BackendUnreachableError, ExchangeBrokenError) as error:
-        logger.warning("a request could not be withdrawn: %s", error)
+        logger.warning(
+            "cannot withdraw a request from its gateway; waiting for its response: %s", error
+        )
 
 
 async def send_to_gateway(
@@ -51,7 +53,7 @@
         BackendUnreachableError: no connection was made.
         ExchangeBrokenError: no response was received.
     """
-    connection = await connections.acquire(gateway, WITHDRAW_SECONDS)
+    connection = await connections.acquire(gateway, WITHDRAW_TIMEOUT_SECONDS)
     try:
         await connection.exchange(build_request())
         await connection.read_body()
--- a/src/pewtertack/node/proxy/upstream.py
+++ b/src/pewtertack/node/proxy/upstream.py
@@ -14,8 +14,9 @@
 IDLE_SECONDS = 3.0
 """Idle connections are closed after this long; uvicorn's back ends close after 5 s."""
 GATEWAY_IDLE_SECONDS = 10.0
-"""The same for connections to other nodes, which keep them open for ``limits.keep_alive``. In a
-zone of 28 nodes with 16 gateways, a pair of nodes exchanges a request every 3 s on average."""
+"""Idle connections to other nodes are closed after this long; the other node keeps them open for
+``limits.keep_alive``. In a zone of 28 nodes with 16 gateways, a pair of nodes exchanges a request
+every 3 s on average."""
 SWEEP_SECONDS = 1.0
 """Expired connections are closed at most this much later, several at a time. A periodic sweep
 every second would wake each node twice a second, for proxy and gateway, even if nothing had
--- a/src/pewtertack/node/sockets.py
+++ b/src/pewtertack/node/sockets.py
@@ -12,6 +12,7 @@
 from pewtertack.settings.errors import AddressInUseError, AddressUnavailableError
 
 BACKLOG = 2048
+"""Backlog of the listening sockets."""
 DATAGRAM_BUFFER_BYTES = 1024 * 1024
 """Requested receive buffer, so that a burst of datagrams is queued rather than lost."""
 _PEER_BIND_ATTEMPTS = 16
@@ -107,9 +108,8 @@
 def _new_socket(address: Address, kind: socket.SocketKind) -> socket.socket:
     family = socket.AF_INET6 if address.is_ipv6 else socket.AF_INET
     protocol = socket.IPPROTO_TCP if kind == socket.SOCK_STREAM else socket.IPPROTO_UDP
-    sock = socket.socket(
-        family, kind, protocol
-    )  # asyncio sets TCP_NODELAY depending on the protocol
+    # The protocol is explicit because asyncio sets TCP_NODELAY depending on it.
+    sock = socket.socket(family, kind, protocol)
     sock.setblocking(False)
     return sock
 
--- a/src/pewtertack/node/status.py
+++ b/src/pewtertack/node/status.py
@@ -56,7 +56,7 @@
 
     fingerprint: str
     ends: int
-    """Crashes of back ends under it since it was last answered."""
+    """Number of back ends that have crashed while running it since it was last answered."""
     since: float
     """Seconds since the first of these crashes."""
     last: float
--- a/src/pewtertack/node/transport.py
+++ b/src/pewtertack/node/transport.py
@@ -29,7 +29,7 @@
 DATAGRAM_BATCH = 64
 """Datagrams processed at one wake-up before other tasks run."""
 MAX_INBOUND_BYTES = 2 * STREAM_BYTES_MAX
-"""Memory for frames being received over TCP, including those of strangers."""
+"""Limit on the bytes of frames being received over TCP, from unauthenticated senders too."""
 ARRIVAL_INTERVAL_SECONDS = 0.1
 """Minimum seconds between two notifications of one arriving frame."""
 _MAX_CACHED_ADDRESSES = 4096
--- a/src/pewtertack/node/view.py
+++ b/src/pewtertack/node/view.py
@@ -35,7 +35,9 @@
 
     def status(self) -> NodeStatus:
         """Return the node's current state."""
-        from pewtertack.node.status_page import status_of  # most nodes are never asked
+        from pewtertack.node.status_page import (
+            status_of,
+        )  # imported here: most nodes are never queried
 
         return status_of(self)
 
--- a/tests/node/http/test_protocol.py
+++ b/tests/node/http/test_protocol.py
@@ -67,7 +67,7 @@
             self.assertEqual((await raw_call(self.address, b"")).status, 0)
 
     async def test_a_slow_body(self) -> None:
-        with unittest.mock.patch("pewtertack.node.proxy.body.IDLE_SECONDS", 0.1):
+        with unittest.mock.patch("pewtertack.node.proxy.body.BODY_IDLE_SECONDS", 0.1):
             raw = HEAD + b"content-length: 9\r\n\r\nhalf"
             response = await raw_call(self.address, raw)
         # 408 would promise that the request has not run, but the back end has its head.
