--- a/src/pewtertack/cli/lab.py
+++ b/src/pewtertack/cli/lab.py
@@ -172,8 +172,8 @@
     from pewtertack.lab.records import CallResult, encode_record
     from pewtertack.lab.serving import print_line, print_ready
 
-    def record(told: CallResult) -> None:
-        print_line(encode_record(told))
+    def record(outcome: CallResult) -> None:
+        print_line(encode_record(outcome))
 
     targets = [Target(*parse_named_address(text)) for text in node]
     mix = mix_of_tree(read_json_object(tree))
--- a/src/pewtertack/cli/lab_soak.py
+++ b/src/pewtertack/cli/lab_soak.py
@@ -56,8 +56,8 @@
     from pewtertack.lab.soak.callers import PersistentCallers
     from pewtertack.lab.soak.mix import DownloadRequestGenerator, MixedRequestGenerator
 
-    def record(told: CallResult) -> None:
-        print_line(encode_record(told))
+    def record(outcome: CallResult) -> None:
+        print_line(encode_record(outcome))
 
     targets = [Target(*parse_named_address(text)) for text in node]
     mix = mix_of_tree(read_json_object(tree))
--- a/src/pewtertack/cli/node.py
+++ b/src/pewtertack/cli/node.py
@@ -71,7 +71,7 @@
 
 
 def run(arguments: Sequence[str], make_reader: ReaderFactory | None = None) -> int:
-    """Run a node with the parsed command-line arguments and return its exit code.
+    """Run a node with the given command-line arguments and return its exit code.
 
     ``make_reader`` replaces the reader for pewtertack's own source interface.
 
--- a/src/pewtertack/cli/rollout.py
+++ b/src/pewtertack/cli/rollout.py
@@ -83,7 +83,7 @@
     return codes[report.outcome]
 
 
-def _ignore_progress(waited: float, report: RolloutReport) -> None:
+def _ignore_progress(elapsed_seconds: float, report: RolloutReport) -> None:
     """Print nothing."""
 
 
@@ -91,11 +91,11 @@
     """Return a function that prints the counts to standard error whenever they change."""
     last = ""
 
-    def report_progress(waited: float, report: RolloutReport) -> None:
+    def report_progress(elapsed_seconds: float, report: RolloutReport) -> None:
         nonlocal last
         line = format_progress(report)
         if line != last:
-            typer.echo(f"{waited:7.1f} s  {line}", err=True)
+            typer.echo(f"{elapsed_seconds:7.1f} s  {line}", err=True)
         last = line
 
     return report_progress
@@ -122,7 +122,7 @@
         format_table(STAGE_HEADERS, [_stage_row(item, report.nodes) for item in report.stages]),
     ]
     if report.lacking:
-        rows = [_lagging_row(lagging) for lagging in report.lacking]
+        rows = [_lagging_row(node) for node in report.lacking]
         lines += ["", format_table(LAGGING_HEADERS, rows)]
     return "\n".join([*lines, *_finding_lines(report)])
 
@@ -136,34 +136,34 @@
 
 
 def _stage_row(item: StageSummary, nodes: int) -> tuple[str, ...]:
-    moments = (item.first, item.median, item.last)
-    times = (NO_VALUE if value is None else f"{value:.2f} s" for value in moments)
+    offsets = (item.first, item.median, item.last)
+    times = (NO_VALUE if value is None else f"{value:.2f} s" for value in offsets)
     return (_stage_label(item.stage), f"{item.nodes}/{nodes}", *times)
 
 
-def _lagging_row(lagging: LaggingNode) -> tuple[str, ...]:
+def _lagging_row(node: LaggingNode) -> tuple[str, ...]:
     return (
-        lagging.node or lagging.admin,
-        lagging.zone or NO_VALUE,
-        _format_revision(lagging.in_force),
-        _format_revision(lagging.held),
-        lagging.why,
-        _format_detail(lagging),
+        node.node or node.admin,
+        node.zone or NO_VALUE,
+        _format_revision(node.in_force),
+        _format_revision(node.held),
+        node.why,
+        _format_detail(node),
     )
 
 
-def _format_detail(lagging: LaggingNode) -> str:
-    parts = [lagging.problem] if lagging.problem else []
-    if lagging.phase and lagging.phase != "serving":
-        parts.append(lagging.phase)
-    if lagging.heard_for is not None:
-        parts.append(f"reported {_format_seconds(lagging.heard_for)} ago")
-    if lagging.read is not None:
-        parts += _read_details(lagging.read)
-        if lagging.answer_seconds is not None:
-            parts.append(f"responses take {_format_seconds(lagging.answer_seconds)}")
-    if lagging.source_age is not None:
-        parts.append(f"source responded {_format_seconds(lagging.source_age)} ago")
+def _format_detail(node: LaggingNode) -> str:
+    parts = [node.problem] if node.problem else []
+    if node.phase and node.phase != "serving":
+        parts.append(node.phase)
+    if node.heard_for is not None:
+        parts.append(f"reported {_format_seconds(node.heard_for)} ago")
+    if node.read is not None:
+        parts += _read_details(node.read)
+        if node.answer_seconds is not None:
+            parts.append(f"responses take {_format_seconds(node.answer_seconds)}")
+    if node.source_age is not None:
+        parts.append(f"source responded {_format_seconds(node.source_age)} ago")
     return ", ".join(parts) or NO_VALUE
 
 
@@ -181,12 +181,12 @@
 
 def _finding_lines(report: RolloutReport) -> list[str]:
     """Return each finding once, with the number of nodes that rejected the revision for it."""
-    nodes: dict[str, int] = {}
-    for lagging in report.lacking:
-        for finding in lagging.findings:
+    node_counts: dict[str, int] = {}
+    for node in report.lacking:
+        for finding in node.findings:
             text = f"{finding.path}: {finding.code}: {finding.message}"
-            nodes[text] = nodes.get(text, 0) + 1
-    lines = [f"rejected on {count} nodes: {text}" for text, count in nodes.items()]
+            node_counts[text] = node_counts.get(text, 0) + 1
+    lines = [f"rejected on {count} nodes: {text}" for text, count in node_counts.items()]
     return ["", *lines] if lines else []
 
 
--- a/src/pewtertack/cli/rollout_lag.py
+++ b/src/pewtertack/cli/rollout_lag.py
@@ -1,4 +1,4 @@
-"""Determines reason a node does not have a revision in force."""
+"""Determines why a node does not have a revision in force."""
 
 from __future__ import annotations
 
--- a/src/pewtertack/cli/rollout_polling.py
+++ b/src/pewtertack/cli/rollout_polling.py
@@ -37,16 +37,16 @@
     followed = version
     while True:
         reports = await read_reports()
-        waited = anyio.current_time() - started_at
+        elapsed_seconds = anyio.current_time() - started_at
         followed = followed or newest_revision(reports) or None
         if followed is not None:
             report = rollout_report(revision_of_version(followed, reports), reports)
-            report_progress(waited, report)
-            if report.settled or waited >= wait:
+            report_progress(elapsed_seconds, report)
+            if report.settled or elapsed_seconds >= wait:
                 return report
-        elif waited >= wait:
+        elif elapsed_seconds >= wait:
             raise _no_revision_error(reports)
-        await anyio.sleep(min(POLL_SECONDS, max(wait - waited, 0.0)))
+        await anyio.sleep(min(POLL_SECONDS, max(wait - elapsed_seconds, 0.0)))
 
 
 def _no_revision_error(reports: Sequence[NodeReport]) -> NoRevisionError:
--- a/src/pewtertack/cli/rollout_reports.py
+++ b/src/pewtertack/cli/rollout_reports.py
@@ -72,7 +72,7 @@
     @property
     def settled(self) -> bool:
         """Whether further waiting cannot change the outcome."""
-        pending = {lagging.why for lagging in self.lacking} - {LagReason.LEAVING}
+        pending = {node.why for node in self.lacking} - {LagReason.LEAVING}
         if pending <= {LagReason.REJECTED}:
             return True
         held = next(item.nodes for item in self.stages if item.stage is Stage.HELD)
@@ -107,9 +107,7 @@
     ]
     first_reported_at = min(reported_at, default=None)
     lacking = tuple(
-        lagging
-        for lagging in (lagging_node(revision, report) for report in reports)
-        if lagging is not None
+        node for node in (lagging_node(revision, report) for report in reports) if node is not None
     )
     counted_times = [
         stage_times_by_admin[report.admin]
@@ -165,7 +163,7 @@
 
 
 def _outcome(lacking: Sequence[LaggingNode], queried_count: int) -> Outcome:
-    reasons = {lagging.why for lagging in lacking} - {LagReason.LEAVING}
+    reasons = {node.why for node in lacking} - {LagReason.LEAVING}
     if not reasons:
         return Outcome.COMPLETE if len(lacking) < queried_count else Outcome.INCOMPLETE
     if LagReason.REJECTED in reasons:
--- a/src/pewtertack/events.py
+++ b/src/pewtertack/events.py
@@ -36,7 +36,7 @@
     REVISION_STALE = (206, "The source returned an older revision, which is ignored.")
     ZONES_EVACUATED = (
         207,
-        "The evacuated zones, whose back ends get no requests, changed; who is unserved.",
+        "The evacuated zones, which get no requests, changed; services without back ends.",
     )
     REVISION_HEARD = (208, "A peer reported a newer revision than any known to this node.")
     MEMBER_ALIVE = (301, "A member joined or refuted a suspicion.")
@@ -97,7 +97,7 @@
     SENDER_STOPS = (629, "A stopping node announced until when it forwards responses.")
     GATEWAY_GAVE_BACK = (
         630,
-        "Request handed back: the gateway's or sender's node stops before a long response leaves.",
+        "Request handed back: the gateway's or proxy's node stops before a long response leaves.",
     )
 
     def __init__(self, number: int, meaning: str, routine: bool = False) -> None:
--- a/src/pewtertack/tracing/timeline.py
+++ b/src/pewtertack/tracing/timeline.py
@@ -36,7 +36,7 @@
 STATE_CHANGE_LOOKBACK_SECONDS = 3.0
 """State changes from this long before the first line of the request are included."""
 
-Process = tuple[str, int]
+ProcessId = tuple[str, int]
 """Name and incarnation."""
 
 
@@ -65,14 +65,14 @@
 
 
 @dataclass(slots=True)
-class _Clocks:
+class _ClockAlignment:
     """Offsets that align the monotonic clock of each process with that of the first one."""
 
-    offsets: dict[Process, float] = field(default_factory=dict)
+    offsets: dict[ProcessId, float] = field(default_factory=dict)
     uncertainty: dict[str, float] = field(default_factory=dict)
 
     def at(self, line: LogLine) -> float:
-        return line.uptime + self.offsets.get(_process(line), 0.0)
+        return line.uptime + self.offsets.get(_process_id(line), 0.0)
 
 
 def build_timeline(lines: Sequence[LogLine], request: str) -> Timeline:
@@ -94,29 +94,30 @@
     return Timeline(request, timed_lines, state_changes, clocks.uncertainty, nested, crashes)
 
 
-def _process(line: LogLine) -> Process:
+def _process_id(line: LogLine) -> ProcessId:
     return line.node, line.incarnation
 
 
-def _align_clocks(request_lines: list[LogLine]) -> _Clocks:
-    clocks = _Clocks()
+def _align_clocks(request_lines: list[LogLine]) -> _ClockAlignment:
+    clocks = _ClockAlignment()
     proxy_lines = [line for line in request_lines if not line.event.startswith(GATEWAY_PREFIX)]
     first = min(proxy_lines or request_lines, key=lambda line: line.time)
-    clocks.offsets[_process(first)] = 0.0
-    for process in {_process(line) for line in request_lines} - {_process(first)}:
+    clocks.offsets[_process_id(first)] = 0.0
+    for process in {_process_id(line) for line in request_lines} - {_process_id(first)}:
         _align_process(clocks, request_lines, proxy_lines, process, first)
     return clocks
 
 
 def _align_process(
-    clocks: _Clocks,
+    clocks: _ClockAlignment,
     request_lines: list[LogLine],
     proxy_lines: list[LogLine],
-    process: Process,
+    process: ProcessId,
     first: LogLine,
 ) -> None:
     process_lines = sorted(
-        (line for line in request_lines if _process(line) == process), key=lambda item: item.uptime
+        (line for line in request_lines if _process_id(line) == process),
+        key=lambda item: item.uptime,
     )
     backend = process_lines[0].fields.get("backend")
     bounds = _attempt_bounds(proxy_lines, str(backend))
@@ -144,12 +145,12 @@
 
 
 def _state_changes(
-    lines: Iterable[LogLine], clocks: _Clocks, first_at: float, end: float
+    lines: Iterable[LogLine], clocks: _ClockAlignment, first_at: float, end: float
 ) -> tuple[TimedLine, ...]:
     candidates = [
         TimedLine(clocks.at(line) - first_at, line)
         for line in lines
-        if line.event in STATE_CHANGE_EVENTS and _process(line) in clocks.offsets
+        if line.event in STATE_CHANGE_EVENTS and _process_id(line) in clocks.offsets
     ]
     recent = [
         timed_line
--- a/tests/cli/test_rollout.py
+++ b/tests/cli/test_rollout.py
@@ -42,7 +42,7 @@
         async def read() -> Sequence[NodeReport]:
             return remaining.pop(0) if len(remaining) > 1 else remaining[0]
 
-        def report_progress(waited: float, result: RolloutReport) -> None:
+        def report_progress(elapsed_seconds: float, result: RolloutReport) -> None:
             self.progress_lines.append(format_progress(result))
 
         with mock.patch.object(rollout_polling, "POLL_SECONDS", 0.01):
@@ -77,7 +77,7 @@
         result = await self.follow([lacking()], [current("a", 900.0, 900.0)], version=8)
         self.assertEqual(result.outcome, "complete")
         result = await self.follow([lacking()], version=8, wait=0.02)
-        self.assertEqual([lagging.why for lagging in result.lacking], ["not-heard"])
+        self.assertEqual([node.why for node in result.lacking], ["not-heard"])
 
     async def test_nodes_without_any_revision_raise_an_error(self) -> None:
         empty = report(node_status("a", 0))
--- a/tests/cli/test_rollout_processes.py
+++ b/tests/cli/test_rollout_processes.py
@@ -61,7 +61,7 @@
         return process.returncode, json.loads(process.stdout), process.stderr.decode()
 
     def reasons(self, result: Any) -> dict[str, str]:
-        return {lagging["node"]: lagging["why"] for lagging in result["lacking"]}
+        return {node["node"]: node["why"] for node in result["lacking"]}
 
     async def wait_for_reasons(self, expected: dict[str, str], *arguments: str) -> int:
         """Poll until the reasons are as expected; a node that has just joined does not read yet."""
--- a/tests/cli/test_rollout_reports.py
+++ b/tests/cli/test_rollout_reports.py
@@ -1,4 +1,4 @@
-"""Progress of a revision: stages, their times, and reason which nodes lagging it."""
+"""Progress of a revision: stages, their times, and why nodes lack it."""
 
 import unittest
 from typing import Any
@@ -44,8 +44,8 @@
 
     def check_why(self, reason: LagReason, **fields: Any) -> None:
         result = self.rollout(current("a", 900.0, 901.0), lacking(**fields))
-        (lagging,) = result.lacking
-        self.assertEqual((lagging.why, lagging.node, lagging.in_force), (reason, "late", 7))
+        (node,) = result.lacking
+        self.assertEqual((node.why, node.node, node.in_force), (reason, "late", 7))
 
     def test_times_count_from_the_first_report_at_any_node(self) -> None:
         result = self.rollout(
@@ -119,15 +119,15 @@
 
     def test_time_since_the_revision_was_reported(self) -> None:
         stages = (StagesStatus(8, "unknown", NOW - 3.2),)
-        (lagging,) = self.rollout(lacking(newest_heard=8, stages=stages)).lacking
-        self.assertEqual(lagging.heard_for, 3.2)
+        (node,) = self.rollout(lacking(newest_heard=8, stages=stages)).lacking
+        self.assertEqual(node.heard_for, 3.2)
 
     def test_rejection_includes_findings(self) -> None:
         late = lacking(newest_heard=8, last_rejection=REJECTION)
         result = self.rollout(current("a", 900.0, 900.0), late)
         self.assertEqual(result.outcome, Outcome.REJECTED)
-        (lagging,) = result.lacking
-        self.assertEqual((lagging.why, lagging.findings), (LagReason.REJECTED, (FINDING,)))
+        (node,) = result.lacking
+        self.assertEqual((node.why, node.findings), (LagReason.REJECTED, (FINDING,)))
 
     def test_rejection_of_an_older_revision_is_not_the_reason(self) -> None:
         old = RejectionStatus(RevisionStatus(6), (FINDING,))
@@ -144,9 +144,9 @@
         result = self.rollout(current("a", 900.0, 900.0), unreachable("gone"))
         self.assertEqual(result.outcome, Outcome.UNREACHABLE)
         self.assertFalse(result.settled)
-        (lagging,) = result.lacking
+        (node,) = result.lacking
         self.assertEqual(
-            (lagging.why, lagging.problem), (LagReason.UNREACHABLE, "no response within 3 s")
+            (node.why, node.problem), (LagReason.UNREACHABLE, "no response within 3 s")
         )
         self.assertEqual(self.rollout(unreachable("gone")).outcome, Outcome.INCOMPLETE)
         both = self.rollout(current("a", 900.0, 900.0), unreachable("gone"), lacking())
