--- a/src/pewtertack/cli/lab_depth.py
+++ b/src/pewtertack/cli/lab_depth.py
@@ -18,11 +18,11 @@
 ) -> None:
     """Simulate service chains under faults, compared with fixed retries at every level."""
     from pewtertack.lab.depth.simulation import DEPTHS, compare
-    from pewtertack.lab.depth.table import lines_of
+    from pewtertack.lab.depth.table import markdown_lines
 
     depths = (*(item for item in DEPTHS if item < depth), depth)
     result = compare(depths, seed)
-    for line in lines_of(result):
+    for line in markdown_lines(result):
         typer.echo(line)
     if report is not None:
         report.write_bytes(msgspec.json.format(msgspec.json.encode(result)))
@@ -34,7 +34,7 @@
     seed: int = 1,
 ) -> None:
     """Compute the latency that the proxies of a call chain add, from the samples of one hop."""
-    from pewtertack.lab.depth.latency import added_over
+    from pewtertack.lab.depth.latency import added_latency
     from pewtertack.lab.depth.simulation import DEPTHS
     from pewtertack.lab.hop.measurement import HopSamples
 
@@ -45,5 +45,5 @@
     typer.echo("| depth | added p50 ms | added p99 ms | depth times one hop's p99 ms |")
     typer.echo("|---|---|---|---|")
     for levels in (*(item for item in DEPTHS if item < depth), depth):
-        row = added_over(hop, levels, seed)
+        row = added_latency(hop, levels, seed)
         typer.echo(f"| {levels} | {row.p50:.2f} | {row.p99:.2f} | {row.p99_times_depth:.2f} |")
--- a/src/pewtertack/cli/lab_simulations.py
+++ b/src/pewtertack/cli/lab_simulations.py
@@ -28,9 +28,9 @@
     plot: Annotated[Path | None, typer.Option(help="File for a plot over time, as SVG.")] = None,
 ) -> None:
     """Simulate a request that crashes back ends among ordinary ones; print the result as JSON."""
-    from pewtertack.lab.crashes.simulation import CrashShape, simulate_crashes
+    from pewtertack.lab.crashes.simulation import CrashSettings, simulate_crashes
 
-    shape = CrashShape(
+    shape = CrashSettings(
         nodes=nodes,
         seconds=seconds,
         repeat=repeat,
@@ -84,15 +84,18 @@
     ] = WaitMarginPolicy.SPREAD,
 ) -> None:
     """Simulate an overload, compared with round robin and fixed retries; print it as JSON."""
-    from pewtertack.lab.overload.returning import ReturningShape, simulate_returning
-    from pewtertack.lab.overload.simulation import Shape, compare, simulate_gateways
+    from pewtertack.lab.overload.retrying_callers import (
+        RetrySimulationSettings,
+        simulate_retrying_callers,
+    )
+    from pewtertack.lab.overload.simulation import OverloadSettings, compare, simulate_gateways
 
-    shape = Shape(nodes=nodes, seconds=seconds)
+    shape = OverloadSettings(nodes=nodes, seconds=seconds)
     if returning and not gateways:
         raise typer.BadParameter("--returning needs --gateways")
     result: msgspec.Struct
     if returning:
-        returning_shape = ReturningShape(
+        returning_shape = RetrySimulationSettings(
             seconds=seconds,
             load=load,
             burst=burst,
@@ -101,7 +104,7 @@
             long_share=long_share,
             policies=Policies(margin=margin),
         )
-        result = simulate_returning(returning_shape, seed)
+        result = simulate_retrying_callers(returning_shape, seed)
     else:
         result = simulate_gateways(shape, load, seed) if gateways else compare(shape, load, seed)
     _print(result)
--- a/src/pewtertack/lab/convergence/measurement.py
+++ b/src/pewtertack/lab/convergence/measurement.py
@@ -16,8 +16,8 @@
 from pewtertack.lab.errors import FleetTimeoutError
 from pewtertack.lab.scale.memory import check_memory
 from pewtertack.lab.scale.run import GARBAGE_THRESHOLD
-from pewtertack.lab.simulation.virtual_loop import run_virtually
-from pewtertack.lab.store_fleet.fleet import EventHandler, NodeFleet, NodeLine, StoreFleet
+from pewtertack.lab.simulation.virtual_loop import run_in_virtual_time
+from pewtertack.lab.store_fleet.fleet import EventHandler, NodeFleet, NodeLogLine, StoreFleet
 from pewtertack.lab.store_fleet.simulated import SimulatedStoreFleet
 
 POLL = 0.05
@@ -61,7 +61,7 @@
         received = self._fleet.received_bytes()
         self._recording.watch()
         await anyio.sleep(self._point.slow_before)
-        version = self._fleet.written.add_routes(self._point.routes)
+        version = self._fleet.edited_store.add_routes(self._point.routes)
         self._recording.edited(version, anyio.current_time())
         await anyio.sleep(timing.WATCHED_AFTER)
         await self._wait_in_force()
@@ -95,7 +95,7 @@
             return None
         return (received - before) / len(self._fleet.names)
 
-    def _take_event(self, name: str, line: NodeLine) -> None:
+    def _take_event(self, name: str, line: NodeLogLine) -> None:
         now = anyio.current_time()
         self._recording.take(name, line.event, now, line.revision, line.reason)
 
@@ -130,7 +130,7 @@
     thresholds = gc.get_threshold()
     gc.set_threshold(GARBAGE_THRESHOLD)
     try:
-        result: PointResult = run_virtually(_measure_simulated, point, seed)
+        result: PointResult = run_in_virtual_time(_measure_simulated, point, seed)
     finally:
         gc.set_threshold(*thresholds)
     return result
--- a/src/pewtertack/lab/convergence/options.py
+++ b/src/pewtertack/lab/convergence/options.py
@@ -11,7 +11,7 @@
 from pewtertack.lab.errors import ConvergenceOptionError
 from pewtertack.lab.metadata_store.application import StoreFaults
 from pewtertack.lab.store_fleet.fleet import BYTES_PER_MEGABIT
-from pewtertack.lab.store_fleet.simulated import MOST_WITH_FRAMES
+from pewtertack.lab.store_fleet.simulated import MAX_NODES_WITH_FRAMES
 
 MOST_PROCESSES = 24
 """Nodes in a process each."""
@@ -112,8 +112,8 @@
     def _check_links(self, nodes: Sequence[int], links: Sequence[float]) -> None:
         bounded = [link for link in links if link != 0]
         _check_each("--link", bounded, SLOWEST_LINK_MBPS, FASTEST_LINK_MBPS)
-        if bounded and max(nodes, default=0) > MOST_WITH_FRAMES:
-            accepted = f"0 with more than {MOST_WITH_FRAMES} nodes"
+        if bounded and max(nodes, default=0) > MAX_NODES_WITH_FRAMES:
+            accepted = f"0 with more than {MAX_NODES_WITH_FRAMES} nodes"
             raise ConvergenceOptionError(f"--link {bounded[0]:g}: {accepted}")
 
 
--- a/src/pewtertack/lab/crashes/simulation.py
+++ b/src/pewtertack/lab/crashes/simulation.py
@@ -24,7 +24,7 @@
 """After the third end, callers' attempts may be under way for so long."""
 
 
-class CrashShape(msgspec.Struct, frozen=True):
+class CrashSettings(msgspec.Struct, frozen=True):
     """What happens. Times in seconds, rates a second."""
 
     nodes: int = 12
@@ -71,7 +71,7 @@
 class CrashResult(msgspec.Struct, frozen=True):
     """What came of it."""
 
-    shape: CrashShape
+    shape: CrashSettings
     seed: int
     ends: int
     late_ends: int
@@ -112,7 +112,7 @@
 class CrashSimulation:
     """One run; ``run`` returns its result."""
 
-    def __init__(self, shape: CrashShape, seed: int) -> None:
+    def __init__(self, shape: CrashSettings, seed: int) -> None:
         shape.check()
         self._shape = shape
         self._seed = seed
@@ -246,7 +246,7 @@
     return fingerprint_of(head_digest("GET", f"/{name}".encode(), []), b"")
 
 
-def simulate_crashes(shape: CrashShape, seed: int) -> CrashResult:
+def simulate_crashes(shape: CrashSettings, seed: int) -> CrashResult:
     """Play one shape.
 
     Raises:
--- a/src/pewtertack/lab/depth/backend.py
+++ b/src/pewtertack/lab/depth/backend.py
@@ -19,7 +19,7 @@
     Reply,
     TopRequest,
 )
-from pewtertack.lab.overload.world import NETWORK_DELAY, VirtualTime
+from pewtertack.lab.overload.virtual_backends import NETWORK_DELAY, VirtualTime
 from pewtertack.routing.deadlines import deadline_of, format_deadline
 
 WORK_SECONDS = 0.002
--- a/src/pewtertack/lab/depth/latency.py
+++ b/src/pewtertack/lab/depth/latency.py
@@ -22,7 +22,7 @@
     """What adding up one hop's p99 would give."""
 
 
-def added_over(hop: HopSamples, depth: int, seed: int) -> AddedLatency:
+def added_latency(hop: HopSamples, depth: int, seed: int) -> AddedLatency:
     """Sum ``depth`` times drawn with replacement, proxied and direct apart.
 
     Hops are taken to be independent of each other: what strikes all hops of a
--- a/src/pewtertack/lab/depth/simulation.py
+++ b/src/pewtertack/lab/depth/simulation.py
@@ -12,7 +12,7 @@
 from pewtertack.lab.depth.backend import BackendWorld, Fault, FaultKind, WorkMeter
 from pewtertack.lab.depth.levels import ROUTE_TIMEOUT, DispatcherLevel, FixedLevel, route
 from pewtertack.lab.depth.requests import OK_STATUS, Cancellable, Level, Reply, TopRequest
-from pewtertack.lab.overload.world import VirtualTime
+from pewtertack.lab.overload.virtual_backends import VirtualTime
 from pewtertack.routing.deadlines import format_deadline
 
 RATE = 50.0
--- a/src/pewtertack/lab/depth/table.py
+++ b/src/pewtertack/lab/depth/table.py
@@ -21,7 +21,7 @@
 )
 
 
-def lines_of(report: DepthReport) -> Iterator[str]:
+def markdown_lines(report: DepthReport) -> Iterator[str]:
     """Yield the table's lines; "≥" marks runs that were cut at the attempts' limit."""
     yield "| " + " | ".join(COLUMNS) + " |"
     yield "|" + "---|" * len(COLUMNS)
--- a/src/pewtertack/lab/metadata_store/application.py
+++ b/src/pewtertack/lab/metadata_store/application.py
@@ -20,7 +20,7 @@
 PAGE_ITEMS = 50
 LONGEST_WAIT_MS = 30_000
 STATUS_GONE = 410
-STATUS_AWAY = 503
+STATUS_UNAVAILABLE = 503
 ERA_HEADER = "store_era"
 """As `json_response` takes it: header names are the same in any case."""
 LOST_ANSWER_SECONDS = 3600.0
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StoreCopy:
+class StoreSnapshot:
     """The store as it was at one moment."""
 
     revision: int
@@ -109,31 +109,33 @@
         """Remove an item and return the revision of that."""
         return self._apply(key, None)
 
-    def names(self, prefix: str) -> set[str]:
+    def keys_below(self, prefix: str) -> set[str]:
         """Return the keys below ``prefix``, without it."""
         return {key.removeprefix(prefix) for key in self._items if key.startswith(prefix)}
 
-    def spoil(self, key: str, form: dict[str, object]) -> None:
+    def put_malformed(self, key: str, form: dict[str, object]) -> None:
         """Write an item and hand it out with some of its parts replaced from now on."""
         self._spoilt[key] = form
         self._apply(key, b"{}")
 
-    def forget_history(self) -> None:
+    def discard_history(self) -> None:
         """Drop all history: watches from an earlier revision get 410."""
         self._history.clear()
         self._forgotten = self._revision
         self._notify()
 
-    def copy(self) -> StoreCopy:
+    def snapshot(self) -> StoreSnapshot:
         """Return a copy of the present state, to come back from."""
-        return StoreCopy(self._revision, self._forgotten, dict(self._items), tuple(self._history))
+        return StoreSnapshot(
+            self._revision, self._forgotten, dict(self._items), tuple(self._history)
+        )
 
-    def go_away(self) -> None:
+    def make_unavailable(self) -> None:
         """Answer all calls with 503, waiting watches too, until the faults are others."""
-        self.faults = msgspec.structs.replace(self.faults, status=STATUS_AWAY)
+        self.faults = msgspec.structs.replace(self.faults, status=STATUS_UNAVAILABLE)
         self._notify()
 
-    def come_back_from(self, copy: StoreCopy) -> None:
+    def restore_from(self, copy: StoreSnapshot) -> None:
         """Lose what was written since ``copy``: revisions go back, the era rises by one."""
         self.faults = msgspec.structs.replace(self.faults, status=0)
         self._revision, self._forgotten = copy.revision, copy.forgotten
--- a/src/pewtertack/lab/overload/callers.py
+++ b/src/pewtertack/lab/overload/callers.py
@@ -12,8 +12,8 @@
 
 from pewtertack.core.configuration.resolved import WorkClass
 from pewtertack.lab.overload.gateways import GatewayNode
+from pewtertack.lab.overload.virtual_backends import VirtualTime
 from pewtertack.lab.overload.workload import ClassProfile, SimulatedRequest
-from pewtertack.lab.overload.world import VirtualTime
 
 SHOPPERS = (
     ClassProfile(WorkClass.INTERACTIVE, 0.6, 0.12, 2.5, "status", 0.4, 1.0, 2),
--- a/src/pewtertack/lab/overload/gateways.py
+++ b/src/pewtertack/lab/overload/gateways.py
@@ -12,8 +12,8 @@
 from pewtertack.core.configuration.resolved import ResolvedService
 from pewtertack.core.machines import Machine, MachineList, MachineRole
 from pewtertack.lab.overload.nodes import ROUTES
+from pewtertack.lab.overload.virtual_backends import NETWORK_DELAY, VirtualTime
 from pewtertack.lab.overload.workload import SERVICE, SimulatedRequest, route_of
-from pewtertack.lab.overload.world import NETWORK_DELAY, VirtualTime
 from pewtertack.routing.admission import Admission
 from pewtertack.routing.admission_ticket import AdmissionTicket
 from pewtertack.routing.attempt_results import AttemptResult
--- a/src/pewtertack/lab/overload/nodes.py
+++ b/src/pewtertack/lab/overload/nodes.py
@@ -8,13 +8,13 @@
 
 from pewtertack.core.configuration.resolved import ResolvedService
 from pewtertack.core.machines import Machine, MachineList, MachineRole
+from pewtertack.lab.overload.virtual_backends import Job, SimulatedBackend, VirtualTime
 from pewtertack.lab.overload.workload import (
     PROFILES,
     SERVICE,
     SimulatedRequest,
     route_of,
 )
-from pewtertack.lab.overload.world import Job, SimulatedBackend, VirtualTime
 from pewtertack.routing.attempt_results import AttemptResult
 from pewtertack.routing.backend import LoadReport
 from pewtertack.routing.dispatcher import Dispatcher
--- a/src/pewtertack/lab/overload/returning.py
+++ b/src/pewtertack/lab/overload/retrying_callers.py
@@ -9,8 +9,8 @@
 
 from pewtertack.lab.overload.callers import AGAIN_PRICE, SHOPPERS, Caller
 from pewtertack.lab.overload.gateways import GatewayNode, SimulatedGateway
+from pewtertack.lab.overload.virtual_backends import VirtualTime
 from pewtertack.lab.overload.workload import ClassProfile, SimulatedRequest, service_settings
-from pewtertack.lab.overload.world import VirtualTime
 from pewtertack.routing.policies import DEFAULT_POLICIES, Policies
 
 ZONES = ("heights", "harbour", "hills")
@@ -26,7 +26,7 @@
 """For so long one back end is slow; it begins when a burst would."""
 
 
-class ReturningShape(msgspec.Struct, frozen=True):
+class RetrySimulationSettings(msgspec.Struct, frozen=True):
     """The simulated deployment and its load, in capacities; ``burst`` in seconds."""
 
     nodes: int = 13
@@ -64,7 +64,7 @@
         return BURST_LOAD if bursts else self.load
 
 
-class ClassFate(msgspec.Struct, frozen=True):
+class RetryClassOutcome(msgspec.Struct, frozen=True):
     """What became of one class, as shares of the requests that are owed."""
 
     owed: int
@@ -76,16 +76,16 @@
     """Price of the time for which requests were held in vain, as a share of their worth."""
 
 
-class ReturningResult(msgspec.Struct, frozen=True):
+class RetrySimulationResult(msgspec.Struct, frozen=True):
     """One run. ``worth`` is what was earned less the prices, as a share of what is owed."""
 
     seed: int
     worth: float
     earned: float
-    classes: dict[str, ClassFate]
+    classes: dict[str, RetryClassOutcome]
 
 
-def simulate_returning(shape: ReturningShape, seed: int) -> ReturningResult:
+def simulate_retrying_callers(shape: RetrySimulationSettings, seed: int) -> RetrySimulationResult:
     """Run one simulation; equal seeds give equal first attempts."""
     time = VirtualTime()
     gateways = [
@@ -125,7 +125,7 @@
     time.at(BURST_START + SLOW_SECONDS, lambda: use(1.0))
 
 
-def _arrivals(shape: ReturningShape, random: Random) -> Iterator[SimulatedRequest]:
+def _arrivals(shape: RetrySimulationSettings, random: Random) -> Iterator[SimulatedRequest]:
     now = 0.0
     drawn = Random(shape.deadline_spread)
     long = Random(shape.long_share)
@@ -146,13 +146,15 @@
         yield SimulatedRequest(profile, 0, now, work, now + deadline)
 
 
-def _result(shape: ReturningShape, seed: int, callers: Sequence[Caller]) -> ReturningResult:
+def _result(
+    shape: RetrySimulationSettings, seed: int, callers: Sequence[Caller]
+) -> RetrySimulationResult:
     owed = [caller for caller in callers if not caller.left]
     worth = sum(caller.profile.worth for caller in owed)
     earned = sum(caller.credit * caller.profile.worth for caller in owed)
     prices = sum(_prices(caller) for caller in callers)
     fates = {profile.name: _fate(profile, owed) for profile in SHOPPERS}
-    return ReturningResult(
+    return RetrySimulationResult(
         seed=seed,
         worth=round((earned - prices) / worth, 4),
         earned=round(earned / worth, 4),
@@ -165,12 +167,12 @@
     return (caller.held_price + again) * caller.profile.worth
 
 
-def _fate(profile: ClassProfile, owed: Sequence[Caller]) -> ClassFate:
+def _fate(profile: ClassProfile, owed: Sequence[Caller]) -> RetryClassOutcome:
     members = [caller for caller in owed if caller.profile is profile]
     count = max(1, len(members))
     in_time = sum(caller.in_time for caller in members)
     answered = sum(caller.answered_at is not None for caller in members)
-    return ClassFate(
+    return RetryClassOutcome(
         owed=len(members),
         in_time=round(in_time / count, 4),
         late=round((answered - in_time) / count, 4),
--- a/src/pewtertack/lab/overload/simulation.py
+++ b/src/pewtertack/lab/overload/simulation.py
@@ -11,6 +11,7 @@
 from pewtertack.core.configuration.resolved import WorkClass
 from pewtertack.lab.overload.gateways import GatewayNode, SimulatedGateway
 from pewtertack.lab.overload.nodes import DispatcherNode, RoundRobinNode, SimulatedNode
+from pewtertack.lab.overload.virtual_backends import SimulatedBackend, VirtualTime
 from pewtertack.lab.overload.workload import (
     MEAN_WORK,
     PROFILES,
@@ -18,14 +19,13 @@
     arrivals,
     service_settings,
 )
-from pewtertack.lab.overload.world import SimulatedBackend, VirtualTime
 
 ZONES = ("ikeja", "yaba", "lekki", "surulere")
 UNLOADED = 0.2
 MILLISECONDS = 1000
 
 
-class Shape(msgspec.Struct, frozen=True):
+class OverloadSettings(msgspec.Struct, frozen=True):
     """The simulated deployment; ``nodes`` proxies share ``backends``."""
 
     nodes: int = 8
@@ -75,7 +75,7 @@
         return loaded / self.unloaded.classes[WorkClass.URGENT].p99
 
 
-def compare(shape: Shape, load: float, seed: int) -> Comparison:
+def compare(shape: OverloadSettings, load: float, seed: int) -> Comparison:
     """Run both ways at ``load`` times the capacity."""
     return Comparison(
         unloaded=simulate(shape, UNLOADED, seed, baseline=False),
@@ -84,7 +84,7 @@
     )
 
 
-def simulate(shape: Shape, load: float, seed: int, baseline: bool) -> RunResult:
+def simulate(shape: OverloadSettings, load: float, seed: int, baseline: bool) -> RunResult:
     """Run one simulation; equal seeds give equal requests for both ways."""
     time = VirtualTime()
     backends = [
@@ -102,7 +102,7 @@
     return _result(shape, load, requests, backends)
 
 
-def simulate_gateways(shape: Shape, load: float, seed: int) -> RunResult:
+def simulate_gateways(shape: OverloadSettings, load: float, seed: int) -> RunResult:
     """Run one simulation in which every back end has a gateway beside it."""
     time = VirtualTime()
     gateways = [
@@ -129,7 +129,7 @@
 
 def _nodes(
     time: VirtualTime,
-    shape: Shape,
+    shape: OverloadSettings,
     backends: Sequence[SimulatedBackend],
     seed: int,
     baseline: bool,
@@ -144,7 +144,7 @@
 
 
 def _result(
-    shape: Shape,
+    shape: OverloadSettings,
     load: float,
     requests: Sequence[SimulatedRequest],
     backends: Sequence[SimulatedBackend | SimulatedGateway],
--- a/src/pewtertack/lab/returns/store_environment.py
+++ b/src/pewtertack/lab/returns/store_environment.py
@@ -13,7 +13,7 @@
 
 from pewtertack.lab.asgi import Receive, Scope, Send, read_body, send_response
 from pewtertack.lab.asgi import Response as HttpAnswer
-from pewtertack.lab.metadata_store.application import MetadataStore, StoreCopy
+from pewtertack.lab.metadata_store.application import MetadataStore, StoreSnapshot
 from pewtertack.lab.serving import Listener
 from pewtertack.settings import Address
 
@@ -144,7 +144,7 @@
         self.returns = 0
         self.is_up = True
         self._up_since = 0.0
-        self._copies: deque[StoreCopy] = deque(maxlen=COPIES_KEPT)
+        self._copies: deque[StoreSnapshot] = deque(maxlen=COPIES_KEPT)
         self._random = random.Random(f"writers:{seed}")
         self._operator_writes_at = 0.0
 
@@ -184,9 +184,9 @@
         self.listener.close()
         await anyio.sleep(away)
         copies = list(self._copies)
-        self.store.come_back_from(copies[max(0, len(copies) - 1 - age)])
+        self.store.restore_from(copies[max(0, len(copies) - 1 - age)])
         self._copies.clear()
-        self._copies.append(self.store.copy())
+        self._copies.append(self.store.snapshot())
         self.returns += 1
         await self.listener.open(tasks)
         self.is_up = True
@@ -239,7 +239,7 @@
 
     def _remove_lapsed(self, silent: Counter[str]) -> None:
         writing = {backend.name for backend in self.backends if backend.writes}
-        for name in self.store.names(ENTRIES) - writing:
+        for name in self.store.keys_below(ENTRIES) - writing:
             silent[name] += 1
             if silent[name] >= LAPSED_HEARTBEATS:
                 del silent[name]
@@ -248,5 +248,5 @@
     async def _take_copies(self) -> None:
         while True:
             if self.is_up:
-                self._copies.append(self.store.copy())
+                self._copies.append(self.store.snapshot())
             await anyio.sleep(COPY_SECONDS)
--- a/src/pewtertack/lab/scale/meter.py
+++ b/src/pewtertack/lab/scale/meter.py
@@ -84,7 +84,7 @@
         self._kinds = self._read_kinds()
         self._reads = self.fleet.source.counts.total
         for service in (self.fleet.source, self.fleet.machine_list):
-            service.counts.most_at_once = service.counts.at_once
+            service.counts.peak_concurrent = service.counts.concurrent
 
     def note_start(self, names: Iterable[str]) -> None:
         """Note that processes of ``names`` were started."""
@@ -123,8 +123,8 @@
             rejoin=distribution_of(rejoin),
             never_served=never,
             source_reads=self.fleet.source.counts.total - self._reads,
-            source_reads_at_once=self.fleet.source.counts.most_at_once,
-            list_reads_at_once=self.fleet.machine_list.counts.most_at_once,
+            source_reads_at_once=self.fleet.source.counts.peak_concurrent,
+            list_reads_at_once=self.fleet.machine_list.counts.peak_concurrent,
         )
 
     def _read_counts(self) -> dict[str, Counts]:
@@ -136,8 +136,8 @@
                 traffic.received_messages.total(),
                 traffic.sent_bytes.total(),
                 traffic.received_bytes.total(),
-                process.processor_time.core,
-                process.processor_time.codec,
+                process.processor_time.core_seconds,
+                process.processor_time.codec_seconds,
             )
         return counts
 
--- a/src/pewtertack/lab/simulation/execution.py
+++ b/src/pewtertack/lab/simulation/execution.py
@@ -16,12 +16,12 @@
 from pewtertack.lab.simulation.scheduler import Action
 from pewtertack.lab.simulation.schedules import (
     AnyStep,
-    BadWeather,
     CutZone,
+    DegradeNetwork,
     Direction,
     DrainNode,
     EditTree,
-    KillHerd,
+    KillNodes,
     PauseNodes,
     Schedule,
     SourceOutage,
@@ -80,7 +80,7 @@
 
     def _begin(self, step: AnyStep) -> None:
         match step:
-            case KillHerd():
+            case KillNodes():
                 self._kill(step)
             case PauseNodes(nodes=nodes, seconds=seconds):
                 names = self._names(nodes)
@@ -96,7 +96,7 @@
                 self._fail_source(step)
             case SourceStale():
                 self._turn_source_stale(step)
-            case BadWeather():
+            case DegradeNetwork():
                 self._worsen_weather(step)
             case EditTree():
                 self._edit(step)
@@ -110,7 +110,7 @@
         self._faults_until = max(self._faults_until, self.fleet.now + delay)
         self.fleet.scheduler.after(delay, action)
 
-    def _kill(self, step: KillHerd) -> None:
+    def _kill(self, step: KillNodes) -> None:
         """Kill at most a minority of the fleet, counting those already gone."""
         alive_needed = len(self.fleet.names) // 2 + 1
         spare = max(0, len(self.fleet.processes) - alive_needed)
@@ -157,7 +157,7 @@
         self.fleet.machine_list.recover()
         self.fleet.record_source_fault("none")
 
-    def _worsen_weather(self, step: BadWeather) -> None:
+    def _worsen_weather(self, step: DegradeNetwork) -> None:
         self.fleet.network.weather = Weather(step.loss, step.duplication, step.reordering)
         self._later(step.seconds, self._clear_weather)
 
--- a/src/pewtertack/lab/simulation/fleet.py
+++ b/src/pewtertack/lab/simulation/fleet.py
@@ -31,7 +31,7 @@
 )
 from pewtertack.lab.simulation.codec import ProcessCodec
 from pewtertack.lab.simulation.network import Latencies, Packet, Place, SimulatedNetwork
-from pewtertack.lab.simulation.platform import NumberedService
+from pewtertack.lab.simulation.platform import DocumentService
 from pewtertack.lab.simulation.process import Recorder, SimulatedProcess, Surroundings
 from pewtertack.lab.simulation.scheduler import Scheduler
 from pewtertack.wire.messages import DocumentKind
@@ -99,8 +99,8 @@
         self.names = [f"node-{index}" for index in range(settings.nodes)]
         self.edit(document, valid=True)
 
-    def _service(self, kind: DocumentKind, lag: float) -> NumberedService:
-        return NumberedService(self.scheduler, self.random, kind, self.settings.readers_limit, lag)
+    def _service(self, kind: DocumentKind, lag: float) -> DocumentService:
+        return DocumentService(self.scheduler, self.random, kind, self.settings.readers_limit, lag)
 
     @property
     def now(self) -> float:
--- a/src/pewtertack/lab/simulation/platform.py
+++ b/src/pewtertack/lab/simulation/platform.py
@@ -43,18 +43,18 @@
 
 @dataclass(slots=True)
 class ReadCounts:
-    """What the service saw. ``most_at_once`` counts admitted and refused reads."""
+    """What the service saw. ``peak_concurrent`` counts admitted and refused reads."""
 
     total: int = 0
     refused: int = 0
-    at_once: int = 0
-    most_at_once: int = 0
+    concurrent: int = 0
+    peak_concurrent: int = 0
     stale: int = 0
     """Reads whom a stale answer would do; not in ``total``."""
 
 
 @dataclass(slots=True)
-class NumberedService:
+class DocumentService:
     """Gives out the newest visible version of one document.
 
     ``lag`` is how long a new version stays invisible. During an outage every
@@ -129,8 +129,8 @@
         read = Read(after, reply)
         self._reads.append(read)
         self.counts.total += 1
-        self.counts.at_once = len(self._reads)
-        self.counts.most_at_once = max(self.counts.most_at_once, self.counts.at_once)
+        self.counts.concurrent = len(self._reads)
+        self.counts.peak_concurrent = max(self.counts.peak_concurrent, self.counts.concurrent)
         if self.down:
             self._finish(read, DocumentReadFailed(self.kind, "outage"))
         elif len(self._reads) > self.readers_limit:
@@ -170,7 +170,7 @@
             return
         read.done = True
         self._reads.remove(read)
-        self.counts.at_once = len(self._reads)
+        self.counts.concurrent = len(self._reads)
         self.scheduler.after(ANSWER_TIME, lambda: read.reply(answer))
 
     def abandon(self, reply: Reply) -> None:
--- a/src/pewtertack/lab/simulation/process.py
+++ b/src/pewtertack/lab/simulation/process.py
@@ -13,7 +13,7 @@
 from pewtertack.core.node import NodeCore
 from pewtertack.lab.simulation.codec import ProcessCodec
 from pewtertack.lab.simulation.network import Packet, SimulatedNetwork
-from pewtertack.lab.simulation.platform import Answer, NumberedService
+from pewtertack.lab.simulation.platform import Answer, DocumentService
 from pewtertack.lab.simulation.scheduler import Timer
 from pewtertack.wire.messages import DocumentKind, Message
 
@@ -34,7 +34,7 @@
 
     scheduler: Timer
     network: SimulatedNetwork
-    platform: dict[DocumentKind, NumberedService]
+    platform: dict[DocumentKind, DocumentService]
     recorder: Recorder
 
 
@@ -42,8 +42,8 @@
 class ProcessorTime:
     """Real seconds of processor time that one process took."""
 
-    core: float = 0.0
-    codec: float = 0.0
+    core_seconds: float = 0.0
+    codec_seconds: float = 0.0
 
 
 @dataclass(eq=False, slots=True)
@@ -105,7 +105,7 @@
             return
         began = time.process_time()
         received = self.codec.decode(packet.frame)
-        self.processor_time.codec += time.process_time() - began
+        self.processor_time.codec_seconds += time.process_time() - began
         if received is not None:
             self.take(received)
 
@@ -135,7 +135,7 @@
         else:
             began = time.process_time()
             effects = self.core.handle(self.around.scheduler.now, item)
-            self.processor_time.core += time.process_time() - began
+            self.processor_time.core_seconds += time.process_time() - began
         for effect in effects:
             self._carry_out(effect)
 
@@ -145,7 +145,7 @@
         if self.codec is not None:
             began = time.process_time()
             frame = self.codec.encode(message)
-            self.processor_time.codec += time.process_time() - began
+            self.processor_time.codec_seconds += time.process_time() - began
         self.around.network.send(
             Packet(identity.name, identity.address, identity.incarnation, address, message, frame)
         )
--- a/src/pewtertack/lab/simulation/schedules.py
+++ b/src/pewtertack/lab/simulation/schedules.py
@@ -34,7 +34,7 @@
     wait: float = 0.0
 
 
-class KillHerd(Step, frozen=True, tag="kill"):
+class KillNodes(Step, frozen=True, tag="kill"):
     """Kill nodes at once and start replacements under the same names later."""
 
     nodes: tuple[int, ...]
@@ -78,7 +78,7 @@
     share: float = 1.0
 
 
-class BadWeather(Step, frozen=True, tag="weather"):
+class DegradeNetwork(Step, frozen=True, tag="weather"):
     """Messages are lost, repeated and reordered with these probabilities for a while."""
 
     seconds: float
@@ -99,7 +99,14 @@
 
 
 AnyStep = (
-    KillHerd | PauseNodes | DrainNode | CutZone | SourceOutage | SourceStale | BadWeather | EditTree
+    KillNodes
+    | PauseNodes
+    | DrainNode
+    | CutZone
+    | SourceOutage
+    | SourceStale
+    | DegradeNetwork
+    | EditTree
 )
 
 
--- a/src/pewtertack/lab/simulation/strategies.py
+++ b/src/pewtertack/lab/simulation/strategies.py
@@ -6,12 +6,12 @@
 
 from pewtertack.lab.simulation.schedules import (
     AnyStep,
-    BadWeather,
     CutZone,
+    DegradeNetwork,
     Direction,
     DrainNode,
     EditTree,
-    KillHerd,
+    KillNodes,
     PauseNodes,
     Schedule,
     SourceOutage,
@@ -38,7 +38,7 @@
     return st.one_of(
         st.builds(EditTree, wait=_waits, valid=st.booleans(), count=st.integers(1, 3)),
         st.builds(EditTree, wait=_waits, forked=st.booleans()),
-        st.builds(KillHerd, wait=_waits, nodes=_herd, back_after=_spans),
+        st.builds(KillNodes, wait=_waits, nodes=_herd, back_after=_spans),
         st.builds(PauseNodes, wait=_waits, nodes=_herd, seconds=_spans),
         st.builds(DrainNode, wait=_waits, node=_node, back_after=_spans),
         st.builds(
@@ -57,7 +57,7 @@
             share=st.sampled_from((0.5, 1.0)),
         ),
         st.builds(
-            BadWeather,
+            DegradeNetwork,
             wait=_waits,
             seconds=_spans,
             loss=_share,
--- a/src/pewtertack/lab/simulation/virtual_loop.py
+++ b/src/pewtertack/lab/simulation/virtual_loop.py
@@ -69,7 +69,7 @@
         self._loop.call_later(delay, action)
 
 
-def run_virtually(function: Callable[..., Any], *arguments: Any) -> Any:
+def run_in_virtual_time(function: Callable[..., Any], *arguments: Any) -> Any:
     """Run a coroutine function to its end in virtual time and return its result.
 
     Raises:
--- a/src/pewtertack/lab/slow_source/run.py
+++ b/src/pewtertack/lab/slow_source/run.py
@@ -16,8 +16,8 @@
 from pewtertack.events import Event
 from pewtertack.lab.disabled_mechanisms import disable_mechanism
 from pewtertack.lab.errors import FleetTimeoutError
-from pewtertack.lab.simulation.virtual_loop import run_virtually
-from pewtertack.lab.slow_source.judging import (
+from pewtertack.lab.simulation.virtual_loop import run_in_virtual_time
+from pewtertack.lab.slow_source.edit_checks import (
     Acknowledged,
     Judged,
     NodeHistory,
@@ -25,7 +25,7 @@
     judge_edits,
 )
 from pewtertack.lab.slow_source.options import SlowSourceOptions
-from pewtertack.lab.store_fleet.fleet import EventHandler, NodeFleet, NodeLine, StoreFleet
+from pewtertack.lab.store_fleet.fleet import EventHandler, NodeFleet, NodeLogLine, StoreFleet
 from pewtertack.lab.store_fleet.simulated import SimulatedStoreFleet
 
 ANSWER_SECONDS = (0.004, 4.0)
@@ -147,7 +147,7 @@
 
     async def _edit(self, chooser: random.Random) -> None:
         while await self._pause(chooser, *EDIT_GAP):
-            written = self._fleet.written
+            written = self._fleet.edited_store
             version = written.add_routes(chooser.randint(*ROUTES))
             rate = self._fleet.store.faults.body_rate
             transfer = written.configuration_bytes / rate if rate else 0.0
@@ -185,7 +185,7 @@
                 self._offences.append(f"{node.name}: does not serve within {SERVES_WITHIN:g} s")
                 return
 
-    def _take_event(self, name: str, line: NodeLine) -> None:
+    def _take_event(self, name: str, line: NodeLogLine) -> None:
         self._nodes[name].take(line.event, anyio.current_time(), line.revision)
         if line.event in READER_EVENTS:
             self._reader_changes += 1
@@ -249,5 +249,5 @@
     """
     if options.without:
         disable_mechanism(options.without)
-    result: SlowSourceResult = run_virtually(_run_simulated, options)
+    result: SlowSourceResult = run_in_virtual_time(_run_simulated, options)
     return result
--- a/src/pewtertack/lab/store_fleet/fleet.py
+++ b/src/pewtertack/lab/store_fleet/fleet.py
@@ -19,7 +19,7 @@
 from pewtertack.lab.relay.links import LinkSettings, RelayedNode
 from pewtertack.lab.relay.service import Relay
 from pewtertack.lab.serving import Listener
-from pewtertack.lab.store_fleet.written import EditedStore, zone_of
+from pewtertack.lab.store_fleet.edited_store import EditedStore, zone_of
 from pewtertack.settings import Address
 
 FIRST_HOST = 41
@@ -51,7 +51,7 @@
 """
 
 
-class NodeLine(msgspec.Struct):
+class NodeLogLine(msgspec.Struct):
     """What the lab reads of a line that a node logs."""
 
     event: str = ""
@@ -59,7 +59,7 @@
     reason: str = ""
 
 
-EventHandler = Callable[[str, NodeLine], None]
+EventHandler = Callable[[str, NodeLogLine], None]
 """Takes the name of a node and an event of it."""
 
 
@@ -71,7 +71,7 @@
         """The nodes."""
 
     @property
-    def written(self) -> EditedStore:
+    def edited_store(self) -> EditedStore:
         """The store with its writers."""
 
     @property
@@ -124,8 +124,8 @@
         self._hosts = [f"{LISTEN_NET}.{number}" for number in numbers]
         net = ADVERTISED_NET if link_mbps else LISTEN_NET
         self.names = [f"{net}.{number}" for number in numbers]
-        self.written = EditedStore(self.names)
-        self.store = self.written.store
+        self.edited_store = EditedStore(self.names)
+        self.store = self.edited_store.store
         self._listener = Listener(self.store.application, Address(CONTROL_HOST, 0))
         self._relay: Relay | None = None
         self._processes: dict[str, LabProcess] = {}
@@ -221,4 +221,4 @@
         )
 
     def _take_line(self, name: str, line: bytes) -> None:
-        self._handle_event(name, msgspec.json.decode(line, type=NodeLine))
+        self._handle_event(name, msgspec.json.decode(line, type=NodeLogLine))
--- a/src/pewtertack/lab/store_fleet/simulated.py
+++ b/src/pewtertack/lab/store_fleet/simulated.py
@@ -17,14 +17,14 @@
 from pewtertack.lab.simulation.network import Packet, Place, SimulatedNetwork
 from pewtertack.lab.simulation.process import SimulatedProcess, Surroundings
 from pewtertack.lab.simulation.virtual_loop import LoopTimer
-from pewtertack.lab.store_fleet.fleet import BYTES_PER_MEGABIT, SEEDS, EventHandler, NodeLine
+from pewtertack.lab.store_fleet.edited_store import EditedStore, zone_of
+from pewtertack.lab.store_fleet.fleet import BYTES_PER_MEGABIT, SEEDS, EventHandler, NodeLogLine
 from pewtertack.lab.store_fleet.simulated_source import SimulatedReader, SimulatedSource
-from pewtertack.lab.store_fleet.written import EditedStore, zone_of
 from pewtertack.node.assembly import WIDE_LINK_MBPS
 
 PROFILE = "leased"
 PEER_PORT = 7380
-MOST_WITH_FRAMES = 500
+MAX_NODES_WITH_FRAMES = 500
 """Larger fleets exchange messages as objects, which share their documents: no sizes are known
 then, and links have no rate."""
 REGION = "r"
@@ -86,15 +86,15 @@
         self, nodes: int, seed: int, handle_event: EventHandler, link_mbps: float = 0.0
     ) -> None:
         self._seed = seed
-        self._frames = nodes <= MOST_WITH_FRAMES
+        self._frames = nodes <= MAX_NODES_WITH_FRAMES
         self._handle_event = handle_event
         self._random = Random(seed)
         self._timer = LoopTimer()
         self._profile: TimingProfile = PROFILES[PROFILE]
         self._properties = _source_properties(link_mbps)
         self.names = [_host_of(index) for index in range(nodes)]
-        self.written = EditedStore(self.names)
-        self.store = self.written.store
+        self.edited_store = EditedStore(self.names)
+        self.store = self.edited_store.store
         self._source = SimulatedSource(self.store)
         rate = link_mbps * BYTES_PER_MEGABIT
         self._network = SimulatedNetwork(self._timer, self._random, self._deliver, link_rate=rate)
@@ -150,7 +150,7 @@
     def record_log(self, node: str, _: int, log: Log) -> None:
         """Take a numbered event of a process."""
         fields = log.fields
-        line = NodeLine(log.event.name, fields.get("revision", 0), fields.get("reason", ""))
+        line = NodeLogLine(log.event.name, fields.get("revision", 0), fields.get("reason", ""))
         self._handle_event(node, line)
 
     def _deliver(self, packet: Packet) -> None:
--- a/tests/lab/crashes/test_simulation.py
+++ b/tests/lab/crashes/test_simulation.py
@@ -8,7 +8,7 @@
 from typer.testing import CliRunner
 
 from pewtertack.cli.main import app
-from pewtertack.lab.crashes.simulation import CrashShape, simulate_crashes
+from pewtertack.lab.crashes.simulation import CrashSettings, simulate_crashes
 from pewtertack.lab.errors import LabUsageError
 
 
@@ -16,22 +16,22 @@
     def test_few_back_ends_end_and_all_others_are_served(self) -> None:
         for nodes in (3, 12, 74):
             with self.subTest(nodes):
-                result = simulate_crashes(CrashShape(nodes=nodes), 1)
+                result = simulate_crashes(CrashSettings(nodes=nodes), 1)
                 self.assertLessEqual(result.ends, 6)
                 self.assertEqual(result.late_ends, 0)
                 self.assertGreaterEqual(result.served, 0.8)
                 self.assertEqual(result.refused_wrongly, 0)
 
     def test_without_the_ledger_they_end_without_end(self) -> None:
-        result = simulate_crashes(CrashShape(nodes=12, ledger=False), 1)
+        result = simulate_crashes(CrashSettings(nodes=12, ledger=False), 1)
         self.assertGreater(result.late_ends, 10)
 
     def test_the_same_seed_gives_the_same_run(self) -> None:
-        shape = CrashShape(nodes=5, seconds=8.0)
+        shape = CrashSettings(nodes=5, seconds=8.0)
         self.assertEqual(simulate_crashes(shape, 3), simulate_crashes(shape, 3))
 
     def test_many_at_once_end_no_more_than_were_on_their_way(self) -> None:
-        result = simulate_crashes(CrashShape(nodes=74, burst=8), 1)
+        result = simulate_crashes(CrashSettings(nodes=74, burst=8), 1)
         self.assertLessEqual(result.ends, 8 + 8)
         self.assertEqual(result.late_ends, 0)
 
@@ -46,10 +46,10 @@
 
     def test_senseless_shapes_are_typed_errors(self) -> None:
         for shape in (
-            CrashShape(nodes=1),
-            CrashShape(loss=1.0),
-            CrashShape(seconds=0.0),
-            CrashShape(rate=float("nan")),
+            CrashSettings(nodes=1),
+            CrashSettings(loss=1.0),
+            CrashSettings(seconds=0.0),
+            CrashSettings(rate=float("nan")),
         ):
             with self.assertRaises(LabUsageError):
                 simulate_crashes(shape, 1)
--- a/tests/lab/metadata_store/test_store_faults.py
+++ b/tests/lab/metadata_store/test_store_faults.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from pewtertack.lab.metadata_store.application import (
-    STATUS_AWAY,
     STATUS_GONE,
+    STATUS_UNAVAILABLE,
     WATCH_PATH,
     MetadataStore,
     StoreFaults,
@@ -122,10 +122,10 @@
         self.assertEqual((await self.ask(WATCH.format(2))).value["at"], 3)
 
     async def test_a_refusal_takes_the_delay_too(self) -> None:
-        self.store.faults = StoreFaults(delay=DELAY, status=STATUS_AWAY)
+        self.store.faults = StoreFaults(delay=DELAY, status=STATUS_UNAVAILABLE)
         for path in (RANGE, WATCH.format(1), "/kv-key?PrivateKey=op/config"):
             answer = await self.ask(path)
-            self.assertEqual(answer.status, STATUS_AWAY)
+            self.assertEqual(answer.status, STATUS_UNAVAILABLE)
             self.assertGreaterEqual(answer.seconds, DELAY)
 
     async def test_a_body_arrives_at_the_rate_and_is_whole(self) -> None:
--- a/tests/lab/simulation/test_simulated_parts.py
+++ b/tests/lab/simulation/test_simulated_parts.py
@@ -9,7 +9,7 @@
 from pewtertack.lab.simulation.documents import tree_for_edit
 from pewtertack.lab.simulation.fleet import FleetSettings, SimulatedFleet
 from pewtertack.lab.simulation.network import Packet, Place, SimulatedNetwork
-from pewtertack.lab.simulation.platform import Answer, NumberedService
+from pewtertack.lab.simulation.platform import Answer, DocumentService
 from pewtertack.lab.simulation.scheduler import Scheduler
 from pewtertack.wire.messages import DocumentKind, Pull
 
@@ -75,7 +75,7 @@
 class PlatformTest(unittest.TestCase):
     def setUp(self) -> None:
         self.scheduler = Scheduler()
-        self.service = NumberedService(
+        self.service = DocumentService(
             self.scheduler, Random(1), DocumentKind.CONFIGURATION, readers_limit=2
         )
         self.service.put({"a": 1})
@@ -122,7 +122,7 @@
             self.read(after=1)
         self.pass_time(1.0)
         self.assertEqual(self.service.counts.refused, 1)
-        self.assertEqual(self.service.counts.most_at_once, 3)
+        self.assertEqual(self.service.counts.peak_concurrent, 3)
 
 
 if __name__ == "__main__":
--- a/tests/lab/simulation/test_source_readers.py
+++ b/tests/lab/simulation/test_source_readers.py
@@ -20,8 +20,8 @@
         fleet.start(fleet.names)
         fleet.run(5.0)
         self.assertTrue(all(process.serving for process in fleet.processes.values()))
-        self.assertLessEqual(fleet.source.counts.most_at_once, READERS_LIMIT)
-        self.assertLessEqual(fleet.machine_list.counts.most_at_once, READERS_LIMIT)
+        self.assertLessEqual(fleet.source.counts.peak_concurrent, READERS_LIMIT)
+        self.assertLessEqual(fleet.machine_list.counts.peak_concurrent, READERS_LIMIT)
 
 
 if __name__ == "__main__":
--- a/tests/lab/simulation/test_virtual_loop.py
+++ b/tests/lab/simulation/test_virtual_loop.py
@@ -5,7 +5,7 @@
 
 import anyio
 
-from pewtertack.lab.simulation.virtual_loop import LoopTimer, NothingDueError, run_virtually
+from pewtertack.lab.simulation.virtual_loop import LoopTimer, NothingDueError, run_in_virtual_time
 
 
 async def _sleep_in_turn(log: list[tuple[str, float]]) -> None:
@@ -36,15 +36,15 @@
     def test_timers_are_due_in_order_and_take_no_time(self) -> None:
         log: list[tuple[str, float]] = []
         began = time.monotonic()
-        run_virtually(_sleep_in_turn, log)
+        run_in_virtual_time(_sleep_in_turn, log)
         self.assertLess(time.monotonic() - began, 10.0)
         self.assertEqual([name for name, _ in log], ["after", "short", "at", "long"])
         for (_, moment), expected in zip(log, (50.0, 100.0, 300.0, 1000.0), strict=True):
             self.assertAlmostEqual(moment, expected, places=3)
 
     def test_time_limits_are_of_virtual_time(self) -> None:
-        self.assertTrue(run_virtually(_run_out_of_time))
+        self.assertTrue(run_in_virtual_time(_run_out_of_time))
 
     def test_waiting_for_nothing_is_a_typed_error(self) -> None:
         with self.assertRaises(NothingDueError):
-            run_virtually(_wait_for_nothing)
+            run_in_virtual_time(_wait_for_nothing)
--- a/tests/lab/slow_source/test_judging.py
+++ b/tests/lab/slow_source/test_edit_checks.py
@@ -4,7 +4,7 @@
 
 from pewtertack.core.eras import TREE_NUMBERS_PER_VERSION
 from pewtertack.events import Event
-from pewtertack.lab.slow_source.judging import (
+from pewtertack.lab.slow_source.edit_checks import (
     Acknowledged,
     Judged,
     NodeHistory,
--- a/tests/lab/test_overload.py
+++ b/tests/lab/test_overload.py
@@ -3,13 +3,13 @@
 import unittest
 
 from pewtertack.core.configuration.resolved import WorkClass
-from pewtertack.lab.overload.simulation import Shape, compare, simulate
+from pewtertack.lab.overload.simulation import OverloadSettings, compare, simulate
 
 
 class OverloadTest(unittest.TestCase):
     @classmethod
     def setUpClass(cls) -> None:
-        cls.result = compare(Shape(nodes=8, seconds=5.0), load=2.0, seed=1)
+        cls.result = compare(OverloadSettings(nodes=8, seconds=5.0), load=2.0, seed=1)
 
     def test_goodput_stays_near_capacity(self) -> None:
         self.assertGreaterEqual(self.result.dispatcher.goodput, 0.9)
@@ -32,6 +32,6 @@
         self.assertLess(self.result.round_robin.classes[WorkClass.URGENT].answered_share, 0.6)
 
     def test_equal_seeds_give_equal_results(self) -> None:
-        shape = Shape(nodes=2, seconds=0.5)
+        shape = OverloadSettings(nodes=2, seconds=0.5)
         first, second = (simulate(shape, 2.0, 7, baseline=False) for _ in range(2))
         self.assertEqual(first, second)
--- a/tests/lab/test_overload_gateways.py
+++ b/tests/lab/test_overload_gateways.py
@@ -3,9 +3,9 @@
 import unittest
 
 from pewtertack.core.configuration.resolved import WorkClass
-from pewtertack.lab.overload.simulation import RunResult, Shape, simulate_gateways
+from pewtertack.lab.overload.simulation import OverloadSettings, RunResult, simulate_gateways
 
-SHAPE = Shape(nodes=12, backends=8, seconds=3.0)
+SHAPE = OverloadSettings(nodes=12, backends=8, seconds=3.0)
 
 
 def run(load: float) -> RunResult:
--- a/tests/lab/test_overload_returning.py
+++ b/tests/lab/test_overload_retrying_callers.py
@@ -4,13 +4,19 @@
 from random import Random
 
 from pewtertack.lab.overload.callers import SHOPPERS, Caller
-from pewtertack.lab.overload.returning import ReturningResult, ReturningShape, simulate_returning
+from pewtertack.lab.overload.retrying_callers import (
+    RetrySimulationResult,
+    RetrySimulationSettings,
+    simulate_retrying_callers,
+)
+from pewtertack.lab.overload.virtual_backends import VirtualTime
 from pewtertack.lab.overload.workload import SimulatedRequest
-from pewtertack.lab.overload.world import VirtualTime
 
 
-def run(load: float) -> ReturningResult:
-    return simulate_returning(ReturningShape(backends=3, seconds=4.0, load=load), seed=2)
+def run(load: float) -> RetrySimulationResult:
+    return simulate_retrying_callers(
+        RetrySimulationSettings(backends=3, seconds=4.0, load=load), seed=2
+    )
 
 
 class RefusingNode:
--- a/tests/lab/test_store_fleet.py
+++ b/tests/lab/test_store_fleet.py
@@ -10,8 +10,8 @@
 from pewtertack.core.eras import split_tree_number
 from pewtertack.events import Event
 from pewtertack.lab.metadata_store.application import StoreFaults
-from pewtertack.lab.simulation.virtual_loop import run_virtually
-from pewtertack.lab.store_fleet.fleet import NodeLine
+from pewtertack.lab.simulation.virtual_loop import run_in_virtual_time
+from pewtertack.lab.store_fleet.fleet import NodeLogLine
 from pewtertack.lab.store_fleet.simulated import SimulatedStoreFleet
 
 NODES = 4
@@ -31,7 +31,7 @@
         self.serving: list[str] = []
         self.failures: list[str] = []
 
-    def take(self, name: str, line: NodeLine) -> None:
+    def take(self, name: str, line: NodeLogLine) -> None:
         if line.event == Event.REVISION_IN_FORCE.name:
             self.versions[name] = split_tree_number(line.revision)[0]
         elif line.event == Event.NODE_SERVING.name:
@@ -55,12 +55,12 @@
         self.seen = Seen()
 
     def run_with(self, body: Body) -> None:
-        run_virtually(_with_fleet, self.seen, body)
+        run_in_virtual_time(_with_fleet, self.seen, body)
 
     def test_all_serve_and_see_an_edit(self) -> None:
         async def body(fleet: SimulatedStoreFleet, _: anyio.abc.TaskGroup) -> None:
             self.assertEqual(sorted(self.seen.serving), sorted(fleet.names))
-            version = fleet.written.add_routes(5)
+            version = fleet.edited_store.add_routes(5)
             await anyio.sleep(SEEN_AFTER)
             self.assertEqual(set(self.seen.versions.values()), {version})
 
@@ -69,7 +69,7 @@
     def test_a_cut_fails_the_waiting_watches_and_loses_no_edit(self) -> None:
         async def body(fleet: SimulatedStoreFleet, _: anyio.abc.TaskGroup) -> None:
             self.assertGreater(fleet.cut_watches(), 0)
-            version = fleet.written.add_routes(5)
+            version = fleet.edited_store.add_routes(5)
             await anyio.sleep(SEEN_AFTER)
             self.assertTrue(any("hung up" in reason for reason in self.seen.failures))
             self.assertEqual(set(self.seen.versions.values()), {version})
@@ -79,7 +79,7 @@
     def test_a_lost_answer_is_given_up(self) -> None:
         async def body(fleet: SimulatedStoreFleet, _: anyio.abc.TaskGroup) -> None:
             fleet.store.faults = StoreFaults(lost_answers=1)
-            fleet.written.add_routes(5)
+            fleet.edited_store.add_routes(5)
             await anyio.sleep(60.0)
             self.assertTrue(any("no answer within" in reason for reason in self.seen.failures))
 
@@ -90,7 +90,7 @@
             for how in (signal.SIGKILL, signal.SIGTERM):
                 name = fleet.names[-1]
                 await fleet.stop_node(name, how)
-                version = fleet.written.add_routes(1)
+                version = fleet.edited_store.add_routes(1)
                 await fleet.start_node(tasks, name)
                 await anyio.sleep(FORMED_AFTER)
                 self.assertEqual(self.seen.versions[name], version)
@@ -101,7 +101,7 @@
     def test_a_slow_body_takes_its_time(self) -> None:
         async def body(fleet: SimulatedStoreFleet, _: anyio.abc.TaskGroup) -> None:
             fleet.store.faults = StoreFaults(body_rate=SLOW_BYTES)
-            version = fleet.written.add_routes(1)
+            version = fleet.edited_store.add_routes(1)
             await anyio.sleep(1.0)
             self.assertNotIn(version, self.seen.versions.values())
             await anyio.sleep(20.0)
--- a/tests/platform/test_era_header.py
+++ b/tests/platform/test_era_header.py
@@ -59,7 +59,7 @@
 
     async def test_a_rise_on_one_connection_is_found_and_asked_for_on_another(self) -> None:
         self.store.put("servers/i-2", entry(2))
-        self.store.come_back_from(self.store.copy())
+        self.store.restore_from(self.store.snapshot())
         failed = await self.read()
         self.assertEqual([item.problem for item in failed.answer_findings], [ItemProblem.ERA])
         await self.read()
--- a/tests/platform/test_malformed_items.py
+++ b/tests/platform/test_malformed_items.py
@@ -183,7 +183,7 @@
     async def test_an_item_in_no_known_form_costs_no_other(self) -> None:
         await self.read(MACHINES)
         for form in ({"Value": "no base64!"}, {"Value": 5}, {"Revision": "new"}, {"gone": "yes"}):
-            self.store.spoil("servers/i-1", form)
+            self.store.put_malformed("servers/i-1", form)
             self.store.put("servers/i-2", encoded({**ENTRY, "Address": "10.1.0.7:8080"}))
             changed = await self.read(MACHINES)
             self.assertIsInstance(changed, DocumentRead, form)
@@ -191,7 +191,7 @@
                 [name for name in changed.document if name[0] == "i"], ["i-0", "i-9", "i-2"]
             )
             self.store.remove("servers/i-2")
-        self.store.spoil("servers/i-1", {"PrivateKey": 5})
+        self.store.put_malformed("servers/i-1", {"PrivateKey": 5})
         self.store.put("servers/i-2", encoded({**ENTRY, "Address": "10.1.0.7:8080"}))
         self.assertIn("i-2", (await self.read(MACHINES)).document)
 
--- a/tests/platform/test_random_restores.py
+++ b/tests/platform/test_random_restores.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from pewtertack.core.profile import LEASED
-from pewtertack.lab.metadata_store.application import StoreCopy
+from pewtertack.lab.metadata_store.application import StoreSnapshot
 from tests.platform.restored_fleet import (
     FEW_READERS,
     FleetNode,
@@ -42,7 +42,7 @@
         self.version, self.asked = 12, False
         self.entries: dict[str, dict[str, Any]] = {}
         self.comers = 0
-        self.copy: StoreCopy | None = None
+        self.copy: StoreSnapshot | None = None
         self.wrong: list[str] = []
         """What nodes believed between a return and the first write after it."""
 
@@ -53,7 +53,7 @@
         for _ in range(3):
             self.fleet.start_node()
         await self.fleet.run(4.0)
-        self.copy = self.store.copy()
+        self.copy = self.store.snapshot()
 
     def come(self) -> None:
         self.comers += 1
@@ -96,7 +96,7 @@
         evacuated = {node.name: node.evacuated for node in self.fleet.nodes}
         hear_each_other = not self.fleet.dark and not any(cut)
         was_over = hear_each_other and not self.asked and self.has_seen_end()
-        self.store.come_back_from(self.copy)
+        self.store.restore_from(self.copy)
         for node, was_cut in zip(self.fleet.nodes, cut, strict=True):
             node.calls.cut = was_cut
         await self.fleet.run(WRITTEN_AGAIN / 2)
@@ -116,7 +116,7 @@
             name = key.removeprefix("servers/")
             if name != key and name not in self.entries:
                 self.store.remove(key)
-        self.copy = self.store.copy()
+        self.copy = self.store.snapshot()
 
     def has_seen_end(self) -> bool:
         """Tell whether no node evacuates, and most have seen an evacuation end."""
@@ -171,7 +171,7 @@
                 self.put(name)
 
     def take_copy(self) -> None:
-        self.copy = self.store.copy()
+        self.copy = self.store.snapshot()
 
     def cut_first(self, cut: bool) -> None:
         self.fleet.nodes[0].calls.cut = cut
--- a/tests/platform/test_restored_evacuations.py
+++ b/tests/platform/test_restored_evacuations.py
@@ -5,7 +5,7 @@
 
 import unittest
 
-from pewtertack.lab.metadata_store.application import StoreCopy
+from pewtertack.lab.metadata_store.application import StoreSnapshot
 from tests.platform.restored_fleet import ReturningFleet, configuration, entry
 
 USUAL_BOUND = 1.5
@@ -29,10 +29,10 @@
         for node in self.fleet.nodes:
             node.calls.cut = cut
 
-    async def come_back(self, copy: StoreCopy, away: float = 0.5) -> None:
+    async def come_back(self, copy: StoreSnapshot, away: float = 0.5) -> None:
         self.cut(True)
         await self.fleet.run(away)
-        self.store.come_back_from(copy)
+        self.store.restore_from(copy)
         self.cut(False)
 
     def evacuated(self) -> list[set[str]]:
@@ -53,7 +53,7 @@
     async def test_a_new_reader_shows_evacuations_of_the_new_era_on_the_version_in_force(
         self,
     ) -> None:
-        copy = self.store.copy()
+        copy = self.store.snapshot()
         self.store.put("op/config", configuration(13))
         await self.fleet.run(1.5)
         self.assertEqual([node.version for node in self.fleet.nodes], [13] * 3)
@@ -78,7 +78,7 @@
         """It is asked before this node has heard of the era."""
         self.store.put("op/evacuate/garia", b"{}")
         await self.fleet.run(USUAL_BOUND)
-        copy = self.store.copy()
+        copy = self.store.snapshot()
         self.store.put("op/evacuate/howrah", b"{}")
         await self.fleet.run(USUAL_BOUND)
         await self.come_back(copy)
@@ -87,7 +87,7 @@
     async def test_an_evacuation_that_was_taken_back_stays_so_against_the_copy(self) -> None:
         self.store.put("op/evacuate/garia", b"{}")
         await self.fleet.run(USUAL_BOUND)
-        copy = self.store.copy()
+        copy = self.store.snapshot()
         self.store.remove("op/evacuate/garia")
         await self.fleet.run(USUAL_BOUND)
         self.assertEqual(self.evacuated(), [set()] * 3)
@@ -101,7 +101,7 @@
 
     async def test_one_that_was_written_again_and_then_taken_back_stays_so(self) -> None:
         """Its item was made anew after the first return, under the same tree."""
-        copy = self.store.copy()
+        copy = self.store.snapshot()
         self.store.put("op/evacuate/garia", b"{}")
         await self.fleet.run(USUAL_BOUND)
         await self.come_back(copy)
@@ -109,7 +109,7 @@
             self.store.put("servers/i-1", entry(1))
         self.store.put("op/evacuate/garia", b"{}")
         await self.fleet.run(USUAL_BOUND)
-        copy = self.store.copy()
+        copy = self.store.snapshot()
         self.store.remove("op/evacuate/garia")
         await self.fleet.run(USUAL_BOUND)
         self.assertEqual(self.evacuated(), [set()] * 3)
@@ -120,7 +120,7 @@
         """The operator has not written its end again: the store's word is the newest."""
         self.store.put("op/evacuate/garia", b"{}")
         await self.fleet.run(USUAL_BOUND)
-        copy = self.store.copy()
+        copy = self.store.snapshot()
         self.store.remove("op/evacuate/garia")
         await self.fleet.run(USUAL_BOUND)
         await self.come_back(copy)
@@ -134,7 +134,7 @@
     ) -> None:
         self.store.put("op/evacuate/garia", b"{}")
         await self.fleet.run(USUAL_BOUND)
-        await self.come_back(self.store.copy())
+        await self.come_back(self.store.snapshot())
         await self.fleet.run(self.fleet.hold_after_return + 4.0)
         self.assertEqual(self.evacuated(), [{"garia"}] * 3)
         self.stop_readers()
@@ -143,7 +143,7 @@
         self.assertEqual(self.evacuated(), [set()] * 2)
 
     async def test_edits_written_again_one_by_one_and_one_made_before_all_are(self) -> None:
-        copy = self.store.copy()
+        copy = self.store.snapshot()
         for version in (13, 14):
             self.store.put("op/config", configuration(version))
             await self.fleet.run(1.0)
@@ -155,11 +155,11 @@
             self.assertEqual([node.version for node in self.fleet.nodes], [in_force] * 3)
 
     async def test_a_fleet_that_starts_as_a_whole_in_the_gap_serves(self) -> None:
-        copy = self.store.copy()
+        copy = self.store.snapshot()
         self.store.put("op/config", configuration(13))
         await self.fleet.run(1.0)
         self.fleet.nodes.clear()
-        self.store.come_back_from(copy)
+        self.store.restore_from(copy)
         for _ in range(3):
             self.fleet.start_node()
         await self.fleet.run(3.0)
@@ -170,13 +170,13 @@
         self.assertEqual([node.version for node in self.fleet.nodes], [13] * 3)
 
     async def test_the_store_is_seen_by_readers_that_change_hands_at_the_return(self) -> None:
-        copy = self.store.copy()
+        copy = self.store.snapshot()
         for number in (4, 5):
             self.store.put(f"servers/i-{number}", entry(number))
         await self.fleet.run(1.0)
         self.cut(True)
         self.stop_readers()
-        self.store.come_back_from(copy)
+        self.store.restore_from(copy)
         for number in (4, 5, 6):
             self.store.put(f"servers/i-{number}", entry(number))
         self.cut(False)
--- a/tests/platform/test_restored_store.py
+++ b/tests/platform/test_restored_store.py
@@ -9,7 +9,7 @@
 import unittest
 
 from pewtertack.core.profile import LEASED, TimingProfile
-from pewtertack.lab.metadata_store.application import StoreCopy
+from pewtertack.lab.metadata_store.application import StoreSnapshot
 from tests.platform.restored_fleet import FEW_READERS, ReturningFleet, configuration, entry
 
 
@@ -31,11 +31,11 @@
         for node in self.fleet.nodes:
             node.calls.cut = cut
 
-    async def come_back(self, copy: StoreCopy, away: float = 0.5) -> None:
+    async def come_back(self, copy: StoreSnapshot, away: float = 0.5) -> None:
         """The store is away for a moment and comes back from ``copy``."""
         self.cut(True)
         await self.fleet.run(away)
-        self.store.come_back_from(copy)
+        self.store.restore_from(copy)
         self.cut(False)
 
     def ready(self) -> list[list[str]]:
@@ -46,18 +46,18 @@
 
     async def test_what_is_written_after_the_return_is_seen(self) -> None:
         """The new history has passed the cursor before the reader asks: there is no 410."""
-        copy = self.store.copy()
+        copy = self.store.snapshot()
         self.store.put("servers/i-4", entry(4))
         await self.fleet.run(1.0)
         self.cut(True)
-        self.store.come_back_from(copy)
+        self.store.restore_from(copy)
         for number in (5, 6, 4):
             self.store.put(f"servers/i-{number}", entry(number))
         self.cut(False)
         await self.fleet.run(3.0)
         with self.subTest("in place of a lost revision"):
             self.assertEqual(self.ready(), [["i-1", "i-2", "i-3", "i-4", "i-5", "i-6"]] * 3)
-        copy = self.store.copy()
+        copy = self.store.snapshot()
         for _ in range(20):
             self.store.put("servers/i-1", entry(1))
         await self.fleet.run(1.0)
@@ -68,7 +68,7 @@
             self.assertIn("i-7", self.nodes[0].ready)
 
     async def test_a_copy_takes_nothing_back(self) -> None:
-        copy = self.store.copy()
+        copy = self.store.snapshot()
         self.store.put("servers/i-4", entry(4))
         self.store.put("servers/i-3", entry(3, State="draining"))
         self.store.remove("servers/i-2")
@@ -76,12 +76,12 @@
         await self.come_back(copy)
         for _ in range(20):
             self.store.put("servers/i-1", entry(1))
-        self.store.forget_history()
+        self.store.discard_history()
         await self.fleet.run(1.5)
         with self.subTest("who the copy lacks is kept, who had left or was leaving stays away"):
             self.assertEqual(self.ready(), [["i-1", "i-4"]] * 3)
         await self.begin(LEASED)
-        copy = self.store.copy()
+        copy = self.store.snapshot()
         self.store.put("op/config", configuration(13))
         await self.fleet.run(1.0)
         await self.come_back(copy)
@@ -94,7 +94,7 @@
             self.assertEqual((started.serving, started.versions), (True, [13]))
 
     async def test_evacuations_follow_the_store_after_its_return(self) -> None:
-        copy = self.store.copy()
+        copy = self.store.snapshot()
         for _ in range(20):
             self.store.put("servers/i-1", entry(1))
         self.store.put("op/evacuate/howrah", b"{}")
--- a/tests/platform/test_starts_after_restore.py
+++ b/tests/platform/test_starts_after_restore.py
@@ -3,7 +3,7 @@
 import unittest
 
 from pewtertack.core.profile import LEASED, TimingProfile
-from pewtertack.lab.metadata_store.application import StoreCopy
+from pewtertack.lab.metadata_store.application import StoreSnapshot
 from pewtertack.wire.messages import ListOverrides
 from tests.platform.restored_fleet import (
     FEW_READERS,
@@ -18,7 +18,7 @@
 
 
 class StartsAfterReturnTest(unittest.IsolatedAsyncioTestCase):
-    async def begin(self, profile: TimingProfile, era: int | None = 0) -> StoreCopy:
+    async def begin(self, profile: TimingProfile, era: int | None = 0) -> StoreSnapshot:
         """Start a fleet; return the copy that lacks what is written then.
 
         i-2 leaves, i-3 is leaving, i-4 comes, and i-5 lives at the address of i-1, which has left.
@@ -31,7 +31,7 @@
         self.nodes = [self.fleet.start_node() for _ in range(3)]
         await self.fleet.run(4.0)
         assert all(node.serving for node in self.nodes)
-        copy = self.store.copy()
+        copy = self.store.snapshot()
         self.store.put("servers/i-4", entry(4, born=4))
         self.store.put("servers/i-3", entry(3, born=3, State="draining"))
         self.store.remove("servers/i-2")
@@ -40,11 +40,11 @@
         await self.fleet.run(1.5)
         return copy
 
-    async def come_back(self, copy: StoreCopy, away: float = 0.5) -> None:
+    async def come_back(self, copy: StoreSnapshot, away: float = 0.5) -> None:
         for node in self.fleet.nodes:
             node.calls.cut = True
         await self.fleet.run(away)
-        self.store.come_back_from(copy)
+        self.store.restore_from(copy)
         for node in self.fleet.nodes:
             node.calls.cut = False
 
@@ -135,7 +135,7 @@
                     await self.begin(profile)
                     self.store.put("op/evacuate/garia", b"{}")
                     await self.fleet.run(2.0)
-                    copy = self.store.copy()
+                    copy = self.store.snapshot()
                     self.store.remove("op/evacuate/garia")
                     await self.fleet.run(2.0)
                     if after < 0:
@@ -156,7 +156,7 @@
                 await self.begin(profile)
                 self.store.put("op/evacuate/garia", b"{}")
                 await self.fleet.run(2.0)
-                await self.come_back(self.store.copy())
+                await self.come_back(self.store.snapshot())
                 self.fleet.nodes.clear()
                 started = [self.fleet.start_node() for _ in range(3)]
                 await self.fleet.run(4.0)
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -121,7 +121,7 @@
         await self.read(MACHINES)
         self.store.remove("servers/i-1")
         self.store.put("servers/i-2", encoded({**ENTRY, "Address": "10.1.0.9:8080"}))
-        self.store.forget_history()
+        self.store.discard_history()
         self.assertIsInstance(await self.read(MACHINES), DocumentReadFailed)
         listed = await self.read(MACHINES)
         self.assertEqual(sorted(listed.document), ["10.1.0.9", "i-2"])
@@ -262,7 +262,7 @@
             (lambda: self.store.remove("op/evacuate/garia"), None),
         ):
             change()
-            self.store.forget_history()
+            self.store.discard_history()
             self.assertIsInstance(await self.read(reader, held), DocumentReadFailed)
             listed = await self.read(reader, held)
             self.assertEqual(listed.document.get("evacuated_zones"), zones)
--- a/tests/platform/test_watches_during_restore.py
+++ b/tests/platform/test_watches_during_restore.py
@@ -38,14 +38,14 @@
         async def wait(kind: DocumentKind) -> None:
             answers[kind] = await self.read(kind, 20.0)
 
-        copy, calls = self.store.copy(), self.store.calls
+        copy, calls = self.store.snapshot(), self.store.calls
         async with anyio.create_task_group() as tasks:
             for number, kind in enumerate(sorted(KINDS, key=lambda kind: kind is not first), 1):
                 tasks.start_soon(wait, kind)
                 while self.store.calls < calls + number:
                     await anyio.sleep(0.001)
             self.store.put("servers/x", entry(9))
-            self.store.come_back_from(copy)
+            self.store.restore_from(copy)
             for number in (2, 3, 4):
                 self.store.put(f"servers/i-{number}", entry(number))
             self.store.put("op/config", configuration(13))
--- a/tests/routing/test_gateway_acceptance.py
+++ b/tests/routing/test_gateway_acceptance.py
@@ -4,7 +4,7 @@
 from random import Random
 from unittest import mock
 
-from pewtertack.lab.overload.simulation import RunResult, Shape, simulate_gateways
+from pewtertack.lab.overload.simulation import OverloadSettings, RunResult, simulate_gateways
 from pewtertack.routing import gateway_acceptance
 from pewtertack.routing.gateway_acceptance import (
     PROBE_SHARE,
@@ -12,7 +12,7 @@
     AcceptanceTracker,
 )
 
-SHAPE = Shape(nodes=12, backends=8, seconds=5.0)
+SHAPE = OverloadSettings(nodes=12, backends=8, seconds=5.0)
 
 
 class AcceptanceTrackerTest(unittest.TestCase):
--- a/tests/routing/test_gateway_choice.py
+++ b/tests/routing/test_gateway_choice.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from pewtertack.core.machines import Machine, MachineList, MachineRole, MachineState
-from pewtertack.lab.overload.simulation import Shape, simulate_gateways
+from pewtertack.lab.overload.simulation import OverloadSettings, simulate_gateways
 from pewtertack.routing import choice
 from pewtertack.routing.attempt_results import AttemptResult
 from pewtertack.routing.backend import LoadReport
@@ -338,7 +338,7 @@
     """Senders with outdated reports: the fastest back end is not filled to its last slot."""
 
     def mean_wait(self, crowding: float, load: float) -> float:
-        shape = Shape(nodes=18, backends=12, seconds=8.0)
+        shape = OverloadSettings(nodes=18, backends=12, seconds=8.0)
         with mock.patch.object(choice, "CROWDING_FACTOR", crowding):
             results = [simulate_gateways(shape, load, seed) for seed in (1, 2, 3)]
         for result in results:
--- a/tests/routing/test_margins.py
+++ b/tests/routing/test_margins.py
@@ -8,10 +8,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from pewtertack.lab.overload.returning import (
-    ReturningResult,
-    ReturningShape,
-    simulate_returning,
+from pewtertack.lab.overload.retrying_callers import (
+    RetrySimulationResult,
+    RetrySimulationSettings,
+    simulate_retrying_callers,
 )
 from pewtertack.routing.admission import Admission
 from pewtertack.routing.admission_ticket import AdmissionTicket
@@ -80,7 +80,7 @@
     """18 back ends of unequal speeds with some long requests, loaded to their capacity."""
 
     def worth(self, margin: WaitMarginPolicy, load: float) -> float:
-        shape = ReturningShape(
+        shape = RetrySimulationSettings(
             nodes=18,
             backends=18,
             slots=6,
@@ -90,7 +90,7 @@
             long_share=0.03,
             policies=Policies(margin=margin),
         )
-        return simulate_returning(shape, seed=1).worth
+        return simulate_retrying_callers(shape, seed=1).worth
 
     def test_callers_get_more_at_full_load(self) -> None:
         self.assertGreater(
@@ -106,8 +106,8 @@
 class ReturningLoadTest(unittest.TestCase):
     """Callers with about 2.5 times their objective, beyond the back ends' capacity."""
 
-    def results(self, returning: RetryLaterPolicy, load: float) -> ReturningResult:
-        shape = ReturningShape(
+    def results(self, returning: RetryLaterPolicy, load: float) -> RetrySimulationResult:
+        shape = RetrySimulationSettings(
             nodes=18,
             backends=18,
             slots=6,
@@ -117,7 +117,7 @@
             deadlines=0.4,
             policies=Policies(margin=WaitMarginPolicy.HALF, returning=returning),
         )
-        return simulate_returning(shape, seed=1)
+        return simulate_retrying_callers(shape, seed=1)
 
     def test_more_requests_are_in_time_if_late_ones_are_refused(self) -> None:
         four, two = (self.results(returning, 1.3) for returning in RetryLaterPolicy)
