--- a/src/pewtertack/cli/status.py
+++ b/src/pewtertack/cli/status.py
@@ -128,7 +128,7 @@
     prefix = f"{node.name}: revision {rejection.revision.number} rejected"
     if rejection.since is not None:
         since = time.strftime(UTC_TIME, time.gmtime(rejection.since))
-        prefix += f", rejecting newer revisions since {since}"
+        prefix += f", newer revisions rejected since {since}"
     return [
         f"{prefix}: {finding.path}: {finding.code}: {finding.message}"
         for finding in rejection.findings
