--- a/src/pewtertack/cli/lab.py
+++ b/src/pewtertack/cli/lab.py
@@ -210,13 +210,13 @@
     from pewtertack.lab.scenarios.catalogue import find_scenario
     from pewtertack.lab.scenarios.runner import run_scenario
 
-    found = find_scenario(scenario)
+    selected = find_scenario(scenario)
     if without:
         check_mechanism(without)
     shape = replace(shape_of(deployment, examples, nodes_per_zone), disabled_mechanism=without)
     with tempfile.TemporaryDirectory() as directory:
         path = history or Path(directory) / "history.jsonl"
-        result = run_fleet(run_scenario, found, shape, seed, path)
+        result = run_fleet(run_scenario, selected, shape, seed, path)
     if report is not None:
         report.write_bytes(msgspec.json.format(msgspec.json.encode(result)))
     typer.echo(format_report(result))
--- a/src/pewtertack/cli/lab_verification.py
+++ b/src/pewtertack/cli/lab_verification.py
@@ -72,8 +72,12 @@
 
 
 def _print_batch(result: BatchResult) -> None:
-    found = result.counterexample
-    outcome = ", ".join(verdict.promise for verdict in found.violations) if found else "held"
+    counterexample = result.counterexample
+    outcome = (
+        ", ".join(verdict.promise for verdict in counterexample.violations)
+        if counterexample
+        else "held"
+    )
     typer.echo(f"seed {result.seed}: {result.schedules} schedules: {outcome}")
 
 
--- a/src/pewtertack/log_writer.py
+++ b/src/pewtertack/log_writer.py
@@ -49,7 +49,7 @@
         self._tokens = per_second
         self._refilled_at = now
 
-    def take(self, now: float) -> bool:
+    def try_acquire(self, now: float) -> bool:
         tokens = self._tokens + (now - self._refilled_at) * self._lines_per_second
         if tokens > self._lines_per_second:
             tokens = self._lines_per_second
@@ -94,7 +94,7 @@
         """Buffer one line, or drop it if the buffer is full or the rate limit exceeded."""
         now = self._clock()
         limit = BUFFER_BYTES * (ROUTINE_BUFFER_SHARE if routine else 1.0)
-        if len(self._buffer) + len(line) > limit or not self._rate_limits[routine].take(now):
+        if len(self._buffer) + len(line) > limit or not self._rate_limits[routine].try_acquire(now):
             self._dropped[routine] += 1
             return
         self._buffer += line
--- a/src/pewtertack/platform/store.py
+++ b/src/pewtertack/platform/store.py
@@ -251,7 +251,7 @@
         return answer.body
 
     def _note_era(self, answer: ServiceResponse, sent_in_era: int | None) -> None:
-        """Process the era of a response; errors without an era may come from a proxy.
+        """Process the era of a response; others than the store may have sent errors.
 
         Raises:
             SourceEraError: the response must not be used.
--- a/src/pewtertack/tracing/reading.py
+++ b/src/pewtertack/tracing/reading.py
@@ -52,13 +52,13 @@
         LogUnreadableError: a file cannot be read.
         LogWithoutLinesError: a file contains no event.
     """
-    found: list[LogLine] = []
+    events: list[LogLine] = []
     for path in paths:
         lines = list(_read_file(path, counts))
         if not lines:
             raise LogWithoutLinesError(f"{path}: no line of a node's log")
-        found += lines
-    return found
+        events += lines
+    return events
 
 
 def _read_file(path: Path, counts: ReadCounts) -> Iterator[LogLine]:
--- a/src/pewtertack/tracing/report.py
+++ b/src/pewtertack/tracing/report.py
@@ -15,7 +15,7 @@
 )
 INDENT = "  "
 HIDDEN_FIELDS = frozenset({"routes", "services", "secrets", "digest", "request"})
-"""Fields that are not shown, as they describe a whole revision or repeat the heading."""
+"""Fields that are not shown, as they describe an entire revision or repeat the heading."""
 
 
 def report_lines(timeline: Timeline, counts: ReadCounts) -> Iterator[str]:
--- a/tests/cli/test_rollout.py
+++ b/tests/cli/test_rollout.py
@@ -96,17 +96,17 @@
         self.assertEqual(lines[1], first)
         self.assertRegex(lines[4], r"^heard +2/4 +0\.00 s +23\.40 s +46\.80 s$")
         self.assertRegex(lines[7], r"^in force +1/4 +0\.00 s +0\.00 s +0\.00 s$")
-        late, slow, gone = lines[10:13]
+        late_line, slow_line, gone_line = lines[10:13]
         detail = "joining, reported 3.2 s ago, source responded 9.0 s ago"
-        self.assertRegex(late, rf"^late +z +7 +7 +not-held +{detail}$")
+        self.assertRegex(late_line, rf"^late +z +7 +7 +not-held +{detail}$")
         detail = r"2 reads, the oldest open for 0\.4 s of 5 s, responses take 3\.8 s"
         detail = rf"consecutive failed reads: 3, the last slow, {detail}"
-        self.assertRegex(slow, rf"^reader +z +7 +7 +source-slow +{detail}$")
-        self.assertRegex(gone, r"^http://gone +- +- +- +unreachable +no response within 3 s$")
+        self.assertRegex(slow_line, rf"^reader +z +7 +7 +source-slow +{detail}$")
+        self.assertRegex(gone_line, r"^http://gone +- +- +- +unreachable +no response within 3 s$")
 
     def test_store_revisions_are_shown_as_versions(self) -> None:
-        late = report(node_status("a", tree_number(17, 5), held=tree_number(17, 6)))
-        lines = format_rollout(rollout_report(tree_number(18), [late])).splitlines()
+        lagging_report = report(node_status("a", tree_number(17, 5), held=tree_number(17, 6)))
+        lines = format_rollout(rollout_report(tree_number(18), [lagging_report])).splitlines()
         self.assertEqual(lines[0], "revision 18: incomplete, in force on 0 of 1 nodes")
         self.assertRegex(lines[-1], r"^a +z +17\+5 +17\+6 +not-heard +-$")
 
@@ -151,8 +151,8 @@
         self.assertIn("not-held", out)
 
     def test_wrong_numbers_are_usage_errors(self) -> None:
-        for wrong in (("--version", "0"), ("--wait", "-1")):
-            self.assertEqual(self.run_with([LAGGING], *wrong)[0], 2)
+        for arguments in (("--version", "0"), ("--wait", "-1")):
+            self.assertEqual(self.run_with([LAGGING], *arguments)[0], 2)
 
 
 if __name__ == "__main__":
--- a/tests/cli/test_tree.py
+++ b/tests/cli/test_tree.py
@@ -20,7 +20,9 @@
         self.valid = self.write("valid.json", VALID_TREE)
         changed = with_value(VALID_TREE, "routes.lookup.timeout", "3s")
         self.changed = self.write("changed.json", changed)
-        self.bad = self.write("bad.json", with_value(VALID_TREE, "routes.lookup.timeout", 3))
+        self.invalid = self.write(
+            "invalid.json", with_value(VALID_TREE, "routes.lookup.timeout", 3)
+        )
 
     def write(self, name, document):
         path = self.directory / name
@@ -47,10 +49,10 @@
         code, out, _ = self.run_command("check", self.valid)
         self.assertEqual((0, f"{self.valid}: valid\n"), (code, out))
         self.assertEqual((0, {"valid": True, "findings": []}), self.run_json("check", self.valid))
-        code, out, _ = self.run_command("check", self.bad)
+        code, out, _ = self.run_command("check", self.invalid)
         self.assertEqual(1, code)
         self.assertTrue(out.startswith("routes.lookup.timeout: wrong-unit: "), out)
-        code, report = self.run_json("check", self.bad)
+        code, report = self.run_json("check", self.invalid)
         self.assertEqual(
             (1, False, "wrong-unit"), (code, report["valid"], report["findings"][0]["code"])
         )
@@ -89,8 +91,8 @@
             ("tree-unreadable", ("check", str(self.directory / "none.toml"))),
             ("tree-format", ("check", str(self.directory))),
             ("tree-syntax", ("check", str(broken))),
-            ("tree-rejected", ("diff", self.valid, self.bad, *zone)),
-            ("tree-rejected", ("explain", self.bad, *zone, *route)),
+            ("tree-rejected", ("diff", self.valid, self.invalid, *zone)),
+            ("tree-rejected", ("explain", self.invalid, *zone, *route)),
             ("unknown-route", ("explain", self.valid, *zone, *route)),
         ]:
             with self.subTest(error=error):
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -45,17 +45,17 @@
 
     async def test_change_ends_a_waiting_watch(self) -> None:
         await self.read(MACHINES)
-        found: list[Any] = []
+        answers: list[Any] = []
 
         async def wait_for_change() -> None:
-            found.append(await self.read(MACHINES, 20.0))
+            answers.append(await self.read(MACHINES, 20.0))
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(wait_for_change)
             while self.store.calls < 2:
                 await anyio.sleep(0.001)
             self.store.put("servers/i-1", encoded({**ENTRY, "State": "draining"}))
-        self.assertEqual(found[0].document["i-1"]["state"], "leaving")
+        self.assertEqual(answers[0].document["i-1"]["state"], "leaving")
 
     async def test_items_are_listed_after_a_watch_exceeds_the_size_limit(self) -> None:
         with mock.patch.object(store, "MAX_RESPONSE_BYTES", 16 * 1024):
@@ -249,8 +249,8 @@
         self.store.remove("op/evacuate/garia")
         self.store.put("servers/i-9", encoded(ENTRY))
         successor = self.reader()
-        found = await self.read(successor)
-        self.assertEqual(found.number, 12 * TREE_NUMBERS_PER_VERSION)
+        result = await self.read(successor)
+        self.assertEqual(result.number, 12 * TREE_NUMBERS_PER_VERSION)
         ended = await self.read(successor, evacuated_read.number)
         self.assertNotIn("evacuated_zones", ended.document)
         self.assertGreater(ended.number, evacuated_read.number)
@@ -283,11 +283,13 @@
                     readers.append((self.reader(), 0))
                 index = random.randrange(len(readers))
                 reader, held = readers[index]
-                found = await self.read(reader, held, stale=held == 0 and random.random() < 0.5)
-                if isinstance(found, DocumentRead):
-                    self.assertEqual(trees.setdefault(found.number, found.document), found.document)
+                result = await self.read(reader, held, stale=held == 0 and random.random() < 0.5)
+                if isinstance(result, DocumentRead):
+                    self.assertEqual(
+                        trees.setdefault(result.number, result.document), result.document
+                    )
                     held = max(
-                        held, found.number, *(random.choice([0, number]) for number in trees)
+                        held, result.number, *(random.choice([0, number]) for number in trees)
                     )
                     readers[index] = (reader, held)
 
@@ -306,5 +308,5 @@
     async def test_invalid_zone_item_is_ignored(self) -> None:
         self.store.put("op/evacuate/..", b"{}")
         self.store.put("op/other", b"not ours")
-        found = await self.read(self.reader())
-        self.assertNotIn("evacuated_zones", found.document)
+        result = await self.read(self.reader())
+        self.assertNotIn("evacuated_zones", result.document)
--- a/tests/platform/test_unusual_configurations.py
+++ b/tests/platform/test_unusual_configurations.py
@@ -51,8 +51,8 @@
         for name in ("Desk", "desk.v2", "_desk", "desk_", "x" * 128):
             with self.subTest(name):
                 services = [{"Name": name, "HealthPath": "/health", "ConnectionLimit": 130}]
-                found = resolved(Routes=[{**ROUTE, "Service": name}], Services=services)
-                self.assertEqual(found.routes[0].service, name)
+                result = resolved(Routes=[{**ROUTE, "Service": name}], Services=services)
+                self.assertEqual(result.routes[0].service, name)
                 document, findings = parse_entries(
                     {"i-1": encoded({**ENTRY, "Service": name})}, 1, 2
                 )
@@ -86,8 +86,8 @@
         for given_limit, limit in ((0, 1), (10**6, 10_000), (130.0, 130)):
             with self.subTest(given_limit):
                 services = [{**CONFIGURATION["Services"][0], "ConnectionLimit": given_limit}]
-                found = resolved(Routes=[ROUTE], Services=services)
-                self.assertEqual(found.services["desk"].connections_per_backend, limit)
+                result = resolved(Routes=[ROUTE], Services=services)
+                self.assertEqual(result.services["desk"].connections_per_backend, limit)
 
     def test_weights_are_proportions(self) -> None:
         self.assertEqual(shares(("desk", 0), ("vault", 3)), {"desk": 0, "vault": 3})
@@ -103,15 +103,15 @@
         names = [f"s{number}" for number in range(300)]
         services = [{"Name": name, "ConnectionLimit": 5} for name in names]
         split = [{"Service": name, "Weight": 1} for name in names]
-        found = resolved(Routes=[{**SPLIT_ROUTE, "TrafficSplit": split}], Services=services)
+        result = resolved(Routes=[{**SPLIT_ROUTE, "TrafficSplit": split}], Services=services)
         picker = SplitPicker()
-        picked = {picker.pick(found.routes[0]).service for _ in names}
+        picked = {picker.pick(result.routes[0]).service for _ in names}
         self.assertEqual(picked, set(names))
 
     def test_optional_fields_may_be_null(self) -> None:
         self.assertEqual(route_with(TrafficSplit=None).service, "desk")
-        found = resolved(Routes=[{**SPLIT_ROUTE, "Service": None}])
-        self.assertEqual(len(found.routes[0].split), 2)
+        result = resolved(Routes=[{**SPLIT_ROUTE, "Service": None}])
+        self.assertEqual(len(result.routes[0].split), 2)
         self.assertEqual(resolved(Routes=None).routes, ())
 
     def test_version_may_have_many_digits(self) -> None:
@@ -129,8 +129,8 @@
         for path in ("/health/", "/health?full=1", "/a%20b", "/"):
             with self.subTest(path):
                 service = {"Name": "desk", "HealthPath": path, "ConnectionLimit": 1, "ColdPerS": 2}
-                found = resolved(Routes=[ROUTE], Services=[service])
-                self.assertEqual(found.services["desk"].health_path, path)
+                result = resolved(Routes=[ROUTE], Services=[service])
+                self.assertEqual(result.services["desk"].health_path, path)
 
 
 class UnusualMatchTest(unittest.TestCase):
@@ -180,8 +180,8 @@
     def test_first_of_two_routes_with_the_same_match_takes_precedence(self) -> None:
         second = {**ROUTE, "Name": "r-3", "Service": "vault", "Host": "Desk.example"}
         other = {**ROUTE, "Name": "r-4", "PathPrefix": "/other/"}
-        found = resolved(Routes=[ROUTE, second, other])
-        table = RouteTable(found)
+        result = resolved(Routes=[ROUTE, second, other])
+        table = RouteTable(result)
         self.assertEqual(table.match("desk.example", "/holds/1", "GET").service, "desk")
         self.assertEqual(table.match("desk.example", "/other/1", "GET").service, "desk")
 
@@ -194,7 +194,7 @@
 
 class BadConfigurationTest(unittest.TestCase):
     def test_invalid_configuration_is_rejected(self) -> None:
-        bad = (
+        invalid_fields = (
             {"Service": "nobody"},
             {"Service": "", "TrafficSplit": []},
             {"PathPrefix": "holds/"},
@@ -204,7 +204,7 @@
             {"Timeout": "1e3ms"},
             {"Timeout": "-1s"},
         )
-        for fields in bad:
+        for fields in invalid_fields:
             with self.subTest(fields):
                 _, tree = parse_configuration(
                     encoded({**CONFIGURATION, "Routes": [{**ROUTE, **fields}]})
@@ -284,12 +284,12 @@
 
 def documented_route(routes: list[dict[str, Any]], host: str, path: str) -> dict[str, Any] | None:
     """Return the first route of the host with the longest prefix of the path."""
-    found = None
+    result = None
     for route in routes:
         matches = route["Host"].lower() == host and path.startswith(route["PathPrefix"])
-        if matches and (found is None or len(route["PathPrefix"]) > len(found["PathPrefix"])):
-            found = route
-    return found
+        if matches and (result is None or len(route["PathPrefix"]) > len(result["PathPrefix"])):
+            result = route
+    return result
 
 
 class GrammarTest(unittest.TestCase):
--- a/tests/tracing/test_trace.py
+++ b/tests/tracing/test_trace.py
@@ -74,8 +74,8 @@
             ),
         ]
         lines = read_logs([self.write("a.log", [refused, *ends])], ReadCounts())
-        found = [item.fields["backend"] for item in build_timeline(lines, "r9").crashes]
-        self.assertEqual(found, ["b2", "b3"])
+        crashed_backends = [item.fields["backend"] for item in build_timeline(lines, "r9").crashes]
+        self.assertEqual(crashed_backends, ["b2", "b3"])
         printed = CliRunner().invoke(app, ["trace", "r9", str(self.directory / "a.log")])
         self.assertIn("b3 executed r4", printed.output)
 
