--- a/tests/lab/asgi_client.py
+++ b/tests/lab/asgi_client.py
@@ -1,4 +1,4 @@
-"""Calls an ASGI application in this process."""
+"""An ASGI client for tests that calls an application in the same process."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     headers: dict[str, str] | None = None,
     hang_up: anyio.Event | None = None,
 ) -> Reply:
-    """Send one request; ``hang_up`` set means that the caller disconnects."""
+    """Send one request and return the reply; setting ``hang_up`` disconnects the client."""
     path, _, query = target.partition("?")
     named = [(name.encode(), value.encode()) for name, value in (headers or {}).items()]
     scope: dict[str, Any] = {
--- a/tests/lab/history/test_planted_violations.py
+++ b/tests/lab/history/test_planted_violations.py
@@ -1,4 +1,4 @@
-"""Each promise's check holds on a sound history and fails on a planted violation."""
+"""Each guarantee's check holds on a valid history and fails on a planted violation."""
 
 import unittest
 from dataclasses import dataclass
@@ -58,7 +58,7 @@
     return NodeEvent(time=time, number=name.number, event=name.name, node=node, incarnation=1)
 
 
-def told(time: float, request: str, outcome: CallOutcome, **changes: object) -> CallResult:
+def call_result(time: float, request: str, outcome: CallOutcome, **changes: object) -> CallResult:
     values: dict = {
         "node": "b",
         "route": "lookup",
@@ -72,18 +72,18 @@
     return CallResult(time=time, request_id=request, outcome=outcome, **values)
 
 
-def ended(time: float, request: str) -> ExecutionEnd:
-    """A back end has ended under a request."""
+def crash(time: float, request: str) -> ExecutionEnd:
+    """Return the record of a back end that crashed while executing a request."""
     return ExecutionEnd(time=time, request_id=request, backend="x", result=ExecutionResult.DIED)
 
 
-def started(*nodes: str) -> list[HistoryLine]:
+def node_starts(*nodes: str) -> list[HistoryLine]:
     return [NodeStart(time=0.0, node=node, zone=f"zone-{node}") for node in nodes]
 
 
-def sound_history() -> list[HistoryLine]:
+def valid_history() -> list[HistoryLine]:
     return [
-        *started("a", "b"),
+        *node_starts("a", "b"),
         Edit(time=1.0, revision=1, digest="d1", valid=True),
         in_force(2.0, "a", 1),
         in_force(2.5, "b", 1),
@@ -95,25 +95,25 @@
         in_force(32.0, "a", 3),
         in_force(33.0, "b", 3),
         ExecutionStart(time=40.0, request_id="r1", backend="x"),
-        told(41.0, "r1", CallOutcome.ANSWERED),
-        told(42.0, "r2", CallOutcome.NOT_RUN, status=503),
+        call_result(41.0, "r1", CallOutcome.ANSWERED),
+        call_result(42.0, "r2", CallOutcome.NOT_RUN, status=503),
         BackendLeaving(time=43.0, backend="x"),
-        *(ended(44.0 + attempt, f"ending-1-{attempt}") for attempt in range(6)),
+        *(crash(44.0 + attempt, f"ending-1-{attempt}") for attempt in range(6)),
         ExecutionStart(time=59.8, request_id="r3", backend="y"),
         NodeStop(time=60.0, node="b"),
-        told(60.5, "r3", CallOutcome.ANSWERED),
+        call_result(60.5, "r3", CallOutcome.ANSWERED),
         event(61.0, "b", Event.NODE_STOPPED),
     ]
 
 
 @dataclass
-class Planted:
-    promise: Guarantee
+class PlantedViolation:
+    guarantee: Guarantee
     lines: list[HistoryLine]
 
 
-PLANTED = {
-    "a replacement serves by an older revision": Planted(
+PLANTED_VIOLATIONS = {
+    "a replacement node serves an older revision": PlantedViolation(
         Guarantee.REVISIONS_MONOTONIC,
         [
             NodeKill(time=34.0, node="a"),
@@ -122,33 +122,33 @@
             in_force(34.6, "a", 3),
         ],
     ),
-    "a route lacks its service": Planted(
+    "a route lacks its service": PlantedViolation(
         Guarantee.ROUTES_COMPLETE, [in_force(34.0, "a", 3, services=())]
     ),
-    "a route lacks its secret": Planted(
+    "a route lacks its secret": PlantedViolation(
         Guarantee.ROUTES_COMPLETE, [in_force(34.0, "a", 3, secrets=())]
     ),
-    "a revision is in force in part": Planted(
+    "a revision is in force with another digest than its edit": PlantedViolation(
         Guarantee.REVISIONS_INTACT, [in_force(34.0, "a", 3, digest="other")]
     ),
-    "one number is in force with two digests": Planted(
+    "one number is in force with two digests": PlantedViolation(
         Guarantee.REVISIONS_INTACT,
         [
             Edit(time=31.0, revision=3, digest="other", valid=True),
             in_force(34.0, "a", 3, digest="other"),
         ],
     ),
-    "an invalid revision is in force": Planted(
+    "an invalid revision is in force": PlantedViolation(
         Guarantee.REJECTED_NEVER_IN_FORCE, [in_force(30.5, "a", 2), in_force(30.5, "b", 2)]
     ),
-    "an accepted revision does not reach a node": Planted(
+    "an accepted revision does not reach a node": PlantedViolation(
         Guarantee.IN_FORCE_EVERYWHERE,
         [Edit(time=34.0, revision=4, digest="d4", valid=True), in_force(35.0, "a", 4)],
     ),
-    "a valid edit is never in force": Planted(
+    "a valid edit is never in force": PlantedViolation(
         Guarantee.IN_FORCE_EVERYWHERE, [Edit(time=34.0, revision=4, digest="d4", valid=True)]
     ),
-    "a valid edit is not in force after a source fault and a cut": Planted(
+    "a valid edit is not in force although a source fault and a cut have ended": PlantedViolation(
         Guarantee.IN_FORCE_EVERYWHERE,
         [
             SourceFault(time=33.5, service="source", fault="outage"),
@@ -158,7 +158,7 @@
             Heal(time=36.0),
         ],
     ),
-    "a new node serves without what was accepted": Planted(
+    "a new node serves without an accepted revision": PlantedViolation(
         Guarantee.NEVER_REVERTED,
         [
             NodeStart(time=45.0, node="c", zone="zone-c"),
@@ -167,7 +167,7 @@
             in_force(46.0, "c", 3),
         ],
     ),
-    "a woken node serves by what it had": Planted(
+    "a resumed node serves the revision from before its pause": PlantedViolation(
         Guarantee.NEVER_REVERTED,
         [
             NodePause(time=33.5, node="b"),
@@ -177,7 +177,7 @@
             in_force(48.0, "b", 4),
         ],
     ),
-    "a new node serves and catches up in the same instant": Planted(
+    "a new node starts serving and gets the accepted revision at the same time": PlantedViolation(
         Guarantee.NEVER_REVERTED,
         [
             Edit(time=34.0, revision=4, digest="d4", valid=True),
@@ -189,38 +189,38 @@
             in_force(45.6, "c", 4),
         ],
     ),
-    "an answer is damaged": Planted(
+    "a response has a wrong checksum": PlantedViolation(
         Guarantee.RESPONSES_INTACT_AND_MATCHING,
-        [told(41.0, "r4", CallOutcome.ANSWERED, checksum_ok=False)],
+        [call_result(41.0, "r4", CallOutcome.ANSWERED, checksum_ok=False)],
     ),
-    "an answer belongs to another request": Planted(
+    "a response belongs to another request": PlantedViolation(
         Guarantee.RESPONSES_INTACT_AND_MATCHING,
-        [told(41.0, "r4", CallOutcome.ANSWERED, own_answer=False)],
+        [call_result(41.0, "r4", CallOutcome.ANSWERED, own_answer=False)],
     ),
-    "a request refused as not run has run": Planted(
+    "a request refused as not run was executed": PlantedViolation(
         Guarantee.NOT_RUN_IS_ACCURATE, [ExecutionStart(time=42.5, request_id="r2", backend="x")]
     ),
-    "a request that may not be repeated runs twice": Planted(
+    "a request that must not be repeated is executed twice": PlantedViolation(
         Guarantee.AT_MOST_ONCE, [ExecutionStart(time=40.5, request_id="r1", backend="y")]
     ),
-    "a leaving back end gets new work": Planted(
+    "a leaving back end receives a new request": PlantedViolation(
         Guarantee.LEAVING_GETS_NO_WORK, [ExecutionStart(time=49.0, request_id="r5", backend="x")]
     ),
-    "a planned stop cuts a request": Planted(
-        Guarantee.SHUTDOWN_CUTS_NOTHING, [told(60.6, "r6", CallOutcome.CUT, status=0)]
+    "a graceful shutdown cuts an exchange": PlantedViolation(
+        Guarantee.SHUTDOWN_CUTS_NOTHING, [call_result(60.6, "r6", CallOutcome.CUT, status=0)]
     ),
-    "a request sent during a planned stop gets no answer": Planted(
+    "a request sent during a graceful shutdown gets no response": PlantedViolation(
         Guarantee.SHUTDOWN_ANSWERS_ALL,
-        [told(62.0, "r6", CallOutcome.CUT, status=0, latency=0.5, whole_for=0.4)],
+        [call_result(62.0, "r6", CallOutcome.CUT, status=0, latency=0.5, whole_for=0.4)],
     ),
-    "a request sent to a node that runs gets no answer": Planted(
+    "a request sent to a running node gets no response": PlantedViolation(
         Guarantee.RUNNING_NODE_ANSWERS_ALL,
-        [told(50.0, "r6", CallOutcome.TIMED_OUT, status=0, whole_for=0.9)],
+        [call_result(50.0, "r6", CallOutcome.TIMED_OUT, status=0, whole_for=0.9)],
     ),
-    "an answer breaks off in the middle at the end of a planned stop": Planted(
+    "a response breaks off at the end of a graceful shutdown": PlantedViolation(
         Guarantee.SHUTDOWN_ANSWERS_ALL,
         [
-            told(
+            call_result(
                 62.0,
                 "r6",
                 CallOutcome.CUT,
@@ -231,11 +231,11 @@
             )
         ],
     ),
-    "an answer breaks off in the middle while its node runs": Planted(
+    "a response breaks off while its node is running": PlantedViolation(
         Guarantee.RUNNING_NODE_ANSWERS_ALL,
         [
             ExecutionStart(time=49.5, request_id="r6", backend="y"),
-            told(
+            call_result(
                 50.0,
                 "r6",
                 CallOutcome.CUT,
@@ -245,73 +245,75 @@
             ),
         ],
     ),
-    "a back end of an evacuated zone gets a request": Planted(
+    "a back end of an evacuated zone receives a request": PlantedViolation(
         Guarantee.EVACUATED_GETS_NO_REQUESTS,
         [ExecutionStart(time=50.0, request_id="r7", backend="z")],
     ),
-    "a request ends one back end after the other": Planted(
+    "a request crashes more back ends than its limit allows": PlantedViolation(
         Guarantee.CRASHING_REQUESTS_LIMITED,
-        [ended(50.0 + attempt, f"ending-2-{attempt}") for attempt in range(7)],
+        [crash(50.0 + attempt, f"ending-2-{attempt}") for attempt in range(7)],
     ),
 }
 
 
 class PlantedViolationTest(unittest.TestCase):
-    def test_every_promise_holds_on_a_sound_history(self) -> None:
-        verdicts = check_history(sound_history(), BOUNDS)
+    def test_every_guarantee_holds_on_a_valid_history(self) -> None:
+        verdicts = check_history(valid_history(), BOUNDS)
         self.assertEqual({verdict.promise for verdict in verdicts}, set(Guarantee))
         self.assertTrue(all_held(verdicts), verdicts)
 
-    def test_each_planted_violation_breaks_its_promise_and_no_other(self) -> None:
-        for name, planted in PLANTED.items():
+    def test_each_planted_violation_violates_its_guarantee_and_no_other(self) -> None:
+        for name, planted in PLANTED_VIOLATIONS.items():
             with self.subTest(name):
-                verdicts = check_history([*sound_history(), *planted.lines], BOUNDS)
-                broken = [v.promise for v in verdicts if v.judgement is Judgement.VIOLATED]
-                self.assertEqual(broken, [planted.promise])
+                verdicts = check_history([*valid_history(), *planted.lines], BOUNDS)
+                violated = [v.promise for v in verdicts if v.judgement is Judgement.VIOLATED]
+                self.assertEqual(violated, [planted.guarantee])
 
-    def test_every_promise_has_a_planted_violation(self) -> None:
-        self.assertEqual({planted.promise for planted in PLANTED.values()}, set(Guarantee))
+    def test_every_guarantee_has_a_planted_violation(self) -> None:
+        self.assertEqual(
+            {planted.guarantee for planted in PLANTED_VIOLATIONS.values()}, set(Guarantee)
+        )
 
-    def test_an_empty_history_is_too_thin_for_every_promise(self) -> None:
+    def test_an_empty_history_tests_no_guarantee(self) -> None:
         verdicts = check_history([], BOUNDS)
         self.assertEqual({v.judgement for v in verdicts}, {Judgement.UNTESTED})
 
 
 class EvacuationTest(unittest.TestCase):
-    """When a request at a back end of an evacuated zone is no offence."""
+    """Cases in which a request to a back end of an evacuated zone is no violation."""
 
-    def verdict(self, time: float, *lines: HistoryLine) -> Judgement:
-        reached = ExecutionStart(time=time, request_id="r7", backend="z")
-        verdicts = check_history([*sound_history(), reached, *lines], BOUNDS)
+    def judge(self, time: float, *lines: HistoryLine) -> Judgement:
+        execution = ExecutionStart(time=time, request_id="r7", backend="z")
+        verdicts = check_history([*valid_history(), execution, *lines], BOUNDS)
         return next(
             v.judgement for v in verdicts if v.promise is Guarantee.EVACUATED_GETS_NO_REQUESTS
         )
 
-    def test_before_every_node_has_it_in_force_for_long_enough(self) -> None:
-        self.assertEqual(self.verdict(32.5), Judgement.HELD)
-        self.assertEqual(self.verdict(33.9), Judgement.HELD)
-        self.assertEqual(self.verdict(34.1), Judgement.VIOLATED)
+    def test_requests_before_every_node_has_the_evacuation_for_the_bound_are_allowed(self) -> None:
+        self.assertEqual(self.judge(32.5), Judgement.HELD)
+        self.assertEqual(self.judge(33.9), Judgement.HELD)
+        self.assertEqual(self.judge(34.1), Judgement.VIOLATED)
 
-    def test_once_it_is_taken_back(self) -> None:
-        back = ZoneEvacuationEnded(time=45.0, zone="zone-z", revision=4)
-        self.assertEqual(self.verdict(46.0, back), Judgement.HELD)
-        self.assertEqual(self.verdict(44.0, back), Judgement.VIOLATED)
+    def test_requests_after_the_end_of_the_evacuation_are_allowed(self) -> None:
+        end = ZoneEvacuationEnded(time=45.0, zone="zone-z", revision=4)
+        self.assertEqual(self.judge(46.0, end), Judgement.HELD)
+        self.assertEqual(self.judge(44.0, end), Judgement.VIOLATED)
 
-    def test_while_a_node_starts_or_is_paused(self) -> None:
+    def test_requests_while_a_node_starts_or_is_paused_are_allowed(self) -> None:
         started_late = NodeStart(time=49.8, node="c", zone="zone-c")
-        self.assertEqual(self.verdict(50.0, started_late), Judgement.HELD)
+        self.assertEqual(self.judge(50.0, started_late), Judgement.HELD)
         paused = (NodePause(time=49.0, node="b"), NodeResume(time=49.9, node="b"))
-        self.assertEqual(self.verdict(50.0, *paused), Judgement.HELD)
+        self.assertEqual(self.judge(50.0, *paused), Judgement.HELD)
 
 
-class ObligationTest(unittest.TestCase):
-    """Who does not owe a revision: the paused, the cut off, the short-lived."""
+class DeadlineTest(unittest.TestCase):
+    """Processes that need not have a revision in force: paused, cut off and short-lived ones."""
 
-    def verdict(self, promise: Guarantee, lines: list[HistoryLine]) -> Judgement:
-        verdicts = check_history([*sound_history(), *lines], BOUNDS)
-        return next(v.judgement for v in verdicts if v.promise is promise)
+    def judge(self, guarantee: Guarantee, lines: list[HistoryLine]) -> Judgement:
+        verdicts = check_history([*valid_history(), *lines], BOUNDS)
+        return next(v.judgement for v in verdicts if v.promise is guarantee)
 
-    def test_a_paused_process_owes_nothing_until_it_wakes(self) -> None:
+    def test_a_paused_process_needs_no_revision_until_it_is_resumed(self) -> None:
         lines = [
             NodePause(time=33.5, node="b"),
             Edit(time=34.0, revision=4, digest="d4", valid=True),
@@ -319,23 +321,23 @@
             NodeResume(time=58.0, node="b"),
             event(58.1, "b", Event.NODE_WOKE),
         ]
-        self.assertIs(self.verdict(Guarantee.IN_FORCE_EVERYWHERE, lines), Judgement.HELD)
-        self.assertIs(self.verdict(Guarantee.NEVER_REVERTED, lines), Judgement.HELD)
+        self.assertIs(self.judge(Guarantee.IN_FORCE_EVERYWHERE, lines), Judgement.HELD)
+        self.assertIs(self.judge(Guarantee.NEVER_REVERTED, lines), Judgement.HELD)
 
-    def test_a_cut_off_zone_owes_nothing_until_it_heals(self) -> None:
+    def test_a_cut_off_zone_needs_no_revision_until_the_cut_ends(self) -> None:
         lines = [
             Cut(time=33.5, from_zone="zone-a", to_zone="zone-b"),
             Edit(time=34.0, revision=4, digest="d4", valid=True),
             in_force(34.5, "a", 4),
             Heal(time=58.0),
         ]
-        self.assertIs(self.verdict(Guarantee.IN_FORCE_EVERYWHERE, lines), Judgement.HELD)
+        self.assertIs(self.judge(Guarantee.IN_FORCE_EVERYWHERE, lines), Judgement.HELD)
 
-    def test_a_process_paused_while_it_stops_owes_nothing(self) -> None:
+    def test_a_process_paused_during_its_shutdown_needs_no_revision(self) -> None:
         lines = [NodePause(time=61.2, node="b"), NodeResume(time=61.3, node="b"), Heal(time=99.0)]
-        self.assertIs(self.verdict(Guarantee.IN_FORCE_EVERYWHERE, lines), Judgement.HELD)
+        self.assertIs(self.judge(Guarantee.IN_FORCE_EVERYWHERE, lines), Judgement.HELD)
 
-    def test_who_starts_while_half_of_the_fleet_is_paused_owes_nothing_until_it_wakes(self) -> None:
+    def test_a_node_started_without_a_majority_needs_no_revision_until_there_is_one(self) -> None:
         lines = [
             NodePause(time=33.5, node="a"),
             NodePause(time=33.5, node="b"),
@@ -343,16 +345,16 @@
             NodeResume(time=58.0, node="a"),
             NodeResume(time=58.0, node="b"),
         ]
-        self.assertIs(self.verdict(Guarantee.IN_FORCE_EVERYWHERE, lines), Judgement.HELD)
+        self.assertIs(self.judge(Guarantee.IN_FORCE_EVERYWHERE, lines), Judgement.HELD)
         lines.append(Heal(time=63.1))
-        self.assertIs(self.verdict(Guarantee.IN_FORCE_EVERYWHERE, lines), Judgement.VIOLATED)
+        self.assertIs(self.judge(Guarantee.IN_FORCE_EVERYWHERE, lines), Judgement.VIOLATED)
 
-    def test_a_killed_process_owes_nothing(self) -> None:
+    def test_a_killed_process_needs_no_revision(self) -> None:
         lines = [
             NodeStart(time=34.0, node="c", zone="zone-c"),
             NodeKill(time=38.0, node="c"),
         ]
-        self.assertIs(self.verdict(Guarantee.IN_FORCE_EVERYWHERE, lines), Judgement.HELD)
+        self.assertIs(self.judge(Guarantee.IN_FORCE_EVERYWHERE, lines), Judgement.HELD)
 
 
 if __name__ == "__main__":
--- a/tests/lab/report/test_convergence.py
+++ b/tests/lab/report/test_convergence.py
@@ -1,4 +1,4 @@
-"""Convergence times from a small history."""
+"""Measurement of convergence times from a small history."""
 
 import unittest
 
@@ -35,7 +35,7 @@
     )
 
 
-def started(*nodes: str) -> list[HistoryLine]:
+def initial_lines(*nodes: str) -> list[HistoryLine]:
     lines: list[HistoryLine] = [edit(0.0, 1)]
     for node in nodes:
         lines.append(NodeStart(time=0.1, node=node, zone="yaba"))
@@ -44,8 +44,13 @@
 
 
 class ConvergenceTest(unittest.TestCase):
-    def test_the_slowest_node_makes_the_fleets_time(self) -> None:
-        lines = [*started("a", "b"), edit(2.0, 2), in_force(2.1, "a", 2), in_force(2.4, "b", 3)]
+    def test_the_slowest_node_determines_the_time_of_the_fleet(self) -> None:
+        lines = [
+            *initial_lines("a", "b"),
+            edit(2.0, 2),
+            in_force(2.1, "a", 2),
+            in_force(2.4, "b", 3),
+        ]
         measured = measure_convergence(Timeline(lines))
         self.assertAlmostEqual(measured.whole_fleet.max, 0.4)
         self.assertAlmostEqual(measured.each_node.p50, 0.1)
@@ -53,7 +58,7 @@
 
     def test_paused_and_killed_nodes_are_left_out(self) -> None:
         lines = [
-            *started("a", "b", "c"),
+            *initial_lines("a", "b", "c"),
             NodePause(time=1.5, node="a"),
             edit(2.0, 2),
             NodeKill(time=2.1, node="b"),
@@ -64,13 +69,16 @@
         measured = measure_convergence(Timeline(lines))
         self.assertEqual((measured.each_node.count, measured.disturbed), (1, 2))
 
-    def test_a_node_that_never_gets_there_is_missing(self) -> None:
-        lines = [*started("a"), edit(2.0, 2), edit(3.0, 3, valid=False), edit(5.0, 4)]
+    def test_edits_that_are_never_in_force_are_missing(self) -> None:
+        lines = [*initial_lines("a"), edit(2.0, 2), edit(3.0, 3, valid=False), edit(5.0, 4)]
         self.assertEqual(measure_convergence(Timeline(lines)).missing, 2)
 
 
 class DistributionTest(unittest.TestCase):
-    def test_nearest_rank(self) -> None:
-        found = distribution_of(range(1, 101))
-        self.assertEqual((found.count, found.p50, found.p99, found.max), (100, 50, 99, 100))
+    def test_percentiles_are_nearest_rank(self) -> None:
+        distribution = distribution_of(range(1, 101))
+        self.assertEqual(
+            (distribution.count, distribution.p50, distribution.p99, distribution.max),
+            (100, 50, 99, 100),
+        )
         self.assertEqual(distribution_of([]).max, 0.0)
--- a/tests/lab/report/test_report.py
+++ b/tests/lab/report/test_report.py
@@ -1,4 +1,4 @@
-"""When a run counts as passed, and what its text shows."""
+"""The condition for a run to pass, and the text of its report."""
 
 import unittest
 
@@ -14,10 +14,10 @@
 from pewtertack.lab.report.table import format_report
 from pewtertack.lab.report.traffic import PeerTraffic
 
-NOTHING = distribution_of([])
+EMPTY = distribution_of([])
 
 
-def told(request_id: str, outcome: CallOutcome, latency: float) -> CallResult:
+def call_result(request_id: str, outcome: CallOutcome, latency: float) -> CallResult:
     return CallResult(
         time=1.0,
         request_id=request_id,
@@ -33,8 +33,8 @@
 
 
 def report(judgement: Judgement, *problems: str) -> Report:
-    offence = Violation(1.0, "n1", "revision 1 in force after 2")
-    offences = (offence,) if judgement is Judgement.VIOLATED else ()
+    violation = Violation(1.0, "n1", "revision 1 in force after 2")
+    violations = (violation,) if judgement is Judgement.VIOLATED else ()
     return Report(
         scenario="quiet",
         seed=1,
@@ -43,14 +43,17 @@
         nodes=1,
         backends=1,
         edits=0,
-        convergence=Convergence(NOTHING, NOTHING, 0, 0),
+        convergence=Convergence(EMPTY, EMPTY, 0, 0),
         traffic=PeerTraffic(1, 1.0, 1.0, 0.0, 0.0, 0.0),
-        resources=NodeResources(NOTHING, NOTHING),
+        resources=NodeResources(EMPTY, EMPTY),
         source=ReaderCounters(),
         routes=routes_of(
-            [told("a", CallOutcome.ANSWERED, 0.2), told("b", CallOutcome.NOT_RUN, 9.0)]
+            [
+                call_result("a", CallOutcome.ANSWERED, 0.2),
+                call_result("b", CallOutcome.NOT_RUN, 9.0),
+            ]
         ),
-        verdicts=[Verdict(Guarantee.REVISIONS_MONOTONIC, judgement, 1, offences)],
+        verdicts=[Verdict(Guarantee.REVISIONS_MONOTONIC, judgement, 1, violations)],
         required=[Guarantee.REVISIONS_MONOTONIC],
         problems=list(problems),
         stray_lines=[],
@@ -58,22 +61,22 @@
 
 
 class ReportTest(unittest.TestCase):
-    def test_only_a_judged_and_held_promise_passes(self) -> None:
+    def test_a_run_passes_only_if_required_guarantees_held_without_problems(self) -> None:
         self.assertTrue(report(Judgement.HELD).passed)
         self.assertFalse(report(Judgement.VIOLATED).passed)
         self.assertFalse(report(Judgement.UNTESTED).passed)
-        self.assertFalse(report(Judgement.HELD, "n1 does not run at the end").passed)
+        self.assertFalse(report(Judgement.HELD, "n1 is not running at the end").passed)
 
-    def test_the_text_names_offences_and_problems(self) -> None:
+    def test_the_text_contains_violations_and_problems(self) -> None:
         text = format_report(report(Judgement.VIOLATED, "odd"))
         self.assertIn("revision 1 in force after 2", text)
         self.assertIn("problem: odd", text)
 
-    def test_latencies_are_those_of_answers(self) -> None:
+    def test_latencies_cover_answered_calls_only(self) -> None:
         (route,) = report(Judgement.HELD).routes.values()
         self.assertEqual(route.outcomes, {"answered": 1, "not-run": 1})
         self.assertEqual(route.latency.max, 0.2)
 
-    def test_the_report_is_json(self) -> None:
+    def test_the_report_survives_json_encoding_and_decoding(self) -> None:
         encoded = msgspec.json.encode(report(Judgement.HELD))
         self.assertEqual(msgspec.json.decode(encoded, type=Report), report(Judgement.HELD))
--- a/tests/lab/report/test_traffic.py
+++ b/tests/lab/report/test_traffic.py
@@ -1,4 +1,4 @@
-"""Bytes between two samples of the nodes' metrics."""
+"""Measurement of the bytes sent between nodes from two samples of their metrics."""
 
 import unittest
 
@@ -17,7 +17,7 @@
     def test_sent_bytes_are_summed_by_purpose(self) -> None:
         self.assertEqual(bytes_sent(METRICS), {"control": 100.0})
 
-    def test_replaced_nodes_are_left_out(self) -> None:
+    def test_restarted_and_missing_nodes_are_left_out(self) -> None:
         first = TrafficSample(10.0, {"a": {"control": 100.0}, "b": {"control": 900.0}, "c": {}})
         last = TrafficSample(20.0, {"a": {"control": 300.0}, "b": {"control": 5.0}})
         traffic = traffic_between(first, last)
--- a/tests/lab/scenarios/test_edits.py
+++ b/tests/lab/scenarios/test_edits.py
@@ -1,4 +1,4 @@
-"""Seeded edits are what they claim to be, for both deployments' trees."""
+"""Random edits of the trees of both deployments, and the catalogue of scenarios."""
 
 import unittest
 from pathlib import Path
@@ -13,7 +13,7 @@
 
 
 class TreeEditorTest(unittest.TestCase):
-    def test_good_edits_are_valid_and_bad_ones_are_not(self) -> None:
+    def test_valid_edits_pass_validation_and_invalid_ones_do_not(self) -> None:
         for name in DEPLOYMENTS:
             tree = read_tree(EXAMPLES / name / "tree.toml")
             editor = TreeEditor(tree, seed=3)
@@ -23,7 +23,7 @@
                 self.assertNotEqual(check_document(editor.make_invalid_edit()), ())
             self.assertEqual(tree, read_tree(EXAMPLES / name / "tree.toml"))
 
-    def test_every_edit_differs_and_the_seed_decides(self) -> None:
+    def test_consecutive_edits_differ_and_depend_only_on_the_seed(self) -> None:
         tree = shape_of("lagos", EXAMPLES).tree
         first, second = TreeEditor(tree, 5), TreeEditor(tree, 5)
         edits = [first.make_valid_edit() for _ in range(20)]
@@ -32,11 +32,11 @@
 
 
 class CatalogueTest(unittest.TestCase):
-    def test_every_scenario_says_what_happens(self) -> None:
+    def test_every_scenario_has_a_description(self) -> None:
         for name, scenario in SCENARIOS.items():
             self.assertTrue(scenario.description.endswith("."), name)
 
-    def test_unknown_names_are_typed_errors(self) -> None:
+    def test_unknown_names_raise_specific_errors(self) -> None:
         with self.assertRaises(UnknownScenarioError):
             find_scenario("none")
         with self.assertRaises(LabUsageError):
--- a/tests/lab/test_address.py
+++ b/tests/lab/test_address.py
@@ -1,4 +1,4 @@
-"""Addresses given to the lab's commands."""
+"""Parsing of addresses given to the lab's commands."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 class ParseAddressTest(unittest.TestCase):
-    def test_a_wrong_address_is_a_mistake_in_usage(self) -> None:
+    def test_invalid_addresses_raise_usage_errors(self) -> None:
         self.assertEqual(parse_address("127.0.0.1:7001"), Address("127.0.0.1", 7001))
         for text in ("127.0.0.1", "localhost:1", "127.0.0.1:70000", ":1"):
             with self.subTest(text), self.assertRaisesRegex(LabUsageError, "; accepted: "):
--- a/tests/lab/test_disabled_mechanisms.py
+++ b/tests/lab/test_disabled_mechanisms.py
@@ -1,4 +1,4 @@
-"""Mechanisms that can be switched off for a proof."""
+"""Disabling single mechanisms of a node."""
 
 import asyncio
 import os
@@ -32,15 +32,15 @@
 SOURCE_DIRECTORY = Path(__file__).resolve().parents[2] / "src"
 
 
-class WeakeningTest(unittest.TestCase):
-    def test_every_core_mechanism_can_be_switched_off(self) -> None:
+class DisabledMechanismsTest(unittest.TestCase):
+    def test_every_core_mechanism_can_be_disabled(self) -> None:
         for name in CORE_MECHANISMS:
             with mock.patch.dict(profile.PROFILES):
                 disable_mechanism(name)
                 for timing in profile.PROFILES.values():
                     self.assertFalse(getattr(timing.mechanisms, name))
 
-    def test_slow_sources_are_read_as_quick_ones(self) -> None:
+    def test_slow_sources_are_read_like_fast_ones(self) -> None:
         with (
             mock.patch.dict(profile.PROFILES),
             mock.patch.object(store, "RESPONSE_HEAD_TIMEOUT_SECONDS", 8.0),
@@ -50,27 +50,27 @@
             self.assertEqual({item.read_patience for item in profile.PROFILES.values()}, {0.0})
             self.assertEqual(store.RESPONSE_HEAD_TIMEOUT_SECONDS, SHORT_RESPONSE_TIMEOUT_SECONDS)
 
-    def test_the_answers_identity_is_no_longer_read(self) -> None:
+    def test_the_request_id_of_a_response_is_no_longer_read(self) -> None:
         with mock.patch.dict(vars(exchange)):
             disable_mechanism("answer_identity")
             read: Any = vars(exchange)["read_response_meta"]
             self.assertIsNone(read([(b"x-request-id", b"r1")]).request_id)
 
-    def test_gateways_are_not_told_that_a_node_stops(self) -> None:
+    def test_gateways_are_not_notified_of_a_shutdown(self) -> None:
         with (
             mock.patch.object(ShutdownDeadline, "begin", ShutdownDeadline.begin),
             mock.patch.object(ProxyApplication, "announce_stop", ProxyApplication.announce_stop),
         ):
             disable_mechanism("stop_announcements")
             proxy = ProxyApplication(lambda: 5.0, Random(7))
-            with mock.patch("pewtertack.node.proxy.application.notify_gateways") as tell:
+            with mock.patch("pewtertack.node.proxy.application.notify_gateways") as notify_gateways:
                 proxy.start_leaving(2.0)
                 asyncio.run(proxy.announce_stop())
-            tell.assert_not_called()
+            notify_gateways.assert_not_called()
             self.assertTrue(proxy.leaving)
             self.assertFalse(proxy._context.shutdown.started)
 
-    def test_nothing_is_held_after_returns(self) -> None:
+    def test_lists_of_a_new_era_are_used_without_a_hold_time(self) -> None:
         with mock.patch.object(MachineListOverrides, "__init__", MachineListOverrides.__init__):
             disable_mechanism("hold_after_return")
             replica = MachineListReplica(6.0, 0.0)
@@ -80,7 +80,7 @@
             replica.offer(1.0, revision_id_of(number, {"b": entry}), {"b": entry})
         self.assertEqual(replica.machines.machines[0].state, MachineState.LIVE)
 
-    def test_every_request_mechanism_can_be_switched_off(self) -> None:
+    def test_every_request_mechanism_can_be_disabled(self) -> None:
         for name in REQUEST_MECHANISMS:
             with self.subTest(name):
                 code = (
@@ -88,12 +88,12 @@
                     f" disable_mechanism({name!r})"
                 )
                 environment = os.environ | {"PYTHONPATH": str(SOURCE_DIRECTORY)}
-                ended = subprocess.run(
+                completed = subprocess.run(
                     [sys.executable, "-c", code], env=environment, capture_output=True, text=True
                 )
-                self.assertEqual(ended.returncode, 0, ended.stderr)
+                self.assertEqual(completed.returncode, 0, completed.stderr)
 
-    def test_unknown_names_are_typed_errors(self) -> None:
+    def test_unknown_names_raise_usage_errors(self) -> None:
         self.assertEqual(len(MECHANISMS), len(set(MECHANISMS)))
         with self.assertRaises(LabUsageError):
             disable_mechanism("luck")
--- a/tests/lab/test_overload.py
+++ b/tests/lab/test_overload.py
@@ -1,4 +1,4 @@
-"""The request path at twice the capacity, in virtual time, against round robin."""
+"""The request path at twice its capacity, compared with round robin, in virtual time."""
 
 import unittest
 
@@ -14,7 +14,7 @@
     def test_goodput_stays_near_capacity(self) -> None:
         self.assertGreaterEqual(self.result.dispatcher.goodput, 0.9)
 
-    def test_urgent_requests_are_answered_about_as_fast_as_unloaded(self) -> None:
+    def test_urgent_latency_is_at_most_twice_the_unloaded_one(self) -> None:
         self.assertLessEqual(self.result.urgent_ratio, 2.0)
         self.assertGreaterEqual(
             self.result.dispatcher.classes[WorkClass.URGENT].answered_share, 0.99
@@ -24,11 +24,11 @@
         for outcome in self.result.dispatcher.classes.values():
             self.assertGreater(outcome.answered_share, 0.02)
 
-    def test_retries_add_little_load_where_the_baseline_doubles_it(self) -> None:
+    def test_retries_add_little_load_while_the_baseline_more_than_doubles_it(self) -> None:
         self.assertLessEqual(self.result.dispatcher.extra_attempts, 0.1)
         self.assertGreater(self.result.round_robin.extra_attempts, 1.0)
 
-    def test_the_baseline_loses_half_of_the_urgent_requests(self) -> None:
+    def test_the_baseline_answers_less_than_60_percent_of_urgent_requests(self) -> None:
         self.assertLess(self.result.round_robin.classes[WorkClass.URGENT].answered_share, 0.6)
 
     def test_equal_seeds_give_equal_results(self) -> None:
--- a/tests/lab/test_overload_gateways.py
+++ b/tests/lab/test_overload_gateways.py
@@ -1,4 +1,7 @@
-"""Overload in virtual time where every back end has a gateway: choice, admission, retries."""
+"""Gateway choice, admission and retries under overload, in virtual time.
+
+Each back end has its own gateway.
+"""
 
 import unittest
 
@@ -13,12 +16,12 @@
 
 
 class GatewayOverloadTest(unittest.TestCase):
-    def test_goodput_does_not_fall_as_the_load_grows(self) -> None:
+    def test_goodput_does_not_drop_as_the_load_grows(self) -> None:
         goodputs = [run(load).goodput for load in (1.0, 1.5, 2.0, 3.0)]
         self.assertGreaterEqual(min(goodputs), 0.85, goodputs)
         self.assertGreaterEqual(goodputs[-1], goodputs[0] - 0.05, goodputs)
 
-    def test_urgent_requests_go_first(self) -> None:
+    def test_urgent_requests_take_precedence(self) -> None:
         for load in (1.5, 3.0):
             shares = {name: item.answered_share for name, item in run(load).classes.items()}
             self.assertGreaterEqual(shares[WorkClass.URGENT], 0.97, shares)
--- a/tests/lab/test_overload_returning.py
+++ b/tests/lab/test_overload_retrying_callers.py
@@ -1,4 +1,4 @@
-"""Callers that come back, in virtual time, and what their requests earn."""
+"""Callers that retry after refusals, and the credit that their requests earn, in virtual time."""
 
 import unittest
 from random import Random
@@ -14,25 +14,25 @@
 
 
 class RefusingNode:
-    """Ends each attempt after some seconds: refused, or answered from one attempt on."""
+    """Ends each attempt after ``seconds``; the attempts before ``answers_from`` are refused."""
 
     def __init__(self, time: VirtualTime, seconds: float, answers_from: int) -> None:
         self.time = time
         self.seconds = seconds
         self.answers_from = answers_from
-        self.begun: list[float] = []
+        self.attempt_times: list[float] = []
 
     def begin(self, attempt: SimulatedRequest) -> None:
-        self.begun.append(round(self.time.now, 3))
-        answered = len(self.begun) >= self.answers_from
-        ends = self.time.now + self.seconds
-        self.time.at(ends, lambda: attempt.end(self.time.now, answered, retry_after=0.2))
+        self.attempt_times.append(round(self.time.now, 3))
+        answered = len(self.attempt_times) >= self.answers_from
+        ends_at = self.time.now + self.seconds
+        self.time.at(ends_at, lambda: attempt.end(self.time.now, answered, retry_after=0.2))
 
     def cancel(self, attempt: SimulatedRequest) -> None:
         attempt.end(self.time.now)
 
 
-def fate(seconds: float, answers_from: int) -> tuple[Caller, RefusingNode]:
+def run_caller(seconds: float, answers_from: int) -> tuple[Caller, RefusingNode]:
     time = VirtualTime()
     node = RefusingNode(time, seconds, answers_from)
     request = SimulatedRequest(SHOPPERS[0], 0, 0.0, 0.1, SHOPPERS[0].deadline)
@@ -42,32 +42,32 @@
     return caller, node
 
 
-class CallerTest(unittest.TestCase):
-    def test_worth_counts_from_the_first_attempt(self) -> None:
-        self.assertEqual(fate(0.1, answers_from=1)[0].credit, 1.0)
-        self.assertEqual(fate(0.05, answers_from=2)[0].credit, 1.0)
-        self.assertEqual(fate(0.15, answers_from=2)[0].credit, 0.1)
+class RetryingCallerTest(unittest.TestCase):
+    def test_the_objective_counts_from_the_first_attempt(self) -> None:
+        self.assertEqual(run_caller(0.1, answers_from=1)[0].credit, 1.0)
+        self.assertEqual(run_caller(0.05, answers_from=2)[0].credit, 1.0)
+        self.assertEqual(run_caller(0.15, answers_from=2)[0].credit, 0.1)
 
-    def test_a_caller_comes_back_twice_at_the_time_it_was_told(self) -> None:
-        caller, node = fate(0.05, answers_from=9)
-        self.assertEqual(node.begun, [0.0, 0.25, 0.5])
+    def test_a_caller_retries_twice_after_the_advised_time(self) -> None:
+        caller, node = run_caller(0.05, answers_from=9)
+        self.assertEqual(node.attempt_times, [0.0, 0.25, 0.5])
         self.assertTrue(caller.refused_again)
         self.assertAlmostEqual(caller.held_price, 0.1 / 1.825)
 
-    def test_waiting_in_vain_costs_more_the_longer_it_lasts(self) -> None:
-        prices = [fate(seconds, answers_from=9)[0].held_price for seconds in (0.01, 0.2, 0.9)]
+    def test_waiting_without_result_costs_more_the_longer_it_lasts(self) -> None:
+        prices = [run_caller(seconds, answers_from=9)[0].held_price for seconds in (0.01, 0.2, 0.9)]
         self.assertEqual(prices[0], 0.0)
         self.assertGreater(prices[1], 0.2)
         self.assertEqual(prices[2], 1.0)
-        self.assertEqual(fate(0.5, answers_from=2)[0].held_price, 0.0)
+        self.assertEqual(run_caller(0.5, answers_from=2)[0].held_price, 0.0)
 
 
-class ReturningTest(unittest.TestCase):
-    def test_below_capacity_everything_is_in_time(self) -> None:
+class RetryingCallersTest(unittest.TestCase):
+    def test_below_capacity_nearly_all_requests_meet_their_objective(self) -> None:
         for name, item in run(0.6).classes.items():
             self.assertGreaterEqual(item.in_time, 0.99, name)
 
-    def test_beyond_capacity_hardly_anything_is_held_in_vain(self) -> None:
+    def test_beyond_capacity_few_requests_wait_without_result(self) -> None:
         result = run(1.5)
         for name, item in result.classes.items():
             self.assertLessEqual(item.held, 0.03, name)
--- a/tests/lab/test_records.py
+++ b/tests/lab/test_records.py
@@ -1,4 +1,4 @@
-"""The history's lines decode to typed records, and strangers are refused."""
+"""Decoding of history lines to typed records, and rejection of invalid lines."""
 
 import unittest
 
@@ -22,8 +22,8 @@
 
 
 class RecordsTest(unittest.TestCase):
-    def test_a_record_survives_the_line(self) -> None:
-        told = CallResult(
+    def test_a_record_survives_encoding_and_decoding(self) -> None:
+        result = CallResult(
             time=1.0,
             request_id="r1",
             node="n",
@@ -35,15 +35,15 @@
             repeatable=False,
             latency=0.01,
         )
-        self.assertEqual(decode_line(encode_record(told)), told)
+        self.assertEqual(decode_line(encode_record(result)), result)
 
-    def test_node_events_decode_by_name(self) -> None:
+    def test_node_events_decode_to_the_type_of_their_name(self) -> None:
         event, in_force = read_history([EVENT, "\n", IN_FORCE])
         self.assertIs(type(event), NodeEvent)
         assert isinstance(in_force, RevisionInForce)
         self.assertEqual(in_force.routes["r"].secrets, ("k",))
 
-    def test_strangers_are_refused(self) -> None:
+    def test_lines_that_are_no_records_are_rejected(self) -> None:
         for line in ("no json", '{"lab": "none"}', '{"time": 1}', IN_FORCE.replace("digest", "d")):
             with self.subTest(line), self.assertRaises(HistoryFormatError):
                 decode_line(line)
--- a/tests/lab/test_serving.py
+++ b/tests/lab/test_serving.py
@@ -1,4 +1,4 @@
-"""The stand-ins' HTTP listeners."""
+"""The HTTP listeners of the stand-in services."""
 
 import socket
 import unittest
@@ -25,9 +25,9 @@
                     await pool.request("GET", url)
             listener.close()
 
-    async def test_an_address_in_use_is_a_typed_error(self) -> None:
-        with socket.create_server(("127.0.0.1", 0)) as taken:
-            listener = Listener(HandlerTable({}), Address(*taken.getsockname()))
+    async def test_an_address_in_use_raises_a_usage_error(self) -> None:
+        with socket.create_server(("127.0.0.1", 0)) as listener_socket:
+            listener = Listener(HandlerTable({}), Address(*listener_socket.getsockname()))
             async with anyio.create_task_group() as task_group:
                 with self.assertRaises(LabUsageError):
                     await listener.open(task_group)
--- a/tests/lab/test_store_fleet.py
+++ b/tests/lab/test_store_fleet.py
@@ -1,4 +1,4 @@
-"""Simulated nodes read the store's stand-in with the reader that real ones have."""
+"""Simulated nodes that read the stand-in of the store with the reader of real nodes."""
 
 import signal
 import unittest
@@ -15,23 +15,23 @@
 from pewtertack.lab.store_fleet.simulated import SimulatedStoreFleet
 
 NODES = 4
-FORMED_AFTER = 10.0
-SEEN_AFTER = 2.0
-SLOW_BYTES = 10_000.0
-"""Bytes a second; the whole configuration takes several seconds."""
+FORMATION_SECONDS = 10.0
+EDIT_SPREAD_SECONDS = 2.0
+SLOW_BYTES_PER_SECOND = 10_000.0
+"""At this rate the whole configuration takes several seconds."""
 
-Body = Callable[[SimulatedStoreFleet, anyio.abc.TaskGroup], Awaitable[None]]
+FleetBody = Callable[[SimulatedStoreFleet, anyio.abc.TaskGroup], Awaitable[None]]
 
 
-class Seen:
-    """What the nodes of a fleet have told."""
+class NodeLog:
+    """The revisions, failures and starts of serving that the nodes of a fleet have logged."""
 
     def __init__(self) -> None:
         self.versions: dict[str, int] = {}
         self.serving: list[str] = []
         self.failures: list[str] = []
 
-    def take(self, name: str, line: NodeLine) -> None:
+    def record_line(self, name: str, line: NodeLine) -> None:
         if line.event == Event.REVISION_IN_FORCE.name:
             self.versions[name] = split_tree_number(line.revision)[0]
         elif line.event == Event.NODE_SERVING.name:
@@ -40,11 +40,11 @@
             self.failures.append(line.reason)
 
 
-async def _with_fleet(seen: Seen, body: Body) -> None:
-    fleet = SimulatedStoreFleet(NODES, 1, seen.take)
+async def _run_on_fleet(node_log: NodeLog, body: FleetBody) -> None:
+    fleet = SimulatedStoreFleet(NODES, 1, node_log.record_line)
     async with anyio.create_task_group() as tasks:
         await fleet.start(tasks)
-        await anyio.sleep(FORMED_AFTER)
+        await anyio.sleep(FORMATION_SECONDS)
         await body(fleet, tasks)
         await fleet.end()
         tasks.cancel_scope.cancel()
@@ -52,59 +52,59 @@
 
 class SimulatedStoreFleetTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.seen = Seen()
+        self.node_log = NodeLog()
 
-    def run_with(self, body: Body) -> None:
-        run_virtually(_with_fleet, self.seen, body)
+    def run_on_fleet(self, body: FleetBody) -> None:
+        run_virtually(_run_on_fleet, self.node_log, body)
 
-    def test_all_serve_and_see_an_edit(self) -> None:
+    def test_all_nodes_serve_and_receive_an_edit(self) -> None:
         async def body(fleet: SimulatedStoreFleet, _: anyio.abc.TaskGroup) -> None:
-            self.assertEqual(sorted(self.seen.serving), sorted(fleet.names))
+            self.assertEqual(sorted(self.node_log.serving), sorted(fleet.names))
             version = fleet.written.add_routes(5)
-            await anyio.sleep(SEEN_AFTER)
-            self.assertEqual(set(self.seen.versions.values()), {version})
+            await anyio.sleep(EDIT_SPREAD_SECONDS)
+            self.assertEqual(set(self.node_log.versions.values()), {version})
 
-        self.run_with(body)
+        self.run_on_fleet(body)
 
-    def test_a_cut_fails_the_waiting_watches_and_loses_no_edit(self) -> None:
+    def test_a_cut_of_open_watches_is_reported_and_loses_no_edit(self) -> None:
         async def body(fleet: SimulatedStoreFleet, _: anyio.abc.TaskGroup) -> None:
             self.assertGreater(fleet.cut_watches(), 0)
             version = fleet.written.add_routes(5)
-            await anyio.sleep(SEEN_AFTER)
-            self.assertTrue(any("hung up" in reason for reason in self.seen.failures))
-            self.assertEqual(set(self.seen.versions.values()), {version})
+            await anyio.sleep(EDIT_SPREAD_SECONDS)
+            self.assertTrue(any("hung up" in reason for reason in self.node_log.failures))
+            self.assertEqual(set(self.node_log.versions.values()), {version})
 
-        self.run_with(body)
+        self.run_on_fleet(body)
 
-    def test_a_lost_answer_is_given_up(self) -> None:
+    def test_a_lost_response_times_out(self) -> None:
         async def body(fleet: SimulatedStoreFleet, _: anyio.abc.TaskGroup) -> None:
             fleet.store.faults = StoreFaults(lost_answers=1)
             fleet.written.add_routes(5)
             await anyio.sleep(60.0)
-            self.assertTrue(any("no answer within" in reason for reason in self.seen.failures))
+            self.assertTrue(any("no answer within" in reason for reason in self.node_log.failures))
 
-        self.run_with(body)
+        self.run_on_fleet(body)
 
-    def test_a_node_that_was_killed_serves_again(self) -> None:
+    def test_killed_and_stopped_nodes_serve_again_after_a_restart(self) -> None:
         async def body(fleet: SimulatedStoreFleet, tasks: anyio.abc.TaskGroup) -> None:
-            for how in (signal.SIGKILL, signal.SIGTERM):
+            for signal_number in (signal.SIGKILL, signal.SIGTERM):
                 name = fleet.names[-1]
-                await fleet.stop_node(name, how)
+                await fleet.stop_node(name, signal_number)
                 version = fleet.written.add_routes(1)
                 await fleet.start_node(tasks, name)
-                await anyio.sleep(FORMED_AFTER)
-                self.assertEqual(self.seen.versions[name], version)
-            self.assertEqual(self.seen.serving.count(fleet.names[-1]), 3)
+                await anyio.sleep(FORMATION_SECONDS)
+                self.assertEqual(self.node_log.versions[name], version)
+            self.assertEqual(self.node_log.serving.count(fleet.names[-1]), 3)
 
-        self.run_with(body)
+        self.run_on_fleet(body)
 
-    def test_a_slow_body_takes_its_time(self) -> None:
+    def test_a_slow_body_delays_the_edit(self) -> None:
         async def body(fleet: SimulatedStoreFleet, _: anyio.abc.TaskGroup) -> None:
-            fleet.store.faults = StoreFaults(body_rate=SLOW_BYTES)
+            fleet.store.faults = StoreFaults(body_rate=SLOW_BYTES_PER_SECOND)
             version = fleet.written.add_routes(1)
             await anyio.sleep(1.0)
-            self.assertNotIn(version, self.seen.versions.values())
+            self.assertNotIn(version, self.node_log.versions.values())
             await anyio.sleep(20.0)
-            self.assertEqual(set(self.seen.versions.values()), {version})
+            self.assertEqual(set(self.node_log.versions.values()), {version})
 
-        self.run_with(body)
+        self.run_on_fleet(body)
