--- a/tests/platform/test_era_header.py
+++ b/tests/platform/test_era_header.py
@@ -61,7 +61,7 @@
         self,
     ) -> None:
         self.store.put("servers/i-2", entry(2))
-        self.store.come_back_from(self.store.copy())
+        self.store.restore_from(self.store.snapshot())
         failed = await self.read()
         self.assertEqual([item.problem for item in failed.answer_findings], [ItemProblem.ERA])
         await self.read()
--- a/tests/platform/test_random_restores.py
+++ b/tests/platform/test_random_restores.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from pewtertack.core.profile import LEASED
-from pewtertack.lab.metadata_store.application import StoreCopy
+from pewtertack.lab.metadata_store.application import StoreSnapshot
 from tests.platform.restored_fleet import (
     SINGLE_READER_PROFILE,
     FleetNode,
@@ -43,7 +43,7 @@
         self.version, self.evacuated_by_operator = 12, False
         self.entries: dict[str, dict[str, Any]] = {}
         self.added_count = 0
-        self.copy: StoreCopy | None = None
+        self.copy: StoreSnapshot | None = None
         self.violations: list[str] = []
         """Invalid states of nodes between a restore and the first write after it."""
 
@@ -54,7 +54,7 @@
         for _ in range(3):
             self.fleet.start_node()
         await self.fleet.run(4.0)
-        self.copy = self.store.copy()
+        self.copy = self.store.snapshot()
 
     def add_backend(self) -> None:
         self.added_count += 1
@@ -101,7 +101,7 @@
         evacuated = {node.name: node.evacuated for node in self.fleet.nodes}
         all_connected = not self.fleet.isolated and not any(disconnected)
         had_ended = all_connected and not self.evacuated_by_operator and self.has_recorded_end()
-        self.store.come_back_from(self.copy)
+        self.store.restore_from(self.copy)
         for node, was_disconnected in zip(self.fleet.nodes, disconnected, strict=True):
             node.client.disconnected = was_disconnected
         await self.fleet.run(REWRITE_SECONDS / 2)
@@ -121,7 +121,7 @@
             name = key.removeprefix("servers/")
             if name != key and name not in self.entries:
                 self.store.remove(key)
-        self.copy = self.store.copy()
+        self.copy = self.store.snapshot()
 
     def has_recorded_end(self) -> bool:
         """Return whether no node has an evacuation, and most recorded the end of one."""
@@ -176,7 +176,7 @@
                 self.put(name)
 
     def take_copy(self) -> None:
-        self.copy = self.store.copy()
+        self.copy = self.store.snapshot()
 
     def set_first_disconnected(self, disconnected: bool) -> None:
         self.fleet.nodes[0].client.disconnected = disconnected
--- a/tests/platform/test_restored_evacuations.py
+++ b/tests/platform/test_restored_evacuations.py
@@ -6,7 +6,7 @@
 
 import unittest
 
-from pewtertack.lab.metadata_store.application import StoreCopy
+from pewtertack.lab.metadata_store.application import StoreSnapshot
 from tests.platform.restored_fleet import RestoredFleet, configuration, entry
 
 PROPAGATION_SECONDS = 1.5
@@ -30,10 +30,10 @@
         for node in self.fleet.nodes:
             node.client.disconnected = disconnected
 
-    async def restore_store(self, copy: StoreCopy, outage_seconds: float = 0.5) -> None:
+    async def restore_store(self, copy: StoreSnapshot, outage_seconds: float = 0.5) -> None:
         self.set_disconnected(True)
         await self.fleet.run(outage_seconds)
-        self.store.come_back_from(copy)
+        self.store.restore_from(copy)
         self.set_disconnected(False)
 
     def evacuated(self) -> list[set[str]]:
@@ -54,7 +54,7 @@
     async def test_new_reader_applies_evacuations_of_the_new_era_to_the_version_in_force(
         self,
     ) -> None:
-        copy = self.store.copy()
+        copy = self.store.snapshot()
         self.store.put("op/config", configuration(13))
         await self.fleet.run(1.5)
         self.assertEqual([node.version for node in self.fleet.nodes], [13] * 3)
@@ -79,7 +79,7 @@
         """The read starts before the node knows of the era."""
         self.store.put("op/evacuate/garia", b"{}")
         await self.fleet.run(PROPAGATION_SECONDS)
-        copy = self.store.copy()
+        copy = self.store.snapshot()
         self.store.put("op/evacuate/howrah", b"{}")
         await self.fleet.run(PROPAGATION_SECONDS)
         await self.restore_store(copy)
@@ -88,7 +88,7 @@
     async def test_withdrawn_evacuation_of_the_copy_stays_withdrawn(self) -> None:
         self.store.put("op/evacuate/garia", b"{}")
         await self.fleet.run(PROPAGATION_SECONDS)
-        copy = self.store.copy()
+        copy = self.store.snapshot()
         self.store.remove("op/evacuate/garia")
         await self.fleet.run(PROPAGATION_SECONDS)
         self.assertEqual(self.evacuated(), [set()] * 3)
@@ -102,7 +102,7 @@
 
     async def test_evacuation_rewritten_after_a_restore_and_withdrawn_stays_withdrawn(self) -> None:
         """The item was created again after the first restore, but the tree stayed the same."""
-        copy = self.store.copy()
+        copy = self.store.snapshot()
         self.store.put("op/evacuate/garia", b"{}")
         await self.fleet.run(PROPAGATION_SECONDS)
         await self.restore_store(copy)
@@ -110,7 +110,7 @@
             self.store.put("servers/i-1", entry(1))
         self.store.put("op/evacuate/garia", b"{}")
         await self.fleet.run(PROPAGATION_SECONDS)
-        copy = self.store.copy()
+        copy = self.store.snapshot()
         self.store.remove("op/evacuate/garia")
         await self.fleet.run(PROPAGATION_SECONDS)
         self.assertEqual(self.evacuated(), [set()] * 3)
@@ -121,7 +121,7 @@
         """The operator has not withdrawn it again, so the state of the store is authoritative."""
         self.store.put("op/evacuate/garia", b"{}")
         await self.fleet.run(PROPAGATION_SECONDS)
-        copy = self.store.copy()
+        copy = self.store.snapshot()
         self.store.remove("op/evacuate/garia")
         await self.fleet.run(PROPAGATION_SECONDS)
         await self.restore_store(copy)
@@ -135,7 +135,7 @@
     ) -> None:
         self.store.put("op/evacuate/garia", b"{}")
         await self.fleet.run(PROPAGATION_SECONDS)
-        await self.restore_store(self.store.copy())
+        await self.restore_store(self.store.snapshot())
         await self.fleet.run(self.fleet.hold_after_return + 4.0)
         self.assertEqual(self.evacuated(), [{"garia"}] * 3)
         self.stop_reader()
@@ -144,7 +144,7 @@
         self.assertEqual(self.evacuated(), [set()] * 2)
 
     async def test_edits_are_rewritten_one_by_one_after_a_restore(self) -> None:
-        copy = self.store.copy()
+        copy = self.store.snapshot()
         for version in (13, 14):
             self.store.put("op/config", configuration(version))
             await self.fleet.run(1.0)
@@ -156,11 +156,11 @@
             self.assertEqual([node.version for node in self.fleet.nodes], [in_force] * 3)
 
     async def test_fleet_that_restarts_before_lost_edits_are_rewritten_serves(self) -> None:
-        copy = self.store.copy()
+        copy = self.store.snapshot()
         self.store.put("op/config", configuration(13))
         await self.fleet.run(1.0)
         self.fleet.nodes.clear()
-        self.store.come_back_from(copy)
+        self.store.restore_from(copy)
         for _ in range(3):
             self.fleet.start_node()
         await self.fleet.run(3.0)
@@ -171,13 +171,13 @@
         self.assertEqual([node.version for node in self.fleet.nodes], [13] * 3)
 
     async def test_reader_that_takes_over_during_a_restore_reads_the_new_era(self) -> None:
-        copy = self.store.copy()
+        copy = self.store.snapshot()
         for number in (4, 5):
             self.store.put(f"servers/i-{number}", entry(number))
         await self.fleet.run(1.0)
         self.set_disconnected(True)
         self.stop_reader()
-        self.store.come_back_from(copy)
+        self.store.restore_from(copy)
         for number in (4, 5, 6):
             self.store.put(f"servers/i-{number}", entry(number))
         self.set_disconnected(False)
--- a/tests/platform/test_restored_store.py
+++ b/tests/platform/test_restored_store.py
@@ -9,7 +9,7 @@
 import unittest
 
 from pewtertack.core.profile import LEASED, TimingProfile
-from pewtertack.lab.metadata_store.application import StoreCopy
+from pewtertack.lab.metadata_store.application import StoreSnapshot
 from tests.platform.restored_fleet import SINGLE_READER_PROFILE, RestoredFleet, configuration, entry
 
 
@@ -31,11 +31,11 @@
         for node in self.fleet.nodes:
             node.client.disconnected = disconnected
 
-    async def restore_store(self, copy: StoreCopy, outage_seconds: float = 0.5) -> None:
+    async def restore_store(self, copy: StoreSnapshot, outage_seconds: float = 0.5) -> None:
         """Restore the store from ``copy`` after a short outage."""
         self.set_disconnected(True)
         await self.fleet.run(outage_seconds)
-        self.store.come_back_from(copy)
+        self.store.restore_from(copy)
         self.set_disconnected(False)
 
     def ready(self) -> list[list[str]]:
@@ -46,18 +46,18 @@
 
     async def test_writes_after_the_restore_are_read(self) -> None:
         """New writes pass the cursor before the next read, so the store does not return 410."""
-        copy = self.store.copy()
+        copy = self.store.snapshot()
         self.store.put("servers/i-4", entry(4))
         await self.fleet.run(1.0)
         self.set_disconnected(True)
-        self.store.come_back_from(copy)
+        self.store.restore_from(copy)
         for number in (5, 6, 4):
             self.store.put(f"servers/i-{number}", entry(number))
         self.set_disconnected(False)
         await self.fleet.run(3.0)
         with self.subTest("at the number of a lost revision"):
             self.assertEqual(self.ready(), [["i-1", "i-2", "i-3", "i-4", "i-5", "i-6"]] * 3)
-        copy = self.store.copy()
+        copy = self.store.snapshot()
         for _ in range(20):
             self.store.put("servers/i-1", entry(1))
         await self.fleet.run(1.0)
@@ -68,7 +68,7 @@
             self.assertIn("i-7", self.nodes[0].ready)
 
     async def test_copy_does_not_revert_known_changes(self) -> None:
-        copy = self.store.copy()
+        copy = self.store.snapshot()
         self.store.put("servers/i-4", entry(4))
         self.store.put("servers/i-3", entry(3, State="draining"))
         self.store.remove("servers/i-2")
@@ -76,12 +76,12 @@
         await self.restore_store(copy)
         for _ in range(20):
             self.store.put("servers/i-1", entry(1))
-        self.store.forget_history()
+        self.store.discard_history()
         await self.fleet.run(1.5)
         with self.subTest("added back ends are kept, and removed or draining ones stay excluded"):
             self.assertEqual(self.ready(), [["i-1", "i-4"]] * 3)
         await self.start_fleet(LEASED)
-        copy = self.store.copy()
+        copy = self.store.snapshot()
         self.store.put("op/config", configuration(13))
         await self.fleet.run(1.0)
         await self.restore_store(copy)
@@ -94,7 +94,7 @@
             self.assertEqual((started.serving, started.versions), (True, [13]))
 
     async def test_evacuations_follow_the_store_after_the_restore(self) -> None:
-        copy = self.store.copy()
+        copy = self.store.snapshot()
         for _ in range(20):
             self.store.put("servers/i-1", entry(1))
         self.store.put("op/evacuate/howrah", b"{}")
--- a/tests/platform/test_starts_after_restore.py
+++ b/tests/platform/test_starts_after_restore.py
@@ -3,7 +3,7 @@
 import unittest
 
 from pewtertack.core.profile import LEASED, TimingProfile
-from pewtertack.lab.metadata_store.application import StoreCopy
+from pewtertack.lab.metadata_store.application import StoreSnapshot
 from pewtertack.wire.messages import ListOverrides
 from tests.platform.restored_fleet import (
     SINGLE_READER_PROFILE,
@@ -18,7 +18,7 @@
 
 
 class StartsAfterReturnTest(unittest.IsolatedAsyncioTestCase):
-    async def start_fleet(self, profile: TimingProfile, era: int | None = 0) -> StoreCopy:
+    async def start_fleet(self, profile: TimingProfile, era: int | None = 0) -> StoreSnapshot:
         """Start a fleet, and return a copy of the store without the following changes.
 
         i-2 is removed, i-3 drains, i-4 is added, and i-5 is added at the address of i-1, which is
@@ -32,7 +32,7 @@
         self.nodes = [self.fleet.start_node() for _ in range(3)]
         await self.fleet.run(4.0)
         assert all(node.serving for node in self.nodes)
-        copy = self.store.copy()
+        copy = self.store.snapshot()
         self.store.put("servers/i-4", entry(4, born=4))
         self.store.put("servers/i-3", entry(3, born=3, State="draining"))
         self.store.remove("servers/i-2")
@@ -41,11 +41,11 @@
         await self.fleet.run(1.5)
         return copy
 
-    async def restore_store(self, copy: StoreCopy, outage_seconds: float = 0.5) -> None:
+    async def restore_store(self, copy: StoreSnapshot, outage_seconds: float = 0.5) -> None:
         for node in self.fleet.nodes:
             node.client.disconnected = True
         await self.fleet.run(outage_seconds)
-        self.store.come_back_from(copy)
+        self.store.restore_from(copy)
         for node in self.fleet.nodes:
             node.client.disconnected = False
 
@@ -136,7 +136,7 @@
                     await self.start_fleet(profile)
                     self.store.put("op/evacuate/garia", b"{}")
                     await self.fleet.run(2.0)
-                    copy = self.store.copy()
+                    copy = self.store.snapshot()
                     self.store.remove("op/evacuate/garia")
                     await self.fleet.run(2.0)
                     if after < 0:
@@ -157,7 +157,7 @@
                 await self.start_fleet(profile)
                 self.store.put("op/evacuate/garia", b"{}")
                 await self.fleet.run(2.0)
-                await self.restore_store(self.store.copy())
+                await self.restore_store(self.store.snapshot())
                 self.fleet.nodes.clear()
                 started_nodes = [self.fleet.start_node() for _ in range(3)]
                 await self.fleet.run(4.0)
