--- a/src/pewtertack/node/http/client.py
+++ b/src/pewtertack/node/http/client.py
@@ -125,11 +125,11 @@
         new_connection: bool = True,
     ) -> ServiceResponse:
         head = None
-        began, head_seconds = clock.now(), 0.0
+        started_at, head_seconds = clock.now(), 0.0
         try:
             with anyio.fail_after(timeouts.head):
                 head = await connection.exchange(request)
-            head_seconds = clock.now() - began
+            head_seconds = clock.now() - started_at
             with anyio.fail_after(timeouts.part * BODY_TIMEOUT_FACTOR):
                 body = await self._read_body(connection, head, timeouts.part)
         except (TimeoutError, ExchangeBrokenError) as error:
--- a/tests/node/gateway/test_gateway.py
+++ b/tests/node/gateway/test_gateway.py
@@ -353,6 +353,6 @@
 
         address = await self.start_fleet(stall, slots=1)
         raw = request_bytes(headers=("x-call: call-1", "x-left: 200"))
-        began = time.monotonic()
+        started_at = time.monotonic()
         self.assert_refused(await raw_call(address, raw), 504, "unknown")
-        self.assertGreater(time.monotonic() - began, 0.19)
+        self.assertGreater(time.monotonic() - started_at, 0.19)
--- a/tests/node/gateway/test_hanging.py
+++ b/tests/node/gateway/test_hanging.py
@@ -92,10 +92,10 @@
 
         async def call() -> None:
             nonlocal longest_seconds
-            began = time.monotonic()
+            started_at = time.monotonic()
             answer = await raw_call(address, get("/hang"))
             statuses.append(answer.status)
-            longest_seconds = max(longest_seconds, time.monotonic() - began)
+            longest_seconds = max(longest_seconds, time.monotonic() - started_at)
 
         async with asyncio.TaskGroup() as tasks:
             calls = [tasks.create_task(call()) for _ in range(CONCURRENT_CALLS)]
@@ -140,7 +140,7 @@
         self.assertGreater(len(served), 10)
 
 
-def hangs_when_blocked(_watch: HangDetector, ticket: AdmissionTicket, now: float) -> bool:
+def hangs_when_blocked(_detector: HangDetector, ticket: AdmissionTicket, now: float) -> bool:
     return now - ticket.started_at > BLOCK_SECONDS
 
 
--- a/tests/node/gateway/test_hung_requests_at_stop.py
+++ b/tests/node/gateway/test_hung_requests_at_stop.py
@@ -1,15 +1,13 @@
 """Requests that run slowly at a back end when a node starts to stop are not abandoned as hung.
 
-Guards against a 502 for a request whose back end was still working. It was abandoned as hung after
-ten times its route's usual duration, although the caller's node was shutting down. Whether it could
-be retried was decided only when it was sent; by the time of the abandonment the retry could be
-spent, the other back ends full, or the node stopping. So now the gateway reports the hang and the
-caller's node decides at that moment. The original case was not logged; this test reproduces its
-timing with executions that take 24 times the usual duration. With a gateway that abandons
-executions by itself, 3 of 6 were abandoned in each case here, and their callers got 502,
-``backend-hung``, where the retry budget was spent or waiting requests had been withdrawn. In a
-day-long run with hanging back ends, 22 of 661 abandoned requests ended with 502 because the next
-gateways refused them.
+Guards against a 502 for a request whose back end was still working. A gateway used to abandon a
+request as hung after ten times its route's usual duration if it could be retried when it was sent.
+By then the retry could be spent, the other back ends full, or the caller's node stopping. So the
+gateway only reports the hang, and the caller's node decides at that moment. Executions here take 24
+times the usual duration. A gateway that abandons executions by itself abandons 3 of 6 in each case,
+and their callers get 502, ``backend-hung``, if the retry budget is spent or waiting requests were
+withdrawn. With back ends that do hang, 22 of 661 abandoned requests ended with 502 because the
+next gateways refused them.
 """
 
 import asyncio
--- a/tests/node/gateway/test_own_stop.py
+++ b/tests/node/gateway/test_own_stop.py
@@ -288,9 +288,9 @@
         waiting = asyncio.create_task(self.call("waiting"))
         await asyncio.sleep(0.05)
         self.gateways[0].start_leaving(STOP_SECONDS)
-        began = time.monotonic()
+        started_at = time.monotonic()
         self.assert_refused(await waiting, 503, "not-run")
-        self.assertLess(time.monotonic() - began, STOP_SECONDS)
+        self.assertLess(time.monotonic() - started_at, STOP_SECONDS)
         answer = await running
         self.assertEqual((answer.status, len(answer.body)), (200, DOWNLOAD_BYTES))
         self.assertEqual(len(self.heads), 2)
--- a/tests/node/gateway/test_sending.py
+++ b/tests/node/gateway/test_sending.py
@@ -77,9 +77,8 @@
         """Guards against a 502 instead of a 503 for a download during a node's shutdown.
 
         When a response arrived, its reservation was released, and its queue entry was made one
-        turn of the event loop later. A request admitted in that turn saw an idle link, could not be
-        sent before the node's stop and was handed back. In the gateway's log the request that came
-        right after two others had 1684 ms left, like the first one, instead of -316 ms.
+        iteration of the event loop later. For a request admitted in between, the link seemed idle:
+        it seemed to have 1684 ms left where it had -316 ms, and was handed back at the node's stop.
         """
         size = 50 * LONG_BYTES
         scheduler = self.pacer.scheduler
@@ -210,7 +209,7 @@
         their objectives. The queue put overdue responses behind all that could still be in time,
         and new ones of those arrived without end: no part of the overdue ones was sent until their
         callers' deadlines passed some seconds later, although their executions had ended early.
-        With a due time for overdue responses as the only change, all of them arrived.
+        So overdue responses have a due time as well.
         """
         self.pacer = LinkPacer(time.monotonic, LinkScheduler(20.0))
         now = time.monotonic()
@@ -243,7 +242,7 @@
 
         A response of some hundred kilobytes arrives from its back end in pieces. Its queue entry
         counted only the first piece, while its reservation was released, so that the rest was not
-        counted until that piece had been sent. With this alone changed, fewer responses were late.
+        counted until that piece had been sent.
         """
         scheduler = self.pacer.scheduler
         scheduler.note_sent(RESPONSE_BUFFER_BYTES, time.monotonic())
@@ -392,7 +391,7 @@
 
     async def test_a_long_response_delays_neither_the_slot_nor_short_responses(self) -> None:
         address = await self.start()
-        began = time.monotonic()
+        started_at = time.monotonic()
         long = asyncio.create_task(raw_call(address, get("/long")))
         await asyncio.sleep(0.05)
         short = await raw_call(address, get("/short"))
@@ -400,7 +399,7 @@
         self.assertFalse(long.done())
         answer = await long
         self.assertEqual(answer.body, b"x" * LONG_BODY_BYTES)
-        self.assertGreater(time.monotonic() - began, 0.3)
+        self.assertGreater(time.monotonic() - started_at, 0.3)
 
     async def test_a_response_that_would_be_sent_too_late_is_refused_before_it_runs(self) -> None:
         address = await self.start()
--- a/tests/node/gateway/test_slow_back_ends.py
+++ b/tests/node/gateway/test_slow_back_ends.py
@@ -7,9 +7,10 @@
 every probe but accepts no data. So the kernel's limit is lifted while a long body is being sent,
 and ``node.http.acknowledgement`` counts only data and probes that nobody answers.
 
-Measured with a receiver on this machine: if it reads nothing for 0.3 s, bodies of 256 KiB to 8 MB
-arrive. With 1 s and 2 s, every body longer than the receiver's buffer fails after 0.67 to 0.70 s
-with ETIMEDOUT, which counts as a silent machine; one of 128 KiB fits into the buffer and arrives.
+With the kernel's limit, bodies of 256 KiB to 8 MB arrive at a receiver on the same machine that
+reads nothing for 0.3 s. With 1 s and 2 s, every body longer than the receiver's buffer fails after
+0.67 to 0.70 s with ETIMEDOUT, which counts as a silent machine; one of 128 KiB fits into the buffer
+and arrives.
 """
 
 import asyncio
--- a/tests/node/gateway/test_slow_readers.py
+++ b/tests/node/gateway/test_slow_readers.py
@@ -18,7 +18,7 @@
 """More than the kernel buffers of three connections hold."""
 CHUNK = bytes(16 * 1024)
 SMALL_READ_BYTES = 8 * 1024
-MAX_UNTAKEN_BYTES = 1024 * 1024
+MAX_UNDELIVERED_BYTES = 1024 * 1024
 TIMEOUT_SECONDS = 8.0
 
 
@@ -125,9 +125,11 @@
         await self.begin(1)
         await asyncio.sleep(1.0)
         for server in self.servers:
-            untaken = [connection.transport.undelivered_bytes for connection in server.connections]
-            self.assertEqual(len(untaken), 1)
-            self.assertLess(untaken[0], MAX_UNTAKEN_BYTES)
+            undelivered = [
+                connection.transport.undelivered_bytes for connection in server.connections
+            ]
+            self.assertEqual(len(undelivered), 1)
+            self.assertLess(undelivered[0], MAX_UNDELIVERED_BYTES)
 
     async def test_a_node_that_reads_nothing_is_waited_for_until_the_deadline(self) -> None:
         await self.start_fleet(self.send_large_response, slots=64, timeout=60.0)
@@ -142,9 +144,9 @@
         self.addCleanup(sender.close)
         sender.setblocking(False)
         await loop.sock_connect(sender, (host, int(port)))
-        began = loop.time()
+        started_at = loop.time()
         await loop.sock_sendall(sender, request)
         with mock.patch.object(unread, "SLOW_READER_SECONDS", 0.2):
             await self.until_ended()
-        self.assertGreater(loop.time() - began, 0.9)
+        self.assertGreater(loop.time() - started_at, 0.9)
         self.assertEqual(self.complete_count, 0)
--- a/tests/node/gateway/test_stop_notices.py
+++ b/tests/node/gateway/test_stop_notices.py
@@ -2,7 +2,7 @@
 
 A node that shuts down names its requests to their gateways. A request that was not named, or named
 without result, continued as if there were no time limit: it was started, or its response queued,
-and then cut when its caller's node stopped. Found by code review, not seen in operation.
+and then cut when its caller's node stopped.
 """
 
 import asyncio
@@ -178,7 +178,7 @@
     async def test_a_waiting_request_is_refused_when_its_response_would_be_sent_too_late(
         self,
     ) -> None:
-        """The same for a download, which needs time on the link after its execution."""
+        """Guards against ignoring the time that a download takes on the link after execution."""
         pacer = LinkPacer(time.monotonic, LinkScheduler(LINK_MBPS))
         gateway = self.gateways[0]
         gateway._context = msgspec.structs.replace(gateway._context, pacer=pacer)
--- a/tests/node/gateway/test_stopping_senders.py
+++ b/tests/node/gateway/test_stopping_senders.py
@@ -129,9 +129,9 @@
         self,
     ) -> None:
         self.start_leaving(0.2)
-        began = time.monotonic()
+        started_at = time.monotonic()
         self.assert_refused(await self.call("own"), 503, "not-run")
-        self.assertLess(time.monotonic() - began, 0.1)
+        self.assertLess(time.monotonic() - started_at, 0.1)
         self.assertEqual(len(self.heads), OTHER_CALL_COUNT + 1)
 
     async def test_at_the_end_of_a_stop_only_requests_without_a_response_are_ended(self) -> None:
--- a/tests/node/http/test_server_stop.py
+++ b/tests/node/http/test_server_stop.py
@@ -76,9 +76,9 @@
     async def test_connections_waiting_to_be_accepted_are_answered(self) -> None:
         """Guards against a reset of connections that sent a complete request.
 
-        Closing the listener resets the connections in its queue. With real nodes, 12 callers that
-        send requests all the time and 30 shutdowns, 46 requests were sent and reset; accepting
-        these connections first left 5 of the 46.
+        Closing the listener resets the connections in its queue. In 30 shutdowns of real nodes with
+        12 callers that send requests all the time, 46 requests were sent and reset; if these
+        connections are accepted first, 5 are.
         """
         callers = [self.connect() for _ in range(2 * http_server.ACCEPTED_AT_ONCE + 1)]
         for caller in callers:
@@ -117,7 +117,7 @@
         self.assertIn(b" 200 ", await asyncio.to_thread(caller.recv, 4096))
 
     async def test_a_first_request_received_when_its_timeout_fires_is_answered(self) -> None:
-        """The same on a new connection."""
+        """Guards against a reset of the first request, sent late on a new connection."""
         for timer_method in ("_refuse_slow_head", "_close_unused"):
             caller = self.connect()
             await asyncio.sleep(0.05)
--- a/tests/node/proxy/test_configuration_wait.py
+++ b/tests/node/proxy/test_configuration_wait.py
@@ -30,9 +30,9 @@
         await respond(send, body=b"served")
 
     async def call(self, path: str, *headers: str) -> tuple[Answer, float]:
-        began = time.monotonic()
+        started_at = time.monotonic()
         answer = await raw_call(self.address, request_bytes("GET", path, headers=headers))
-        return answer, time.monotonic() - began
+        return answer, time.monotonic() - started_at
 
     def apply_new_configuration(self) -> None:
         self.proxy.use_configuration(NEW)
@@ -94,10 +94,10 @@
     async def test_the_wait_takes_at_most_a_share_of_the_time_left(self) -> None:
         wait = ConfigurationWait(time.monotonic)
         wait.lag = lambda: Lag.COMING
-        began = time.monotonic()
-        self.assertFalse(await wait.wait(began + 0.4))
-        self.assertLess(time.monotonic() - began, 0.3)
-        self.assertFalse(await wait.wait(began - 1.0))
+        started_at = time.monotonic()
+        self.assertFalse(await wait.wait(started_at + 0.4))
+        self.assertLess(time.monotonic() - started_at, 0.3)
+        self.assertFalse(await wait.wait(started_at - 1.0))
 
 
 if __name__ == "__main__":
--- a/tests/node/test_early_signals.py
+++ b/tests/node/test_early_signals.py
@@ -2,8 +2,8 @@
 
 Guards against connections reset in this order of events: the node's sockets listen; a caller
 connects and sends its request; SIGHUP or SIGTERM arrives before the rest of the node is loaded; the
-signal ends the process, since nothing handled it yet. This gave exit code -1 or -15 and no output
-for each of nine signals sent within 0.15 s of the first connection.
+signal ends the process, since nothing handles it yet. Each of nine signals sent within 0.15 s of
+the first connection ended the process with exit code -1 or -15 and no output.
 """
 
 import signal
--- a/tests/node/test_gateway_stop_and_long_answers.py
+++ b/tests/node/test_gateway_stop_and_long_answers.py
@@ -57,8 +57,7 @@
         """Guards against cut responses to requests that are not repeatable.
 
         The gateway held them completely but sent them at its link's pace until its process ended,
-        while the kernel goes on sending what an exiting process has handed to it. Found by reading
-        the code.
+        while the kernel goes on sending what an exiting process has handed to it.
         """
         await self.assert_complete_from_one_gateway(repeatable=False)
 
--- a/tests/node/test_graceful_shutdown.py
+++ b/tests/node/test_graceful_shutdown.py
@@ -192,10 +192,9 @@
         self.assertEqual(self.ran, ["/1"])
 
     async def test_a_shutdown_without_notice_ends_in_time(self) -> None:
-        """A platform that kills the process at the given time would cut final responses in transit.
+        """Guards against final responses cut by a platform that kills the process in time.
 
-        The time in which peers learn of the shutdown used to be added to the drain time, 2.7 s and
-        0.5 s.
+        The 0.5 s in which peers learn of the shutdown used to be added to the drain time of 2.7 s.
         """
         async with self.fleet(f'{STOP_WITHIN_LIMITS}"0s"\n') as (a, _):
             await self.send(a, upload(1))
@@ -205,10 +204,10 @@
                 self.assertEqual(await a.wait_exit(), 0)
 
     async def test_a_node_paused_during_its_shutdown_ends_in_time(self) -> None:
-        """The same if the process is paused during its notice, as on an overloaded machine.
+        """Guards against final responses cut because the process was paused during its notice.
 
-        It is stopped for a second. The duration of each stage of a shutdown used to be measured
-        from the end of the previous one.
+        It is stopped for a second, as on an overloaded machine. The duration of each stage of a
+        shutdown used to be measured from the end of the previous one.
         """
         async with self.fleet(f'{STOP_WITHIN_LIMITS}"1s"\n') as (a, _):
             working = await self.send(a, upload(1))
--- a/tests/node/test_hop_cost.py
+++ b/tests/node/test_hop_cost.py
@@ -1,10 +1,10 @@
-"""Processor cost of a hop over two nodes, limited to the values reached.
+"""Limits the processor cost of a hop over two nodes to the values that were reached.
 
-Processor time depends on the machine and on what runs beside it; the number of function calls of a
-hop does not, so that is limited. The figures of each test come from ``pewtertack lab request-cost
---profile --calls 100``, on the node at f5f3f18, at b317649 and now, all measured in the same way:
-the back end's responses arrive in one piece, the log's clock advances with its lines, and
-connection, request and end are separate. ``docs/COST.md`` has the processor times.
+Processor time depends on the machine and on its other processes; the number of function calls of a
+hop does not, so that is limited. Each test names the number of calls at f5f3f18, at b317649 and
+now, as ``pewtertack lab request-cost --profile --calls 100`` counts them: the back end's responses
+arrive in one piece, the log's clock advances with its lines, and connection, request and end are
+separate. ``docs/COST.md`` has the processor times.
 """
 
 import unittest
--- a/tests/node/test_import_stubs.py
+++ b/tests/node/test_import_stubs.py
@@ -30,9 +30,9 @@
     }
 )
 MAX_PRIVATE_KIB = 17_700
-"""Limit for a process that has imported all of a node and nothing else. Measured in four
-alternating runs: 17,224 to 17,232, and 19,056 to 19,060 with ssl, subprocess, argparse and digests.
-Without typing_extensions 17,404 to 17,408 on a later node, which took 17,736 to 17,760 with it."""
+"""Limit for a process that has imported all of a node and nothing else. Such a process took 17,224
+to 17,232 KiB, and 19,056 to 19,060 with ssl, subprocess, argparse and digests. A later version took
+17,404 to 17,408 KiB, and 17,736 to 17,760 with typing_extensions."""
 
 
 def run(program: str) -> str:
