--- a/src/pewtertack/lab/history/checker.py
+++ b/src/pewtertack/lab/history/checker.py
@@ -14,7 +14,7 @@
     crash_checks,
     evacuation_checks,
     request_checks,
-    shutdown_checks,
+    stop_checks,
 )
 from pewtertack.lab.history.timeline import Timeline
 from pewtertack.lab.history.verdicts import CheckBounds, Judgement, Verdict
@@ -57,8 +57,8 @@
     request_checks.check_at_most_once,
     request_checks.check_leaving_gets_no_work,
     request_checks.check_shutdown_cuts_nothing,
-    shutdown_checks.check_shutdown_answers_all,
-    shutdown_checks.check_running_node_answers_all,
+    stop_checks.check_shutdown_answers_all,
+    stop_checks.check_running_node_answers_all,
 )
 CHECKS = {
     CheckGroup.ALL: (
