--- a/src/pewtertack/lab/disabled_mechanisms.py
+++ b/src/pewtertack/lab/disabled_mechanisms.py
@@ -37,7 +37,7 @@
 from pewtertack.routing.retries import AttemptRecord, RetryReason
 
 ResponseMetaReader = Callable[[RawHeaders, EdgeHeaders], ResponseMeta]
-BrokenExchangeHandler = Callable[[BackendConnection, ExchangeBrokenError], RequestFailedError]
+BrokenExchangeErrorFactory = Callable[[BackendConnection, ExchangeBrokenError], RequestFailedError]
 RetryRule = Callable[[AttemptRecord, RequestFailedError, float], RetryReason]
 MachinesApplier = Callable[[ProxyApplication, MachineList], None]
 
@@ -93,11 +93,11 @@
 def _report_broken_exchanges_as_not_run() -> None:
     """Report every broken exchange to the caller as not run."""
 
-    def wrapper(failure: BrokenExchangeHandler) -> BrokenExchangeHandler:
+    def wrapper(make_error: BrokenExchangeErrorFactory) -> BrokenExchangeErrorFactory:
         def fail_as_not_run(
             connection: BackendConnection, broken: ExchangeBrokenError
         ) -> RequestFailedError:
-            return failure(connection, broken).with_outcome(Outcome.NOT_RUN)
+            return make_error(connection, broken).with_outcome(Outcome.NOT_RUN)
 
         return fail_as_not_run
 
--- a/src/pewtertack/lab/history/acceptance_checks.py
+++ b/src/pewtertack/lab/history/acceptance_checks.py
@@ -24,7 +24,7 @@
     violations: list[Violation] = []
     for incarnation, number, deadline in (*accepted, *edited):
         judged += 1
-        actual = incarnation.number_at(deadline)
+        actual = incarnation.revision_at(deadline)
         if actual < number:
             message = f"revision {actual} in force at the deadline of revision {number}"
             violations.append(Violation(deadline, incarnation.node, message))
@@ -34,12 +34,12 @@
 def _deadlines_of_accepted(
     timeline: Timeline, bounds: CheckBounds
 ) -> Iterator[tuple[Incarnation, int, float]]:
-    no_majority = timeline.without_majority(bounds.recovery)
-    for number, accepted_at in timeline.first_in_force().items():
+    no_majority = timeline.intervals_without_majority(bounds.recovery)
+    for number, accepted_at in timeline.first_in_force_times().items():
         for incarnation in timeline.incarnations:
             disturbances = [
                 *incarnation.pauses,
-                *timeline.cuts_around(incarnation.zone),
+                *timeline.cuts_of_zone(incarnation.zone),
                 *no_majority,
             ]
             start = _find_undisturbed_start(
@@ -94,7 +94,7 @@
     A process that starts serving must have each revision that has been in force on another
     node for ``bounds.convergence`` seconds.
     """
-    accepted = sorted(timeline.first_in_force().items(), key=lambda item: item[1])
+    accepted = sorted(timeline.first_in_force_times().items(), key=lambda item: item[1])
     judged = 0
     violations: list[Violation] = []
     for incarnation, checkpoint in _serving_checkpoints(timeline, bounds):
@@ -126,7 +126,7 @@
             _ServingCheckpoint(span.start, span.start, span.number) for span in incarnation.serving
         ]
         checkpoints += _checkpoints_after_pauses(incarnation, bounds)
-        cuts = timeline.cuts_around(incarnation.zone)
+        cuts = timeline.cuts_of_zone(incarnation.zone)
         for checkpoint in checkpoints:
             earliest = checkpoint.known_since - bounds.convergence
             if not any(span.overlaps(earliest, checkpoint.time) for span in cuts):
@@ -140,7 +140,7 @@
     for pause in incarnation.pauses:
         time = pause.end + bounds.wake_grace
         if incarnation.is_serving_at(time):
-            yield _ServingCheckpoint(time, pause.end, incarnation.number_at(time))
+            yield _ServingCheckpoint(time, pause.end, incarnation.revision_at(time))
 
 
 def _newest_accepted(accepted: list[tuple[int, float]], time: float) -> int:
--- a/src/pewtertack/lab/history/evacuation_checks.py
+++ b/src/pewtertack/lab/history/evacuation_checks.py
@@ -21,9 +21,9 @@
             return False
         if any(pause.overlaps(begin, end) for pause in incarnation.pauses):
             return False
-        number = incarnation.number_at(end)
+        number = incarnation.revision_at(end)
         lasts = self.finish is None or number < self.finish.revision
-        return incarnation.number_at(begin) >= self.start.revision and lasts
+        return incarnation.revision_at(begin) >= self.start.revision and lasts
 
 
 def check_evacuated_gets_no_requests(timeline: Timeline, bounds: CheckBounds) -> Verdict:
--- a/src/pewtertack/lab/history/interrupted_responses.py
+++ b/src/pewtertack/lab/history/interrupted_responses.py
@@ -25,21 +25,23 @@
 class GatewayDisturbances:
     """The gateway node of each request's last execution, with the kills and pauses of that node."""
 
-    __slots__ = ("_gateways", "_kills", "_pauses")
+    __slots__ = ("_gateway_by_request", "_kill_times", "_pauses")
 
     def __init__(self, timeline: Timeline) -> None:
-        self._gateways: dict[str, str] = {}
-        self._kills: dict[str, list[float]] = {}
+        self._gateway_by_request: dict[str, str] = {}
+        self._kill_times: dict[str, list[float]] = {}
         self._pauses: dict[str, list[Interval]] = {}
-        gateways: dict[str, str] = {}
+        gateway_by_backend: dict[str, str] = {}
         for line in timeline.lines:
             match line:
                 case NodeStart():
-                    gateways[line.beside] = line.node
+                    gateway_by_backend[line.beside] = line.node
                 case ExecutionStart():
-                    self._gateways[line.request_id] = gateways.get(line.backend, "")
+                    self._gateway_by_request[line.request_id] = gateway_by_backend.get(
+                        line.backend, ""
+                    )
                 case NodeKill():
-                    self._kills.setdefault(line.node, []).append(line.time)
+                    self._kill_times.setdefault(line.node, []).append(line.time)
                 case NodePause():
                     self._pauses.setdefault(line.node, []).append(Interval(line.time))
                 case NodeResume():
@@ -50,7 +52,7 @@
         if pauses and pauses[-1].end == inf:
             pauses[-1].end = line.time
 
-    def can_be_cut(
+    def may_have_cut(
         self, result: CallResult, recovery: float, stopped_at: float | None = None
     ) -> bool:
         """Return whether a kill of the gateway node, or a pause, can have cut the response.
@@ -64,10 +66,11 @@
         """
         if result.outcome is not CallOutcome.CUT or result.broken_off_after is None:
             return False
-        gateway = self._gateways.get(result.request_id, "")
+        gateway = self._gateway_by_request.get(result.request_id, "")
         started_at = result.time - result.latency
         if any(
-            started_at <= killed_at <= result.time for killed_at in self._kills.get(gateway, ())
+            started_at <= killed_at <= result.time
+            for killed_at in self._kill_times.get(gateway, ())
         ):
             return True
         if stopped_at is None:
--- a/src/pewtertack/lab/history/request_checks.py
+++ b/src/pewtertack/lab/history/request_checks.py
@@ -100,7 +100,7 @@
     violations: list[Violation] = []
     gateways = GatewayDisturbances(timeline)
     for result, stop in _in_flight_at_shutdown(timeline):
-        if gateways.can_be_cut(result, bounds.unplanned, stop.time):
+        if gateways.may_have_cut(result, bounds.unplanned, stop.time):
             continue
         judged += 1
         if result.outcome is CallOutcome.CUT:
@@ -115,11 +115,11 @@
     stops = [line for line in timeline.lines if isinstance(line, NodeStop)]
     kills = [line for line in timeline.lines if isinstance(line, NodeKill)]
     for stop in stops:
-        killed_at = [kill.time for kill in kills if kill.node == stop.node]
+        kill_times = [kill.time for kill in kills if kill.node == stop.node]
         for result in _call_results(timeline):
-            began = _first_sent_at(result)
-            in_flight = result.node == stop.node and began <= stop.time <= result.time
-            if in_flight and not any(began <= time <= result.time for time in killed_at):
+            sent_at = _first_sent_at(result)
+            in_flight = result.node == stop.node and sent_at <= stop.time <= result.time
+            if in_flight and not any(sent_at <= time <= result.time for time in kill_times):
                 yield result, stop
 
 
--- a/src/pewtertack/lab/history/stop_checks.py
+++ b/src/pewtertack/lab/history/stop_checks.py
@@ -110,7 +110,7 @@
         stopped_at = None if shutdown is None else shutdown.start
         if node.is_disturbed(result, bounds.unplanned):
             continue
-        if not gateways.can_be_cut(result, bounds.unplanned, stopped_at):
+        if not gateways.may_have_cut(result, bounds.unplanned, stopped_at):
             yield result, shutdown
 
 
--- a/src/pewtertack/lab/history/timeline.py
+++ b/src/pewtertack/lab/history/timeline.py
@@ -28,12 +28,13 @@
 NO_FAULT = "none"
 """The value of ``SourceFault.fault`` that marks the end of a fault."""
 
-STOPS_SERVING = (
+NOT_SERVING_EVENTS = (
     Event.NODE_JOINING.name,
     Event.NODE_WOKE.name,
     Event.NODE_DRAINING.name,
     Event.NODE_SUPERSEDED.name,
 )
+"""The events after which a node does not accept callers' requests until NODE_SERVING."""
 
 
 @dataclass(slots=True)
@@ -49,7 +50,7 @@
 
 
 @dataclass(slots=True)
-class ServingSpan(Interval):
+class ServingInterval(Interval):
     """An interval during which a process accepted callers' requests."""
 
     number: int = 0
@@ -61,17 +62,21 @@
 
 @dataclass(slots=True)
 class Incarnation:
-    """One process of a node, from its start to its kill, its shutdown or the end of the history."""
+    """One process of a node.
+
+    It lasts from the process's start to SIGTERM, its exit, its kill or its replacement; without
+    any of these it is still open at the end of the history.
+    """
 
     node: str
     zone: str
     span: Interval
     in_force: list[RevisionInForce] = field(default_factory=list)
     pauses: list[Interval] = field(default_factory=list)
-    serving: list[ServingSpan] = field(default_factory=list)
+    serving: list[ServingInterval] = field(default_factory=list)
     killed: bool = False
 
-    def number_at(self, time: float) -> int:
+    def revision_at(self, time: float) -> int:
         """Return the number of the revision in force at ``time``; 0 if there is none."""
         index = bisect.bisect_right(self.in_force, time, key=lambda event: event.time)
         return self.in_force[index - 1].revision if index else 0
@@ -129,7 +134,7 @@
         """Yield the events REVISION_IN_FORCE of all nodes, ordered by time."""
         return (line for line in self.lines if isinstance(line, RevisionInForce))
 
-    def first_in_force(self) -> dict[int, float]:
+    def first_in_force_times(self) -> dict[int, float]:
         """Return the time at which each revision was first in force on any node."""
         first: dict[int, float] = {}
         for event in self.in_force():
@@ -150,11 +155,11 @@
         """Return the incarnations of ``node`` ordered by start time."""
         return [incarnation for incarnation in self.incarnations if incarnation.node == node]
 
-    def cuts_around(self, zone: str) -> list[Interval]:
+    def cuts_of_zone(self, zone: str) -> list[Interval]:
         """Return the intervals during which ``zone`` was cut off, in either direction."""
         return [cut.span for cut in self.cuts if zone in (cut.from_zone, cut.to_zone)]
 
-    def without_majority(self, forgotten_after: float) -> list[Interval]:
+    def intervals_without_majority(self, forgotten_after: float) -> list[Interval]:
         """Return the intervals during which no majority of the members was running.
 
         A member is a node that runs, is paused, or ended less than ``forgotten_after``
@@ -231,14 +236,14 @@
 
     def _add_node_event(self, event: NodeEvent) -> None:
         if event.node not in self._current and event.node in self._started_nodes:
-            return  # the process is draining, or the line was written after its end
+            return  # the process is shutting down, or its last lines arrived after its end
         incarnation = self._incarnation(event.node, event.time)
         if isinstance(event, RevisionInForce):
             incarnation.in_force.append(event)
         elif event.event == Event.NODE_SERVING.name:
             number = incarnation.in_force[-1].revision if incarnation.in_force else 0
-            incarnation.serving.append(ServingSpan(event.time, number=number))
-        elif event.event in STOPS_SERVING:
+            incarnation.serving.append(ServingInterval(event.time, number=number))
+        elif event.event in NOT_SERVING_EVENTS:
             for span in incarnation.serving:
                 span.end = min(span.end, event.time)
 
--- a/src/pewtertack/lab/report/convergence.py
+++ b/src/pewtertack/lab/report/convergence.py
@@ -70,7 +70,7 @@
 
 def _has_revision(incarnation: Incarnation, time: float) -> bool:
     """Return whether the process had joined, that is, had a revision in force."""
-    return incarnation.number_at(time) > 0
+    return incarnation.revision_at(time) > 0
 
 
 def _first_in_force_at(incarnation: Incarnation, revision: int) -> float:
@@ -85,5 +85,5 @@
 
 def _disturbances(timeline: Timeline, incarnation: Incarnation) -> Iterator[Interval]:
     yield from incarnation.pauses
-    yield from timeline.cuts_around(incarnation.zone)
+    yield from timeline.cuts_of_zone(incarnation.zone)
     yield from timeline.source_faults
--- a/src/pewtertack/lab/scenarios/configuration.py
+++ b/src/pewtertack/lab/scenarios/configuration.py
@@ -18,7 +18,7 @@
 STALE_SECONDS = 8.0
 OUTAGE_SECONDS = 5.0
 SOURCE_LAG_SECONDS = 1.0
-RACE_COUNT = 5
+CONCURRENT_EDIT_ROUNDS = 5
 QUIET_SECONDS = 15.0
 
 
@@ -32,7 +32,7 @@
 async def steady_edits(context: ScenarioContext) -> None:
     """A sequence of edits, then concurrent edits by two operators."""
     await context.edit_for(8.0, EDIT_INTERVAL_SECONDS)
-    for _ in range(RACE_COUNT):
+    for _ in range(CONCURRENT_EDIT_ROUNDS):
         await _edit_concurrently(context)
         await context.wait_for_newest()
 
