--- a/src/pewtertack/node/daemon.py
+++ b/src/pewtertack/node/daemon.py
@@ -143,7 +143,7 @@
                     tasks.start_soon(application.run)
             admin = HttpServer(parts.admin, keep_alive)
             admin_sockets = [parts.sockets.admin, parts.sockets.metrics]
-            tasks.start_soon(admin.serve, [bound for bound in admin_sockets if bound is not None])
+            tasks.start_soon(admin.serve, [sock for sock in admin_sockets if sock is not None])
             servers = _start_servers(parts, tasks, keep_alive)
             _log_ready(parts)
             async for received in signals:
--- a/src/pewtertack/node/sockets.py
+++ b/src/pewtertack/node/sockets.py
@@ -32,14 +32,14 @@
     def close(self) -> None:
         """Close all of them."""
         required = (self.peer_datagrams, self.peer_streams, self.admin)
-        for bound in (*required, self.proxy, self.gateway, self.metrics):
-            if bound is not None:
-                bound.close()
+        for sock in (*required, self.proxy, self.gateway, self.metrics):
+            if sock is not None:
+                sock.close()
 
 
-def address_of(bound: socket.socket) -> Address:
-    """Return the address that ``bound`` listens on."""
-    host, port = bound.getsockname()[:2]
+def address_of(sock: socket.socket) -> Address:
+    """Return the address that ``sock`` listens on."""
+    host, port = sock.getsockname()[:2]
     return Address(host, port)
 
 
@@ -88,21 +88,21 @@
 
 
 def _listen(address: Address, settings_path: str, key: str) -> socket.socket:
-    bound = _new_socket(address, socket.SOCK_STREAM)
-    bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    sock = _new_socket(address, socket.SOCK_STREAM)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     # Accepted connections inherit this. asyncio sets it only if the socket was created with an
     # explicit protocol; without it a response in two writes waits 40 ms for the delayed
     # acknowledgement of the first.
-    bound.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    _bind(bound, address, settings_path, key)
-    return bound
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    _bind(sock, address, settings_path, key)
+    return sock
 
 
 def _bind_datagrams(address: Address, settings_path: str) -> socket.socket:
-    bound = _new_socket(address, socket.SOCK_DGRAM)
-    bound.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, DATAGRAM_BUFFER_BYTES)
-    _bind(bound, address, settings_path, "listen.peer")
-    return bound
+    sock = _new_socket(address, socket.SOCK_DGRAM)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, DATAGRAM_BUFFER_BYTES)
+    _bind(sock, address, settings_path, "listen.peer")
+    return sock
 
 
 def _new_socket(address: Address, kind: socket.SocketKind) -> socket.socket:
@@ -114,13 +114,13 @@
     return sock
 
 
-def _bind(bound: socket.socket, address: Address, settings_path: str, key: str) -> None:
+def _bind(sock: socket.socket, address: Address, settings_path: str, key: str) -> None:
     try:
-        bound.bind((address.host, address.port))
-        if bound.type == socket.SOCK_STREAM:
-            bound.listen(BACKLOG)
+        sock.bind((address.host, address.port))
+        if sock.type == socket.SOCK_STREAM:
+            sock.listen(BACKLOG)
     except OSError as error:
-        bound.close()
+        sock.close()
         problem = f"{address}: {error.strerror}"
         if error.errno == errno.EADDRINUSE:
             raise AddressInUseError(settings_path, key, problem, "a free address") from error
