--- a/src/pewtertack/lab/scale/meter.py
+++ b/src/pewtertack/lab/scale/meter.py
@@ -136,8 +136,8 @@
                 traffic.received_messages.total(),
                 traffic.sent_bytes.total(),
                 traffic.received_bytes.total(),
-                process.processor_time.core_seconds,
-                process.processor_time.codec_seconds,
+                process.processor_time.core,
+                process.processor_time.codec,
             )
         return counts
 
--- a/src/pewtertack/lab/simulation/__init__.py
+++ b/src/pewtertack/lab/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""A fleet of real coordination cores on a simulated network, in virtual time."""
+"""Simulation of a fleet in virtual time: real coordination cores on a simulated network."""
--- a/src/pewtertack/lab/simulation/codec.py
+++ b/src/pewtertack/lab/simulation/codec.py
@@ -1,4 +1,4 @@
-"""Real frames on the simulated network: what travels is what the daemon would send."""
+"""Encodes and decodes messages of the simulated network as the frames that the daemon sends."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 FLEET_KEY = bytes(range(32))
 
 DATAGRAM_HEADER_BYTES = 28
-"""IPv4 and UDP headers."""
+"""Size of the IPv4 and UDP headers."""
 
 STREAM_OVERHEAD_BYTES = 400
-"""Headers of a TCP exchange: handshake, acknowledgements and close, some ten segments."""
+"""Size of the headers of a TCP exchange: about ten segments for handshake, ACKs and close."""
 
 
 class ProcessCodec:
@@ -26,7 +26,7 @@
         self._reader = FrameReader(FLEET_KEY)
 
     def encode(self, message: Message) -> bytes:
-        """Return the frame that carries ``message`` to a peer."""
+        """Encode ``message`` as a frame with the next counter of this process."""
         self._counter += 1
         identity = self._identity
         envelope = Envelope(
@@ -35,7 +35,7 @@
         return encode_frame(envelope, FLEET_KEY)
 
     def decode(self, frame: bytes) -> MessageReceived | None:
-        """Return the input that ``frame`` makes, or nothing for a repeated frame."""
+        """Decode ``frame`` to an input of the core; return ``None`` for a replayed frame."""
         try:
             envelope = self._reader.read(frame)
         except ReplayedFrameError:
@@ -46,7 +46,7 @@
 
 
 def bytes_on_link(frame: bytes) -> int:
-    """Return the bytes that a frame takes on a link, headers included."""
+    """Return the size of a frame on a link, including the headers of the transport."""
     if len(frame) <= DATAGRAM_BYTES_MAX:
         return len(frame) + DATAGRAM_HEADER_BYTES
     return len(frame) + STREAM_OVERHEAD_BYTES
--- a/src/pewtertack/lab/simulation/documents.py
+++ b/src/pewtertack/lab/simulation/documents.py
@@ -1,4 +1,4 @@
-"""Configuration trees for simulated runs: small ones that change with every edit."""
+"""Builds configuration trees for simulated runs."""
 
 from __future__ import annotations
 
@@ -7,30 +7,30 @@
 from pewtertack.core.revision import Document
 
 
-def tree_for_edit(number: int) -> Document:
-    """Return a valid tree that differs from that of every other number.
+def tree_for_edit(edit_number: int) -> Document:
+    """Return a small valid tree that differs from the tree of any other edit.
 
-    Routes, services and secrets come and go, so that a mixture of two trees
-    would lack a service or a secret.
+    Services and secrets change with each edit, so that a mixture of two trees
+    lacks a service or a secret.
     """
     return {
-        "route_defaults": {"timeout": f"{1 + number}s"},
-        "secrets": {f"key-{number}": f"value-{number}"},
-        "services": {"logbook": {}, f"service-{number}": {}},
+        "route_defaults": {"timeout": f"{1 + edit_number}s"},
+        "secrets": {f"key-{edit_number}": f"value-{edit_number}"},
+        "services": {"logbook": {}, f"service-{edit_number}": {}},
         "routes": {
             "lookup": {"service": "logbook", "path_prefix": "/lookup"},
             "upload": {
-                "service": f"service-{number}",
+                "service": f"service-{edit_number}",
                 "path_prefix": "/upload",
-                "header_secrets": {"x-key": f"key-{number}"},
+                "header_secrets": {"x-key": f"key-{edit_number}"},
             },
         },
     }
 
 
-def broken_tree_for_edit(number: int) -> Document:
-    """Return the tree of ``number`` with a route to a service that does not exist."""
-    tree: dict[str, Any] = dict(tree_for_edit(number))
+def invalid_tree_for_edit(edit_number: int) -> Document:
+    """Return the tree of an edit with a route to an undefined service added."""
+    tree: dict[str, Any] = dict(tree_for_edit(edit_number))
     tree["routes"] = {
         **tree["routes"],
         "broken": {"service": "missing", "path_prefix": "/broken"},
@@ -38,9 +38,9 @@
     return tree
 
 
-def fleet_tree(services: int) -> Document:
-    """Return a tree of ``services`` services with two routes and one secret each."""
-    names = [f"service-{index:03}" for index in range(services)]
+def fleet_tree(service_count: int) -> Document:
+    """Return a tree of the given number of services, with two routes and one secret each."""
+    names = [f"service-{index:03}" for index in range(service_count)]
     routes: dict[str, Any] = {}
     for name in names:
         secret = {"header_secrets": {"x-key": f"key-{name}"}}
--- a/src/pewtertack/lab/simulation/exploration.py
+++ b/src/pewtertack/lab/simulation/exploration.py
@@ -1,4 +1,4 @@
-"""Searches many schedules for one that breaks a promise, over several processes."""
+"""Searches random schedules for one that violates a guarantee, in several processes."""
 
 from __future__ import annotations
 
@@ -19,25 +19,25 @@
 from pewtertack.lab.simulation.schedules import Schedule
 from pewtertack.lab.simulation.strategies import schedules
 
-BATCH = 100
-"""Schedules in one hypothesis run; each batch has a seed of its own."""
+BATCH_SIZE = 100
+"""Schedules in one hypothesis run. Each batch has its own seed."""
 
 
 class UnknownMechanismError(LabError):
-    """There is no mechanism of this name to switch off."""
+    """The mechanism to disable does not exist."""
 
     code: ClassVar[str] = "unknown-mechanism"
 
 
 class Counterexample(msgspec.Struct, frozen=True):
-    """A shrunk schedule and the promises that it breaks."""
+    """A shrunk schedule and the guarantees that it violates."""
 
     schedule: Schedule
     violations: tuple[Verdict, ...]
 
 
 class BatchResult(msgspec.Struct, frozen=True):
-    """What one batch found; ``judged`` counts events by promise."""
+    """Result of one batch; ``judged`` counts the checked events by guarantee."""
 
     seed: int
     schedules: int
@@ -46,14 +46,14 @@
 
 
 class _PromiseBrokenError(Exception):
-    """Tells hypothesis that a schedule fails."""
+    """Signals to hypothesis that a schedule violates a guarantee."""
 
 
 @dataclasses.dataclass(slots=True)
 class _Batch:
-    """Runs schedules, counts what was judged, and remembers the last failure."""
+    """Runs schedules, counts the checked events, and keeps the last failure."""
 
-    without: str | None
+    disabled_mechanism: str | None
     schedules: int = 0
     judged: Counter[str] = dataclasses.field(default_factory=Counter)
     failure: Counterexample | None = None
@@ -62,7 +62,7 @@
         """Run one schedule.
 
         Raises:
-            _PromiseBrokenError: a promise was broken.
+            _PromiseBrokenError: a guarantee was violated.
         """
         result = run_schedule(schedule, self._profile(schedule))
         self.schedules += 1
@@ -73,17 +73,26 @@
             raise _PromiseBrokenError
 
     def _profile(self, schedule: Schedule) -> TimingProfile | None:
-        if self.without is None:
+        if self.disabled_mechanism is None:
             return None
-        return without_mechanism(PROFILES[schedule.profile], self.without)
+        return without_mechanism(PROFILES[schedule.profile], self.disabled_mechanism)
 
 
-def run_batch(seed: int, count: int, without: str | None, shrink: bool) -> BatchResult:
-    """Run ``count`` schedules drawn with ``seed``, or fewer up to a shrunk failure."""
-    batch = _Batch(without)
+def run_batch(
+    seed: int, schedule_count: int, disabled_mechanism: str | None, shrink: bool
+) -> BatchResult:
+    """Run up to ``schedule_count`` schedules drawn with ``seed``; stop at the first failure.
+
+    Args:
+        seed: decides which schedules are drawn.
+        schedule_count: number of schedules unless one fails.
+        disabled_mechanism: name of a mechanism that is disabled in all runs.
+        shrink: whether a failing schedule is shrunk.
+    """
+    batch = _Batch(disabled_mechanism)
     phases = [Phase.generate, Phase.shrink] if shrink else [Phase.generate]
     configured = settings(
-        max_examples=count,
+        max_examples=schedule_count,
         deadline=None,
         database=None,
         phases=phases,
@@ -99,26 +108,34 @@
 
 
 def explore(
-    count: int,
+    schedule_count: int,
     seed: int,
     workers: int,
-    without: str | None = None,
+    disabled_mechanism: str | None = None,
     shrink: bool = True,
     progress: Callable[[BatchResult], None] = lambda _: None,
 ) -> list[BatchResult]:
-    """Run ``count`` schedules in ``workers`` processes; ``without`` names a mechanism.
+    """Run random schedules in ``workers`` processes and return the results in order of seeds.
+
+    Args:
+        schedule_count: total number of schedules.
+        seed: seed that the seeds of the batches are derived from.
+        workers: number of processes.
+        disabled_mechanism: name of a mechanism that is disabled in all runs.
+        shrink: whether failing schedules are shrunk.
+        progress: called with each result as it arrives.
 
     Raises:
-        UnknownMechanismError: ``without`` is no mechanism.
+        UnknownMechanismError: ``disabled_mechanism`` does not exist.
     """
     names = [field.name for field in msgspec.structs.fields(Mechanisms)]
-    if without is not None and without not in names:
-        raise UnknownMechanismError(f"{without!r}; there are {', '.join(names)}")
+    if disabled_mechanism is not None and disabled_mechanism not in names:
+        raise UnknownMechanismError(f"{disabled_mechanism!r}; mechanisms are {', '.join(names)}")
     results: list[BatchResult] = []
     with ProcessPoolExecutor(workers) as pool:
         futures = [
-            pool.submit(run_batch, batch_seed, size, without, shrink)
-            for batch_seed, size in _batches(count, seed)
+            pool.submit(run_batch, batch_seed, size, disabled_mechanism, shrink)
+            for batch_seed, size in _batch_sizes(schedule_count, seed)
         ]
         for future in as_completed(futures):
             results.append(future.result())
@@ -126,7 +143,7 @@
     return sorted(results, key=lambda result: result.seed)
 
 
-def _batches(count: int, seed: int) -> Iterator[tuple[int, int]]:
-    """Yield a seed and a size for each batch."""
-    for index, start in enumerate(range(0, count, BATCH)):
-        yield seed * 1_000 + index, min(BATCH, count - start)
+def _batch_sizes(schedule_count: int, seed: int) -> Iterator[tuple[int, int]]:
+    """Yield the seed and the size of each batch."""
+    for batch_index, start in enumerate(range(0, schedule_count, BATCH_SIZE)):
+        yield seed * 1_000 + batch_index, min(BATCH_SIZE, schedule_count - start)
--- a/src/pewtertack/lab/simulation/network.py
+++ b/src/pewtertack/lab/simulation/network.py
@@ -1,4 +1,4 @@
-"""A simulated network: latency, loss, repetition, reordering and cuts between zones."""
+"""A simulated network with latency, loss, duplication, reordering and cuts between zones."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
     SnapshotAnswer,
 )
 
-REORDER_DELAY = 0.2
-"""Greatest extra delay of a message while the network reorders, in seconds."""
+MAX_REORDER_DELAY_SECONDS = 0.2
+"""Upper bound of the extra delay of a reordered message, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    """Where a process runs."""
+class Location:
+    """Zone and region that a process runs in."""
 
     zone: str
     region: str
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Latencies:
-    """One-way delays in seconds; each message takes up to ``jitter`` (a share) longer."""
+    """One-way latencies in seconds; each message takes longer by a fraction up to ``jitter``."""
 
     same_zone: float = 0.0003
     same_region: float = 0.0015
@@ -41,8 +41,8 @@
 
 
 @dataclass(slots=True)
-class Weather:
-    """How badly the network behaves now. The values are probabilities, 0 to 1."""
+class NetworkImpairments:
+    """Probabilities, from 0 to 1, that a message is lost, duplicated or reordered."""
 
     loss: float = 0.0
     duplication: float = 0.0
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True)
 class Traffic:
-    """What one node sent and received: messages and bytes, by type of message."""
+    """Messages and bytes that one node sent and received, by kind of message."""
 
     sent_messages: Counter[str] = field(default_factory=Counter)
     sent_bytes: Counter[str] = field(default_factory=Counter)
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Packet:
-    """A message on its way, with its frame where real frames are used."""
+    """A message in transit, with its encoded frame if the fleet uses frames."""
 
     sender: str
     sender_address: str
@@ -74,8 +74,8 @@
 Deliver = Callable[[Packet], None]
 
 
-def kind_of(message: Message) -> str:
-    """Return the type of ``message``, with what distinguishes its size."""
+def message_kind(message: Message) -> str:
+    """Return the type of ``message``, with the kind of its document or a delta that it carries."""
     name = type(message).__name__
     if isinstance(message, DeltaAnswer | SnapshotAnswer | PackedAnswer):
         return f"{name}:{message.kind.name.lower()}"
@@ -85,11 +85,17 @@
 
 
 class SimulatedNetwork:
-    """Carries packets between addresses whose places are known.
+    """Carries packets between addresses whose locations are known.
 
-    ``deliver`` gets each packet when it arrives. Packets with frames are counted
-    in ``traffic``, by the address of the node. ``link_rate`` bounds what each node's
-    machine sends and receives, in bytes a second of frames; 0 for no bound.
+    Packets with frames are counted in ``traffic``, by the address of the node.
+
+    Args:
+        scheduler: virtual time.
+        random: decides latency, loss, duplication and reordering.
+        deliver: called with each packet when it arrives.
+        latencies: one-way latencies.
+        link_rate: bound of what each node's machine sends and receives, in bytes of frames
+            per second; 0 for no bound.
     """
 
     def __init__(
@@ -104,53 +110,53 @@
         self._random = random
         self._deliver = deliver
         self._latencies = latencies or Latencies()
-        self._lines = MachineLinks(link_rate)
-        self._places: dict[str, Place] = {}
-        self._cut: set[tuple[str, str]] = set()
-        self.weather = Weather()
+        self._links = MachineLinks(link_rate)
+        self._locations: dict[str, Location] = {}
+        self._cuts: set[tuple[str, str]] = set()
+        self.impairments = NetworkImpairments()
         self.traffic: defaultdict[str, Traffic] = defaultdict(Traffic)
 
-    def place(self, address: str, place: Place) -> None:
-        """Tell where the process behind ``address`` runs."""
-        self._places[address] = place
+    def set_location(self, address: str, location: Location) -> None:
+        """Set the location of the process at ``address``."""
+        self._locations[address] = location
 
     def cut(self, from_zone: str, to_zone: str) -> None:
-        """Lose every message from one zone to another."""
-        self._cut.add((from_zone, to_zone))
+        """Drop all messages from one zone to another."""
+        self._cuts.add((from_zone, to_zone))
 
     def heal(self) -> None:
         """End every cut."""
-        self._cut.clear()
+        self._cuts.clear()
 
     def send(self, packet: Packet) -> None:
-        """Carry ``packet``, unless it is lost."""
+        """Send ``packet``, which may be lost or duplicated."""
         if packet.frame is not None:
             traffic = self.traffic[packet.sender_address]
-            kind = kind_of(packet.message)
+            kind = message_kind(packet.message)
             traffic.sent_messages[kind] += 1
             traffic.sent_bytes[kind] += bytes_on_link(packet.frame)
         self._carry(packet)
-        if self.weather.duplication and self._random.random() < self.weather.duplication:
+        if self.impairments.duplication and self._random.random() < self.impairments.duplication:
             self._carry(packet)
 
     def _carry(self, packet: Packet) -> None:
-        source = self._places[packet.sender_address]
-        target = self._places.get(packet.target_address)
+        source = self._locations[packet.sender_address]
+        target = self._locations.get(packet.target_address)
         if target is None or self._is_lost():
             return
-        if (source.zone, target.zone) in self._cut:
+        if (source.zone, target.zone) in self._cuts:
             return
         delay = self._delay(source, target)
-        if packet.frame is not None and self._lines.has_rate_limit:
+        if packet.frame is not None and self._links.has_rate_limit:
             sender, to, size = packet.sender_address, packet.target_address, len(packet.frame)
             now = self._scheduler.now
-            delay = self._lines.transfer(now, sender, to, size, delay) - now
+            delay = self._links.transfer(now, sender, to, size, delay) - now
         self._scheduler.after(delay, lambda: self._arrive(packet, target.zone))
 
     def _is_lost(self) -> bool:
-        return bool(self.weather.loss) and self._random.random() < self.weather.loss
+        return bool(self.impairments.loss) and self._random.random() < self.impairments.loss
 
-    def _delay(self, source: Place, target: Place) -> float:
+    def _delay(self, source: Location, target: Location) -> float:
         if source.zone == target.zone:
             base = self._latencies.same_zone
         elif source.region == target.region:
@@ -158,18 +164,18 @@
         else:
             base = self._latencies.between_regions
         delay = base * (1 + self._latencies.jitter * self._random.random())
-        if self.weather.reordering and self._random.random() < self.weather.reordering:
-            delay += REORDER_DELAY * self._random.random()
+        if self.impairments.reordering and self._random.random() < self.impairments.reordering:
+            delay += MAX_REORDER_DELAY_SECONDS * self._random.random()
         return delay
 
     def _arrive(self, packet: Packet, target_zone: str) -> None:
-        """Deliver unless the link was cut while the packet was on its way."""
-        source = self._places[packet.sender_address]
-        if (source.zone, target_zone) in self._cut:
+        """Deliver ``packet`` unless the zones were cut from each other while it was in transit."""
+        source = self._locations[packet.sender_address]
+        if (source.zone, target_zone) in self._cuts:
             return
         if packet.frame is not None:
             traffic = self.traffic[packet.target_address]
-            kind = kind_of(packet.message)
+            kind = message_kind(packet.message)
             traffic.received_messages[kind] += 1
             traffic.received_bytes[kind] += bytes_on_link(packet.frame)
         self._deliver(packet)
--- a/src/pewtertack/lab/simulation/platform.py
+++ b/src/pewtertack/lab/simulation/platform.py
@@ -1,6 +1,6 @@
-"""The platform in virtual time: numbered documents read by long poll.
+"""Simulates the platform in virtual time: versioned documents that nodes read by long poll.
 
-One class stands for the configuration source and for the machine list.
+The same class serves as the configuration source and as the service of the machine list.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 from pewtertack.lab.simulation.scheduler import Scheduler
 from pewtertack.wire.messages import DocumentKind
 
-ANSWER_TIME = 0.005
-"""One way between a reader and the platform, in seconds."""
+ONE_WAY_SECONDS = 0.005
+"""One-way latency between a reader and the platform, in seconds."""
 
-BUSY_RETRY_AFTER = 1.0
+BUSY_RETRY_AFTER_SECONDS = 1.0
 
 Answer = DocumentRead | DocumentUnchanged | DocumentReadFailed
 Reply = Callable[[Answer], None]
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Version:
-    """A document under its number, visible to readers from ``visible_at`` on."""
+    """A numbered version of a document, visible to readers from ``visible_at`` on."""
 
     number: int
     document: Document
@@ -33,8 +33,8 @@
 
 
 @dataclass(eq=False, slots=True)
-class Read:
-    """One read that the service has not answered."""
+class PendingRead:
+    """A read that waits for a response of the service."""
 
     after: int
     reply: Reply
@@ -43,24 +43,25 @@
 
 @dataclass(slots=True)
 class ReadCounts:
-    """What the service saw. ``peak_concurrent`` counts admitted and refused reads."""
+    """Counts of reads. ``peak_concurrent`` includes reads that were refused."""
 
     total: int = 0
     refused: int = 0
     concurrent: int = 0
     peak_concurrent: int = 0
     stale: int = 0
-    """Reads whom a stale answer would do; not in ``total``."""
+    """Reads that accept a stale response; not included in ``total``."""
 
 
 @dataclass(slots=True)
 class DocumentService:
-    """Gives out the newest visible version of one document.
+    """Serves the newest visible version of one document.
 
-    ``lag`` is how long a new version stays invisible. During an outage every
-    read fails; ``stale_number`` hides all versions above it; ``older_share`` is
-    the probability that an answer holds the version before the visible one. A number
-    in ``forks`` has a second document, which ``fork_share`` of the answers hold.
+    A new version becomes visible after ``lag`` seconds. While the service is ``down``,
+    every read fails. ``stale_number`` hides all newer versions.
+    ``previous_version_probability`` is that of a response with the version before the
+    newest visible one. A version in ``forks`` has a second document, which a response
+    contains with ``fork_probability``.
     """
 
     scheduler: Scheduler
@@ -70,63 +71,70 @@
     lag: float = 0.0
     down: bool = False
     stale_number: int | None = None
-    older_share: float = 0.0
+    previous_version_probability: float = 0.0
     stale_lag: float = 0.0
-    """How old answers are to readers whom a stale one will do."""
-    fork_share: float = 0.5
+    """Age in seconds of the responses to reads that accept a stale one."""
+    fork_probability: float = 0.5
     forks: dict[int, Document] = field(default_factory=dict)
     versions: list[Version] = field(default_factory=list)
     counts: ReadCounts = field(default_factory=ReadCounts)
-    _reads: list[Read] = field(default_factory=list)
+    _reads: list[PendingRead] = field(default_factory=list)
 
     def put(self, document: Document) -> int:
-        """Take a new version and return its number."""
+        """Add a new version and return its number."""
         number = len(self.versions) + 1
         self.versions.append(Version(number, document, self.scheduler.now + self.lag))
-        self.scheduler.after(self.lag, self._answer_waiting)
+        self.scheduler.after(self.lag, self._answer_pending)
         return number
 
     def fork(self, number: int, document: Document) -> None:
-        """Give some readers ``document`` under a number that others see another for."""
+        """Return ``document`` to some readers in place of the version ``number``."""
         self.forks[number] = document
 
     def fail(self) -> None:
-        """Begin an outage; open reads break."""
+        """Begin an outage; pending reads fail."""
         self.down = True
         for read in list(self._reads):
             self._finish(read, DocumentReadFailed(self.kind, "outage"))
 
-    def turn_stale(self, number: int) -> None:
-        """Show nothing newer than ``number`` from now on."""
+    def hide_versions_above(self, number: int) -> None:
+        """Serve no version newer than ``number`` from now on."""
         self.stale_number = number
 
     def recover(self) -> None:
-        """Answer currently again."""
+        """End an outage and serve the newest version again."""
         self.down = False
         self.stale_number = None
-        self.older_share = 0.0
-        self._answer_waiting()
+        self.previous_version_probability = 0.0
+        self._answer_pending()
 
     def read(self, after: int, wait: float, reply: Reply, may_be_stale: bool = False) -> None:
-        """Answer now if there is another version than ``after``, else within ``wait``."""
+        """Call ``reply`` with the visible version, once it differs from ``after``.
+
+        Args:
+            after: number of the version that the reader has.
+            wait: seconds after which the reply is that nothing changed.
+            reply: called with the response.
+            may_be_stale: whether a stale response, given without waiting, is enough.
+        """
         if may_be_stale:
-            self.scheduler.after(ANSWER_TIME, lambda: self._answer_stale(reply))
+            self.scheduler.after(ONE_WAY_SECONDS, lambda: self._reply_stale(reply))
         else:
-            self.scheduler.after(ANSWER_TIME, lambda: self._admit(after, wait, reply))
+            self.scheduler.after(ONE_WAY_SECONDS, lambda: self._admit(after, wait, reply))
 
-    def _answer_stale(self, reply: Reply) -> None:
-        """Answer with what was visible ``stale_lag`` ago; costs the platform next to nothing."""
+    def _reply_stale(self, reply: Reply) -> None:
+        """Reply with the version visible ``stale_lag`` ago; such reads cost a platform little."""
         self.counts.stale += 1
         oldest = self.scheduler.now - self.stale_lag
-        shown = [version for version in self.versions if version.visible_at <= oldest]
+        visible = [version for version in self.versions if version.visible_at <= oldest]
         answer: Answer = DocumentReadFailed(self.kind, "outage")
-        if shown and not self.down:
-            newest = shown[-1]
+        if visible and not self.down:
+            newest = visible[-1]
             answer = DocumentRead(self.kind, newest.number, newest.document, stale=True)
-        self.scheduler.after(ANSWER_TIME, lambda: reply(answer))
+        self.scheduler.after(ONE_WAY_SECONDS, lambda: reply(answer))
 
     def _admit(self, after: int, wait: float, reply: Reply) -> None:
-        read = Read(after, reply)
+        read = PendingRead(after, reply)
         self._reads.append(read)
         self.counts.total += 1
         self.counts.concurrent = len(self._reads)
@@ -135,46 +143,46 @@
             self._finish(read, DocumentReadFailed(self.kind, "outage"))
         elif len(self._reads) > self.readers_limit:
             self.counts.refused += 1
-            self._finish(read, DocumentReadFailed(self.kind, "busy", BUSY_RETRY_AFTER))
+            self._finish(read, DocumentReadFailed(self.kind, "busy", BUSY_RETRY_AFTER_SECONDS))
         elif not self._answer(read):
             self.scheduler.after(wait, lambda: self._finish(read, DocumentUnchanged(self.kind)))
 
     def _visible(self) -> Version | None:
-        shown = [
+        visible = [
             version
             for version in self.versions
             if version.visible_at <= self.scheduler.now
             and (self.stale_number is None or version.number <= self.stale_number)
         ]
-        if len(shown) > 1 and self.random.random() < self.older_share:
-            return shown[-2]
-        return shown[-1] if shown else None
+        if len(visible) > 1 and self.random.random() < self.previous_version_probability:
+            return visible[-2]
+        return visible[-1] if visible else None
 
-    def _answer(self, read: Read) -> bool:
+    def _answer(self, read: PendingRead) -> bool:
         version = self._visible()
         if version is None or version.number == read.after:
             return False
         document = version.document
-        if version.number in self.forks and self.random.random() < self.fork_share:
+        if version.number in self.forks and self.random.random() < self.fork_probability:
             document = self.forks[version.number]
         self._finish(read, DocumentRead(self.kind, version.number, document))
         return True
 
-    def _answer_waiting(self) -> None:
+    def _answer_pending(self) -> None:
         if not self.down:
             for read in list(self._reads):
                 self._answer(read)
 
-    def _finish(self, read: Read, answer: Answer) -> None:
+    def _finish(self, read: PendingRead, answer: Answer) -> None:
         if read.done:
             return
         read.done = True
         self._reads.remove(read)
         self.counts.concurrent = len(self._reads)
-        self.scheduler.after(ANSWER_TIME, lambda: read.reply(answer))
+        self.scheduler.after(ONE_WAY_SECONDS, lambda: read.reply(answer))
 
-    def abandon(self, reply: Reply) -> None:
-        """Drop the open reads of a reader that died."""
+    def cancel_reads(self, reply: Reply) -> None:
+        """Cancel the pending reads of a reader that died."""
         for read in [read for read in self._reads if read.reply == reply]:
             read.done = True
             self._reads.remove(read)
--- a/src/pewtertack/lab/simulation/process.py
+++ b/src/pewtertack/lab/simulation/process.py
@@ -1,4 +1,4 @@
-"""One simulated process: a coordination core with its timer, mailbox and effects."""
+"""A simulated process: a coordination core with its timer, its mailbox and its effects."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 from pewtertack.wire.messages import DocumentKind, Message
 
 MAILBOX_LIMIT = 64
-"""Messages that the kernel keeps for a paused process; later ones are lost."""
+"""Number of inputs that the kernel buffers for a paused process; later ones are lost."""
 
 
 class Recorder(Protocol):
-    """Takes what a process logs."""
+    """Receives the events that processes log."""
 
     def record_log(self, node: str, incarnation: int, log: Log) -> None:
-        """Record a numbered event of a process."""
+        """Record an event that a process logged."""
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
-    """What a process talks to."""
+class ProcessEnvironment:
+    """The virtual time, network, platform and recorder that a process uses."""
 
     scheduler: Timer
     network: SimulatedNetwork
@@ -40,64 +40,64 @@
 
 @dataclass(slots=True)
 class ProcessorTime:
-    """Real seconds of processor time that one process took."""
+    """Real processor time that one simulated process used, in seconds."""
 
-    core_seconds: float = 0.0
-    codec_seconds: float = 0.0
+    core: float = 0.0
+    codec: float = 0.0
 
 
 @dataclass(eq=False, slots=True)
 class SimulatedProcess:
     """Drives one core as the daemon does: one input at a time.
 
-    With a codec its messages travel as real frames, and processor time is measured.
+    With a codec, messages are sent as real frames and processor time is measured.
     """
 
     identity: NodeIdentity
     core: NodeCore
-    around: Surroundings
-    tick: float
+    environment: ProcessEnvironment
+    tick_interval: float
     codec: ProcessCodec | None = None
     processor_time: ProcessorTime = field(default_factory=ProcessorTime)
     serving: bool = False
     alive: bool = True
     paused: bool = False
     _mailbox: deque[Input] = field(default_factory=deque)
-    _ticking: bool = False
+    _tick_scheduled: bool = False
 
     def start(self, phase: float) -> None:
-        """Begin to tick, the first time in ``phase`` seconds."""
+        """Start the timer; the first tick is in ``phase`` seconds."""
         self._schedule_tick(phase)
 
     def kill(self) -> None:
-        """End without notice."""
+        """End the process at once, as after SIGKILL."""
         self.alive = False
         self._mailbox.clear()
-        for service in self.around.platform.values():
-            service.abandon(self._on_answer)
+        for service in self.environment.platform.values():
+            service.cancel_reads(self._on_answer)
 
     def pause(self) -> None:
-        """Handle nothing until resumed; memory and mailbox stay."""
+        """Stop handling inputs until resumed; state and mailbox are kept."""
         self.paused = True
 
     def resume(self) -> None:
-        """Run on: first what has waited in the mailbox, then the timer."""
+        """Handle the inputs in the mailbox, then resume the timer."""
         self.paused = False
-        waiting = list(self._mailbox)
+        pending = list(self._mailbox)
         self._mailbox.clear()
-        for item in waiting:
+        for item in pending:
             self._handle(item)
-        if not self._ticking:
+        if not self._tick_scheduled:
             self._tick()
 
     def drain(self) -> None:
-        """Ask the core to leave."""
-        self.take(DrainRequested())
+        """Request a graceful shutdown of the core."""
+        self.accept(DrainRequested())
 
     def receive(self, packet: Packet) -> None:
-        """Take a message from the network."""
+        """Handle a packet from the network."""
         if self.codec is None or packet.frame is None:
-            self.take(
+            self.accept(
                 MessageReceived(
                     packet.sender, packet.sender_address, packet.incarnation, packet.message
                 )
@@ -105,12 +105,12 @@
             return
         began = time.process_time()
         received = self.codec.decode(packet.frame)
-        self.processor_time.codec_seconds += time.process_time() - began
+        self.processor_time.codec += time.process_time() - began
         if received is not None:
-            self.take(received)
+            self.accept(received)
 
-    def take(self, item: Input) -> None:
-        """Handle an input now, or keep it while paused."""
+    def accept(self, item: Input) -> None:
+        """Handle an input, or put it in the mailbox while paused."""
         if not self.alive:
             return
         if not self.paused:
@@ -119,25 +119,25 @@
             self._mailbox.append(item)
 
     def _schedule_tick(self, delay: float) -> None:
-        self._ticking = True
-        self.around.scheduler.after(delay, self._tick)
+        self._tick_scheduled = True
+        self.environment.scheduler.after(delay, self._tick)
 
     def _tick(self) -> None:
-        self._ticking = False
+        self._tick_scheduled = False
         if not self.alive or self.paused:
             return
         self._handle(Ticked())
-        self._schedule_tick(self.tick)
+        self._schedule_tick(self.tick_interval)
 
     def _handle(self, item: Input) -> None:
         if self.codec is None:
-            effects = self.core.handle(self.around.scheduler.now, item)
+            effects = self.core.handle(self.environment.scheduler.now, item)
         else:
             began = time.process_time()
-            effects = self.core.handle(self.around.scheduler.now, item)
-            self.processor_time.core_seconds += time.process_time() - began
+            effects = self.core.handle(self.environment.scheduler.now, item)
+            self.processor_time.core += time.process_time() - began
         for effect in effects:
-            self._carry_out(effect)
+            self._apply_effect(effect)
 
     def _send(self, address: str, message: Message) -> None:
         identity = self.identity
@@ -145,28 +145,28 @@
         if self.codec is not None:
             began = time.process_time()
             frame = self.codec.encode(message)
-            self.processor_time.codec_seconds += time.process_time() - began
-        self.around.network.send(
+            self.processor_time.codec += time.process_time() - began
+        self.environment.network.send(
             Packet(identity.name, identity.address, identity.incarnation, address, message, frame)
         )
 
-    def _carry_out(self, effect: Effect) -> None:
+    def _apply_effect(self, effect: Effect) -> None:
         match effect:
             case Send(_, address, message):
                 self._send(address, message)
             case ReadDocument():
                 self._read(effect)
             case ContinueWork():
-                self.around.scheduler.after(0.0, lambda: self.take(WorkContinued()))
+                self.environment.scheduler.after(0.0, lambda: self.accept(WorkContinued()))
             case Log():
                 identity = self.identity
-                self.around.recorder.record_log(identity.name, identity.incarnation, effect)
+                self.environment.recorder.record_log(identity.name, identity.incarnation, effect)
             case SetServing(serving):
                 self.serving = serving
 
     def _read(self, effect: ReadDocument) -> None:
-        service = self.around.platform[effect.kind]
+        service = self.environment.platform[effect.kind]
         service.read(effect.after, effect.wait, self._on_answer, effect.may_be_stale)
 
     def _on_answer(self, answer: Answer) -> None:
-        self.take(answer)
+        self.accept(answer)
--- a/src/pewtertack/lab/simulation/scheduler.py
+++ b/src/pewtertack/lab/simulation/scheduler.py
@@ -1,4 +1,4 @@
-"""Discrete-event virtual time. All times are seconds."""
+"""Discrete-event scheduler in virtual time. All times are in seconds."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 
 class Timer(Protocol):
-    """Virtual time, and what is to happen in it."""
+    """Virtual clock that runs actions at given times."""
 
     @property
     def now(self) -> float:
-        """The present moment."""
+        """The current virtual time."""
 
     def at(self, time: float, action: Action) -> None:
-        """Run ``action`` at ``time``, or at once if that is past."""
+        """Run ``action`` at ``time``, or immediately if that time has passed."""
 
     def after(self, delay: float, action: Action) -> None:
         """Run ``action`` in ``delay`` seconds."""
 
 
 class Scheduler:
-    """Runs actions in the order of their times; equal times in the order of scheduling."""
+    """Runs actions in the order of their times; at equal times in the order of scheduling."""
 
     def __init__(self, start: float = 0.0) -> None:
         self.now = start
@@ -33,7 +33,7 @@
         self._queue: list[tuple[float, int, Action]] = []
 
     def at(self, time: float, action: Action) -> None:
-        """Run ``action`` at ``time``, or at once if that is past."""
+        """Run ``action`` at ``time``, or immediately if that time has passed."""
         heapq.heappush(self._queue, (max(time, self.now), next(self._order), action))
 
     def after(self, delay: float, action: Action) -> None:
@@ -41,7 +41,7 @@
         self.at(self.now + delay, action)
 
     def run_until(self, time: float) -> None:
-        """Run everything due up to ``time`` and stop there."""
+        """Run all actions that are due up to ``time``, then set the clock to ``time``."""
         while self._queue and self._queue[0][0] <= time:
             self.now, _, action = heapq.heappop(self._queue)
             action()
--- a/src/pewtertack/lab/simulation/schedules.py
+++ b/src/pewtertack/lab/simulation/schedules.py
@@ -1,7 +1,7 @@
-"""Schedules of faults and edits, as data: a failing one is kept as a JSON file.
+"""Schedules of faults and edits, which are kept as JSON files once they have failed.
 
-Times are seconds of virtual time. Nodes are numbers below ``Schedule.nodes``,
-zones numbers below ``Schedule.zones``; larger numbers wrap round.
+Times are in seconds of virtual time. Nodes and zones are given by index; indexes from
+``Schedule.nodes`` or ``Schedule.zones`` upwards wrap around.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 
 
 class ScheduleError(LabError):
-    """A schedule cannot be read."""
+    """A schedule cannot be decoded."""
 
     code: ClassVar[str] = "schedule"
 
 
 class Direction(StrEnum):
-    """Which way a cut loses messages."""
+    """Direction in which a cut drops messages, as seen from the zone."""
 
     BOTH = "both"
     IN = "in"
@@ -29,34 +29,34 @@
 
 
 class Step(msgspec.Struct, frozen=True, tag_field="do", kw_only=True):
-    """Base of all steps; ``wait`` passes after it was begun."""
+    """Base of all steps; the next step begins ``wait`` seconds after this one."""
 
     wait: float = 0.0
 
 
 class KillNodes(Step, frozen=True, tag="kill"):
-    """Kill nodes at once and start replacements under the same names later."""
+    """Kill nodes at the same time; start replacements with the same names later."""
 
     nodes: tuple[int, ...]
     back_after: float = 1.0
 
 
 class PauseNodes(Step, frozen=True, tag="pause"):
-    """Pause nodes for a while."""
+    """Pause nodes for some seconds."""
 
     nodes: tuple[int, ...]
     seconds: float
 
 
 class DrainNode(Step, frozen=True, tag="drain"):
-    """Stop a node by plan and start a replacement later."""
+    """Shut a node down gracefully and start a replacement later."""
 
     node: int
     back_after: float = 4.0
 
 
 class CutZone(Step, frozen=True, tag="cut"):
-    """Cut a zone off from all others, one way or both, for a while."""
+    """Drop the messages between a zone and all others, in one or both directions."""
 
     zone: int
     direction: Direction
@@ -64,14 +64,18 @@
 
 
 class SourceOutage(Step, frozen=True, tag="outage"):
-    """The source, and perhaps the machine list, fails for a while."""
+    """Make all reads of the source, and optionally of the machine list, fail."""
 
     seconds: float
     machine_list: bool = False
 
 
 class SourceStale(Step, frozen=True, tag="stale"):
-    """The source goes back by some versions for a while; ``share`` of answers if set."""
+    """Make the source serve an older version.
+
+    With ``share`` 1, the source goes back by ``versions``. Otherwise this fraction of the
+    responses contains the version before the newest one.
+    """
 
     seconds: float
     versions: int = 1
@@ -79,7 +83,7 @@
 
 
 class DegradeNetwork(Step, frozen=True, tag="weather"):
-    """Messages are lost, repeated and reordered with these probabilities for a while."""
+    """Lose, duplicate and reorder messages with these probabilities."""
 
     seconds: float
     loss: float = 0.0
@@ -88,9 +92,9 @@
 
 
 class EditTree(Step, frozen=True, tag="edit"):
-    """Operators edit the tree ``count`` times in a row; an invalid edit breaks a rule.
+    """Edit the tree ``count`` times in a row; the trees of invalid edits fail validation.
 
-    A forked edit is two trees under one number, each of which some readers get.
+    A forked edit writes two trees with the same number, each of which some readers get.
     """
 
     valid: bool = True
@@ -111,7 +115,7 @@
 
 
 class Schedule(msgspec.Struct, frozen=True):
-    """A run: a fleet that settles, the steps, and time for the fleet to recover."""
+    """A run: the fleet forms, the steps are applied, then the fleet recovers."""
 
     seed: int
     steps: tuple[AnyStep, ...]
@@ -121,10 +125,10 @@
 
 
 def decode_schedule(text: bytes) -> Schedule:
-    """Read a schedule from JSON.
+    """Decode a schedule from JSON.
 
     Raises:
-        ScheduleError: the text is no schedule.
+        ScheduleError: the text is not a valid schedule.
     """
     try:
         return msgspec.json.decode(text, type=Schedule)
@@ -133,5 +137,5 @@
 
 
 def encode_schedule(schedule: Schedule) -> bytes:
-    """Return ``schedule`` as indented JSON."""
+    """Encode ``schedule`` as indented JSON."""
     return msgspec.json.format(msgspec.json.encode(schedule), indent=1) + b"\n"
--- a/src/pewtertack/lab/simulation/virtual_loop.py
+++ b/src/pewtertack/lab/simulation/virtual_loop.py
@@ -1,4 +1,7 @@
-"""An event loop in virtual time: where all tasks wait, the next timer is due at once."""
+"""An asyncio event loop in virtual time.
+
+When all tasks wait, the clock is advanced to the next timer instead of waiting for it.
+"""
 
 from __future__ import annotations
 
@@ -14,30 +17,30 @@
 
 
 class NothingDueError(LabError):
-    """All tasks wait for something that no timer brings about."""
+    """All tasks wait, but no timer is scheduled that could wake one of them."""
 
     code = "nothing-due"
 
 
-class _SkippingSelector(selectors.DefaultSelector):
-    """Passes over the time that a selector would wait."""
+class _TimeAdvancingSelector(selectors.DefaultSelector):
+    """Advances the virtual clock by the timeout instead of waiting."""
 
-    skip: Callable[[float], None]
+    advance: Callable[[float], None]
 
     def select(self, timeout: float | None = None) -> SelectedEvents:
         if timeout is None:
-            raise NothingDueError("all tasks wait, and no timer runs")
+            raise NothingDueError("all tasks are waiting and no timer is scheduled")
         if timeout > 0:
-            self.skip(timeout)
+            self.advance(timeout)
         return super().select(0)
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """An event loop whose clock stands still while tasks run, and then skips to the next timer."""
+    """An event loop whose clock stops while tasks run and then advances to the next timer."""
 
     def __init__(self) -> None:
-        selector = _SkippingSelector()
-        selector.skip = self._skip
+        selector = _TimeAdvancingSelector()
+        selector.advance = self._advance
         self._virtual_now = 0.0
         super().__init__(selector)
 
@@ -45,23 +48,23 @@
         """Return the virtual time in seconds."""
         return self._virtual_now
 
-    def _skip(self, seconds: float) -> None:
+    def _advance(self, seconds: float) -> None:
         self._virtual_now += seconds
 
 
 class LoopTimer:
-    """The virtual time of the running event loop, as simulated processes use it."""
+    """The ``Timer`` of simulated processes, on the virtual time of the running event loop."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
 
     @property
     def now(self) -> float:
-        """The present moment."""
+        """The current virtual time."""
         return self._loop.time()
 
     def at(self, time: float, action: Action) -> None:
-        """Run ``action`` at ``time``, or at once if that is past."""
+        """Run ``action`` at ``time``, or immediately if that time has passed."""
         self._loop.call_at(time, action)
 
     def after(self, delay: float, action: Action) -> None:
@@ -70,10 +73,10 @@
 
 
 def run_in_virtual_time(function: Callable[..., Any], *arguments: Any) -> Any:
-    """Run a coroutine function to its end in virtual time and return its result.
+    """Run a coroutine function in virtual time and return its result.
 
     Raises:
-        NothingDueError: it waits for what never comes.
+        NothingDueError: all tasks wait, but no timer is scheduled.
     """
     import anyio
 
--- a/src/pewtertack/lab/store_fleet/simulated.py
+++ b/src/pewtertack/lab/store_fleet/simulated.py
@@ -14,8 +14,8 @@
 from pewtertack.core.node import NodeCore
 from pewtertack.core.profile import PROFILES, SourceProperties, TimingProfile
 from pewtertack.lab.simulation.codec import ProcessCodec
-from pewtertack.lab.simulation.network import Packet, Place, SimulatedNetwork
-from pewtertack.lab.simulation.process import SimulatedProcess, Surroundings
+from pewtertack.lab.simulation.network import Location, Packet, SimulatedNetwork
+from pewtertack.lab.simulation.process import ProcessEnvironment, SimulatedProcess
 from pewtertack.lab.simulation.virtual_loop import LoopTimer
 from pewtertack.lab.store_fleet.edited_store import EditedStore, zone_of
 from pewtertack.lab.store_fleet.fleet import BYTES_PER_MEGABIT, SEEDS, EventHandler, NodeLogLine
@@ -41,14 +41,14 @@
     def __init__(
         self,
         core: NodeCore,
-        around: Surroundings,
+        environment: ProcessEnvironment,
         tick: float,
         reader: SimulatedReader,
         tasks: anyio.abc.TaskGroup,
         frames: bool,
     ) -> None:
         codec = ProcessCodec(core.identity) if frames else None
-        super().__init__(core.identity, core, around, tick, codec)
+        super().__init__(core.identity, core, environment, tick, codec)
         self._reader = reader
         self._tasks = tasks
         self._reads: dict[anyio.CancelScope, None] = {}
@@ -69,7 +69,7 @@
                 answer = await self._reader.read(effect)
             finally:
                 del self._reads[read]
-            self.take(msgspec.structs.replace(answer, read_id=effect.read_id))
+            self.accept(msgspec.structs.replace(answer, read_id=effect.read_id))
 
 
 class SimulatedStoreFleet:
@@ -98,7 +98,7 @@
         self._source = SimulatedSource(self.store)
         rate = link_mbps * BYTES_PER_MEGABIT
         self._network = SimulatedNetwork(self._timer, self._random, self._deliver, link_rate=rate)
-        self._around = Surroundings(self._timer, self._network, {}, self)
+        self._environment = ProcessEnvironment(self._timer, self._network, {}, self)
         self._processes: dict[str, StoreProcess] = {}
 
     async def start(self, tasks: anyio.abc.TaskGroup) -> None:
@@ -117,13 +117,13 @@
         zone = zone_of(index)
         started_at = EPOCH_MILLISECONDS + round(now * 1000)
         identity = NodeIdentity(name, address, zone, REGION, started_at)
-        self._network.place(address, Place(zone, REGION))
+        self._network.set_location(address, Location(zone, REGION))
         seeds = tuple(_address_of(seed) for seed in self.names[:SEEDS] if seed != name)
         random = Random(f"{self._seed}/{name}/{started_at}")
         core = NodeCore(identity, self._profile, random, now, seeds, self._properties)
         reader = SimulatedReader(self._source, 0, PEER_PORT, lambda: self._timer.now)
         tick = self._profile.tick
-        process = StoreProcess(core, self._around, tick, reader, tasks, self._frames)
+        process = StoreProcess(core, self._environment, tick, reader, tasks, self._frames)
         self._processes[address] = process
         process.start(tick * self._random.random())
 
--- a/tests/lab/simulation/test_mechanisms.py
+++ b/tests/lab/simulation/test_mechanisms.py
@@ -1,6 +1,6 @@
-"""Each mechanism's proof: a promise breaks without it and holds with it.
+"""Proves that each mechanism is needed: a guarantee is violated without it and holds with it.
 
-The schedules stand in ``mechanisms/NAME.json``.
+The schedules are in ``mechanisms/NAME.json``.
 """
 
 import unittest
@@ -19,14 +19,15 @@
 
 @dataclass(frozen=True)
 class Proof:
-    """What breaks at least without a mechanism; ``also_off`` would cover for it.
+    """The guarantees that are violated at least without a mechanism.
 
-    Others may break too, as it happens: a fleet that goes back and forth between
-    two revisions may have either in force when a bound ends.
+    The mechanisms ``also_disabled`` would hide the violation. Other guarantees may be
+    violated by chance: a fleet that alternates between two revisions may have either one
+    in force when a bound ends.
     """
 
-    broken: frozenset[Guarantee]
-    also_off: tuple[str, ...] = ()
+    violated: frozenset[Guarantee]
+    also_disabled: tuple[str, ...] = ()
 
 
 PROOFS = {
@@ -35,16 +36,16 @@
     "pause_detection": Proof(frozenset({Guarantee.NEVER_REVERTED})),
     "validation": Proof(frozenset({Guarantee.ROUTES_COMPLETE, Guarantee.REJECTED_NEVER_IN_FORCE})),
     "monotonic_numbers": Proof(
-        frozenset({Guarantee.REVISIONS_MONOTONIC}), also_off=("quorum_gate",)
+        frozenset({Guarantee.REVISIONS_MONOTONIC}), also_disabled=("quorum_gate",)
     ),
     "lazy_repair": Proof(frozenset({Guarantee.IN_FORCE_EVERYWHERE})),
 }
 
 
-def broken_promises(name: str, switched_off: tuple[str, ...]) -> frozenset[Guarantee]:
+def violated_guarantees(name: str, disabled: tuple[str, ...]) -> frozenset[Guarantee]:
     schedule = decode_schedule((DIRECTORY / f"{name}.json").read_bytes())
     profile = PROFILES[schedule.profile]
-    for mechanism in switched_off:
+    for mechanism in disabled:
         profile = without_mechanism(profile, mechanism)
     result = run_schedule(schedule, profile)
     return frozenset(verdict.promise for verdict in result.violations)
@@ -55,17 +56,17 @@
         names = {field.name for field in msgspec.structs.fields(Mechanisms)}
         self.assertEqual(set(PROOFS), names)
 
-    def test_promises_break_without_the_mechanism(self) -> None:
+    def test_guarantees_are_violated_without_the_mechanism(self) -> None:
         for name, proof in PROOFS.items():
             with self.subTest(name):
-                broken = broken_promises(name, (name, *proof.also_off))
-                self.assertLessEqual(proof.broken, broken)
+                violated = violated_guarantees(name, (name, *proof.also_disabled))
+                self.assertLessEqual(proof.violated, violated)
 
-    def test_promises_hold_with_the_mechanism(self) -> None:
+    def test_guarantees_hold_with_the_mechanism(self) -> None:
         for name, proof in PROOFS.items():
             with self.subTest(name):
-                self.assertEqual(broken_promises(name, ()), frozenset())
-                self.assertEqual(broken_promises(name, proof.also_off), frozenset())
+                self.assertEqual(violated_guarantees(name, ()), frozenset())
+                self.assertEqual(violated_guarantees(name, proof.also_disabled), frozenset())
 
 
 if __name__ == "__main__":
--- a/tests/lab/simulation/test_schedules.py
+++ b/tests/lab/simulation/test_schedules.py
@@ -1,4 +1,4 @@
-"""The coordination core under schedules of faults, in virtual time."""
+"""Runs the coordination core under schedules of faults, in virtual time."""
 
 import unittest
 from pathlib import Path
@@ -10,11 +10,13 @@
 from pewtertack.lab.simulation.schedules import Schedule, ScheduleError, decode_schedule
 from pewtertack.lab.simulation.strategies import schedules
 
-FOUND = Path(__file__).parent / "found"
-"""Shrunk schedules that once broke a promise."""
+FAILED_ONCE = Path(__file__).parent / "found"
+"""Directory of shrunk schedules that violated a guarantee once."""
 
 
 class ScheduleTest(unittest.TestCase):
+    # ``derandomize`` seeds the schedules with the source of this function, name included: any
+    # change to it draws other schedules.
     @settings(
         max_examples=30,
         derandomize=True,
@@ -26,20 +28,20 @@
     def test_promises_hold_under_a_fixed_set_of_schedules(self, schedule: Schedule) -> None:
         self.assertEqual(run_schedule(schedule).violations, ())
 
-    def test_promises_hold_under_schedules_that_once_broke_them(self) -> None:
-        for path in sorted(FOUND.glob("*.json")):
+    def test_guarantees_hold_under_schedules_that_violated_them_once(self) -> None:
+        for path in sorted(FAILED_ONCE.glob("*.json")):
             with self.subTest(path.name):
                 schedule = decode_schedule(path.read_bytes())
                 self.assertEqual(run_schedule(schedule).violations, ())
 
-    def test_a_quiet_run_is_judged_and_repeatable(self) -> None:
+    def test_a_run_without_faults_is_judged_and_repeatable(self) -> None:
         first = run_schedule(Schedule(seed=5, steps=()))
         second = run_schedule(Schedule(seed=5, steps=()))
-        self.assertEqual(first.lines, second.lines)
-        judged = [v for v in first.verdicts if v.judgement is Judgement.HELD]
-        self.assertEqual(len(judged), len(first.verdicts) - 1, "only invalid edits are lacking")
+        self.assertEqual(first.history, second.history)
+        judged = [verdict for verdict in first.verdicts if verdict.judgement is Judgement.HELD]
+        self.assertEqual(len(judged), len(first.verdicts) - 1, "all but the check of invalid edits")
 
-    def test_a_text_that_is_no_schedule_is_refused(self) -> None:
+    def test_an_unknown_step_is_refused(self) -> None:
         with self.assertRaises(ScheduleError):
             decode_schedule(b'{"seed": 1, "steps": [{"do": "dance"}]}')
 
--- a/tests/lab/simulation/test_simulated_parts.py
+++ b/tests/lab/simulation/test_simulated_parts.py
@@ -1,4 +1,4 @@
-"""Virtual time, the simulated network and the simulated platform."""
+"""The simulated network, frames and platform."""
 
 import unittest
 from random import Random
@@ -8,7 +8,7 @@
 from pewtertack.lab.simulation.codec import bytes_on_link
 from pewtertack.lab.simulation.documents import tree_for_edit
 from pewtertack.lab.simulation.fleet import FleetSettings, SimulatedFleet
-from pewtertack.lab.simulation.network import Packet, Place, SimulatedNetwork
+from pewtertack.lab.simulation.network import Location, Packet, SimulatedNetwork
 from pewtertack.lab.simulation.platform import Answer, DocumentService
 from pewtertack.lab.simulation.scheduler import Scheduler
 from pewtertack.wire.messages import DocumentKind, Pull
@@ -21,8 +21,8 @@
         self.scheduler = Scheduler()
         self.arrived: list[Packet] = []
         self.network = SimulatedNetwork(self.scheduler, Random(1), self.arrived.append)
-        self.network.place("a", Place("zone-a", "east"))
-        self.network.place("b", Place("zone-b", "east"))
+        self.network.set_location("a", Location("zone-a", "east"))
+        self.network.set_location("b", Location("zone-b", "east"))
 
     def send(self) -> None:
         self.network.send(Packet("a", "a", 1, "b", MESSAGE))
@@ -34,22 +34,22 @@
         self.scheduler.run_until(0.002)
         self.assertEqual(len(self.arrived), 1)
 
-    def test_a_cut_loses_one_way_only_and_also_what_is_on_its_way(self) -> None:
+    def test_a_cut_drops_one_direction_only_and_also_messages_in_transit(self) -> None:
         self.send()
         self.network.cut("zone-a", "zone-b")
         self.network.send(Packet("b", "b", 1, "a", MESSAGE))
         self.scheduler.run_until(1.0)
         self.assertEqual([packet.sender for packet in self.arrived], ["b"])
 
-    def test_weather_loses_and_repeats(self) -> None:
-        self.network.weather.duplication = 1.0
+    def test_impairments_lose_and_duplicate_messages(self) -> None:
+        self.network.impairments.duplication = 1.0
         self.send()
-        self.network.weather.loss = 1.0
+        self.network.impairments.loss = 1.0
         self.send()
         self.scheduler.run_until(1.0)
         self.assertEqual(len(self.arrived), 2)
 
-    def test_traffic_is_counted_where_it_is_sent_and_where_it_arrives(self) -> None:
+    def test_traffic_is_counted_at_sender_and_receiver(self) -> None:
         frame = b"x" * 100
         self.network.send(Packet("a", "a", 1, "b", MESSAGE, frame))
         self.scheduler.run_until(1.0)
@@ -85,42 +85,42 @@
     def read(self, after: int) -> None:
         self.service.read(after, 5.0, self.answers.append)
 
-    def pass_time(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         self.scheduler.run_until(self.scheduler.now + seconds)
 
     def test_a_read_waits_for_the_next_version(self) -> None:
         self.read(after=1)
-        self.pass_time(1.0)
+        self.advance(1.0)
         self.assertEqual(self.answers, [])
         self.service.put({"a": 2})
-        self.pass_time(0.1)
+        self.advance(0.1)
         expected = DocumentRead(DocumentKind.CONFIGURATION, 2, {"a": 2})
         self.assertEqual(self.answers, [expected])
 
-    def test_a_read_ends_unchanged_after_its_wait(self) -> None:
+    def test_a_read_reports_no_change_after_its_wait(self) -> None:
         self.read(after=1)
-        self.pass_time(6.0)
+        self.advance(6.0)
         self.assertEqual(self.answers, [DocumentUnchanged(DocumentKind.CONFIGURATION)])
 
-    def test_an_outage_breaks_open_reads(self) -> None:
+    def test_an_outage_fails_pending_reads(self) -> None:
         self.read(after=1)
-        self.pass_time(1.0)
+        self.advance(1.0)
         self.service.fail()
-        self.pass_time(1.0)
+        self.advance(1.0)
         self.assertIsInstance(self.answers[0], DocumentReadFailed)
 
-    def test_a_stale_source_answers_with_an_older_version(self) -> None:
+    def test_a_stale_source_returns_an_older_version(self) -> None:
         self.service.put({"a": 2})
-        self.service.turn_stale(1)
+        self.service.hide_versions_above(1)
         self.read(after=2)
-        self.pass_time(1.0)
+        self.advance(1.0)
         expected = DocumentRead(DocumentKind.CONFIGURATION, 1, {"a": 1})
         self.assertEqual(self.answers, [expected])
 
     def test_too_many_readers_are_refused_and_counted(self) -> None:
         for _ in range(3):
             self.read(after=1)
-        self.pass_time(1.0)
+        self.advance(1.0)
         self.assertEqual(self.service.counts.refused, 1)
         self.assertEqual(self.service.counts.peak_concurrent, 3)
 
--- a/tests/lab/simulation/test_source_readers.py
+++ b/tests/lab/simulation/test_source_readers.py
@@ -1,4 +1,4 @@
-"""How many nodes read the source at once while fleets start and herds are replaced."""
+"""Number of concurrent reads of the source while many nodes start or are replaced."""
 
 import unittest
 
@@ -9,7 +9,7 @@
 
 
 class SourceReadersTest(unittest.TestCase):
-    def test_few_read_while_a_large_fleet_starts_at_once_and_half_of_it_is_replaced(self) -> None:
+    def test_few_nodes_read_while_a_large_fleet_starts_and_half_of_it_is_replaced(self) -> None:
         settings = FleetSettings(nodes=150, zones=5, regions=2)
         fleet = SimulatedFleet(settings, tree_for_edit(1))
         fleet.start_all()
--- a/tests/lab/simulation/test_total_loss.py
+++ b/tests/lab/simulation/test_total_loss.py
@@ -1,4 +1,4 @@
-"""A fleet that lost every node, and one whose regions lose each other."""
+"""A fleet whose nodes are all replaced, and fleets whose regions or zones are cut off."""
 
 import unittest
 
@@ -10,11 +10,11 @@
 
 
 def violated(fleet: SimulatedFleet) -> list[Guarantee]:
-    verdicts = check_history(fleet.lines, SIMULATION_BOUNDS, CheckGroup.CONFIGURATION)
+    verdicts = check_history(fleet.history, SIMULATION_BOUNDS, CheckGroup.CONFIGURATION)
     return [verdict.promise for verdict in verdicts if verdict.judgement is Judgement.VIOLATED]
 
 
-def serving(fleet: SimulatedFleet) -> int:
+def serving_count(fleet: SimulatedFleet) -> int:
     return sum(process.serving for process in fleet.processes.values())
 
 
@@ -31,27 +31,27 @@
         self.fleet.run(1.0)
         self.fleet.start(self.fleet.names)
 
-    def test_a_new_fleet_serves_what_the_source_says(self) -> None:
+    def test_a_new_fleet_serves_the_revision_of_the_source(self) -> None:
         self.replace_all()
         self.fleet.run(10.0)
-        self.assertEqual(serving(self.fleet), 9)
+        self.assertEqual(serving_count(self.fleet), 9)
         self.fleet.run(60.0)
         self.fleet.heal()
         self.assertEqual(violated(self.fleet), [])
 
-    def test_a_new_fleet_refuses_until_the_source_answers(self) -> None:
+    def test_a_new_fleet_does_not_serve_until_the_source_responds(self) -> None:
         self.fleet.record_source_fault("outage")
         self.fleet.source.fail()
         self.replace_all()
         self.fleet.run(30.0)
-        self.assertEqual(serving(self.fleet), 0)
+        self.assertEqual(serving_count(self.fleet), 0)
         self.fleet.source.recover()
         self.fleet.record_source_fault("none")
         self.fleet.run(20.0)
-        self.assertEqual(serving(self.fleet), 9)
+        self.assertEqual(serving_count(self.fleet), 9)
 
-    def test_a_stale_source_takes_a_new_fleet_back_which_is_the_known_limit(self) -> None:
-        self.fleet.source.turn_stale(1)
+    def test_a_stale_source_reverts_a_new_fleet_which_is_a_known_limit(self) -> None:
+        self.fleet.source.hide_versions_above(1)
         self.replace_all()
         self.fleet.run(10.0)
         self.fleet.heal()
@@ -59,7 +59,7 @@
 
 
 class RegionCutTest(unittest.TestCase):
-    def test_the_smaller_region_serves_on_and_follows_after_the_heal(self) -> None:
+    def test_the_smaller_region_keeps_serving_and_catches_up_after_the_heal(self) -> None:
         fleet = SimulatedFleet(FleetSettings(nodes=15, zones=5, regions=2), tree_for_edit(1))
         fleet.start_all()
         fleet.run(6.0)
@@ -71,7 +71,7 @@
         for number in range(2, 6):
             fleet.edit(tree_for_edit(number), valid=True)
             fleet.run(60.0)
-        self.assertEqual(serving(fleet), 15)
+        self.assertEqual(serving_count(fleet), 15)
         self.assertEqual(self.in_force(fleet, near), {5})
         self.assertEqual(self.in_force(fleet, far), {1})
         fleet.heal()
@@ -81,7 +81,7 @@
         fleet.heal()
         self.assertEqual(violated(fleet), [])
 
-    def test_a_cut_off_zone_whose_nodes_are_all_replaced_starts_no_fleet_of_its_own(self) -> None:
+    def test_a_cut_off_zone_whose_nodes_are_all_replaced_does_not_form_a_fleet(self) -> None:
         fleet = SimulatedFleet(FleetSettings(nodes=9, zones=3), tree_for_edit(1))
         fleet.start_all()
         fleet.run(6.0)
@@ -90,16 +90,16 @@
         for other in ("zone-1", "zone-2"):
             fleet.cut("zone-0", other)
             fleet.cut(other, "zone-0")
-        fleet.source.turn_stale(1)
+        fleet.source.hide_versions_above(1)
         zone = fleet.names[::3]
         fleet.kill(zone)
         fleet.run(0.5)
         fleet.start(zone)
         fleet.run(30.0)
-        self.assertEqual(serving(fleet), 6)
+        self.assertEqual(serving_count(fleet), 6)
         fleet.heal()
         fleet.run(SIMULATION_BOUNDS.convergence)
-        self.assertEqual(serving(fleet), 9)
+        self.assertEqual(serving_count(fleet), 9)
         fleet.heal()
         self.assertEqual(violated(fleet), [])
 
