--- a/src/pewtertack/cli/policies.py
+++ b/src/pewtertack/cli/policies.py
@@ -13,7 +13,7 @@
     Path | None,
     typer.Option("--settings", help="Settings file of a node; without it, the defaults."),
 ]
-HEADERS = ("DECISION", "POLICY", "IN USE", "DESCRIPTION", "PARAMETERS")
+HEADERS = ("DECISION", "WAY", "IN FORCE", "WHAT IT DOES", "PARAMETERS")
 
 
 def policies(settings: SettingsOption = None) -> None:
--- a/src/pewtertack/routing/admission.py
+++ b/src/pewtertack/routing/admission.py
@@ -146,7 +146,7 @@
             self._arrivals,
         )
         if not self._may_be_served(ticket, now):
-            message = "no slot is expected to be free in time"
+            message = "no slot comes free in time"
             raise DeadlineUnmeetableError(message, self._retry_after(now))
         if len(self._queue) >= QUEUE_PER_SLOT * self.slots:
             self._evict_for(ticket, now)
@@ -165,9 +165,9 @@
         """
         last = self._queue[-1]
         if last.sort_key < ticket.sort_key:
-            raise QueueFullError("too many requests are queued", self._retry_after(now))
+            raise QueueFullError("too many requests wait", self._retry_after(now))
         self._queue.pop()
-        last.refusal = QueueFullError("too many requests are queued", self._retry_after(now))
+        last.refusal = QueueFullError("too many requests wait", self._retry_after(now))
         last.wake()
 
     def _may_be_served(self, ticket: AdmissionTicket, now: float) -> bool:
@@ -291,7 +291,7 @@
 
     def _refuse_late(self, ticket: AdmissionTicket, now: float) -> None:
         self._queue.remove(ticket)
-        message = "no slot became free in time"
+        message = "no slot came free in time"
         ticket.refusal = DeadlineUnmeetableError(message, self._retry_after(now))
         ticket.wake()
 
--- a/src/pewtertack/routing/deadlines.py
+++ b/src/pewtertack/routing/deadlines.py
@@ -30,7 +30,7 @@
 def _milliseconds(header: str) -> int:
     text = header.strip()
     if not (text.isascii() and text.isdigit() and len(text) <= MAXIMUM_DIGITS) or int(text) == 0:
-        raise InvalidRequestError(f"{DEADLINE_HEADER} must be a whole number of milliseconds > 0")
+        raise InvalidRequestError(f"{DEADLINE_HEADER} must be milliseconds above zero")
     return int(text)
 
 
--- a/src/pewtertack/routing/executions.py
+++ b/src/pewtertack/routing/executions.py
@@ -184,14 +184,14 @@
     @policy(
         PolicyKind.BEGUN_RUNS,
         SlotOrderPolicy.FINISHABLE,
-        "While calls are refused, requests whose executions make them wait behind all others.",
+        "While calls are turned away, requests whose runs make such calls wait behind all others.",
         Parameter(
             "bad_share",
             MIN_DEFERRED_SHARE,
-            "share of executions",
+            "share of runs",
             "assumed; see ``MIN_DEFERRED_SHARE``",
         ),
-        Parameter("picture", RESULT_WINDOW_SECONDS, "seconds", "equal precedence again after it"),
+        Parameter("picture", RESULT_WINDOW_SECONDS, "seconds", "so soon all are equal again"),
         Parameter("ends_least", MIN_RESULTS, "calls", "assumed"),
     )
     def likely_without_result(self, route: str, now: float) -> bool:
@@ -202,7 +202,7 @@
 @policy(
     PolicyKind.BEGUN_RUNS,
     SlotOrderPolicy.ALL,
-    "Requests take their slots whatever the results of the calls that their executions make.",
+    "Requests take their slots whatever becomes of the calls that their runs make.",
 )
 def never_without_result(route: str, now: float) -> bool:
     """Defer no request."""
--- a/src/pewtertack/routing/margins.py
+++ b/src/pewtertack/routing/margins.py
@@ -18,7 +18,7 @@
 @policy(
     PolicyKind.MARGIN,
     WaitMarginPolicy.SPREAD,
-    "a request waits while its answer is seldom late, however much the answer times vary",
+    "a request waits while its answer is seldom late, however much answers' times differ",
 )
 def reserve_spread(arrived_at: float, latest_start: float, spread: float) -> float:
     """Return the latest start, given the one for an answer of mean time, less the spread."""
@@ -28,9 +28,9 @@
 @policy(
     PolicyKind.MARGIN,
     WaitMarginPolicy.HALF,
-    "a request waits for half the time that a mean answer leaves, or longer where it is safe",
+    "a request waits for half the time that a usual answer leaves, or longer where it is safe",
     Parameter(
-        "kept_most", MAX_RESERVED_SHARE, "", "in virtual time a third to two thirds are equal"
+        "kept_most", MAX_RESERVED_SHARE, "", "in virtual time a third to two thirds are alike"
     ),
 )
 def reserve_half(arrived_at: float, latest_start: float, spread: float) -> float:
--- a/src/pewtertack/routing/origins.py
+++ b/src/pewtertack/routing/origins.py
@@ -80,7 +80,7 @@
 @policy(
     PolicyKind.CALLS_WITHIN,
     NestedCallPolicy.ALIKE,
-    "Nested calls are treated as callers' requests are.",
+    "What back ends call while they run other requests is treated as callers' requests are.",
 )
 def no_origin_detection() -> None:
     """Detect no origins: nothing is advertised, and no request is treated as a nested call."""
@@ -89,7 +89,7 @@
 @policy(
     PolicyKind.CALLS_WITHIN,
     NestedCallPolicy.FIRST,
-    "Nested calls precede other requests of the rank of the executions that make them, and are "
+    "Calls within go before other requests of the rank of the runs that make them, and are "
     "refused only when their deadline cannot be met.",
     Parameter("expected_least", MIN_EXPECTED, "requests", "chance: 1 in 22,000 by Poisson"),
     Parameter(
--- a/src/pewtertack/routing/patience.py
+++ b/src/pewtertack/routing/patience.py
@@ -32,7 +32,7 @@
 @policy(
     PolicyKind.RETURNING,
     RetryLaterPolicy.FOUR,
-    "callers with four times their objective left are to retry; others wait and may be late",
+    "who has four times its objective left is told to come back; others wait and may be late",
     Parameter("room", RETRY_TIME_FACTOR, "objectives", "assumed"),
 )
 def retry_time_factor_four() -> float:
@@ -43,7 +43,7 @@
 @policy(
     PolicyKind.RETURNING,
     RetryLaterPolicy.TWO,
-    "callers with twice their objective left are to retry; others wait and may be late",
+    "who has twice its objective left is told to come back; others wait and may be late",
     Parameter(
         "room", MIN_RETRY_TIME_FACTOR, "objectives", "an answer in time after a pause as long"
     ),
--- a/src/pewtertack/routing/service.py
+++ b/src/pewtertack/routing/service.py
@@ -137,11 +137,11 @@
         self._check_backends(now)
         wait = self._expected_wait(ticket, now)
         if self.queue.length_of_route(ticket.route.name) >= ticket.route.queue_limit:
-            raise QueueFullError("too many requests are queued", self.retry_after(wait))
+            raise QueueFullError("too many requests wait", self.retry_after(wait))
         ticket.expires_at = self._latest_start(ticket, now)
         if now + wait >= ticket.expires_at:
             raise DeadlineUnmeetableError(
-                "no back end is expected to be free before the deadline", self.retry_after(wait)
+                "no back end comes free before the deadline", self.retry_after(wait)
             )
         self.queue.push(ticket, now)
         self.pump(now)
@@ -212,7 +212,7 @@
     def _refuse(self, ticket: Ticket, now: float) -> None:
         wait = self._expected_wait(ticket, now)
         ticket.refusal = DeadlineUnmeetableError(
-            "no back end became free in time", self.retry_after(wait)
+            "no back end came free in time", self.retry_after(wait)
         )
         ticket.wake()
 
