--- a/src/pewtertack/routing/admission.py
+++ b/src/pewtertack/routing/admission.py
@@ -41,15 +41,15 @@
 QUEUE_PER_SLOT = 20
 """Requests that may be queued for each slot."""
 STALL_FACTOR = 3.0
-"""A back end is stalled after this many mean times without any request starting or ending.
-Assumed."""
+"""A back end is stalled after this many mean times without any request starting or ending."""
 RECHECK_SECONDS = 0.05
 """Interval at which the prospects of a late request are checked: an eighth of an objective of
-0.4 s. The users' price list charges nothing for waits up to that."""
+0.4 s. A wait of up to an eighth of the objective costs users nothing."""
 LATE_CHECK_DELAY_SECONDS = 0.001
 """Seconds after its latest timely start at which a queued request is checked as a late one."""
 MINIMUM_RETRY_AFTER = 0.05
 MAXIMUM_RETRY_AFTER = 10.0
+"""Bounds, in seconds, of the time after which a refused caller should retry."""
 OVERLOAD_END_SECONDS = 1.0
 """An overload is over after this long without a refusal."""
 
--- a/src/pewtertack/routing/admission_ticket.py
+++ b/src/pewtertack/routing/admission_ticket.py
@@ -14,7 +14,7 @@
 
 
 def _wake_nobody() -> None:
-    """Wake nobody."""
+    """Do nothing: the default of ``AdmissionTicket.wake``."""
 
 
 class AdmissionTicket(msgspec.Struct, eq=False):
@@ -57,7 +57,10 @@
         return ASSUMED_TIME_SHARE * max(0.0, self.objective - self.submitted_at)
 
     def take_refusal(self) -> NotRunError:
-        """Return the refusal and drop it: once raised, its traceback refers to the waiting task."""
+        """Return the refusal and clear it: once raised, its traceback refers to the waiting task.
+
+        A ticket that kept it would keep the task's frames alive.
+        """
         assert self.refusal is not None
         try:
             return self.refusal
--- a/src/pewtertack/routing/arrivals.py
+++ b/src/pewtertack/routing/arrivals.py
@@ -5,8 +5,8 @@
 import math
 
 DECAY_SECONDS = 1.0
-"""Time constant with which arrivals lose weight. In virtual time half of it gives the same
-result within noise."""
+"""Time constant with which arrivals lose weight. In simulations half of it gives the same result
+within noise."""
 
 CONFIDENCE_DEVIATIONS = 2.0
 """Standard deviations that the lower bound subtracts: 1 in 40 counts is further off by chance."""
--- a/src/pewtertack/routing/backend.py
+++ b/src/pewtertack/routing/backend.py
@@ -19,16 +19,19 @@
 STALL_SECONDS = 1.0
 """A back end is avoided when requests wait there and nothing has been received for this long."""
 GATEWAY_STALL_SECONDS = 0.15
-"""Lower bound of the same for a back end with a gateway, which reports its load with every
-answer."""
+"""Shortest time without contact after which a back end with a gateway is avoided. It is shorter
+than ``STALL_SECONDS``, since a gateway reports its load with every answer."""
 GATEWAY_STALL_FACTOR = 2.5
-"""The same as a multiple of the time that the back end's answers take."""
+"""Time without contact after which a back end with a gateway is avoided, as a multiple of the time
+that its answers take."""
 STALL_MEMORY_SECONDS = 3.0
 """Seconds for which a stall counts after the last request there has been given up."""
 STALL_PENALTY = 8.0
+"""Factor by which the cost of choosing a stalled back end is multiplied."""
 PROBE_GRACE_SECONDS = 0.5
 """A request tries an unreachable gateway when a probe has been overdue for this long."""
 SLOWNESS_WEIGHT = 0.1
+"""Weight of the newest answer in the estimate of a back end's slowness."""
 SLOWNESS_LIMIT = 8.0
 """Largest factor by which one answer counts as slower or faster than the mean."""
 SLOWNESS_NOISE = 1.25
@@ -89,8 +92,8 @@
     started_at: int = 0
     """Unix milliseconds of its start, 0 while unknown; each start is another incarnation."""
     successor: Backend | None = None
-    """The back end that was listed later at the same address. This one has ended then, and its
-    entry is stale: for some seconds after a loss of power half of the list may be such entries."""
+    """The back end that was listed later at the same address. This one no longer runs then, and
+    its entry is stale. For some seconds after a power failure half of the list may be stale."""
     link_free_at: float = 0.0
     """When its gateway's link will have sent the queue last reported and the answers requested
     since."""
--- a/src/pewtertack/routing/choice.py
+++ b/src/pewtertack/routing/choice.py
@@ -12,18 +12,18 @@
 SATURATED_OCCUPANCY = 1.0
 """Estimated occupancy from which a back end of the own zone is no longer preferred."""
 COMPARE_ALL_UP_TO = 8
-"""Up to this number all back ends are compared; 13 machines in 4 zones need it."""
+"""Up to this number all back ends are compared; a fleet of 13 machines in 4 zones needs it."""
 SAMPLE_SIZE = 3
-"""Number of back ends compared where there are more. In virtual time (18 senders, 11 gateways of
-3 slots, half loaded) a sample of two or three reduces the mean wait from 26 ms to 7 to 10 ms."""
+"""Number of back ends compared where there are more. With 18 senders and 11 half-loaded gateways of
+3 slots, a sample of two or three reduces the simulated mean wait from 26 ms to 7 to 10 ms."""
 MAX_DRAWS = 12
-"""Number of draws for a sample; back ends that are not usable are skipped."""
+"""Maximum number of draws for a sample; back ends that are not usable are skipped."""
 CROWDING_FACTOR = 1.5
 """Relative increase of the expected answer time at a back end whose slots are all taken. Without
 it all senders fill the fastest back end first and collide there, since reports are outdated by the
-time that others read them. In virtual time (8 senders, 7 gateways, seeds 1 and 2) it reduces the
-mean wait from 10.6 and 15.2 ms to 9.7 and 14.2 at half load, from 79 and 85 to 79 and 80 at
-0.95."""
+time that others read them. With 8 senders and 7 gateways it reduces the simulated mean wait, for
+two seeds, from 10.6 and 15.2 ms to 9.7 and 14.2 at half load, and from 79 and 85 ms to 79 and 80
+at a load of 0.95."""
 NONE_EXCLUDED: frozenset[str] = frozenset()
 
 
--- a/src/pewtertack/routing/cold.py
+++ b/src/pewtertack/routing/cold.py
@@ -21,8 +21,8 @@
 QUERY_RETRY_SECONDS = 0.25
 """Seconds between two queries while the state is unknown."""
 WARM_CHECK_SECONDS = 0.5
-"""Seconds between two queries of a warm back end that gets more than a cold one bears. One of
-7 slots that take 0.25 s each is given at most 14 requests meanwhile."""
+"""Seconds between two queries of a warm back end that gets more than a cold one bears. A back end
+of 7 slots with requests of 0.25 s is given at most 14 requests between two queries."""
 WARM_CHECK_MIN_SHARE = 0.5
 """A back end that gets less than this share of what a cold one bears is not queried at all."""
 
--- a/src/pewtertack/routing/executions.py
+++ b/src/pewtertack/routing/executions.py
@@ -5,10 +5,10 @@
 execution whose call is refused fails after it has occupied its slot without result. While calls are
 refused, requests whose executions make them therefore get lower precedence
 (``likely_without_result``). They are not refused: a slot that no other request wants is theirs,
-and some executions make no call. With six slots in virtual time, 30 to 90 requests a second of
-0.2 s, 30 to 100 in 100 calls of one route failing, and three seeds, this serves 8% more than equal
-precedence; refusing the share that would fail served 2% more in some cases and 10% less in
-others, where slots then were idle.
+and some executions make no call. In simulations with six slots, 30 to 90 requests a second of 0.2 s
+and 30% to 100% of the calls of one route failing, this serves 8% more requests than equal
+precedence. Refusing the share that would fail serves 2% more in some cases and 10% less in others,
+where slots are idle then.
 
 Nothing identifies the execution that a call belongs to. A call is divided among the routes in
 flight in proportion to the calls that their executions are known to make; a route that makes no
@@ -39,11 +39,12 @@
 MAX_RESULTS = 64
 """Results kept of each called route."""
 MIN_DEFERRED_SHARE = 0.1
-"""Requests are deferred from this share of failing executions on. A greater one served less in
-the comparison above (0.25: 7% more than equal precedence)."""
+"""Requests are deferred from this share of failing executions on. With 0.25 the simulations above
+serve 7% more than equal precedence instead of 8%."""
 PRIOR_CALLS = 0.1
 """Calls that a route is assumed to have made before any is known. With 1, initial errors of the
-division persist: after 30 s a route that makes none had 0.45 an execution, not 0.19."""
+division persist: after 30 s a route that makes no calls is credited with 0.45 per execution instead
+of 0.19."""
 MAX_ROUTES = 256
 """Number of routes with executions, and of called routes of each, of which state is kept."""
 
@@ -205,5 +206,5 @@
     "Requests take their slots whatever becomes of the calls that their runs make.",
 )
 def never_without_result(route: str, now: float) -> bool:
-    """Defer no request."""
+    """Return false, so that no request is deferred."""
     return False
--- a/src/pewtertack/routing/hanging.py
+++ b/src/pewtertack/routing/hanging.py
@@ -11,7 +11,7 @@
 to hang.
 
 Time that lies more than a mean time after the newest answer counts in part only: a back end that
-answers nothing at all is stalled, slow or gone, which is detected otherwise, and its requests
+answers nothing at all is stalled, slow or gone, which is detected by other means, and its requests
 would fare no better elsewhere if its whole service is slow.
 """
 
@@ -25,21 +25,21 @@
 
 ABANDON_LIKELIHOOD = 0.8
 """Likelihood of hanging from which a request is abandoned; each one abandoned needlessly costs a
-second attempt out of the operator's budget. Of answers with a lognormal spread of 0.8, 11 a
-second, of which 45 in 100 hang for 6.5 s, 225 were abandoned after 3.8 mean times (median) and 6
-needlessly; with 0.9 after 4.8 and 3. At a sound back end 5 of 3,520 were (tests' generator, 8
-seeds)."""
+second attempt out of the operator's budget. Simulated with 11 requests a second, lognormal answer
+times with a spread of 0.8, and 45% of the requests hanging for 6.5 s: 225 are abandoned after 3.8
+mean times (median), and 6 needlessly; with 0.9 after 4.8 mean times, and 3 needlessly. At a sound
+back end 5 of 3,520 are abandoned."""
 PRIOR_HANGING_SHARE = 0.001
-"""Assumed share of hanging requests at an unknown back end: with 0.005, 13 of 3,520 were
-abandoned at a sound one, and hanging was detected no sooner."""
+"""Assumed share of hanging requests at an unknown back end. With 0.005, 13 of 3,520 requests to a
+sound back end are abandoned, and hanging is detected no sooner."""
 PRIOR_WEIGHT = 10.0
 """Number of requests that the assumed share counts as."""
 MEMORY_REQUESTS = 25.0
 """Number of requests after which an observation has lost two thirds of its weight: 2.3 s at 11 a
-second. With 40 the median was 3.9 mean times."""
+second. With 40, requests are abandoned after 3.9 mean times (median) instead of 3.8."""
 FIRST_CHECK_FACTOR = 2.0
-"""Multiple of the route's mean time at which a request is checked first: nine in ten answers have
-come before, and a check costs processor time."""
+"""Multiple of the route's mean time at which a request is checked first: by then nine in ten
+answers have been received, and a check costs processor time."""
 RECHECK_FACTOR = 0.25
 """Multiple of the mean time between two checks of one request."""
 MIN_CHECK_SECONDS = 0.02
@@ -51,16 +51,16 @@
 MAX_KEPT_ANSWERS = 600
 """Number of answers in the histogram at which all weights are halved."""
 SILENCE_WEIGHT = 0.25
-"""Weight of time that lies more than a mean time after the newest answer. Where nothing was
-answered for 10 mean times and then everything, none was abandoned; with 0.5 up to 16 were, with
-1.0 up to 22. At a back end that hangs on all requests they are abandoned after 9 to 18 mean times
-(tests' generator, 8 seeds)."""
+"""Weight of time that lies more than a mean time after the newest answer. At a simulated back end
+that answers nothing for 10 mean times and then everything, no request is abandoned; with 0.5 up to
+16 are, with 1.0 up to 22. At one that hangs on all requests they are abandoned after 9 to 18 mean
+times."""
 MIN_ANSWERS = 30
 """Answers before which nothing is judged; given ``PRIOR_ANSWERS``, fewer make no difference."""
 PRIOR_ANSWERS = 40.0
 """Number of answers that the assumed exponential tail, with the observed mean and deviation, counts
-as: it stands in for long times that few answers have shown. With 20, 46 of 3,520 were abandoned
-where 3 in 100 answers take seven times as long, with 40, 27."""
+as. It represents long times, which few answers have shown. Where 3% of answers take seven times as
+long, 27 of 3,520 requests are abandoned; with 20, 46 are."""
 ESTIMATION_ROUNDS = 4
 """Iterations in which the share and the likelihoods are estimated from one another."""
 MIN_ADVERTISED_SHARE = 0.1
--- a/src/pewtertack/routing/health.py
+++ b/src/pewtertack/routing/health.py
@@ -7,7 +7,9 @@
 from __future__ import annotations
 
 MAXIMUM_DOUBLINGS = 4
+"""Number of times that the ejection time doubles, once for each repeated ejection."""
 MAXIMUM_PROBE_DOUBLINGS = 2
+"""Number of times that the pause before the next probe doubles."""
 FORGET_AFTER_EJECTION_TIMES = 10
 """Ejections are forgotten after this many ejection times without a failure."""
 
--- a/src/pewtertack/routing/limit.py
+++ b/src/pewtertack/routing/limit.py
@@ -3,7 +3,7 @@
 Additive increase, multiplicative decrease (AIMD), as in TCP's congestion
 control: many proxies share a back end's slots without communicating with each other.
 The signals are the back end's own: it sheds, or reports more in flight than it
-has slots. Latency is no signal here, since a back end's answers mix look-ups of
+has slots. Latency is not used as a signal, since a back end's answers mix lookups of
 milliseconds with uploads of minutes.
 """
 
@@ -22,7 +22,7 @@
 INITIAL_SERVICE_GROWTH = 1.0
 """Growth per answer with free slots until the first shed request."""
 SERVICE_GROWTH = 0.2
-"""The same after the first shed request."""
+"""Growth per answer with free slots after the first shed request."""
 FULL_SERVICE_GROWTH = 0.02
 """Growth per answer with all slots taken, while nothing is shed."""
 FULL_SERVICE_DECREASE = 0.02
--- a/src/pewtertack/routing/link.py
+++ b/src/pewtertack/routing/link.py
@@ -28,8 +28,8 @@
 """Share of the link's rate that long bodies and other recorded traffic may use: the rest is for
 heads, acknowledgements and messages between nodes, which are not counted."""
 SEND_AHEAD_BYTES = PART_BYTES
-"""Bytes that may still be in the link's queue when the next part is sent. Without them the link is
-idle until a process with half a core is scheduled."""
+"""Bytes that may still be in the link's queue when the next part is sent. Without them the link
+would be idle until the process, which may have only half a core, is scheduled."""
 PROBE_INTERVAL_SECONDS = 1.0
 """If the answers of a route are too long for any deadline, one request per interval is let through,
 since only answers show how long they are."""
@@ -37,8 +37,8 @@
 """A body of which nothing was sent for this long is limited by its reader, not by the link: eight
 parts pass a link of 2.5 Mbit/s in that time."""
 OVERDUE_SECONDS = 0.5
-"""A started body that would end this much after it expires is sent for nothing and lets all others
-go first. A stopping node waits as long for last answers."""
+"""A started body whose end would be sent this much later than it expires has lower precedence than
+all others, as it is sent for nothing. A stopping node waits as long for last answers."""
 LAST_RANK: Rank = (1 << 62, 0)
 """A rank behind all others."""
 BITS_PER_BYTE = 8
@@ -84,7 +84,8 @@
         self._reserved_bytes: dict[Rank, int] = {}
         """Bytes of expected long answers, by rank; integers, so that sums are exact."""
         self._probed_at: dict[str, float] = {}
-        """When a request of a route of too long answers was last let through, or first refused."""
+        """When a request of a route whose answers are too long was last let through or first
+        refused."""
         self._mean_sizes: dict[str, float] = {}
         """Mean length in bytes of the long answers of each route; none for routes of short ones."""
 
--- a/src/pewtertack/routing/link_words.py
+++ b/src/pewtertack/routing/link_words.py
@@ -13,7 +13,7 @@
 
 MILLISECONDS_PER_SECOND = 1000
 MAX_REPORTED_MS = 10_000
-"""Longer times are reported as this: either is far too long."""
+"""Longer times are reported as this value, which is already far too long to wait for."""
 SEPARATOR = "/"
 
 
--- a/src/pewtertack/routing/long_body.py
+++ b/src/pewtertack/routing/long_body.py
@@ -10,8 +10,8 @@
 """A body's position in the queue; the smallest key goes first."""
 
 RECEIVER_STOPPING: Rank = (-1, 0)
-"""Rank of answers for a stopping node, before all others: what is sent after its end is lost,
-while all others are only delayed."""
+"""Rank of answers for a stopping node. They precede all others, which are only delayed, while an
+answer that is sent after the receiver has stopped is lost."""
 FINISHING_SOON: Rank = (-1, 1)
 """Rank of a started answer that has little time left, before answers that are only urgent."""
 
@@ -72,9 +72,9 @@
     def due_time(self, end: float) -> float:
         """Return the time by which to schedule it if it can be sent alone by ``end``.
 
-        A late body lets bodies go first that can be in time. But on a saturated link there are
-        always new ones that can be: half of the time that a late body still has is left to them,
-        the other half is for the bodies queued by then.
+        A late body has lower precedence than bodies that can be in time. But on a saturated link
+        new ones that can be in time keep arriving, so they precede it only in the first half of the
+        time that it still has; in the second half it precedes those that are due later.
         """
         if end <= self.target_time:
             return self.target_time
--- a/src/pewtertack/routing/margins.py
+++ b/src/pewtertack/routing/margins.py
@@ -11,8 +11,8 @@
 from pewtertack.routing.policies import Parameter, PolicyKind, WaitMarginPolicy, policy
 
 MAX_RESERVED_SHARE = 0.5
-"""Largest reserved share of the time that a request may wait. In virtual time a third and two
-thirds earn the same within noise; no reserve earns less."""
+"""Largest reserved share of the time that a request may wait. In simulations a third and two thirds
+give the same result within noise; the result is worse without a reserve."""
 
 
 @policy(
@@ -21,7 +21,13 @@
     "a request waits while its answer is seldom late, however much answers' times differ",
 )
 def reserve_spread(arrived_at: float, latest_start: float, spread: float) -> float:
-    """Return the latest start, given the one for an answer of mean time, less the spread."""
+    """Return the latest start with the whole spread reserved.
+
+    Args:
+        arrived_at: when the request arrived.
+        latest_start: latest start if the answer takes the mean time.
+        spread: spread of the route's answer times.
+    """
     return latest_start - spread
 
 
@@ -34,7 +40,10 @@
     ),
 )
 def reserve_half(arrived_at: float, latest_start: float, spread: float) -> float:
-    """Return the same, but reserve at most half of the time since the request's arrival."""
+    """Return the latest start with at most half of the wait time reserved; see ``reserve_spread``.
+
+    The wait time lasts from the arrival to ``latest_start``.
+    """
     return latest_start - min(spread, MAX_RESERVED_SHARE * max(0.0, latest_start - arrived_at))
 
 
--- a/src/pewtertack/routing/origins.py
+++ b/src/pewtertack/routing/origins.py
@@ -105,7 +105,8 @@
     def __init__(self) -> None:
         self._shares: dict[str, float] = {}
         self._has_absent_service = True
-        """Whether some service has no machine near the gateway, so that nothing is expected."""
+        """Whether some service has no machine near the gateway, so that it cannot be ruled out that
+        back ends make the requests."""
         self._last_contact_at: dict[str, float] = {}
         self._routes: dict[str, _RouteCounts] = {}
 
@@ -176,6 +177,8 @@
 
 
 class _Belief:
+    """A sender's belief of who makes one route's requests."""
+
     __slots__ = ("share", "advertised_at")
 
     def __init__(self, share: float, now: float) -> None:
--- a/src/pewtertack/routing/outcomes.py
+++ b/src/pewtertack/routing/outcomes.py
@@ -18,7 +18,7 @@
 RETRIES_SPENT = "spent"
 """Value of ``x-retries``: the node nearest to the failure has made all retries."""
 DEFAULT_RETRY_AFTER = 1.0
-
+"""Seconds after which a caller may retry where no other time is known."""
 
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Callers may take these to mean that the request has not run and never will."""
@@ -221,7 +221,7 @@
 
 
 class BackendLeftError(BackendGoneError):
-    """The same for good: this incarnation accepts no more work, whatever a list says."""
+    """The back end has left for good: this incarnation accepts no more work, even if listed."""
 
     code: ClassVar[str] = "backend-left"
 
--- a/src/pewtertack/routing/patience.py
+++ b/src/pewtertack/routing/patience.py
@@ -8,8 +8,8 @@
 If callers of the route usually have more time, and some were refused lately, the caller is assumed
 to be retrying. Its request gets lower precedence than first calls, or in a lasting overload
 every caller would have to retry. How little time first calls have is learned while nobody
-can be retrying: where their times vary over a range of 16 in 100, using the longest one as the
-usual time deferred every second request, on a quiet day as well.
+can be retrying: where their times vary by 16%, using the longest one as the usual time deferred
+every second request, even under light load.
 """
 
 from __future__ import annotations
@@ -24,9 +24,10 @@
 RETRY_TIME_FACTOR = 4.0
 """A caller can retry when the time it has left is this multiple of its objective."""
 MIN_RETRY_TIME_FACTOR = 2.0
-"""The same where as many callers as possible are to retry: an answer within the objective, after a
-pause as long. Late answers of callers that cannot retry take slots in which others of their rank
-could be in time, and less urgent requests get few of these in an overload."""
+"""Multiple of the objective under ``RetryLaterPolicy.TWO``, where as many callers as possible are
+to retry: enough for a pause as long as the objective and an answer within it. Late answers of
+callers that cannot retry take slots in which others of their rank could be in time, and less urgent
+requests get few slots in an overload."""
 
 
 @policy(
@@ -36,7 +37,7 @@
     Parameter("room", RETRY_TIME_FACTOR, "objectives", "assumed"),
 )
 def retry_time_factor_four() -> float:
-    """Return the multiple of its objective that a caller must have left to retry."""
+    """Return the multiple of its objective that a caller must have left to be told to retry."""
     return RETRY_TIME_FACTOR
 
 
@@ -49,7 +50,7 @@
     ),
 )
 def retry_time_factor_two() -> float:
-    """Return the same for the lower multiple."""
+    """Return the lower multiple, with which more callers are told to retry."""
     return MIN_RETRY_TIME_FACTOR
 
 
@@ -107,12 +108,12 @@
 they are uniformly distributed."""
 
 RETRY_PAUSE_SHARE = 1 / 8
-"""Share of its objective after which a caller retries that might be served at once: the users'
-price list charges nothing for waiting that long."""
+"""Share of its objective after which a caller retries that might be served at once: a wait of up to
+an eighth of the objective costs users nothing."""
 MIN_FIRST_CALLS = 10
-"""Number of calls, while nobody can be retrying, after which their times are known."""
+"""Number of calls, while nobody can be retrying, after which the shortest time is known."""
 ASSUMED_SHORTEST_SHARE = 0.85
-"""Before that the shortest time is taken to be at most this share of the longest. Assumed."""
+"""Before that the shortest time is assumed to be at most this share of the longest."""
 
 
 class _CallerTimes:
--- a/src/pewtertack/routing/queueing.py
+++ b/src/pewtertack/routing/queueing.py
@@ -35,7 +35,7 @@
 
 
 def _wake_nobody() -> None:
-    """Wake nobody."""
+    """Do nothing: the default of ``Ticket.wake``."""
 
 
 class Ticket(msgspec.Struct, eq=False):
@@ -87,7 +87,10 @@
         return self.caller_wait_policy.prefers_retry
 
     def take_refusal(self) -> RequestFailedError:
-        """Return the refusal and drop it: once raised, its traceback refers to the waiting task."""
+        """Return the refusal and clear it: once raised, its traceback refers to the waiting task.
+
+        A ticket that kept it would keep the task's frames alive.
+        """
         assert self.refusal is not None
         try:
             return self.refusal
--- a/src/pewtertack/routing/retries.py
+++ b/src/pewtertack/routing/retries.py
@@ -14,7 +14,7 @@
 NODE_BURST = 10.0
 """Retries that one node may make at once after a quiet period."""
 FLEET_BURST = 36.0
-"""The same for all nodes of a fleet together, to one service."""
+"""Retries that all nodes of a fleet together may make at once to one service."""
 MAXIMUM_REFUSALS = 3
 """Number of gateways that may refuse one request before its caller is told to retry."""
 
--- a/src/pewtertack/routing/retry_budgets.py
+++ b/src/pewtertack/routing/retry_budgets.py
@@ -24,7 +24,7 @@
         self.limits = limits
         self._budgets: dict[str, Budget] = {}
         self._started_at: float | None = None
-        """When the first machine list came; what the process sent before it is unknown."""
+        """When the first machine list was received; what the node sent before is unknown."""
         self._node_count = 0
         """Number of nodes of the fleet, 0 while unknown."""
 
--- a/src/pewtertack/routing/retry_window.py
+++ b/src/pewtertack/routing/retry_window.py
@@ -9,11 +9,11 @@
 remembered for a window, and as much of the budget, up to half, is reserved for nested calls;
 all other requests are retried from the rest.
 
-Unknown is how much of the additional number a former incarnation has spent, and how much nodes
-spend that have just left the list. So the node's part grows from zero over a budget's first window,
-and is computed for the largest fleet of the last window. Otherwise 41 nodes that restart together
-could make 328 retries where 186 are allowed, and a reduced fleet of 82 nodes 438 where 400 are
-(pure code, each node spending all it may).
+It is unknown how much of the additional number a former incarnation of the node has spent, and how
+much is still spent by nodes that have just left the list. So the node's part grows from zero over a
+budget's first window, and is computed for the largest fleet of the last window. Otherwise, if each
+node spends all it may, 41 nodes that restart together could make 328 retries where 186 are allowed,
+and a reduced fleet of 82 nodes 438 where 400 are allowed.
 """
 
 from __future__ import annotations
@@ -84,7 +84,7 @@
         self.started_at = started_at
         """When the budget, or the process, started."""
         self._node_counts: list[tuple[float, int]] = []
-        """Numbers of nodes, each with the time since when it was listed; empty while unknown."""
+        """Pairs of a time and the number of nodes listed from then on; empty while unknown."""
         self._steps: deque[_Step] = deque()
         self._requests = 0.0
         self._retries = 0
--- a/src/pewtertack/routing/service.py
+++ b/src/pewtertack/routing/service.py
@@ -22,7 +22,9 @@
 
 MINIMUM_RETRY_AFTER = 0.1
 MAXIMUM_RETRY_AFTER = 30.0
+"""Bounds, in seconds, of the time after which a refused caller should retry."""
 MINIMUM_CAPACITY = 0.1
+"""Lower bound of the concurrent requests by which an expected wait is divided."""
 TIME_UNCERTAINTY_FACTOR = 1.5
 """Answers take up to this multiple of the mean often enough to plan for it."""
 CROSSING_SHARE = 0.05
@@ -311,8 +313,9 @@
 def _may_cross_early(ticket: Ticket) -> bool:
     """Tell whether the request goes to another zone early rather than wait in its own.
 
-    Where operators choose so, callers with less time than ``RETRY_TIME_FACTOR`` asks for are told
-    to retry as well. They do not cross early: that doubled the bytes between zones.
+    Under ``RetryLaterPolicy.TWO`` callers with less time than ``RETRY_TIME_FACTOR`` asks for are
+    told to retry as well. Their requests do not cross early, since that doubled the bytes between
+    zones.
     """
     if not ticket.caller_can_retry:
         return False
@@ -321,7 +324,10 @@
 
 
 def _wait_policy_of(ticket: Ticket, may_be_late: bool) -> WaitPolicy:
-    """Return the gateway's policy; ``may_be_late`` where no other gateway would do better."""
+    """Return the wait policy to send to the gateway.
+
+    A request may be late (``may_be_late``) where no other gateway would do better.
+    """
     if ticket.caller_wait_policy is WaitPolicy.WAIT and not may_be_late:
         return WaitPolicy.TRY_ANOTHER_GATEWAY
     return ticket.caller_wait_policy
--- a/src/pewtertack/routing/service_times.py
+++ b/src/pewtertack/routing/service_times.py
@@ -9,8 +9,8 @@
 MEDIAN_COUNT = 9
 """Number of first times whose median is used."""
 SPREAD_DEVIATIONS = 2.0
-"""Answers seldom take longer than the mean and this number of mean deviations. In virtual
-time 2.0 earns more beyond capacity than 1.5 (docs/FARMARECOGE.md)."""
+"""Answers seldom take longer than the mean and this number of mean deviations. In simulations of
+overload 2.0 gives better results than 1.5 (docs/FARMARECOGE.md)."""
 
 
 class MeanTime(msgspec.Struct):
--- a/src/pewtertack/routing/table.py
+++ b/src/pewtertack/routing/table.py
@@ -20,8 +20,8 @@
     def __init__(self, configuration: ResolvedConfiguration) -> None:
         self.configuration = configuration
         self._hosts: dict[str, dict[str, ResolvedRoute | dict[str, ResolvedRoute]]] = {}
-        """By host and prefix: the route for every method, or the routes by method. A dictionary
-        for each of 2,057 routes that name no method took 240 KiB."""
+        """By host and prefix: the route for every method, or the routes by method. Routes that name
+        no method have no dictionary of their own, which for 2,057 routes would take 240 KiB."""
         for route in sorted(configuration.routes, key=lambda route: route.name):
             self._add(route)
 
