--- a/src/pewtertack/cli/lab_cost.py
+++ b/src/pewtertack/cli/lab_cost.py
@@ -23,12 +23,12 @@
     examples: Annotated[Path, typer.Option(help="Directory of the trees.")] = Path("examples"),
 ) -> None:
     """Measure memory and processor time of real nodes, idle and under load."""
-    from pewtertack.lab.cost.measurement import CostSettings, measure_node_cost
-    from pewtertack.lab.cost.report import format_cost
+    from pewtertack.lab.cost.measurement import NodeCostSettings, measure_node_cost
+    from pewtertack.lab.cost.report import format_node_cost
     from pewtertack.lab.deployments import shape_of
 
     shape = shape_of(deployment, examples, nodes_per_zone)
-    settings = CostSettings(rate=rate, rounds=rounds, seconds=seconds, seed=seed)
+    settings = NodeCostSettings(rate=rate, rounds=rounds, window_seconds=seconds, seed=seed)
 
     def progress(line: str) -> None:
         typer.echo(line, err=True)
@@ -36,7 +36,7 @@
     result = anyio.run(measure_node_cost, shape, settings, progress)
     if report is not None:
         report.write_bytes(msgspec.json.format(msgspec.json.encode(result)))
-    typer.echo(format_cost(result))
+    typer.echo(format_node_cost(result))
 
 
 def request_cost(
@@ -47,7 +47,11 @@
 ) -> None:
     """Measure the processor time of served and rejected requests over two nodes."""
     from pewtertack.lab.cost.calls import CallKind
-    from pewtertack.lab.cost.requests import CostSettings, format_costs, measure_requests
+    from pewtertack.lab.cost.requests import (
+        RequestCostSettings,
+        format_request_costs,
+        measure_request_costs,
+    )
     from pewtertack.node import collector
 
     collector.resume()
@@ -56,8 +60,8 @@
     except ValueError as error:
         known = ", ".join(repr(item.value) for item in CallKind)
         raise LabUsageError(f"{error}; accepted: {known}") from None
-    costs, profiles = measure_requests(CostSettings(calls, rate, kinds, profile))
-    typer.echo(profiles + format_costs(costs))
+    costs, profiles = measure_request_costs(RequestCostSettings(calls, rate, kinds, profile))
+    typer.echo(profiles + format_request_costs(costs))
 
 
 def cost_caller(plan: Annotated[str, typer.Argument(help="The plan, as JSON.")]) -> None:
@@ -71,12 +75,12 @@
     log: Annotated[Path, typer.Argument(help="Logs of nodes with ``log.parts_every``.")],
 ) -> None:
     """Print the processor time of a fleet by part."""
-    from pewtertack.lab.cost.parts import format_shares, read_parts, shares_of
+    from pewtertack.lab.cost.parts import format_part_shares, part_shares, read_part_times
 
     try:
         with log.open(errors="replace") as lines:
-            reports, truncated = read_parts(lines)
+            reports, truncated = read_part_times(lines)
     except OSError as error:
         raise LabUsageError(f"cannot read {log}: {error}") from error
     typer.echo(f"{len(reports)} processes, {truncated} truncated lines")
-    typer.echo(format_shares(shares_of(reports)))
+    typer.echo(format_part_shares(part_shares(reports)))
--- a/src/pewtertack/lab/convergence/report.py
+++ b/src/pewtertack/lab/convergence/report.py
@@ -8,7 +8,7 @@
 
 from pewtertack.lab.convergence.recording import Moments, PointResult
 from pewtertack.lab.convergence.run import ConvergenceReport
-from pewtertack.lab.pages.markdown import table
+from pewtertack.lab.pages.markdown import markdown_table
 
 PAGE = "index.md"
 DATA = "convergence.json"
@@ -37,7 +37,7 @@
 
 def format_results(results: list[PointResult]) -> str:
     """Return a table of the results, in Markdown."""
-    return table(HEAD, [_row(result) for result in results])
+    return markdown_table(HEAD, [_row(result) for result in results])
 
 
 def format_line(result: PointResult) -> str:
@@ -74,7 +74,7 @@
         f"![in force at the last node]({PLOT})\n",
         f"![calls of the source]({CALLS_PLOT})\n",
         "## Why reads failed\n",
-        table(
+        markdown_table(
             ("nodes, answer s, routes, Mbit/s", "reason", "reads"),
             [
                 (_name(result), reason, str(count))
--- a/src/pewtertack/lab/cost/calls.py
+++ b/src/pewtertack/lab/cost/calls.py
@@ -36,8 +36,8 @@
     SERVED = "served hop"
     SERVED_PIECES = "served hop, answer in two pieces"
     SERVED_BODY = "served hop, body of 1 KB"
-    SERVED_CONNECTING = "served hop, both onward connections new"
-    CONNECTION = "served hop, caller's connection new"
+    SERVED_NEW_CONNECTIONS = "served hop, both onward connections new"
+    NEW_CALLER_CONNECTION = "served hop, caller's connection new"
     REFUSED = "refused hop"
     PROBE = "probe of a gateway"
 
@@ -74,7 +74,7 @@
         self.address = address
         self.request = request
         self.expected = EXPECTED.get(kind, b"HTTP/1.1 200")
-        self.kept = kind not in (CallKind.CONNECTION, CallKind.PROBE)
+        self.kept = kind not in (CallKind.NEW_CALLER_CONNECTION, CallKind.PROBE)
         self.connection: socket.socket | None = None
 
     def call(self) -> None:
--- a/src/pewtertack/lab/cost/measurement.py
+++ b/src/pewtertack/lab/cost/measurement.py
@@ -25,19 +25,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CostSettings:
+class NodeCostSettings:
     """Sizes of a measurement. Times in seconds, ``rate`` in calls per second."""
 
     rate: float = 45.0
     rounds: int = 3
-    seconds: float = 15.0
+    window_seconds: float = 15.0
     """Length of one window."""
-    warm_up: float = 8.0
+    warm_up_seconds: float = 8.0
     seed: int = 1
 
 
 async def measure_node_cost(
-    shape: FleetShape, settings: CostSettings, progress: ProgressHandler
+    shape: FleetShape, settings: NodeCostSettings, progress: ProgressHandler
 ) -> NodeCostReport:
     """Run a fleet without relay and measure two of its nodes.
 
@@ -63,19 +63,19 @@
     """Measures a running fleet: at rest and under calls in turn."""
 
     fleet: Fleet
-    settings: CostSettings
+    settings: NodeCostSettings
     replica: str
     whole: str
     progress: ProgressHandler
 
     async def run(self) -> NodeCostReport:
         """Warm up, then measure all rounds."""
-        await self._under_calls("warm-up", self.settings.warm_up)
+        await self._under_calls("warm-up", self.settings.warm_up_seconds)
         windows: list[Window] = []
         control_bytes: list[float] = []
         for number in range(1, self.settings.rounds + 1):
             rest, control = await self._at_rest()
-            loaded = await self._under_calls(f"round-{number}", self.settings.seconds)
+            loaded = await self._under_calls(f"round-{number}", self.settings.window_seconds)
             windows += [*rest, loaded]
             control_bytes.append(control)
             shares = ", ".join(f"{window.processor_share:.2%}" for window in windows[-3:])
@@ -87,7 +87,7 @@
         first_traffic = await sample_traffic(self.fleet)
         await anyio.sleep(SETTLING_SECONDS)
         first = {name: self._sample(name) for name in (self.replica, self.whole)}
-        await anyio.sleep(self.settings.seconds)
+        await anyio.sleep(self.settings.window_seconds)
         windows = [
             _window(State.REPLICA, first[self.replica], self._sample(self.replica), []),
             _window(State.REST, first[self.whole], self._sample(self.whole), []),
--- a/src/pewtertack/lab/cost/parts.py
+++ b/src/pewtertack/lab/cost/parts.py
@@ -130,7 +130,7 @@
     times: int = 0
 
 
-def read_parts(lines: Iterable[str]) -> tuple[list[NodeParts], int]:
+def read_part_times(lines: Iterable[str]) -> tuple[list[NodeParts], int]:
     """Return the last line of each process, and how many were cut: a killed one's end mid-line.
 
     Raises:
@@ -159,7 +159,7 @@
         return None
 
 
-def shares_of(told: Iterable[NodeParts]) -> list[PartShare]:
+def part_shares(told: Iterable[NodeParts]) -> list[PartShare]:
     """Return the parts, the largest first; a hop's time is divided evenly by the hops' ends."""
     seconds: defaultdict[str, float] = defaultdict(float)
     counts: Counter[str] = Counter()
@@ -183,7 +183,7 @@
     return OTHER + name
 
 
-def format_shares(shares: list[PartShare]) -> str:
+def format_part_shares(shares: list[PartShare]) -> str:
     """Return the parts as a table."""
     whole = sum(item.seconds for item in shares) or 1.0
     rows = [
--- a/src/pewtertack/lab/cost/report.py
+++ b/src/pewtertack/lab/cost/report.py
@@ -102,7 +102,7 @@
     )
 
 
-def format_cost(report: NodeCostReport) -> str:
+def format_node_cost(report: NodeCostReport) -> str:
     """Return the report as text."""
     budget = report.budget
     rows = [
--- a/src/pewtertack/lab/cost/requests.py
+++ b/src/pewtertack/lab/cost/requests.py
@@ -56,11 +56,11 @@
 
     part: str
     microseconds: float
-    functions: float | None = None
+    function_calls: float | None = None
     """Calls of functions, where they were counted; that lengthens the processor time."""
 
 
-class CostSettings(msgspec.Struct, frozen=True):
+class RequestCostSettings(msgspec.Struct, frozen=True):
     """What to measure. ``rate`` in calls per second, 0 for one after the other."""
 
     calls: int = 2000
@@ -154,20 +154,20 @@
         return [asyncio.ensure_future(server.serve([bound])) for server, bound in pairs]
 
 
-def measure_requests(settings: CostSettings) -> tuple[list[PartCost], str]:
+def measure_request_costs(settings: RequestCostSettings) -> tuple[list[PartCost], str]:
     """Measure every kind; return the costs and, where one was asked for, the profile."""
     with asyncio.Runner(debug=False, loop_factory=BoottimeEventLoop) as runner:
         return runner.run(_measure(settings))
 
 
-async def _measure(settings: CostSettings) -> tuple[list[PartCost], str]:
+async def _measure(settings: RequestCostSettings) -> tuple[list[PartCost], str]:
     costs, profiles = [], []
     for kind in settings.kinds:
         profiler = cProfile.Profile() if settings.profile else None
         with _backend() as backend:
             nodes = _Nodes(backend)
             nodes.configure()
-            nodes.front.closing = kind is CallKind.SERVED_CONNECTING
+            nodes.front.closing = kind is CallKind.SERVED_NEW_CONNECTIONS
             tasks = nodes.serve()
             plan = CallPlan(kind, nodes.proxy, nodes.gateway, settings.calls, settings.rate)
             costs.append(await _cost_of(plan, profiler))
@@ -270,13 +270,13 @@
     return written.getvalue()
 
 
-def format_costs(costs: list[PartCost]) -> str:
+def format_request_costs(costs: list[PartCost]) -> str:
     """Return the costs as a table."""
     rows = [
         (
             cost.part,
             f"{cost.microseconds:.1f}",
-            f"{cost.functions:.0f}" if cost.functions is not None else "",
+            f"{cost.function_calls:.0f}" if cost.function_calls is not None else "",
         )
         for cost in costs
     ]
--- a/src/pewtertack/lab/pages/page.py
+++ b/src/pewtertack/lab/pages/page.py
@@ -7,7 +7,7 @@
 
 from pewtertack.lab.pages import plots, scale_tables
 from pewtertack.lab.pages.inputs import NamedScale, NamedScenario, Reports
-from pewtertack.lab.pages.markdown import table
+from pewtertack.lab.pages.markdown import markdown_table
 
 PAGE = "index.md"
 
@@ -79,7 +79,7 @@
                 "yes" if report.passed else "no",
             )
         )
-    return table(head, rows)
+    return markdown_table(head, rows)
 
 
 def _route_table(scenarios: Sequence[NamedScenario]) -> str:
@@ -95,4 +95,4 @@
         for item in scenarios
         for route, told in sorted(item.report.routes.items())
     ]
-    return table(head, rows)
+    return markdown_table(head, rows)
--- a/src/pewtertack/lab/pages/scale_tables.py
+++ b/src/pewtertack/lab/pages/scale_tables.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator, Sequence
 
 from pewtertack.lab.pages.inputs import NamedScale
-from pewtertack.lab.pages.markdown import change, table
+from pewtertack.lab.pages.markdown import markdown_table, relative_change
 from pewtertack.lab.scale.report import PhaseReport, RoleRates, ScaleReport
 
 MEGABYTE = 1024 * 1024
@@ -50,7 +50,7 @@
 
 def summary_table(scales: Sequence[NamedScale]) -> str:
     """Return one row a report: its size, memory and duration."""
-    return table(SUMMARY_HEAD, (_summary_row(item) for item in scales))
+    return markdown_table(SUMMARY_HEAD, (_summary_row(item) for item in scales))
 
 
 def _summary_row(item: NamedScale) -> tuple[str, ...]:
@@ -71,7 +71,7 @@
 
 def rates_table(scales: Sequence[NamedScale]) -> str:
     """Return one row a report, phase and role."""
-    return table(RATES_HEAD, (row for item in scales for row in _rate_rows(item)))
+    return markdown_table(RATES_HEAD, (row for item in scales for row in _rate_rows(item)))
 
 
 def _rate_rows(item: NamedScale) -> Iterator[tuple[str, ...]]:
@@ -94,7 +94,7 @@
 
 def convergence_table(scales: Sequence[NamedScale]) -> str:
     """Return one row a report and phase, from formation to the storm."""
-    return table(
+    return markdown_table(
         CONVERGENCE_HEAD,
         (_convergence_row(item.name, phase) for item in scales for phase in item.report.phases),
     )
@@ -129,7 +129,7 @@
         for item in scales
         for baseline in item.report.baselines
     ]
-    return table(head, rows)
+    return markdown_table(head, rows)
 
 
 def comparison_table(first: NamedScale, second: NamedScale) -> str:
@@ -140,8 +140,8 @@
     for name, value in _figures(first.report):
         if name in other:
             after = other[name]
-            rows.append((name, f"{value:.3f}", f"{after:.3f}", change(value, after)))
-    return table(head, rows)
+            rows.append((name, f"{value:.3f}", f"{after:.3f}", relative_change(value, after)))
+    return markdown_table(head, rows)
 
 
 def _figures(report: ScaleReport) -> Iterator[tuple[str, float]]:
--- a/src/pewtertack/lab/soak/report.py
+++ b/src/pewtertack/lab/soak/report.py
@@ -4,7 +4,7 @@
 
 from pathlib import Path
 
-from pewtertack.lab.pages.markdown import table
+from pewtertack.lab.pages.markdown import markdown_table
 from pewtertack.lab.report.table import format_verdicts
 from pewtertack.lab.soak.result import SoakResult
 
@@ -51,14 +51,16 @@
         f"# Soak: {result.verdict}\n",
         f"{_head(result)}. {_resources(result)}.\n",
         "## Promises\n",
-        table(("promise", "judgement", "judged", "offences"), promises),
+        markdown_table(("promise", "judgement", "judged", "offences"), promises),
         "## Offences and problems\n",
         f"```\n{format_verdicts(result.verdicts)}\n```\n",
         *[f"- {problem}\n" for problem in result.problems],
         "## Faults\n",
-        table(("kind", "made"), [(name, str(made)) for name, made in result.faults.items()]),
+        markdown_table(
+            ("kind", "made"), [(name, str(made)) for name, made in result.faults.items()]
+        ),
         "## What callers were told\n",
-        table(("route", "outcomes", "statuses", "p50 s", "p99 s"), routes),
+        markdown_table(("route", "outcomes", "statuses", "p50 s", "p99 s"), routes),
     ]
 
 
--- a/tests/lab/cost/test_cost.py
+++ b/tests/lab/cost/test_cost.py
@@ -5,8 +5,8 @@
 from dataclasses import replace
 from pathlib import Path
 
-from pewtertack.lab.cost.measurement import CostSettings, measure_node_cost
-from pewtertack.lab.cost.report import Spread, State, Window, cost_of, format_cost
+from pewtertack.lab.cost.measurement import NodeCostSettings, measure_node_cost
+from pewtertack.lab.cost.report import Spread, State, Window, cost_of, format_node_cost
 from pewtertack.lab.cost.sampling import ProcessMemory, parse_memory, sample_process
 from pewtertack.lab.deployments import shape_of
 
@@ -44,9 +44,9 @@
 class NodeCostTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_short_run_measures_every_state(self) -> None:
         shape = replace(shape_of("lagos", EXAMPLES, 1), services={"logbook": 1, "archive": 1})
-        settings = CostSettings(rate=30.0, rounds=1, seconds=1.0, warm_up=0.5)
+        settings = NodeCostSettings(rate=30.0, rounds=1, window_seconds=1.0, warm_up_seconds=0.5)
         report = await measure_node_cost(shape, settings, lambda line: None)
         self.assertEqual([cost.state for cost in report.states], list(State))
         self.assertGreater(report.windows[-1].calls, 0)
         self.assertGreater(report.proxy_memory, 0)
-        self.assertIn("control work", format_cost(report))
+        self.assertIn("control work", format_node_cost(report))
--- a/tests/node/test_hop_cost.py
+++ b/tests/node/test_hop_cost.py
@@ -10,16 +10,16 @@
 import unittest
 
 from pewtertack.lab.cost.calls import CallKind
-from pewtertack.lab.cost.requests import CostSettings, measure_requests
+from pewtertack.lab.cost.requests import RequestCostSettings, measure_request_costs
 
 CALLS = 100
 
 
 class HopCostTest(unittest.TestCase):
     def function_calls_of(self, kind: CallKind) -> float:
-        settings = CostSettings(calls=CALLS, kinds=(kind,), profile=True)
-        costs, _ = measure_requests(settings)
-        function_calls = costs[0].functions
+        settings = RequestCostSettings(calls=CALLS, kinds=(kind,), profile=True)
+        costs, _ = measure_request_costs(settings)
+        function_calls = costs[0].function_calls
         assert function_calls is not None
         return function_calls
 
@@ -37,11 +37,11 @@
 
     def test_a_hop_that_opens_both_onward_connections(self) -> None:
         """2607 calls, then 1694, now 1362."""
-        self.assertLess(self.function_calls_of(CallKind.SERVED_CONNECTING), 1610)
+        self.assertLess(self.function_calls_of(CallKind.SERVED_NEW_CONNECTIONS), 1610)
 
     def test_a_hop_on_a_new_connection_of_its_caller(self) -> None:
         """1773 calls, then 1254, now 1190."""
-        self.assertLess(self.function_calls_of(CallKind.CONNECTION), 1200)
+        self.assertLess(self.function_calls_of(CallKind.NEW_CALLER_CONNECTION), 1200)
 
     def test_a_probe_of_a_gateway(self) -> None:
         """505 calls, then 313, now 308."""
