--- a/src/pewtertack/routing/gateway_acceptance.py
+++ b/src/pewtertack/routing/gateway_acceptance.py
@@ -1,10 +1,10 @@
 """Decides whether to try another gateway after one has refused a request.
 
-In a lasting shortage the next gateway refuses as well: at 1.6 times the usual load 25% of first
-refusals and 17% of second ones were followed by an acceptance, and 43% of all hops ended in a
-refusal. Each of these costs two nodes some milliseconds and delays the caller's retry, without any
-more slots being filled. A proxy therefore records, for each route, how often further gateways have
-accepted a request lately.
+In a lasting shortage the next gateway refuses as well: at 1.6 times the usual
+load a first refusal was followed by an acceptance in 25 of 100 cases, a second in 17, and 43
+of 100 hops ended in a refusal. Each costs two nodes some milliseconds and the caller the time
+until it is told to retry, although the refusals do not fill any more slots. A proxy therefore
+records, for each route, how often further gateways have accepted a request lately.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 from random import Random
 
 MIN_ACCEPTANCE_SHARE = 0.3
-"""Below this share of further gateways that accept, none is tried. It lies between the shares above
-and the one without a shortage, where nearly all accept."""
+"""Below this share of further gateways that accept, none is tried. It lies between the shares
+above and what is usual without a shortage, where nearly all accept."""
 NEWEST_WEIGHT = 0.2
 """Weight of the newest result: about five results determine the share."""
 RECOVERY_HALF_LIFE_SECONDS = 0.5
