--- a/src/pewtertack/core/configuration/scopes.py
+++ b/src/pewtertack/core/configuration/scopes.py
@@ -111,7 +111,10 @@
         return (*self.inherited_layers(merge(own_layers).get("service")), *own_layers)
 
     def route_values(self, name: str) -> dict[str, Any]:
-        """Return the same as ``merge(route_layers(name))``, but faster."""
+        """Return the value of each setting of the route, as ``merge(route_layers(name))`` would.
+
+        This is faster, since the values that routes of one service inherit are merged only once.
+        """
         root_table, zone_table = self.route_tables(name)
         return {**self.inherited_values(name), **(root_table or _EMPTY), **(zone_table or _EMPTY)}
 
--- a/src/pewtertack/core/configuration/structure.py
+++ b/src/pewtertack/core/configuration/structure.py
@@ -152,8 +152,7 @@
     Returns None for a table that needs the full check, for example because it has more ``levels``
     of nesting or a text that is not ASCII. Nearly all tables are plain. For them this replaces the
     check of every single value, and their size is not computed again once they are accepted:
-    validation of 1,400 routes takes 19 ms instead of 30 (processor time, minimum of 15, three
-    alternating runs).
+    validation of 1,400 routes takes 19 ms of processor time instead of 30.
     """
     total_bytes = VALUE_BYTES
     for key, value in table.items():
--- a/src/pewtertack/core/configuration/validation.py
+++ b/src/pewtertack/core/configuration/validation.py
@@ -128,8 +128,8 @@
     """Accept a document that only changes routes of the newest accepted one, if they are valid.
 
     Returns whether it was accepted. Only the changed routes are validated: a change of one of
-    1,600 routes takes 2.5 ms instead of 23 (process time, mean of 10 edits). A document that is
-    not accepted here needs full validation, which returns the findings.
+    1,600 routes takes 2.5 ms of processor time instead of 23. A document that is not accepted here
+    needs full validation, which returns the findings.
     """
     edit = find_route_edit(cache.document, document) if isinstance(document, dict) else None
     scope = cache.accepted_scope(None)
--- a/src/pewtertack/core/crashes/ledger.py
+++ b/src/pewtertack/core/crashes/ledger.py
@@ -31,8 +31,8 @@
 """Minimum age difference for an entry to replace an older one when the ledger, or the list of
 crashes of a request, is full. Each node dates a crash some milliseconds later than the peer that
 reported it. Without a margin, two full ledgers would keep reporting to each other what the other
-has just dropped (measured in virtual time with 74 nodes and 40 crashes within a second: the
-messages did not stop)."""
+has just dropped; after 40 crashes within a second in a simulated fleet of 74 nodes, the messages
+did not stop."""
 RETENTION_SECONDS = 1200.0
 """A request without a further crash for this long is removed."""
 
--- a/src/pewtertack/core/membership/table.py
+++ b/src/pewtertack/core/membership/table.py
@@ -61,7 +61,8 @@
         identity: the node itself.
         dead_retention: seconds for which a dead member that is not in the machine list still
             counts for quorums.
-        forget_after: the same while no machine list is known.
+        forget_after: seconds for which a dead member counts for quorums while no machine list is
+            known.
     """
 
     def __init__(self, identity: NodeIdentity, dead_retention: float, forget_after: float) -> None:
--- a/src/pewtertack/core/profile.py
+++ b/src/pewtertack/core/profile.py
@@ -69,8 +69,9 @@
     snapshots_per_second: float = 8.0
     """Whole documents of one kind that a node sends to its peers per second, and in one burst."""
     wide_snapshots_per_second: float = 32.0
-    """The same on a wide link: a compressed configuration of 2,000 routes has some 60 KB, 2 MB
-    for 32 peers, and after a power failure only the few nodes that read the source have it."""
+    """``snapshots_per_second`` of a node with a wide link. A compressed configuration of 2,000
+    routes has some 60 KB, or 2 MB for 32 peers, and after a power failure only the few nodes that
+    read the source have it."""
     report_retry: float = 0.5
     """How long a holder waits for a commit before it reports to further coordinators."""
     commit_coordinators: int = 2
@@ -89,15 +90,15 @@
     takeover_step: float = 0.1
     """Each further node of a zone waits this much longer to take over; a read takes 0.05 s."""
     takeover_candidates: int = 6
-    """Number of nodes of a zone, with the readers, that try a source which answers none of them."""
+    """Number of nodes of a zone, including its readers, that try a source which answers none."""
     late_takeover_step: float = 0.5
     """Additional wait of each node after these, so that a failing source is not overloaded."""
     volunteer_step: float = 0.25
     """A node with a wide link starts reading this much later for each member before it; by then
     it has received the heartbeats of the first ones."""
     joiner_step: float = 0.02
-    """The same while the node joins and knows no reader: after a power failure no node serves until
-    one has read the source, which takes 0.1 s, and has informed the others."""
+    """``volunteer_step`` of a joining node that knows no reader: after a power failure no node
+    serves until one has read the source, which takes 0.1 s, and has informed the others."""
     narrow_patience: float = 1.0
     """How long a starting node with a narrow link waits for the configuration from its peers, which
     send it compressed. Read from the source, it would saturate the link (0.5 MB, 1.7 s at
@@ -106,10 +107,9 @@
     """``read_gap`` where few nodes read, so that the source gets few reads per change."""
     reads_alone_below: int = 16
     """In a smaller fleet than this every node reads, if ``readership`` is "leased". Each node then
-    reads over its own link: with 20 nodes on links of 2.5 Mbit/s, 0.5 MB of configuration and
-    the value 32 here, a third of the hops between nodes took 0.3 s longer, and 0.88 of the
-    requests' worth was served on a day with light load. With 16 it was 0.995, with a quarter of
-    the calls."""
+    reads over its own link. With 20 nodes on links of 2.5 Mbit/s, 0.5 MB of configuration and
+    the value 32, a third of the hops between nodes took 0.3 s longer, and 88% of the requests'
+    worth was served under light load; with 16 it was 99.5%, with a quarter of the calls."""
     readers_per_zone: int = 2
     readers_total: int = 16
     reader_settle: float = 1.0
@@ -129,7 +129,7 @@
     join_peers: int = 16
     """Number of answers that suffice to join a fleet of any size."""
     join_answer_lifetime: float = 5.0
-    """A node that has not joined after this time asks the peers that answered again."""
+    """A node that is still joining asks a peer again this long after the peer's answer."""
     join_patience: float = 1.5
     """Peers that have not answered after this time no longer delay joining."""
     join_hold_wait: float = 2.0
--- a/src/pewtertack/core/replication/open_reads.py
+++ b/src/pewtertack/core/replication/open_reads.py
@@ -10,7 +10,7 @@
 from pewtertack.errors import ReadFailure
 
 MAX_OPEN_READS = 8
-"""Maximum number of reads of one document that are open at the same time."""
+"""Maximum number of concurrent reads of one document."""
 ANSWER_START_SECONDS = 0.3
 """Time within which a fast source answers a read after its long-poll wait has ended."""
 MAX_READ_GAP_SECONDS = 2.0
--- a/src/pewtertack/core/replication/replica.py
+++ b/src/pewtertack/core/replication/replica.py
@@ -167,7 +167,7 @@
         return run_to_completion(self.offer_deltas_in_slices(deltas))
 
     def offer_deltas_in_slices(self, deltas: tuple[Delta, ...]) -> Work[list[Effect]]:
-        """Like ``offer_deltas``, in slices; raises the same errors."""
+        """Like ``offer_deltas``, in slices; the work raises ``DeltaMismatchError``."""
         yield _digest_cost(self.store.document)
         steps = self.store.resolve_chain(deltas)
         if not steps:
--- a/src/pewtertack/core/revision.py
+++ b/src/pewtertack/core/revision.py
@@ -64,7 +64,7 @@
 
 
 def have_same_content(left: Any, right: Any) -> bool:
-    """Tell whether two values have equal canonical bytes; faster if in the same order."""
+    """Tell whether two values have equal canonical bytes; faster if their keys have equal order."""
     try:
         if msgspec.msgpack.encode(left) == msgspec.msgpack.encode(right):
             return True
