--- a/src/pewtertack/routing/admission_ticket.py
+++ b/src/pewtertack/routing/admission_ticket.py
@@ -57,7 +57,7 @@
         return ASSUMED_TIME_SHARE * max(0.0, self.objective - self.submitted_at)
 
     def take_refusal(self) -> NotRunError:
-        """Return the refusal and clear it: once raised, its traceback refers to the waiting task."""
+        """Return and clear the refusal: once raised, its traceback refers to the waiting task."""
         assert self.refusal is not None
         try:
             return self.refusal
--- a/src/pewtertack/routing/queueing.py
+++ b/src/pewtertack/routing/queueing.py
@@ -87,7 +87,7 @@
         return self.caller_wait_policy.prefers_retry
 
     def take_refusal(self) -> RequestFailedError:
-        """Return the refusal and clear it: once raised, its traceback refers to the waiting task."""
+        """Return and clear the refusal: once raised, its traceback refers to the waiting task."""
         assert self.refusal is not None
         try:
             return self.refusal
--- a/tests/routing/test_cold.py
+++ b/tests/routing/test_cold.py
@@ -15,8 +15,9 @@
 SLOTS = 7
 BOUNDS = ColdBounds(rate=6.5, duration=3.0, overage=1.5, slack=8.0)
 """A published rate of 6.5 a second; operators count more than 17.75 in a second as a fault."""
-BROKEN_ABOVE = 17
-SECONDS = 0.25
+FAULT_ABOVE = 17
+"""Largest number of starts in a second that is no fault."""
+SERVICE_SECONDS = 0.25
 """Service time of one request."""
 
 
@@ -32,7 +33,7 @@
 
 
 class SimulatedGateway:
-    """Random arrivals at one gateway, in virtual time."""
+    """A simulated gateway with random arrivals."""
 
     def __init__(self, cold: ColdStart | None, seed: int) -> None:
         self.random = random.Random(seed)
@@ -76,7 +77,7 @@
         for item in list(self.waiting):
             if item.granted:
                 self.starts.append(now)
-                self.running.append((now + SECONDS * self.random.uniform(0.5, 2.0), item))
+                self.running.append((now + SERVICE_SECONDS * self.random.uniform(0.5, 2.0), item))
             self.refused_later += item.refusal is not None
             if item.granted or item.refusal is not None:
                 self.waiting.remove(item)
@@ -100,7 +101,7 @@
 
     def test_requests_granted_earlier_and_sent_later_stay_below_the_limit(self) -> None:
         self.assertEqual(BOUNDS.max_starts_per_second(SLOTS), 10)
-        self.assertLessEqual(BOUNDS.max_starts_per_second(SLOTS) + SLOTS, BROKEN_ABOVE)
+        self.assertLessEqual(BOUNDS.max_starts_per_second(SLOTS) + SLOTS, FAULT_ABOVE)
         self.assertLessEqual(
             ColdBounds(6.5, 3.0, 1.5, 4.0).max_starts_per_second(SLOTS) + SLOTS, 13
         )
@@ -152,7 +153,7 @@
     def test_without_the_limit_the_same_load_exceeds_it(self) -> None:
         gateway = SimulatedGateway(None, 1)
         gateway.play(3.0, per_second=45)
-        self.assertGreater(most_in_a_window(gateway.starts), BROKEN_ABOVE)
+        self.assertGreater(most_in_a_window(gateway.starts), FAULT_ABOVE)
 
     def test_becoming_cold_under_full_load_counts_earlier_starts(self) -> None:
         cold = ColdStart(SLOTS, 0.0, BOUNDS)
@@ -197,7 +198,7 @@
         for item in tickets[SLOTS:]:
             admission.submit(item, 0.0)
         for item in tickets[:SLOTS]:
-            admission.finish(item, SECONDS, answered=True)
+            admission.finish(item, SERVICE_SECONDS, answered=True)
         last = tickets[-1]
         self.assertFalse(last.granted)
         while not last.granted and last.check_at < 1.5:
@@ -216,7 +217,7 @@
         warm = ticket(0.0)
         admission.submit(warm, 0.0)
         self.assertEqual(admission.advertised_slots(0.0), 1)
-        admission.finish(warm, SECONDS, answered=True)
+        admission.finish(warm, SERVICE_SECONDS, answered=True)
         self.assertEqual(admission.advertised_slots(1.0), 2)
         self.assertEqual(admission.advertised_slots(3.1), SLOTS)
 
--- a/tests/routing/test_dispatcher.py
+++ b/tests/routing/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Limits, queues, ejection and retries, in virtual time."""
+"""Limits, queues, ejection and retries of a proxy; the tests set the time."""
 
 import unittest
 from random import Random
--- a/tests/routing/test_executions.py
+++ b/tests/routing/test_executions.py
@@ -52,7 +52,7 @@
 
 
 class Node:
-    """A back end of six slots in virtual time; ``fails`` tells which of its calls fail."""
+    """A simulated back end of six slots; ``fails`` tells which of its calls fail."""
 
     def __init__(self, fails: Callable[[float, Random], bool], finishable: bool = True) -> None:
         self.executions = LocalExecutions()
--- a/tests/routing/test_gateway_acceptance.py
+++ b/tests/routing/test_gateway_acceptance.py
@@ -53,14 +53,14 @@
 
 
 class ShortageTest(unittest.TestCase):
-    """Callers at 1.4 times the capacity, in virtual time."""
+    """Simulated callers at 1.4 times the capacity, and at 0.6 times."""
 
     def run_at(self, load: float, min_share: float) -> RunResult:
         with mock.patch.object(gateway_acceptance, "MIN_ACCEPTANCE_SHARE", min_share):
             return simulate_gateways(SHAPE, load, seed=5)
 
     def test_as_many_are_served_with_fewer_hops(self) -> None:
-        """Measured, lab overload --gateways --load 1.4, seed 1: 0.442 further hops, now 0.131."""
+        """``lab overload --gateways --load 1.4``, seed 1: 0.131 further hops instead of 0.442."""
         always, by_share = (
             self.run_at(1.4, 0.0),
             self.run_at(1.4, gateway_acceptance.MIN_ACCEPTANCE_SHARE),
--- a/tests/routing/test_gateway_choice.py
+++ b/tests/routing/test_gateway_choice.py
@@ -191,7 +191,7 @@
         self.assertGreaterEqual(min(served.values()), 10)
 
     def test_a_back_end_that_was_slow_for_a_while_is_chosen_again(self) -> None:
-        """The same for a back end that was much slower for a while."""
+        """Its slowness kept it from being chosen, so that no answer corrected the estimate."""
         subject = fleet(gated("a"), gated("bb"))
         for number in range(60):
             self.serve(subject, number * 0.1, {"a": 0.01, "bb": 0.08 if number > 10 else 0.01})
@@ -346,7 +346,7 @@
         return sum(result.mean_wait for result in results) / len(results)
 
     def test_callers_wait_less_at_half_load(self) -> None:
-        """Measured, lab overload --gateways --load 0.5, seed 1: from 10.6 ms to 9.7 ms."""
+        """``lab overload --gateways --load 0.5`` with seed 1: 9.7 ms instead of 10.6 ms."""
         without_crowding, with_crowding = (
             self.mean_wait(0.0, 0.5),
             self.mean_wait(choice.CROWDING_FACTOR, 0.5),
--- a/tests/routing/test_hanging.py
+++ b/tests/routing/test_hanging.py
@@ -6,11 +6,13 @@
 from pewtertack.routing.admission_ticket import AdmissionTicket
 from pewtertack.routing.hanging import PRIOR_HANGING_SHARE, HangDetector
 
-MEAN = 0.2
-PATIENCE = 60.0
+MEAN_SECONDS = 0.2
+DEADLINE_SECONDS = 60.0
 
 
-def started(at: float, route: str = "lookup", deadline: float = PATIENCE) -> AdmissionTicket:
+def started(
+    at: float, route: str = "lookup", deadline: float = DEADLINE_SECONDS
+) -> AdmissionTicket:
     ticket = AdmissionTicket(route, (0, 0), at + 1.0, deadline)
     ticket.started_at = at
     return ticket
@@ -28,11 +30,11 @@
         self.now = 0.0
         self.running: list[tuple[AdmissionTicket, float]] = []
         self.abandoned: list[tuple[float, bool]] = []
-        """How long each had run, and whether it hung."""
+        """Seconds that each had run, and whether it hung."""
         self.answered = 0
 
     def usual_seconds(self) -> float:
-        return self.random.lognormvariate(-0.32, 0.8) * MEAN
+        return self.random.lognormvariate(-0.32, 0.8) * MEAN_SECONDS
 
     def seconds_with_tail(self) -> float:
         return self.usual_seconds() * (7 if self.random.random() < 0.03 else 1)
@@ -78,7 +80,7 @@
             needless = sum(not hung for _, hung in backend.abandoned)
             self.assertGreater(len(ran), 15)
             self.assertLessEqual(needless, len(ran) / 4)
-            self.assertLess(ran[len(ran) // 2], 5 * MEAN)
+            self.assertLess(ran[len(ran) // 2], 5 * MEAN_SECONDS)
 
     def test_the_advertised_slots_follow_the_share_that_hangs(self) -> None:
         backend = Backend()
@@ -110,10 +112,11 @@
             backend = Backend(seed)
             backend.run(20.0)
             backend.abandoned.clear()
-            resumes_at = backend.now + 10 * MEAN
+            resumes_at = backend.now + 10 * MEAN_SECONDS
             backend.running = [(ticket, max(ends, resumes_at)) for ticket, ends in backend.running]
             backend.run(
-                10 * MEAN, work=lambda b=backend, at=resumes_at: max(b.usual_seconds(), at - b.now)
+                10 * MEAN_SECONDS,
+                work=lambda b=backend, at=resumes_at: max(b.usual_seconds(), at - b.now),
             )
             backend.run(2.0)
             self.assertEqual(backend.abandoned, [])
@@ -123,18 +126,18 @@
         backend.run(20.0)
         backend.abandoned.clear()
         backend.run(10.0, hang=1.0)
-        self.assertLess(min(seconds for seconds, _ in backend.abandoned), 20 * MEAN)
+        self.assertLess(min(seconds for seconds, _ in backend.abandoned), 20 * MEAN_SECONDS)
 
     def test_a_request_that_is_being_answered_does_not_hang(self) -> None:
         backend = Backend()
         backend.run(20.0)
-        later = backend.now + 10 * MEAN
-        usual_seconds = backend.detector.hanging_share(later)
+        later = backend.now + 10 * MEAN_SECONDS
+        usual_share = backend.detector.hanging_share(later)
         slow = [started(backend.now) for _ in range(3)]
         for ticket in slow:
             backend.detector.note_start(ticket)
             ticket.answering = True
-        self.assertAlmostEqual(backend.detector.hanging_share(later), usual_seconds, places=6)
+        self.assertAlmostEqual(backend.detector.hanging_share(later), usual_share, places=6)
         self.assertFalse(any(backend.detector.should_abandon(ticket, later) for ticket in slow))
 
     def test_nothing_is_judged_before_the_first_answer(self) -> None:
@@ -150,7 +153,7 @@
         hung = started(backend.now, deadline=backend.now + 4.0)
         backend.detector.note_start(hung)
         backend.run(10.0)
-        late = 2 * MEAN
+        late = 2 * MEAN_SECONDS
         self.assertTrue(backend.detector.should_abandon(hung, hung.deadline - late))
         self.assertFalse(backend.detector.should_abandon(hung, hung.deadline - late / 4))
 
--- a/tests/routing/test_incarnations.py
+++ b/tests/routing/test_incarnations.py
@@ -14,6 +14,7 @@
 from tests.routing.samples import backend, service, ticket
 
 BEFORE, AFTER = 1_700_000_000_000, 1_700_000_005_000
+"""Start times of two incarnations in Unix milliseconds."""
 LIVE, LEAVING = MachineState.LIVE, MachineState.LEAVING
 
 
--- a/tests/routing/test_link_order.py
+++ b/tests/routing/test_link_order.py
@@ -12,11 +12,11 @@
 from pewtertack.routing.long_body import RECEIVER_STOPPING, LongBody, Rank
 
 MEGABITS = 5.0
-DOWNLOAD = 90_000
+DOWNLOAD_BYTES = 90_000
 BULK = (2, 0)
 OBJECTIVE, DEADLINE = 2.0, 6.0
 """Seconds after a request's arrival."""
-FOREVER = 1000.0
+LONG_SECONDS = 1000.0
 """Longer than the bodies of any test take."""
 
 
@@ -37,7 +37,7 @@
 
 
 class SimulatedLink:
-    """A machine's link in virtual time; each part is sent as soon as possible."""
+    """A simulated link of a machine; each part is sent as soon as possible."""
 
     def __init__(self) -> None:
         self.scheduler = LinkScheduler(MEGABITS)
@@ -127,11 +127,11 @@
             can_end = end <= other.body.expires_at
             continues = other.body.started and end <= other.body.expires_at + OVERDUE_SECONDS
             if continues or (can_end and first.queued_at > other.halfway):
-                raise AssertionError("passed over")
+                raise AssertionError("a started or due body is passed over")
 
 
 def wake_nobody() -> None:
-    """Wake nobody."""
+    """Do nothing when it is a body's turn."""
 
 
 ENTRIES = st.lists(
@@ -139,7 +139,7 @@
         st.floats(0.0, 0.5),  # seconds after the previous one
         st.integers(LONG_BYTES + 1, 300_000),
         st.floats(0.0, 3.0),  # seconds until its target time
-        st.one_of(st.just(FOREVER), st.floats(0.0, 6.0)),  # from then on until it expires
+        st.one_of(st.just(LONG_SECONDS), st.floats(0.0, 6.0)),  # from then on until it expires
         st.integers(0, 1),
         st.sampled_from((0.0, 0.0, 0.05, 1.0)),
     ),
@@ -157,28 +157,28 @@
             link.advance(link.now + gap)
             target_time += link.now
             link.enqueue(size, target_time, target_time + more, (rank, 0), pause)
-        link.advance(link.now + FOREVER / 2)
+        link.advance(link.now + LONG_SECONDS / 2)
         self.assertEqual((link.pending, link.scheduler._queue), ([], []))
         for item in link.all:
-            self.assertTrue(item.ended_at < math.inf or item.body.expires_at < FOREVER / 2)
+            self.assertTrue(item.ended_at < math.inf or item.body.expires_at < LONG_SECONDS / 2)
 
     def test_a_late_body_goes_after_half_of_its_remaining_time(self) -> None:
         link = SimulatedLink()
         for _ in range(10):
-            link.enqueue(DOWNLOAD, OBJECTIVE, DEADLINE)
-        late = link.enqueue(DOWNLOAD, -0.1, DEADLINE)
-        transfer_seconds = link.seconds(DOWNLOAD)
+            link.enqueue(DOWNLOAD_BYTES, OBJECTIVE, DEADLINE)
+        late = link.enqueue(DOWNLOAD_BYTES, -0.1, DEADLINE)
+        transfer_seconds = link.seconds(DOWNLOAD_BYTES)
         newer = []
         for _ in range(round(DEADLINE / transfer_seconds)):
             link.advance(link.now + transfer_seconds)
-            newer.append(link.enqueue(DOWNLOAD, link.now + OBJECTIVE, link.now + DEADLINE))
+            newer.append(link.enqueue(DOWNLOAD_BYTES, link.now + OBJECTIVE, link.now + DEADLINE))
         self.assertGreater(late.started_at, newer[0].started_at)
         self.assertLess(late.ended_at, late.halfway + 2 * transfer_seconds)
 
     def test_a_body_that_cannot_end_in_time_goes_last(self) -> None:
         link = SimulatedLink()
-        hopeless = link.enqueue(10 * DOWNLOAD, 0.1, 1.0)
-        others = [link.enqueue(DOWNLOAD, target_time, 5.0) for target_time in (0.1, 3.0)]
+        hopeless = link.enqueue(10 * DOWNLOAD_BYTES, 0.1, 1.0)
+        others = [link.enqueue(DOWNLOAD_BYTES, target_time, 5.0) for target_time in (0.1, 3.0)]
         link.advance(DEADLINE)
         self.assertGreaterEqual(hopeless.started_at, max(item.ended_at for item in others))
 
@@ -190,9 +190,9 @@
         before all others, even if sent for nothing.
         """
         link = SimulatedLink()
-        hopeless = link.enqueue(20 * DOWNLOAD, OBJECTIVE, DEADLINE)
+        hopeless = link.enqueue(20 * DOWNLOAD_BYTES, OBJECTIVE, DEADLINE)
         link.advance(0.1)
-        others = [link.enqueue(DOWNLOAD, OBJECTIVE, DEADLINE) for _ in range(4)]
+        others = [link.enqueue(DOWNLOAD_BYTES, OBJECTIVE, DEADLINE) for _ in range(4)]
         self.assertEqual(hopeless.started_at, 0.0)
         for item in (hopeless, *others):
             link.scheduler.expedite(item.body, RECEIVER_STOPPING, 1.5, 1.5, link.now)
@@ -203,17 +203,18 @@
         """Callers saw downloads cut off in the middle at their deadline, without any stop.
 
         A download had started, and more urgent long answers that kept arriving all went before
-        it, since rank took precedence over started bodies. In a log 184 answers of the first rank
-        were sent within the 20 s that one of the last rank had, of which 163,611 bytes had been
-        sent.
+        it, since rank took precedence over started bodies: 184 answers of the first rank were sent
+        within the 20 s that a download of the last rank had, of which 163,611 bytes had been sent.
         """
         link = SimulatedLink()
-        started_answer = link.enqueue(5 * DOWNLOAD, OBJECTIVE, DEADLINE)
+        started_answer = link.enqueue(5 * DOWNLOAD_BYTES, OBJECTIVE, DEADLINE)
         link.advance(0.1)
         urgent = []
         while link.now < DEADLINE:
-            urgent.append(link.enqueue(DOWNLOAD, link.now + 1.0, link.now + DEADLINE, rank=(0, 0)))
-            link.advance(link.now + link.seconds(DOWNLOAD))
+            urgent.append(
+                link.enqueue(DOWNLOAD_BYTES, link.now + 1.0, link.now + DEADLINE, rank=(0, 0))
+            )
+            link.advance(link.now + link.seconds(DOWNLOAD_BYTES))
         self.assertLess(started_answer.ended_at, DEADLINE)
         with self.subTest("it waits for them while it has time"):
             before = [item for item in urgent if item.ended_at < started_answer.ended_at]
@@ -221,10 +222,10 @@
 
     def test_a_started_body_that_is_slightly_late_continues(self) -> None:
         link = SimulatedLink()
-        late = link.enqueue(10 * DOWNLOAD, OBJECTIVE, DEADLINE)
+        late = link.enqueue(10 * DOWNLOAD_BYTES, OBJECTIVE, DEADLINE)
         link.advance(0.1)
-        other = link.enqueue(DOWNLOAD, OBJECTIVE, DEADLINE)
-        soon = link.seconds(10 * DOWNLOAD) - OVERDUE_SECONDS / 2
+        other = link.enqueue(DOWNLOAD_BYTES, OBJECTIVE, DEADLINE)
+        soon = link.seconds(10 * DOWNLOAD_BYTES) - OVERDUE_SECONDS / 2
         link.scheduler.expedite(late.body, RECEIVER_STOPPING, soon, soon, link.now)
         link.scheduler.expedite(other.body, RECEIVER_STOPPING, DEADLINE, DEADLINE, link.now)
         link.advance(soon - 0.01)
@@ -232,8 +233,8 @@
 
     def test_the_target_time_is_bounded_by_the_expiry(self) -> None:
         link = SimulatedLink()
-        other = link.enqueue(DOWNLOAD, 1.0, DEADLINE)
-        soon = link.enqueue(DOWNLOAD, 5.0, 0.5)
+        other = link.enqueue(DOWNLOAD_BYTES, 1.0, DEADLINE)
+        soon = link.enqueue(DOWNLOAD_BYTES, 5.0, 0.5)
         link.advance(DEADLINE)
         self.assertLess(soon.ended_at, other.started_at)
 
@@ -248,11 +249,13 @@
 def overloaded(chance: random.Random) -> SimulatedLink:
     """Request 1.5 times the link's capacity; accept what should be in time, as gateways do."""
     link = SimulatedLink()
-    link.scheduler.note_answer_size("export", DOWNLOAD)
+    link.scheduler.note_answer_size("export", DOWNLOAD_BYTES)
     transfer_seconds = link.scheduler.transfer_time("export")
     for _ in range(600):
         link.advance(link.now + chance.expovariate(1.5 / transfer_seconds))
-        size = max(LONG_BYTES + 1, round(chance.lognormvariate(math.log(DOWNLOAD) - 0.18, 0.6)))
+        size = max(
+            LONG_BYTES + 1, round(chance.lognormvariate(math.log(DOWNLOAD_BYTES) - 0.18, 0.6))
+        )
         if link.scheduler.delivery_time("export", BULK, link.now) <= OBJECTIVE:
             link.enqueue(size, link.now + OBJECTIVE, link.now + DEADLINE)
         link.scheduler.note_sent(chance.choice((400, 5000)), link.now)
--- a/tests/routing/test_link_properties.py
+++ b/tests/routing/test_link_properties.py
@@ -23,8 +23,8 @@
 
 MEGABITS = 5.0
 UNCOMMITTED_BYTES = 4 * PART_BYTES
-SHORT = 400
-TINY = 1e-9
+SHORT_BYTES = 400
+ROUNDING_SECONDS = 1e-9
 ROUTES = ("export", "archive", "images")
 
 
@@ -132,7 +132,7 @@
 
 
 class SimulatedLink:
-    """A link in virtual time."""
+    """A simulated link that processes events in order of time."""
 
     def __init__(self) -> None:
         self.scheduler = LinkScheduler(MEGABITS)
@@ -185,7 +185,7 @@
         """Check that nothing waits that the link could have taken before the next event."""
         ready = [item for item in self.queued() if item.body is not None and item.body.is_ready]
         free_at = max(self.now, self.scheduler._free_at - self.seconds(SEND_AHEAD_BYTES))
-        if ready and moment > free_at + TINY:
+        if ready and moment > free_at + ROUNDING_SECONDS:
             raise AssertionError("the link is idle while a part may go")
 
     def take_turn(self, answer: Answer) -> None:
@@ -251,7 +251,7 @@
                 longest = self.seconds(
                     max(0.0, waiting.link_bytes - SEND_AHEAD_BYTES) + waiting.bytes_sent
                 )
-                if lasted > longest + TINY:
+                if lasted > longest + ROUNDING_SECONDS:
                     raise AssertionError("it waits longer than the bytes before it take")
                 continue
             waiting.bytes_sent += size
@@ -263,10 +263,10 @@
                 raise AssertionError("a started body is passed over")
 
     def note_short(self) -> None:
-        self.scheduler.note_sent(SHORT, self.now)
+        self.scheduler.note_sent(SHORT_BYTES, self.now)
         for item in self.answers:
             if item.waiting is not None:
-                item.waiting.bytes_sent += SHORT
+                item.waiting.bytes_sent += SHORT_BYTES
 
 
 ENTRIES = st.lists(
--- a/tests/routing/test_link_stop.py
+++ b/tests/routing/test_link_stop.py
@@ -18,11 +18,11 @@
 URGENT, BULK = (0, 0), (2, 0)
 UNCOMMITTED_BYTES = 4 * PART_BYTES
 """Uncommitted bytes of each body that can be handed back."""
-SOON = 60.0
+TARGET_TIME = 60.0
 
 
 class SimulatedLink:
-    """A link in virtual time whose readers read each part at once."""
+    """A simulated link whose readers read each part at once."""
 
     def __init__(self) -> None:
         self.scheduler = LinkScheduler(MEGABITS)
@@ -35,7 +35,7 @@
         self, size: int, rank: Rank = BULK, uncommitted_bytes: int = UNCOMMITTED_BYTES
     ) -> LongBody:
         body = self.scheduler.enqueue(
-            rank, size, SOON, self.wake, uncommitted_bytes=uncommitted_bytes
+            rank, size, TARGET_TIME, self.wake, uncommitted_bytes=uncommitted_bytes
         )
         body.is_ready = True
         self.bodies.append(body)
@@ -109,7 +109,7 @@
             self.link.send_part()
         self.assertEqual(started_body.uncommitted_bytes, 0)
         newer = self.link.enqueue(20_000, URGENT)
-        self.scheduler.stop_at(SOON, self.link.now)
+        self.scheduler.stop_at(TARGET_TIME, self.link.now)
         self.assertIs(self.link.send_part(), started_body)
         self.link.send_all()
         self.assertEqual(list(self.link.sent_at), [started_body, newer])
--- a/tests/routing/test_margins.py
+++ b/tests/routing/test_margins.py
@@ -103,7 +103,7 @@
         )
 
 
-class ReturningLoadTest(unittest.TestCase):
+class RetryLaterLoadTest(unittest.TestCase):
     """Callers with about 2.5 times their objective, beyond the back ends' capacity."""
 
     def results(self, returning: RetryLaterPolicy, load: float) -> RetrySimulationResult:
--- a/tests/routing/test_patience.py
+++ b/tests/routing/test_patience.py
@@ -45,7 +45,7 @@
         self.assertFalse(policies.classify("status", 0.4, 1.1, 3.6).is_deferred)
 
     def test_first_calls_with_varying_times_do_not_count_as_retrying(self) -> None:
-        """Their times vary over a range of 16 in 100; a retrying caller has lost a fifth."""
+        """Their times vary by 16%; a retrying caller has lost a fifth of its time."""
         random = Random(4)
         policies = CallerWaitPolicies()
         for step in range(100):
