--- a/tests/core/crashes/test_gossip.py
+++ b/tests/core/crashes/test_gossip.py
@@ -1,4 +1,4 @@
-"""Gossip about back-end crashes, in fleets simulated in virtual time."""
+"""Gossip about back-end crashes in simulated fleets."""
 
 import unittest
 from random import Random
@@ -19,7 +19,7 @@
 LIMIT = 3
 KEY = b"k" * 16
 DATAGRAM_BYTES = 1200
-TICK = 0.1
+TICK_SECONDS = 0.1
 
 
 def fingerprint(number: int) -> bytes:
@@ -74,7 +74,7 @@
     def run(self, seconds: float) -> None:
         end = self.now + seconds
         while self.now < end:
-            self.now += TICK
+            self.now += TICK_SECONDS
             for name, node in self.nodes.items():
                 self.deliver(name, node.tick(self.now))
 
@@ -100,9 +100,8 @@
                 self.assertEqual(fleet.counts(fingerprint(7)), {LIMIT})
 
     def test_a_crash_costs_each_node_less_than_a_kilobyte(self) -> None:
-        # Measured in virtual time: 659 bytes per node with 1,700 nodes, 651 with 195, and all
-        # nodes knew of the crash immediately. Regular reports about three crashes take 328 bytes
-        # per second and node.
+        # A crash costs 659 bytes per node with 1,700 nodes and 651 with 195, and all nodes know of
+        # it immediately. Regular reports about three crashes take 328 bytes per second and node.
         fleet = Fleet(195)
         fleet.crash("n0", fingerprint(7))
         self.assertLess(fleet.bytes / 195, 700)
@@ -233,8 +232,8 @@
         return fingerprint(number)
 
     def test_hundreds_of_unrelated_crashes_cause_few_refusals(self) -> None:
-        # Measured with 3,200 requests: none is refused wrongly if all are answered after a crash,
-        # 1 if nine in ten are, and 33 if none is. With 12,000 requests: 0, 3 and 38.
+        # Of 3,200 requests none is refused wrongly if all are answered after a crash, 1 if nine in
+        # ten are, and 33 if none is; of 12,000 requests 0, 3 and 38.
         self.assertEqual(self.refused_count(800, 0.1, 1.0), 0)
         self.assertLessEqual(self.refused_count(800, 0.1, 0.9), 3)
         self.assertLessEqual(self.refused_count(800, 0.1, 0.0), 50)
--- a/tests/core/membership/test_table.py
+++ b/tests/core/membership/test_table.py
@@ -7,7 +7,7 @@
 from pewtertack.core.membership.table import MemberTable
 from pewtertack.wire.messages import MemberStatus, MemberUpdate
 
-DEAD_RETENTION = 20.0
+DEAD_RETENTION_SECONDS = 20.0
 
 
 def update(name: str, incarnation: int, status: MemberStatus, zone: str = "a") -> MemberUpdate:
@@ -21,7 +21,7 @@
 class MemberTableTest(unittest.TestCase):
     def setUp(self) -> None:
         identity = NodeIdentity("self", "127.0.0.1:9", "a", "r", 1)
-        self.table = MemberTable(identity, DEAD_RETENTION, forget_after=600.0)
+        self.table = MemberTable(identity, DEAD_RETENTION_SECONDS, forget_after=600.0)
 
     def test_a_late_alive_update_does_not_revive_a_dead_member(self) -> None:
         self.table.merge(update("one", 5, MemberStatus.DEAD), 0.0)
--- a/tests/core/replication/test_restore_inquiry.py
+++ b/tests/core/replication/test_restore_inquiry.py
@@ -44,7 +44,7 @@
         self.assertTrue(self.inquiry.on_join_answer(PEERS[0], state(1)))
         self.assertFalse(self.inquiry.on_join_answer(PEERS[1], state(2, serving=False)))
         self.assertTrue(self.inquiry.is_pending(0.6))
-        with self.subTest("a peer that did not know the era is asked_peers again"):
+        with self.subTest("a peer that did not know the era is asked again"):
             self.assertIn(PEERS[0], self.asked_peers(0.6, 0.3))
         for name in PEERS[:REQUIRED_ANSWERS]:
             self.assertFalse(self.inquiry.on_join_answer(name, state(2)))
--- a/tests/core/replication/test_slow_source.py
+++ b/tests/core/replication/test_slow_source.py
@@ -1,4 +1,4 @@
-"""Timing of reads of a slow, silent or unreachable source, in virtual time."""
+"""Timing of reads of a simulated source that is slow, silent or unreachable."""
 
 import heapq
 import unittest
--- a/tests/routing/test_silence.py
+++ b/tests/routing/test_silence.py
@@ -8,7 +8,7 @@
 from pewtertack.routing.queueing import Ticket
 from tests.routing.test_gateway_choice import fleet, gated, report, submitted
 
-ANSWER_TIME = 0.05
+ANSWER_SECONDS = 0.05
 
 
 def backend_of(ticket: Ticket) -> Backend:
@@ -45,14 +45,14 @@
     def test_an_early_cancellation_is_no_stall(self) -> None:
         ticket = submitted(self.fleet, 10.0)
         self.fleet.finish(ticket, 10.0 + GATEWAY_STALL_SECONDS / 2, AttemptResult.CANCELLED)
-        self.assertFalse(backend_of(ticket).stalled(11.0, ANSWER_TIME))
+        self.assertFalse(backend_of(ticket).stalled(11.0, ANSWER_SECONDS))
 
     def test_a_stall_is_forgotten(self) -> None:
         ticket = submitted(self.fleet, 10.0)
         self.time_out(ticket, 12.0)
         backend = backend_of(ticket)
-        self.assertTrue(backend.stalled(12.1, ANSWER_TIME))
-        self.assertFalse(backend.stalled(10.1 + STALL_MEMORY_SECONDS, ANSWER_TIME))
+        self.assertTrue(backend.stalled(12.1, ANSWER_SECONDS))
+        self.assertFalse(backend.stalled(10.1 + STALL_MEMORY_SECONDS, ANSWER_SECONDS))
 
 
 class SilentMachineTest(unittest.TestCase):
