--- a/src/pewtertack/core/membership/service.py
+++ b/src/pewtertack/core/membership/service.py
@@ -35,6 +35,7 @@
 )
 
 FORGET_INTERVAL_SECONDS = 5.0
+"""Interval at which dead members that no longer count for quorums are removed."""
 
 STATUS_EVENTS = {
     MemberStatus.ALIVE: Event.MEMBER_ALIVE,
--- a/src/pewtertack/core/membership/table.py
+++ b/src/pewtertack/core/membership/table.py
@@ -15,6 +15,7 @@
 from pewtertack.wire.messages import MemberStatus, MemberUpdate
 
 UNCONFIRMED_INCARNATION = 0
+"""Incarnation of a member that is known from the machine list only."""
 REACHABLE_STATUSES = (MemberStatus.ALIVE, MemberStatus.SUSPECT)
 
 
--- a/src/pewtertack/core/node.py
+++ b/src/pewtertack/core/node.py
@@ -69,7 +69,9 @@
 from pewtertack.wire.packing import unpack
 
 MEMBERS_PER_JOIN_ANSWER = 8
+"""Number of sampled members in a join answer, besides the joiner itself."""
 JOIN_RETRY_AFTER_SECONDS = 1.0
+"""Time after which callers should retry while the node does not serve."""
 PAUSE_BACKLOG_SECONDS = 0.3
 """Time after a pause in which messages that arrived during the pause are processed."""
 READING_SEEDS = 3
--- a/src/pewtertack/core/replication/commit.py
+++ b/src/pewtertack/core/replication/commit.py
@@ -13,6 +13,7 @@
 from pewtertack.core.revision import RevisionId
 
 MAX_CANDIDATES = 8
+"""Number of revisions whose holders are counted; the one with the lowest number is dropped."""
 
 
 class CommitTally:
--- a/src/pewtertack/core/replication/puller.py
+++ b/src/pewtertack/core/replication/puller.py
@@ -9,6 +9,7 @@
 from pewtertack.core.revision import RevisionId
 
 MAX_PULL_CANDIDATES = 8
+"""Number of peers remembered as candidates; the one added first is dropped."""
 
 
 class PullCandidate(msgspec.Struct, frozen=True):
--- a/src/pewtertack/core/replication/reader.py
+++ b/src/pewtertack/core/replication/reader.py
@@ -21,6 +21,7 @@
 from pewtertack.wire.messages import DocumentKind
 
 BACKOFF_FACTOR = 2.0
+"""Factor by which the delay before the next read grows with each consecutive failure."""
 MIN_WAIT_SHARE = 0.2
 """Lower bound of the random share of its usual wait that the read after a change gets."""
 OVERDUE_SECONDS = 2.0
--- a/src/pewtertack/core/replication/readership.py
+++ b/src/pewtertack/core/replication/readership.py
@@ -16,6 +16,7 @@
 from pewtertack.core.replication.freshness import SourceFreshness
 
 ELECTION_INTERVAL_SECONDS = 0.5
+"""Interval at which a node determines whether it is one of the chosen readers."""
 
 UNLISTED_SETTLE_FACTOR = 10.0
 """Factor by which the settle time of a node in a large fleet is extended until it knows the machine
--- a/src/pewtertack/core/replication/store.py
+++ b/src/pewtertack/core/replication/store.py
@@ -10,6 +10,7 @@
 from pewtertack.core.slices import Work, run_to_completion
 
 MAX_DELTAS = 64
+"""Number of deltas that the log keeps."""
 MAX_EDITS = 2000
 """A delta log is shortened if it has more edits than this and than the document has entries, since
 a snapshot is then cheaper."""
--- a/src/pewtertack/routing/backend.py
+++ b/src/pewtertack/routing/backend.py
@@ -39,6 +39,7 @@
 SLOWNESS_HALF_LIFE_SECONDS = 10.0
 """Half-life of the slowness estimate while no answer is received."""
 MAXIMUM_REPORTED_SLOTS = 1_000_000
+"""Load reports with more slots are ignored."""
 
 
 class LoadReport(msgspec.Struct, frozen=True):
--- a/src/pewtertack/routing/deadlines.py
+++ b/src/pewtertack/routing/deadlines.py
@@ -6,6 +6,7 @@
 
 DEADLINE_HEADER = "x-deadline-ms"
 MAXIMUM_DIGITS = 12
+"""Header values with more digits are refused."""
 
 
 def deadline_of(now: float, header: str | None, route_timeout: float) -> float:
--- a/src/pewtertack/routing/dispatcher.py
+++ b/src/pewtertack/routing/dispatcher.py
@@ -335,7 +335,7 @@
     ) -> None:
         """Count the result of an attempt for or against the back end's health.
 
-        The result of a former incarnation says nothing of the next one, nor of its gateway.
+        The result of a former incarnation says nothing about the next one, nor about its gateway.
         """
         if backend.removed or not reflects_on_backend(ticket, now, result):
             backend.health.note_inconclusive(ticket.trial)
@@ -379,7 +379,7 @@
     def retry(
         self, ticket: Ticket, error: RequestFailedError, now: float, replayable: bool
     ) -> Ticket | None:
-        """Return the ticket of one more attempt, or ``None`` if the request has failed for good."""
+        """Return the ticket of one more attempt, or ``None`` if the request is not retried."""
         return self.decide_retry(ticket, error, now, replayable).ticket
 
     def decide_retry(
--- a/src/pewtertack/routing/limit.py
+++ b/src/pewtertack/routing/limit.py
@@ -11,6 +11,7 @@
 
 INITIAL_LIMIT = 2.0
 MINIMUM_LIMIT = 1.0
+"""First and smallest limit per back end, in concurrent requests."""
 DECREASE_FACTOR = 0.7
 """Factor on the limit per back end after a shed request or an overload."""
 MINIMUM_PAUSE_SECONDS = 0.02
@@ -19,6 +20,7 @@
 
 INITIAL_SERVICE_LIMIT = 4.0
 MINIMUM_SERVICE_LIMIT = 0.1
+"""First and smallest limit per service, in concurrent requests; below 1 it is a rate."""
 INITIAL_SERVICE_GROWTH = 1.0
 """Growth per answer with free slots until the first shed request."""
 SERVICE_GROWTH = 0.2
--- a/src/pewtertack/routing/link.py
+++ b/src/pewtertack/routing/link.py
@@ -6,9 +6,9 @@
 of them: with downloads of 90 kB on links of 5 Mbit/s answers of 400 bytes took 59 ms in the
 median and 358 ms at the 90th percentile from one node to another, and new connections over
 250 ms, where 2 ms are usual. So long bodies are sent in parts, one after the other, at the
-link's rate. They are ordered by rank; then started bodies first, unless they would be sent
-for nothing; then by due time, which is late for a body that cannot be in time any more, and
-never for one whose receiver would not wait for its end.
+link's rate. They are ordered by rank. Within a rank started bodies go first, unless they would end
+too late for their receivers; then the due time decides. A body that can no longer be in time gets
+a later due time, and one whose receiver would not wait for its end goes last.
 """
 
 from __future__ import annotations
@@ -37,8 +37,9 @@
 """A body of which nothing was sent for this long is limited by its reader, not by the link: eight
 parts pass a link of 2.5 Mbit/s in that time."""
 OVERDUE_SECONDS = 0.5
-"""A started body whose end would be sent this much later than it expires has lower precedence than
-all others, as it is sent for nothing. A stopping node waits as long for last answers."""
+"""A started body whose end would be sent more than this after it expires goes after all others of
+its rank, since its receiver no longer accepts it. A stopping node waits as long for last
+answers."""
 LAST_RANK: Rank = (1 << 62, 0)
 """A rank behind all others."""
 BITS_PER_BYTE = 8
@@ -112,7 +113,8 @@
             target_time: when the body should have been sent.
             wake: must not block.
             started: whether part of the same answer was sent before.
-            expires_at: when the body must have been sent, or it is sent for nothing.
+            expires_at: when the body must have been sent; after that its receiver has no use for
+                it.
             uncommitted_bytes, only_source: see ``LongBody``.
         """
         self._arrivals += 1
@@ -202,7 +204,7 @@
         is_deferred = self._stops_at < math.inf and can_hand_back
         end = now + item.remaining_bytes / self.bytes_per_second
         continues = item.started and end <= item.expires_at + OVERDUE_SECONDS
-        # Otherwise more urgent bodies that keep arriving would cut it off, sent for nothing.
+        # Otherwise more urgent bodies that keep arriving would delay it until it is cut off.
         rank = FINISHING_SOON if continues and self._is_finishing(item, now) else item.rank
         return is_deferred, rank, not continues, item.due_time(end), item.sequence
 
@@ -220,7 +222,8 @@
     def send_delay(self, body: LongBody, now: float) -> float | None:
         """Return the seconds after which the body may send a part.
 
-        ``None`` while another body goes first, which is woken, as it may just have become first.
+        ``None`` while another body precedes it. That body is woken, since it may just have become
+        the first.
         """
         body.is_ready = True
         if self._sends_all_now:
--- a/src/pewtertack/routing/origins.py
+++ b/src/pewtertack/routing/origins.py
@@ -33,6 +33,7 @@
 ADVERTISED_WEIGHT = 0.2
 """Weight of the newest report in a sender's belief: about five gateways decide."""
 MAJORITY = 0.5
+"""Back ends are believed to make a route's requests above this weighted share of the reports."""
 BELIEF_SECONDS = 60.0
 """A belief that is not confirmed for this long is dropped."""
 
--- a/src/pewtertack/routing/service.py
+++ b/src/pewtertack/routing/service.py
@@ -41,7 +41,7 @@
 
 
 class ServiceDispatcher:
-    """Places tickets on the back ends of one service and queues, up to a limit, what must wait."""
+    """Places tickets on the back ends of one service, or queues them up to the routes' limits."""
 
     def __init__(self, name: str, random: Random) -> None:
         self.name = name
--- a/src/pewtertack/wire/frames.py
+++ b/src/pewtertack/wire/frames.py
@@ -38,6 +38,7 @@
 DATAGRAM_BYTES_MAX = 1200
 """Largest frame sent over UDP: fits the MTU of all common paths without fragmentation."""
 ENVELOPE_BYTES_MAX = 64 * 1024
+"""Allowance for everything in a frame except the document."""
 STREAM_BYTES_MAX = DOCUMENT_BYTES_LIMIT + ENVELOPE_BYTES_MAX
 """Largest frame sent over TCP: a snapshot of the largest tree. The estimate that limits
 a tree's size is larger than its encoded size."""
