--- a/src/pewtertack/lab/convergence/__init__.py
+++ b/src/pewtertack/lab/convergence/__init__.py
@@ -1,1 +1,1 @@
-"""How soon a change is in force everywhere while the source of configuration is slow."""
+"""Measures the time until an edit is in force everywhere while the configuration source is slow."""
--- a/src/pewtertack/lab/convergence/options.py
+++ b/src/pewtertack/lab/convergence/options.py
@@ -1,4 +1,4 @@
-"""What a convergence run is asked to do, checked before anything is started."""
+"""Options of a convergence run, checked before anything is started."""
 
 from __future__ import annotations
 
@@ -13,61 +13,61 @@
 from pewtertack.lab.store_fleet.fleet import BYTES_PER_MEGABIT
 from pewtertack.lab.store_fleet.simulated import MAX_NODES_WITH_FRAMES
 
-MOST_PROCESSES = 24
-"""Nodes in a process each."""
-MOST_SIMULATED = 4000
-FEWEST_NODES = 3
-"""One in each zone."""
-MOST_ROUTES = 4000
-MOST_ANSWER_SECONDS = 60.0
-SLOWEST_LINK_MBPS = 0.1
-FASTEST_LINK_MBPS = 10_000.0
-DEFAULT_SLOW_BEFORE = 12.0
-LONGEST_SLOW_BEFORE = 600.0
-"""Seconds."""
+MAX_PROCESSES = 24
+"""Maximum number of nodes that run as one process each."""
+MAX_SIMULATED_NODES = 4000
+MIN_NODES = 3
+"""One node in each of the three zones."""
+MAX_ROUTES = 4000
+MAX_ANSWER_SECONDS = 60.0
+MIN_LINK_MBPS = 0.1
+MAX_LINK_MBPS = 10_000.0
+DEFAULT_SLOW_BEFORE_SECONDS = 12.0
+MAX_SLOW_BEFORE_SECONDS = 600.0
 
 
-class Point(msgspec.Struct, frozen=True):
-    """One measurement: an edit in a fleet of this size, under these conditions."""
+class GridPoint(msgspec.Struct, frozen=True):
+    """One point of the measured grid: the size of fleet and edit, and the conditions."""
 
     nodes: int
     routes: int
-    """Routes that the edit adds."""
+    """Number of routes that the edit adds."""
     answer_seconds: float
-    """What each answer of the source takes."""
+    """Delay of each response of the source."""
     link_mbps: float = 0.0
-    """Of each node's machine, each way; 0 for no bound."""
-    slow_before: float = DEFAULT_SLOW_BEFORE
-    """For how many seconds the source is slow before the edit."""
+    """Rate of each machine's link per direction; 0 for no limit."""
+    slow_before: float = DEFAULT_SLOW_BEFORE_SECONDS
+    """Seconds for which the source is slow before the edit."""
 
     @property
-    def link_rate(self) -> float:
-        """The rate of the links in bytes a second; 0 for no bound."""
+    def link_bytes_per_second(self) -> float:
+        """Rate of the links in bytes per second; 0 for no limit."""
         return self.link_mbps * BYTES_PER_MEGABIT
 
     @property
     def faults(self) -> StoreFaults:
-        """How slow the source is; bodies take their time on the link too."""
-        return StoreFaults(delay=self.answer_seconds, body_rate=self.link_rate)
+        """Faults that make the source slow; its response bodies are sent at the link's rate."""
+        return StoreFaults(delay=self.answer_seconds, body_rate=self.link_bytes_per_second)
 
 
 class ConvergenceOptions:
     """The options of one run.
 
     Args:
-        nodes: sizes of fleets.
+        nodes: numbers of nodes.
         routes: numbers of routes that an edit adds.
-        answers: seconds that an answer of the source takes.
-        links: Mbit/s of the machines' links; 0 for no bound.
-        slow_before: seconds that the source is slow before the edit. By default longer than a
-            long poll lasts, so that no reader waits by a poll from before.
-        seed: decides the nodes' choices in virtual time.
-        virtual: simulate the nodes in place of a process for each.
-        without: a mechanism that is switched off in all nodes.
+        answers: seconds that a response of the source takes.
+        links: rates of the machines' links in Mbit/s; 0 for no limit.
+        slow_before: seconds for which the source is slow before the edit. The default is longer
+            than a long poll, so that no reader waits in a poll that began before the source was
+            slow.
+        seed: seed of the nodes' random choices in virtual time.
+        virtual: whether to simulate the nodes instead of starting a process for each.
+        without: mechanism that is disabled in all nodes.
 
     Raises:
-        ConvergenceOptionError: an option makes no sense.
-        LabUsageError: there is no such mechanism.
+        ConvergenceOptionError: an option is invalid.
+        LabUsageError: there is no mechanism ``without``.
     """
 
     __slots__ = ("points", "seed", "virtual", "without")
@@ -78,7 +78,7 @@
         routes: Sequence[int],
         answers: Sequence[float],
         links: Sequence[float] = (0.0,),
-        slow_before: float = DEFAULT_SLOW_BEFORE,
+        slow_before: float = DEFAULT_SLOW_BEFORE_SECONDS,
         seed: int = 1,
         virtual: bool = False,
         without: str = "",
@@ -87,37 +87,41 @@
         self.virtual = virtual
         self.without = without
         self._check_nodes(nodes)
-        _check_each("--routes", routes, 1, MOST_ROUTES)
-        _check_each("--answer", answers, 0.0, MOST_ANSWER_SECONDS)
+        _check_range("--routes", routes, 1, MAX_ROUTES)
+        _check_range("--answer", answers, 0.0, MAX_ANSWER_SECONDS)
         self._check_links(nodes, links)
-        _check_each("--slow-before", [slow_before], 0.0, LONGEST_SLOW_BEFORE)
+        _check_range("--slow-before", [slow_before], 0.0, MAX_SLOW_BEFORE_SECONDS)
         if seed < 0:
-            raise ConvergenceOptionError(f"--seed {seed}: 0 or more")
+            raise ConvergenceOptionError(f"--seed {seed} is out of range; accepted: 0 or more")
         if without:
             check_mechanism(without)
         self.points = tuple(
-            Point(size, added, seconds, link, slow_before)
-            for size in nodes
+            GridPoint(node_count, route_count, seconds, link, slow_before)
+            for node_count in nodes
             for link in links
-            for added in routes
+            for route_count in routes
             for seconds in answers
         )
         if not self.points:
-            raise ConvergenceOptionError("no point to measure: give each option a value")
+            raise ConvergenceOptionError("nothing to measure; give each option at least one value")
 
     def _check_nodes(self, nodes: Sequence[int]) -> None:
-        most = MOST_SIMULATED if self.virtual else MOST_PROCESSES
-        _check_each("--nodes", nodes, FEWEST_NODES, most)
+        maximum = MAX_SIMULATED_NODES if self.virtual else MAX_PROCESSES
+        _check_range("--nodes", nodes, MIN_NODES, maximum)
 
     def _check_links(self, nodes: Sequence[int], links: Sequence[float]) -> None:
-        bounded = [link for link in links if link != 0]
-        _check_each("--link", bounded, SLOWEST_LINK_MBPS, FASTEST_LINK_MBPS)
-        if bounded and max(nodes, default=0) > MAX_NODES_WITH_FRAMES:
+        limited_links = [link for link in links if link != 0]
+        _check_range("--link", limited_links, MIN_LINK_MBPS, MAX_LINK_MBPS)
+        if limited_links and max(nodes, default=0) > MAX_NODES_WITH_FRAMES:
             accepted = f"0 with more than {MAX_NODES_WITH_FRAMES} nodes"
-            raise ConvergenceOptionError(f"--link {bounded[0]:g}: {accepted}")
+            raise ConvergenceOptionError(
+                f"--link {limited_links[0]:g} is out of range; accepted: {accepted}"
+            )
 
 
-def _check_each(name: str, values: Sequence[float], least: float, most: float) -> None:
+def _check_range(name: str, values: Sequence[float], minimum: float, maximum: float) -> None:
     for value in values:
-        if not math.isfinite(value) or not least <= value <= most:
-            raise ConvergenceOptionError(f"{name} {value:g}: from {least:g} to {most:g}")
+        if not math.isfinite(value) or not minimum <= value <= maximum:
+            raise ConvergenceOptionError(
+                f"{name} {value:g} is out of range; accepted: {minimum:g} to {maximum:g}"
+            )
--- a/src/pewtertack/lab/convergence/recording.py
+++ b/src/pewtertack/lab/convergence/recording.py
@@ -1,4 +1,4 @@
-"""What the nodes of one measurement reported, and what follows from it."""
+"""Records the events of the nodes during one measurement, and computes its result."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 from pewtertack.core.eras import split_tree_number
 from pewtertack.events import Event
-from pewtertack.lab.convergence.options import Point
+from pewtertack.lab.convergence.options import GridPoint
 from pewtertack.lab.report.statistics import percentile
 
 READ_FAILURES = (Event.SOURCE_FAILED, Event.MACHINE_LIST_FAILED)
 READER_CHANGES = (Event.READER_STARTED, Event.READER_STOPPED)
 
 
-class Moments(msgspec.Struct, frozen=True, kw_only=True):
-    """When the nodes reached a stage, in seconds from the acknowledgement of the edit.
+class StageTimes(msgspec.Struct, frozen=True, kw_only=True):
+    """When the nodes reached a stage, in seconds after the acknowledgement of the edit.
 
-    ``None`` where fewer nodes reached it.
+    The first, median, 99th percentile and last node; ``None`` if too few nodes reached the stage.
     """
 
     first: float | None
@@ -30,102 +30,106 @@
 
 
 class PointResult(msgspec.Struct, frozen=True, kw_only=True):
-    """What one measurement found. Counts are of the whole time that the source was slow."""
+    """Result of one measurement. Counts cover the whole time for which the source was slow."""
 
-    point: Point
+    point: GridPoint
     virtual: bool
     seed: int
-    held: Moments
-    in_force: Moments
+    held: StageTimes
+    in_force: StageTimes
     missing: int
-    """Nodes without the edit in force when the measurement ended."""
+    """Number of nodes at which the edit was not in force when the measurement ended."""
     watched_seconds: float
-    """For how long calls, changes of readers and failed reads were counted."""
+    """Time during which calls, reader changes and failed reads were counted."""
     calls: int
-    """Of the source, for either document, refused ones included."""
+    """Calls of the source for either document, including rejected ones."""
     reader_changes: int
     failed_reads: int
     failures: Mapping[str, int]
-    """Failed reads by their reason."""
+    """Number of failed reads by reason."""
     bytes_per_node: float | None = None
-    """Bytes between nodes that a node received while they were counted; unknown for processes."""
+    """Bytes that a node received from other nodes in that time; unknown for real processes."""
 
 
-class Recording:
-    """Takes the events of a fleet's nodes.
+class EventRecording:
+    """Records the events of a fleet's nodes.
 
     Args:
-        names: the nodes.
+        names: names of the nodes.
     """
 
     def __init__(self, names: Sequence[str]) -> None:
         self._names = names
-        self.serving: set[str] = set()
-        self.versions = dict.fromkeys(names, 0)
-        """The version in force at each node."""
-        self._held: dict[str, float] = {}
-        self._in_force: dict[str, float] = {}
-        self._watched = False
-        self._version = math.inf
-        self._edited_at = 0.0
+        self.serving_nodes: set[str] = set()
+        self.versions_in_force = dict.fromkeys(names, 0)
+        """Newest version that has been in force at each node; 0 if there was none."""
+        self._held_delays: dict[str, float] = {}
+        self._in_force_delays: dict[str, float] = {}
+        self._counting = False
+        self._edit_version = math.inf
+        self._edit_time = 0.0
         self.reader_changes = 0
         self.failures: Counter[str] = Counter()
 
-    def watch(self) -> None:
-        """Count changes of readers and failed reads from now on."""
-        self._watched = True
+    def start_counting(self) -> None:
+        """Start to count reader changes and failed reads."""
+        self._counting = True
 
-    def edited(self, version: int, now: float) -> None:
-        """Note that the source acknowledged the edit that is measured."""
-        self._version = version
-        self._edited_at = now
+    def record_edit(self, version: int, now: float) -> None:
+        """Record that the source acknowledged the measured edit at the time ``now``."""
+        self._edit_version = version
+        self._edit_time = now
 
-    def take(self, node: str, event: str, now: float, revision: int = 0, reason: str = "") -> None:
-        """Take in one event of a node."""
+    def record_event(
+        self, node: str, event: str, now: float, revision: int = 0, reason: str = ""
+    ) -> None:
+        """Record one event of a node."""
         if event == Event.NODE_SERVING.name:
-            self.serving.add(node)
+            self.serving_nodes.add(node)
         elif event == Event.REVISION_HELD.name:
-            self._note(self._held, node, now, split_tree_number(revision)[0])
+            self._record_stage(self._held_delays, node, now, split_tree_number(revision)[0])
         elif event == Event.REVISION_IN_FORCE.name:
             version = split_tree_number(revision)[0]
-            self.versions[node] = max(version, self.versions[node])
-            self._note(self._in_force, node, now, version)
-        elif self._watched and event in {item.name for item in READER_CHANGES}:
+            self.versions_in_force[node] = max(version, self.versions_in_force[node])
+            self._record_stage(self._in_force_delays, node, now, version)
+        elif self._counting and event in {item.name for item in READER_CHANGES}:
             self.reader_changes += 1
-        elif self._watched and event in {item.name for item in READ_FAILURES}:
+        elif self._counting and event in {item.name for item in READ_FAILURES}:
             self.failures[reason] += 1
 
-    def _note(self, stage: dict[str, float], node: str, now: float, version: int) -> None:
-        if version >= self._version:
-            stage.setdefault(node, now - self._edited_at)
+    def _record_stage(self, delays: dict[str, float], node: str, now: float, version: int) -> None:
+        if version >= self._edit_version:
+            delays.setdefault(node, now - self._edit_time)
 
     @property
-    def all_serve(self) -> bool:
-        """Whether all nodes serve by some configuration."""
-        return len(self.serving) == len(self._names) and min(self.versions.values()) > 0
+    def all_serving(self) -> bool:
+        """Whether all nodes serve with some configuration in force."""
+        return (
+            len(self.serving_nodes) == len(self._names) and min(self.versions_in_force.values()) > 0
+        )
 
     @property
     def all_in_force(self) -> bool:
-        """Whether the edit is in force everywhere."""
-        return len(self._in_force) == len(self._names)
+        """Whether the edit is in force at all nodes."""
+        return len(self._in_force_delays) == len(self._names)
 
     def result(
         self,
-        point: Point,
+        point: GridPoint,
         virtual: bool,
         seed: int,
         watched_seconds: float,
         calls: int,
         bytes_per_node: float | None = None,
     ) -> PointResult:
-        """Return what was found."""
+        """Return the result of the measurement."""
         return PointResult(
             point=point,
             virtual=virtual,
             seed=seed,
-            held=self._moments(self._held),
-            in_force=self._moments(self._in_force),
-            missing=len(self._names) - len(self._in_force),
+            held=self._stage_times(self._held_delays),
+            in_force=self._stage_times(self._in_force_delays),
+            missing=len(self._names) - len(self._in_force_delays),
             watched_seconds=round(watched_seconds, 3),
             calls=calls,
             reader_changes=self.reader_changes,
@@ -134,17 +138,17 @@
             bytes_per_node=bytes_per_node,
         )
 
-    def _moments(self, stage: dict[str, float]) -> Moments:
-        """Nodes that did not reach the stage come after all others."""
-        times = sorted(stage.values())
-        times += [math.inf] * (len(self._names) - len(times))
-        return Moments(
-            first=_finite(times[0]),
-            middle=_finite(percentile(times, 0.5)),
-            p99=_finite(percentile(times, 0.99)),
-            last=_finite(times[-1]),
+    def _stage_times(self, delays: dict[str, float]) -> StageTimes:
+        """Return the times of a stage; nodes that did not reach it count as infinitely late."""
+        sorted_delays = sorted(delays.values())
+        sorted_delays += [math.inf] * (len(self._names) - len(sorted_delays))
+        return StageTimes(
+            first=_round_finite(sorted_delays[0]),
+            middle=_round_finite(percentile(sorted_delays, 0.5)),
+            p99=_round_finite(percentile(sorted_delays, 0.99)),
+            last=_round_finite(sorted_delays[-1]),
         )
 
 
-def _finite(seconds: float) -> float | None:
+def _round_finite(seconds: float) -> float | None:
     return round(seconds, 3) if math.isfinite(seconds) else None
--- a/src/pewtertack/lab/convergence/report.py
+++ b/src/pewtertack/lab/convergence/report.py
@@ -1,4 +1,4 @@
-"""The report of a convergence run: a line for the terminal, Markdown with plots for a directory."""
+"""Formats the report of a convergence run: terminal output, and a Markdown page with plots."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 import msgspec
 
-from pewtertack.lab.convergence.recording import Moments, PointResult
+from pewtertack.lab.convergence.recording import PointResult, StageTimes
 from pewtertack.lab.convergence.run import ConvergenceReport
 from pewtertack.lab.pages.markdown import markdown_table
 
-PAGE = "index.md"
-DATA = "convergence.json"
-PLOT = "convergence.svg"
-CALLS_PLOT = "calls.svg"
+PAGE_FILE = "index.md"
+DATA_FILE = "convergence.json"
+IN_FORCE_PLOT_FILE = "convergence.svg"
+CALLS_PLOT_FILE = "calls.svg"
 NEVER = "never"
-HEAD = (
+HEADER = (
     "nodes",
     "answer s",
     "routes",
@@ -29,55 +29,55 @@
     "last",
     "missing",
     "calls",
-    "readers changed",
+    "reader changes",
     "failed reads",
-    "KB a node",
+    "KB per node",
 )
 
 
 def format_results(results: list[PointResult]) -> str:
     """Return a table of the results, in Markdown."""
-    return markdown_table(HEAD, [_row(result) for result in results])
+    return markdown_table(HEADER, [_result_row(result) for result in results])
 
 
 def format_line(result: PointResult) -> str:
-    """Return one result as a line of progress."""
+    """Return one result as a progress line."""
     point = result.point
     return (
-        f"{point.nodes} nodes, {point.routes} routes, {point.answer_seconds:g} s an answer:"
-        f" in force {_times(result.in_force)}, {result.calls} calls"
+        f"{point.nodes} nodes, {point.routes} routes, {point.answer_seconds:g} s per response:"
+        f" in force {_format_times(result.in_force)}, {result.calls} calls"
     )
 
 
 def write_report(report: ConvergenceReport, directory: Path) -> Path:
-    """Write page, plots and data into ``directory``; return the page's path."""
+    """Write the page, its plots and the data into ``directory`` and return the page's path."""
     from pewtertack.lab.convergence.plots import plot_calls, plot_in_force
 
     directory.mkdir(parents=True, exist_ok=True)
-    (directory / DATA).write_bytes(msgspec.json.format(msgspec.json.encode(report)))
-    plot_in_force(report.results, directory / PLOT)
-    plot_calls(report.results, directory / CALLS_PLOT)
-    path = directory / PAGE
-    path.write_text("\n".join(_parts(report)))
+    (directory / DATA_FILE).write_bytes(msgspec.json.format(msgspec.json.encode(report)))
+    plot_in_force(report.results, directory / IN_FORCE_PLOT_FILE)
+    plot_calls(report.results, directory / CALLS_PLOT_FILE)
+    path = directory / PAGE_FILE
+    path.write_text("\n".join(_page_sections(report)))
     return path
 
 
-def _parts(report: ConvergenceReport) -> list[str]:
+def _page_sections(report: ConvergenceReport) -> list[str]:
     without = f" without `{report.without}`" if report.without else ""
-    kind = "virtual time" if _is_virtual(report) else "a process for each node"
+    kind = "simulated in virtual time" if _is_virtual(report) else "run as real processes"
     return [
         f"# Convergence while the source is slow: {report.label}{without}\n",
-        f"Nodes in {kind}. Times are seconds from the acknowledgement of the edit; calls,"
-        " changes of readers and failed reads are those of the whole time that the source was"
-        " slow.\n",
+        f"Nodes are {kind}. Times are seconds after the acknowledgement of the edit; calls,"
+        " reader changes and failed reads are counted over the whole time for which the source"
+        " was slow.\n",
         format_results(report.results),
-        f"![in force at the last node]({PLOT})\n",
-        f"![calls of the source]({CALLS_PLOT})\n",
-        "## Why reads failed\n",
+        f"![in force at the last node]({IN_FORCE_PLOT_FILE})\n",
+        f"![calls of the source]({CALLS_PLOT_FILE})\n",
+        "## Reasons of failed reads\n",
         markdown_table(
             ("nodes, answer s, routes, Mbit/s", "reason", "reads"),
             [
-                (_name(result), reason, str(count))
+                (_point_label(result), reason, str(count))
                 for result in report.results
                 for reason, count in result.failures.items()
             ],
@@ -89,39 +89,39 @@
     return any(result.virtual for result in report.results)
 
 
-def _name(result: PointResult) -> str:
+def _point_label(result: PointResult) -> str:
     point = result.point
     link = f"{point.link_mbps:g}" if point.link_mbps else "-"
     return f"{point.nodes}, {point.answer_seconds:g}, {point.routes}, {link}"
 
 
-def _row(result: PointResult) -> tuple[str, ...]:
+def _result_row(result: PointResult) -> tuple[str, ...]:
     point = result.point
     held, in_force = result.held, result.in_force
-    received = result.bytes_per_node
+    received_bytes = result.bytes_per_node
     return (
         str(point.nodes),
         f"{point.answer_seconds:g}",
         str(point.routes),
         f"{point.link_mbps:g}" if point.link_mbps else "-",
-        _seconds(held.first),
-        _seconds(held.middle),
-        _seconds(held.last),
-        _seconds(in_force.first),
-        _seconds(in_force.middle),
-        _seconds(in_force.p99),
-        _seconds(in_force.last),
+        _format_seconds(held.first),
+        _format_seconds(held.middle),
+        _format_seconds(held.last),
+        _format_seconds(in_force.first),
+        _format_seconds(in_force.middle),
+        _format_seconds(in_force.p99),
+        _format_seconds(in_force.last),
         str(result.missing),
         str(result.calls),
         str(result.reader_changes),
         str(result.failed_reads),
-        f"{received / 1000:.1f}" if received is not None else "-",
+        f"{received_bytes / 1000:.1f}" if received_bytes is not None else "-",
     )
 
 
-def _times(moments: Moments) -> str:
-    return ", ".join(_seconds(time) for time in (moments.first, moments.middle, moments.last))
+def _format_times(times: StageTimes) -> str:
+    return ", ".join(_format_seconds(time) for time in (times.first, times.middle, times.last))
 
 
-def _seconds(time: float | None) -> str:
+def _format_seconds(time: float | None) -> str:
     return f"{time:.2f}" if time is not None else NEVER
--- a/src/pewtertack/lab/convergence/run.py
+++ b/src/pewtertack/lab/convergence/run.py
@@ -1,4 +1,4 @@
-"""Measures every point of a grid, one after the other."""
+"""Measures all points of a grid in succession."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 import msgspec
 
 from pewtertack.lab.convergence.measurement import measure_processes, measure_virtually
-from pewtertack.lab.convergence.options import ConvergenceOptions, Point
+from pewtertack.lab.convergence.options import ConvergenceOptions, GridPoint
 from pewtertack.lab.convergence.recording import PointResult
 from pewtertack.lab.disabled_mechanisms import disable_mechanism
 
-Progress = Callable[[PointResult], None]
+ProgressHandler = Callable[[PointResult], None]
 
 
 class ConvergenceReport(msgspec.Struct, frozen=True, kw_only=True):
-    """A whole run."""
+    """The results of a complete run."""
 
     label: str
-    """Which program was measured."""
+    """Name of the measured program."""
     without: str
     results: list[PointResult]
 
 
 async def run_convergence(
-    options: ConvergenceOptions, label: str, progress: Progress
+    options: ConvergenceOptions, label: str, progress: ProgressHandler
 ) -> ConvergenceReport:
-    """Measure all points; ``progress`` gets each result.
+    """Measure all points; ``progress`` is called with each result.
 
     Raises:
         LabError: a fleet could not be started or did not form.
@@ -41,8 +41,8 @@
     return ConvergenceReport(label=label, without=options.without, results=results)
 
 
-async def _measure(point: Point, options: ConvergenceOptions) -> PointResult:
+async def _measure(point: GridPoint, options: ConvergenceOptions) -> PointResult:
     if options.virtual:
-        # an event loop in virtual time runs in a thread of its own beside that of this task
+        # The event loop in virtual time needs a thread without a running event loop.
         return await anyio.to_thread.run_sync(measure_virtually, point, options.seed)
     return await measure_processes(point, options.seed, options.without)
--- a/src/pewtertack/lab/convergence/timing.py
+++ b/src/pewtertack/lab/convergence/timing.py
@@ -1,10 +1,10 @@
-"""The course of one measurement, the same for processes and in virtual time. Seconds."""
+"""Durations of one measurement, the same for real processes and virtual time."""
 
-SETTLE = 3.0
-"""Between the start of the last node and the source's becoming slow."""
-WATCHED_AFTER = 12.0
-"""For so long after the edit calls are counted, or until it is in force everywhere."""
-GIVEN_UP_AFTER = 40.0
-"""An edit that is not in force everywhere by then is not waited for any longer."""
-FORMATION = 60.0
-"""All nodes must serve within this long."""
+SETTLE_SECONDS = 3.0
+"""Pause between formation of the fleet and the time at which the source becomes slow."""
+MIN_SECONDS_AFTER_EDIT = 12.0
+"""Calls are counted for at least this long after the edit, and until it is in force everywhere."""
+MAX_SECONDS_AFTER_EDIT = 40.0
+"""Time limit after the edit; the measurement ends even if the edit is not in force everywhere."""
+FORMATION_TIMEOUT_SECONDS = 60.0
+"""Time limit until all nodes serve."""
--- a/src/pewtertack/lab/cost/calls.py
+++ b/src/pewtertack/lab/cost/calls.py
@@ -1,7 +1,7 @@
-"""The caller of a measurement of requests: a process of its own, on blocking sockets.
+"""The caller of the request cost measurement: a separate process with blocking sockets.
 
-It makes its calls one after the other, so that every one wakes the measured process as often
-as one of a lightly loaded node does.
+It makes its calls one after the other. Each call therefore wakes the measured process as often as
+a call to a lightly loaded node does.
 """
 
 from __future__ import annotations
@@ -14,24 +14,26 @@
 import msgspec
 
 from pewtertack.errors import LabError
-from pewtertack.lab.hop.caller import READ_BYTES, TIMEOUT, is_whole
+from pewtertack.lab.hop.caller import READ_SIZE_BYTES, TIMEOUT_SECONDS, is_complete_message
 from pewtertack.lab.hop.targets import HOLD_PATH, PIECES_PATH
 from pewtertack.lab.serving import print_line
 from pewtertack.node.gateway import hop
 from pewtertack.settings import Address
 
 WARM_UP_CALLS = 200
-PATH = "/measured"
-APART_SECONDS = 0.003
-"""Between connection, request and the connection's end, where each call has one of its own: else
-it would be chance whether the measured process sees to two of them in one round."""
-BODY = b"b" * 1024
-HELD_CALLS = 6
-"""One at the back end's only slot and enough behind it that no further one is worth waiting."""
+MEASURED_PATH = "/measured"
+SEPARATION_SECONDS = 0.003
+"""Delay between opening a connection, the request and closing, where each call has a connection of
+its own. Without it, it would be chance whether the measured process handles two of these events in
+one iteration of its event loop."""
+REQUEST_BODY = b"b" * 1024
+HELD_REQUEST_COUNT = 6
+"""One request occupies the back end's only slot; the others queue behind it, enough of them that
+the gateway refuses any further request."""
 
 
 class CallKind(StrEnum):
-    """What one call makes the measured nodes do."""
+    """Kind of a measured call, by the work that it causes on the nodes."""
 
     SERVED = "served hop"
     SERVED_PIECES = "served hop, answer in two pieces"
@@ -43,7 +45,7 @@
 
 
 class CallPlan(msgspec.Struct, frozen=True):
-    """One run of calls. ``rate`` in calls per second, 0 for one after the other."""
+    """The calls to make. ``rate`` is in calls per second; 0 makes them without pauses."""
 
     kind: CallKind
     proxy: str
@@ -53,92 +55,97 @@
 
 
 class CallStep(msgspec.Struct, frozen=True):
-    """What the caller tells the measuring process: the measured calls begin, or have ended."""
+    """Sent to the measuring process when the measured calls begin and when they have ended."""
 
     running: bool
 
 
 class UnexpectedAnswerError(LabError):
-    """A call was not answered as its kind should be."""
+    """A call received a response with a status that its kind does not expect."""
 
     code = "unexpected-answer"
 
 
-EXPECTED = {CallKind.REFUSED: b"HTTP/1.1 503", CallKind.PROBE: b"HTTP/1.1 204"}
+EXPECTED_STATUS_LINES = {CallKind.REFUSED: b"HTTP/1.1 503", CallKind.PROBE: b"HTTP/1.1 204"}
 
 
 class _Caller:
-    """Makes calls on one connection, or on a new one each."""
+    """Makes calls on one connection, or on a new connection for each call."""
 
     def __init__(self, address: Address, request: bytes, kind: CallKind) -> None:
         self.address = address
         self.request = request
-        self.expected = EXPECTED.get(kind, b"HTTP/1.1 200")
-        self.kept = kind not in (CallKind.NEW_CALLER_CONNECTION, CallKind.PROBE)
+        self.expected_status_line = EXPECTED_STATUS_LINES.get(kind, b"HTTP/1.1 200")
+        self.keeps_connection = kind not in (CallKind.NEW_CALLER_CONNECTION, CallKind.PROBE)
         self.connection: socket.socket | None = None
 
     def call(self) -> None:
         if self.connection is None:
             self.connection = _connect(self.address)
-            time.sleep(APART_SECONDS)
+            time.sleep(SEPARATION_SECONDS)
         self.connection.sendall(self.request)
-        received = self.connection.recv(READ_BYTES)
-        while received and not is_whole(received):
-            received += self.connection.recv(READ_BYTES)
-        if not received.startswith(self.expected):
+        received = self.connection.recv(READ_SIZE_BYTES)
+        while received and not is_complete_message(received):
+            received += self.connection.recv(READ_SIZE_BYTES)
+        if not received.startswith(self.expected_status_line):
             raise UnexpectedAnswerError(received[:400].decode("latin-1"))
-        if not self.kept:
+        if not self.keeps_connection:
             self.connection.close()
             self.connection = None
-            time.sleep(APART_SECONDS)
+            time.sleep(SEPARATION_SECONDS)
 
 
 def make_calls(plan: CallPlan) -> None:
-    """Warm up, make the planned calls, and tell when they begin and end."""
-    held = _hold_slots(plan.gateway) if plan.kind is CallKind.REFUSED else []
+    """Warm up, make the planned calls, and report when they begin and end."""
+    held_connections = _hold_requests(plan.gateway) if plan.kind is CallKind.REFUSED else []
     caller = _caller_of(plan)
     _repeat(caller.call, WARM_UP_CALLS, plan.rate)
-    _tell(CallStep(running=True))
+    _report_step(CallStep(running=True))
     _repeat(caller.call, plan.calls, plan.rate)
-    _tell(CallStep(running=False))
-    for connection in held:
+    _report_step(CallStep(running=False))
+    for connection in held_connections:
         connection.close()
 
 
-def _repeat(call: Callable[[], None], times: int, rate: float) -> None:
-    began = time.perf_counter()
-    for turn in range(times):
+def _repeat(call: Callable[[], None], count: int, rate: float) -> None:
+    started_at = time.perf_counter()
+    for index in range(count):
         if rate:
-            time.sleep(max(0.0, began + turn / rate - time.perf_counter()))
+            time.sleep(max(0.0, started_at + index / rate - time.perf_counter()))
         call()
 
 
-def _tell(step: CallStep) -> None:
+def _report_step(step: CallStep) -> None:
     print_line(msgspec.json.encode(step))
 
 
 def _caller_of(plan: CallPlan) -> _Caller:
     if plan.kind is CallKind.PROBE:
-        request = _request(b"GET", [(hop.PROBE, b"1")])
+        request = _encode_request(b"GET", [(hop.PROBE, b"1")])
         return _Caller(_address(plan.gateway), request, plan.kind)
     common = [(b"accept", b"*/*"), (b"user-agent", b"caller/1"), (b"x-deadline-ms", b"2000")]
     if plan.kind is CallKind.SERVED_BODY:
-        length = (b"content-length", b"%d" % len(BODY))
-        request = _request(b"POST", [*common, length]) + BODY
+        length = (b"content-length", b"%d" % len(REQUEST_BODY))
+        request = _encode_request(b"POST", [*common, length]) + REQUEST_BODY
     else:
-        path = PIECES_PATH if plan.kind is CallKind.SERVED_PIECES else PATH
-        request = _request(b"GET", common, path)
+        path = PIECES_PATH if plan.kind is CallKind.SERVED_PIECES else MEASURED_PATH
+        request = _encode_request(b"GET", common, path)
     return _Caller(_address(plan.proxy), request, plan.kind)
 
 
-def _request(method: bytes, headers: list[tuple[bytes, bytes]], path: str = PATH) -> bytes:
+def _encode_request(
+    method: bytes, headers: list[tuple[bytes, bytes]], path: str = MEASURED_PATH
+) -> bytes:
     lines = [b"%s %s HTTP/1.1" % (method, path.encode()), b"host: measured.example"]
     lines += [name + b": " + value for name, value in headers]
     return b"\r\n".join([*lines, b"", b""])
 
 
-def _hold_slots(gateway: str) -> list[socket.socket]:
-    """Have requests stay at the back end and in the gateway's queue."""
+def _hold_requests(gateway: str) -> list[socket.socket]:
+    """Send requests that stay at the back end and in the gateway's queue.
+
+    Returns their connections.
+    """
     request = b"\r\n".join(
         [
             b"GET %s HTTP/1.1" % HOLD_PATH.encode(),
@@ -156,15 +163,15 @@
             b"",
         ]
     )
-    held = [_connect(_address(gateway)) for _ in range(HELD_CALLS)]
-    for connection in held:
+    held_connections = [_connect(_address(gateway)) for _ in range(HELD_REQUEST_COUNT)]
+    for connection in held_connections:
         connection.sendall(request)
     time.sleep(0.2)
-    return held
+    return held_connections
 
 
 def _connect(address: Address) -> socket.socket:
-    connection = socket.create_connection((address.host, address.port), TIMEOUT)
+    connection = socket.create_connection((address.host, address.port), TIMEOUT_SECONDS)
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return connection
 
--- a/src/pewtertack/lab/cost/parts.py
+++ b/src/pewtertack/lab/cost/parts.py
@@ -1,8 +1,9 @@
-"""What a fleet's processor time was spent for, from the ``NODE_PARTS`` lines of its nodes' logs.
+"""Processor time of a fleet by activity, from the ``NODE_PARTS`` records in its nodes' logs.
 
-Nodes write such lines where ``log.parts_every`` asks for it (``pewtertack.node.part_times``). Each
-tells all since its process began, so the last of a process counts; what a killed one did after it
-is not known. Lines may stand behind other text, as where several logs are printed together.
+Nodes log these records if ``log.parts_every`` is set (``pewtertack.node.part_times``). Each record
+covers the time since the start of its process, so only the last one of a process is used. What a
+killed process did after its last record is unknown. A record may follow other text on its line,
+for example where several logs are printed together.
 """
 
 from __future__ import annotations
@@ -19,20 +20,20 @@
 from pewtertack.lab.report.table import format_table
 from pewtertack.node.part_times import EVENT_PREFIX, LOOP, POLL, START
 
-MARK = f'"event":"{Event.NODE_PARTS.name}"'
-BEGINNING = '{"time":'
-OTHER = "other: "
-"""Before the name of what belongs to no part."""
-SERVED = "served hop"
-UNSERVED = "hop that is refused or fails"
-HOP = "hop"
-MILLISECONDS = 1000.0
-LEAST_SHARE = 0.001
-"""What belongs to no part is shown from this share of the whole on."""
-
-PARTS: dict[str, tuple[str, ...]] = {
+EVENT_MARK = f'"event":"{Event.NODE_PARTS.name}"'
+RECORD_START = '{"time":'
+OTHER_PREFIX = "other: "
+"""Prefix of a callback's name that is not assigned to any part."""
+SERVED_HOP = "served hop"
+UNSERVED_HOP = "hop that is refused or fails"
+ALL_HOPS = "hop"
+MILLISECONDS_PER_SECOND = 1000.0
+MIN_SHOWN_SHARE = 0.001
+"""Smallest fraction of the total time at which an unassigned callback is shown."""
+
+CALLBACKS_BY_PART: dict[str, tuple[str, ...]] = {
     START: (START,),
-    HOP: (
+    ALL_HOPS: (
         "RequestCycle.run",
         "RequestCycle._write_head",
         "StreamTransport._read",
@@ -94,12 +95,14 @@
     ),
     "rounds of the loop": (LOOP,),
 }
-"""Names of callbacks and functions by part."""
+"""Names of callbacks and functions by part, as ``part_times`` records them."""
 
-COUNTED_BY = {
+COUNTERS_BY_PART = {
     START: (START,),
-    SERVED: (f"{EVENT_PREFIX}GATEWAY_ANSWERED",),
-    UNSERVED: tuple(f"{EVENT_PREFIX}GATEWAY_{end}" for end in ("REFUSED", "FAILED", "CANCELLED")),
+    SERVED_HOP: (f"{EVENT_PREFIX}GATEWAY_ANSWERED",),
+    UNSERVED_HOP: tuple(
+        f"{EVENT_PREFIX}GATEWAY_{end}" for end in ("REFUSED", "FAILED", "CANCELLED")
+    ),
     "connection": ("StreamTransport.__init__",),
     "version": ("ProxyApplication.use_configuration",),
     "list change": ("ProxyApplication.use_machines",),
@@ -107,14 +110,14 @@
     "log line": ("EventLog.record",),
     "probe": ("GatewayProber._probe",),
 }
-"""What tells how often a part was done; connections are counted at both ends."""
+"""Counters whose sum is the number of times a part ran; connections count at both ends."""
 
 
 _decoder = json.JSONDecoder()
 
 
-class NodeParts(msgspec.Struct, frozen=True):
-    """One line: what a process did until then."""
+class ProcessPartTimes(msgspec.Struct, frozen=True):
+    """One record: processor seconds and counts of a process up to that time, by name."""
 
     node: str
     incarnation: int
@@ -123,78 +126,93 @@
 
 
 class PartShare(msgspec.Struct, frozen=True):
-    """One part over all processes. ``times`` is 0 where it isn't counted."""
+    """Processor time of one part over all processes; ``count`` is 0 if the part has no counter."""
 
     part: str
     seconds: float
-    times: int = 0
+    count: int = 0
+
 
+def read_part_times(lines: Iterable[str]) -> tuple[list[ProcessPartTimes], int]:
+    """Return the last record of each process, and the number of truncated records.
 
-def read_part_times(lines: Iterable[str]) -> tuple[list[NodeParts], int]:
-    """Return the last line of each process, and how many were cut: a killed one's end mid-line.
+    The last record of a killed process may be truncated.
 
     Raises:
-        LabUsageError: there is none.
+        LabUsageError: the lines contain no complete record.
     """
-    last: dict[tuple[str, int], NodeParts] = {}
-    cut = 0
+    last_records: dict[tuple[str, int], ProcessPartTimes] = {}
+    truncated = 0
     for line in lines:
-        for mark in re.finditer(MARK, line):
-            parts = _read(line, mark.start())
-            if parts is None:
-                cut += 1
+        for match in re.finditer(EVENT_MARK, line):
+            record = _decode_record(line, match.start())
+            if record is None:
+                truncated += 1
             else:
-                last[parts.node, parts.incarnation] = parts
-    if not last:
-        raise LabUsageError("no line tells the parts; settings: [log] parts_every")
-    return list(last.values()), cut
+                last_records[record.node, record.incarnation] = record
+    if not last_records:
+        raise LabUsageError(
+            "found no complete NODE_PARTS record; set parts_every in section [log] of the settings"
+        )
+    return list(last_records.values()), truncated
+
 
+def _decode_record(line: str, position: int) -> ProcessPartTimes | None:
+    """Return the record around ``position``, or ``None`` if it is truncated.
 
-def _read(line: str, mark: int) -> NodeParts | None:
-    """Return what the record around ``mark`` tells; others stand before and behind a cut one."""
+    Other records may precede and follow a truncated one on the same line.
+    """
     try:
-        told, _ = _decoder.raw_decode(line, line.rindex(BEGINNING, 0, mark))
-        return msgspec.convert(told, NodeParts)
+        record, _ = _decoder.raw_decode(line, line.rindex(RECORD_START, 0, position))
+        return msgspec.convert(record, ProcessPartTimes)
     except (ValueError, msgspec.ValidationError):
         return None
 
 
-def part_shares(told: Iterable[NodeParts]) -> list[PartShare]:
-    """Return the parts, the largest first; a hop's time is divided evenly by the hops' ends."""
+def part_shares(records: Iterable[ProcessPartTimes]) -> list[PartShare]:
+    """Return the time of each part, in descending order.
+
+    The time of hops is divided between served and unserved ones in proportion to their numbers.
+    """
     seconds: defaultdict[str, float] = defaultdict(float)
     counts: Counter[str] = Counter()
-    for item in told:
+    for item in records:
         for name, value in item.seconds.items():
             if name != POLL:
-                seconds[_part_of(name)] += value
+                seconds[_part_of_callback(name)] += value
         counts.update(item.counts)
-    times = {part: sum(counts[name] for name in names) for part, names in COUNTED_BY.items()}
-    hops, taken = times[SERVED] + times[UNSERVED], seconds.pop(HOP, 0.0)
-    for part in (SERVED, UNSERVED):
-        seconds[part] = taken * times[part] / hops if hops else taken / 2
-    shares = [PartShare(part, value, times.get(part, 0)) for part, value in seconds.items()]
+    part_counts = {
+        part: sum(counts[name] for name in names) for part, names in COUNTERS_BY_PART.items()
+    }
+    hops, hop_seconds = (
+        part_counts[SERVED_HOP] + part_counts[UNSERVED_HOP],
+        seconds.pop(ALL_HOPS, 0.0),
+    )
+    for part in (SERVED_HOP, UNSERVED_HOP):
+        seconds[part] = hop_seconds * part_counts[part] / hops if hops else hop_seconds / 2
+    shares = [PartShare(part, value, part_counts.get(part, 0)) for part, value in seconds.items()]
     return sorted(shares, key=lambda item: -item.seconds)
 
 
-def _part_of(name: str) -> str:
-    for part, names in PARTS.items():
+def _part_of_callback(name: str) -> str:
+    for part, names in CALLBACKS_BY_PART.items():
         if any(name == item or name.endswith(f".{item}") for item in names):
             return part
-    return OTHER + name
+    return OTHER_PREFIX + name
 
 
 def format_part_shares(shares: list[PartShare]) -> str:
-    """Return the parts as a table."""
-    whole = sum(item.seconds for item in shares) or 1.0
+    """Return the shares as a table."""
+    total_seconds = sum(item.seconds for item in shares) or 1.0
     rows = [
         (
             item.part,
             f"{item.seconds:.2f}",
-            f"{item.seconds / whole:.1%}",
-            item.times or "",
-            f"{item.seconds / item.times * MILLISECONDS:.3f}" if item.times else "",
+            f"{item.seconds / total_seconds:.1%}",
+            item.count or "",
+            f"{item.seconds / item.count * MILLISECONDS_PER_SECOND:.3f}" if item.count else "",
         )
         for item in shares
-        if not item.part.startswith(OTHER) or item.seconds >= LEAST_SHARE * whole
+        if not item.part.startswith(OTHER_PREFIX) or item.seconds >= MIN_SHOWN_SHARE * total_seconds
     ]
     return format_table(("part", "seconds", "share", "times", "ms each"), rows)
--- a/src/pewtertack/lab/cost/requests.py
+++ b/src/pewtertack/lab/cost/requests.py
@@ -1,8 +1,8 @@
-"""What requests cost two nodes in processor time, by what they make the nodes do.
+"""Processor time that two nodes need for a request, by kind of request.
 
 Proxy and gateway run in this process, in one event loop, and nothing else does: back end and
-caller are processes of their own. So this process's clock of processor time tells what both
-nodes together need for a call, the system's part of it included.
+caller are separate processes. The processor time of this process is therefore the time that both
+nodes together need for a call, including time in the kernel.
 """
 
 from __future__ import annotations
@@ -28,7 +28,13 @@
 from pewtertack.events import Event
 from pewtertack.lab.cost.calls import CallKind, CallPlan, CallStep
 from pewtertack.lab.fleet.process import COMMAND
-from pewtertack.lab.hop.targets import ANY_PORT, KEEP_ALIVE, SERVICE, ZONE, measured_configuration
+from pewtertack.lab.hop.targets import (
+    ANY_PORT,
+    KEEP_ALIVE_SECONDS,
+    SERVICE,
+    ZONE,
+    measured_configuration,
+)
 from pewtertack.lab.report.table import format_table
 from pewtertack.log import EventLog
 from pewtertack.node import clock
@@ -41,27 +47,27 @@
 from pewtertack.node.proxy.failure_responses import Receive, Send
 from pewtertack.node.proxy.refusals import typed_refusal
 
-MICROSECONDS = 1_000_000
-LOG_LINES = 20_000
-STOP_SECONDS = 0.2
-"""For what is held at the back end when the measurement ends."""
-LOG_PART = "log line"
-LINE_SECONDS = 0.005
-"""So many pass with each line of the log: four lines a hop, 50 hops a second."""
-PROFILED_FUNCTIONS = 45
+MICROSECONDS_PER_SECOND = 1_000_000
+LOG_LINE_COUNT = 20_000
+SHUTDOWN_SECONDS = 0.2
+"""Time limit for requests that are still held at the back end when the measurement ends."""
+LOG_LINE_PART = "log line"
+CLOCK_STEP_SECONDS = 0.005
+"""Time by which the log's clock advances per line: 50 hops per second with four lines each."""
+SHOWN_FUNCTION_COUNT = 45
 
 
 class PartCost(msgspec.Struct, frozen=True):
-    """Processor time of one part, in microseconds: of both nodes together, for one call."""
+    """Processor time per call of one kind, or per log line, on both nodes together."""
 
     part: str
     microseconds: float
     function_calls: float | None = None
-    """Calls of functions, where they were counted; that lengthens the processor time."""
+    """Number of function calls, if they were counted; counting increases the processor time."""
 
 
 class RequestCostSettings(msgspec.Struct, frozen=True):
-    """What to measure. ``rate`` in calls per second, 0 for one after the other."""
+    """What to measure. ``rate`` is in calls per second; 0 makes the calls without pauses."""
 
     calls: int = 2000
     rate: float = 0.0
@@ -70,32 +76,36 @@
 
 
 class MeasuredCallsFailedError(LabError):
-    """The caller's process ended without making all its calls."""
+    """The caller's process ended before it had made all its calls."""
 
     code = "measured-calls-failed"
 
 
-class _LineClock:
-    """The log's time, which passes by its lines.
+class _SteppingClock:
+    """A clock for the log that advances by a fixed time whenever it is read, once per line.
 
-    By the machine's time lines would be left out where calls are made fast, and be written one
-    by one where they are slow; so none is left out, and the lines of two hops leave together.
+    With the real time, the log would drop lines where calls are fast, and write lines one by one
+    where calls are slow. With this clock no line is dropped, and the lines of two hops are written
+    together.
     """
 
     def __init__(self) -> None:
         self._now = 0.0
 
     def __call__(self) -> float:
-        self._now += LINE_SECONDS
+        self._now += CLOCK_STEP_SECONDS
         return self._now
 
 
-class _ConnectingProxy:
-    """A proxy whose idle connections to gateways, and theirs to back ends, are closed first."""
+class _ReconnectingProxy:
+    """The proxy, which can be made to use new connections for each call.
+
+    If ``closes_connections`` is set, the idle connections of proxy and gateway are closed first.
+    """
 
     def __init__(self, proxy: ProxyApplication, gateway: GatewayApplication) -> None:
         self.leaving = False
-        self.closing = False
+        self.closes_connections = False
         self._proxy = proxy
         self._gateway = gateway
 
@@ -103,36 +113,42 @@
         return self._proxy.may_run_beside(scope)
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        if self.closing:
+        if self.closes_connections:
             self._proxy.connections.keep_only(())
             self._gateway.connections.keep_only(())
         await self._proxy(scope, receive, send)
 
 
 class _Nodes:
-    """The two nodes in this process, and the one back end."""
+    """The two nodes in this process, with one back end."""
 
     def __init__(self, backend: str) -> None:
-        self._nowhere = Path(os.devnull).open("w")  # noqa: SIM115 - as long as the log
-        with contextlib.redirect_stdout(self._nowhere):
-            self.log = EventLog("measured", 1, clock=_LineClock())
+        self._null_stream = Path(os.devnull).open("w")  # noqa: SIM115 - open as long as the log
+        with contextlib.redirect_stdout(self._null_stream):
+            self.log = EventLog("measured", 1, clock=_SteppingClock())
         self._gateway = GatewayApplication(
             clock.now, GatewaySettings(backend, SERVICE, ZONE), DEFAULT_EDGE, self.log.record
         )
         self._proxy = ProxyApplication(clock.now, Random(1), log=self.log.record)
-        self.front = _ConnectingProxy(self._proxy, self._gateway)
+        self.proxy_application = _ReconnectingProxy(self._proxy, self._gateway)
         self._sockets = [socket.create_server((ANY_PORT.host, ANY_PORT.port)) for _ in range(2)]
-        self.proxy, self.gateway = (_address_of(bound) for bound in self._sockets)
-        self._backend = backend
+        self.proxy, self.gateway = (_address_of(listener) for listener in self._sockets)
+        self._backend_address = backend
         self._servers = [
-            HttpServer(self.front, KEEP_ALIVE, typed_refusal),
-            HttpServer(self._gateway, KEEP_ALIVE, typed_refusal),
+            HttpServer(self.proxy_application, KEEP_ALIVE_SECONDS, typed_refusal),
+            HttpServer(self._gateway, KEEP_ALIVE_SECONDS, typed_refusal),
         ]
 
     def configure(self) -> None:
-        """Give both nodes the configuration and the list."""
+        """Set the configuration and the machine list of both nodes."""
         machine = Machine(
-            "b0", MachineRole.BACKEND, ZONE, self._backend, SERVICE, gateway=self.gateway, slots=1
+            "b0",
+            MachineRole.BACKEND,
+            ZONE,
+            self._backend_address,
+            SERVICE,
+            gateway=self.gateway,
+            slots=1,
         )
         machines = MachineList(1, (machine,))
         for application in (self._gateway, self._proxy):
@@ -141,21 +157,21 @@
         self._proxy.set_serving(True)
 
     def stop(self) -> None:
-        """Accept no more, and end what is open."""
+        """Stop accepting connections and close the idle ones."""
         for server in self._servers:
-            server.shutdown_seconds = STOP_SECONDS
+            server.shutdown_seconds = SHUTDOWN_SECONDS
             server.should_exit = True
         for application in (self._gateway, self._proxy):
             application.connections.keep_only(())
 
     def serve(self) -> list[asyncio.Task[None]]:
-        """Accept calls until told to stop."""
+        """Start serving calls until ``stop`` is called."""
         pairs = zip(self._servers, self._sockets, strict=True)
-        return [asyncio.ensure_future(server.serve([bound])) for server, bound in pairs]
+        return [asyncio.ensure_future(server.serve([listener])) for server, listener in pairs]
 
 
 def measure_request_costs(settings: RequestCostSettings) -> tuple[list[PartCost], str]:
-    """Measure every kind; return the costs and, where one was asked for, the profile."""
+    """Measure every kind of call and a log line; return the costs, and profiles if requested."""
     with asyncio.Runner(debug=False, loop_factory=BoottimeEventLoop) as runner:
         return runner.run(_measure(settings))
 
@@ -164,50 +180,53 @@
     costs, profiles = [], []
     for kind in settings.kinds:
         profiler = cProfile.Profile() if settings.profile else None
-        with _backend() as backend:
+        with _running_backend() as backend:
             nodes = _Nodes(backend)
             nodes.configure()
-            nodes.front.closing = kind is CallKind.SERVED_NEW_CONNECTIONS
+            nodes.proxy_application.closes_connections = kind is CallKind.SERVED_NEW_CONNECTIONS
             tasks = nodes.serve()
             plan = CallPlan(kind, nodes.proxy, nodes.gateway, settings.calls, settings.rate)
-            costs.append(await _cost_of(plan, profiler))
+            costs.append(await _measure_calls(plan, profiler))
             nodes.stop()
             await asyncio.gather(*tasks)
         if profiler is not None:
-            profiles.append(f"{kind.value}\n{_profile_text(profiler)}")
-    costs.append(PartCost(LOG_PART, _log_cost(nodes.log)))
+            profiles.append(f"{kind.value}\n{_format_profile(profiler)}")
+    costs.append(PartCost(LOG_LINE_PART, _measure_log_line(nodes.log)))
     return costs, "\n".join(profiles)
 
 
-async def _cost_of(plan: CallPlan, profiler: cProfile.Profile | None) -> PartCost:
-    """Have the planned calls made; return what one costs this process."""
+async def _measure_calls(plan: CallPlan, profiler: cProfile.Profile | None) -> PartCost:
+    """Have the planned calls made; return the processor time of this process per call."""
     text = msgspec.json.encode(plan).decode()
     caller = await asyncio.create_subprocess_exec(
         *COMMAND, "lab", "cost-caller", text, stdout=subprocess.PIPE
     )
     assert caller.stdout is not None
-    await _next_step(caller.stdout)
-    with _counted_by(profiler):
-        began = time.process_time()
-        await _next_step(caller.stdout)
-        used = time.process_time() - began
+    await _read_step(caller.stdout)
+    with _counting_function_calls(profiler):
+        started_at = time.process_time()
+        await _read_step(caller.stdout)
+        used_seconds = time.process_time() - started_at
     await caller.wait()
-    functions = None
+    function_calls = None
     if profiler is not None:
-        functions = sum(entry.callcount for entry in profiler.getstats()) / plan.calls
-    return PartCost(plan.kind.value, used / plan.calls * MICROSECONDS, functions)
+        function_calls = sum(entry.callcount for entry in profiler.getstats()) / plan.calls
+    return PartCost(
+        plan.kind.value, used_seconds / plan.calls * MICROSECONDS_PER_SECOND, function_calls
+    )
 
 
 @contextlib.contextmanager
-def _counted_by(profiler: cProfile.Profile | None) -> Iterator[None]:
-    """Count calls of functions, where asked for, without those that what was left before ends with.
+def _counting_function_calls(profiler: cProfile.Profile | None) -> Iterator[None]:
+    """Count function calls with ``profiler``, if there is one, with the garbage collector disabled.
 
-    The collector would find objects of other work of this process, whose ends are calls too.
+    The collector would finalize objects left over from earlier work of this process, and their
+    finalizers would be counted as well.
     """
     if profiler is None:
         yield
         return
-    collects = gc.isenabled()
+    collector_enabled = gc.isenabled()
     gc.collect()
     gc.disable()
     profiler.enable()
@@ -215,21 +234,21 @@
         yield
     finally:
         profiler.disable()
-        if collects:
+        if collector_enabled:
             gc.enable()
 
 
-async def _next_step(steps: asyncio.StreamReader) -> CallStep:
-    line = await steps.readline()
+async def _read_step(stream: asyncio.StreamReader) -> CallStep:
+    line = await stream.readline()
     if not line:
-        raise MeasuredCallsFailedError("the caller ended early")
+        raise MeasuredCallsFailedError("the caller process ended before it had made all its calls")
     return msgspec.json.decode(line, type=CallStep)
 
 
-def _log_cost(log: EventLog) -> float:
-    """Return the microseconds of one line of an answered request, its writing included."""
-    began = time.process_time()
-    for _ in range(LOG_LINES):
+def _measure_log_line(log: EventLog) -> float:
+    """Return the microseconds to log one ``REQUEST_ANSWERED`` line, including the write."""
+    started_at = time.process_time()
+    for _ in range(LOG_LINE_COUNT):
         log.record(
             Event.REQUEST_ANSWERED,
             request="0123456789abcdef0123456789abcdef",
@@ -239,12 +258,12 @@
             took=12.3,
             queued=0.0,
         )
-    return (time.process_time() - began) / LOG_LINES * MICROSECONDS
+    return (time.process_time() - started_at) / LOG_LINE_COUNT * MICROSECONDS_PER_SECOND
 
 
 @contextlib.contextmanager
-def _backend() -> Iterator[str]:
-    """Run the back end's process; yield its address."""
+def _running_backend() -> Iterator[str]:
+    """Run the back end process and yield its address."""
     process = subprocess.Popen(
         (*COMMAND, "lab", "hop-target", "backend"), stdout=subprocess.PIPE, stdin=subprocess.DEVNULL
     )
@@ -258,16 +277,16 @@
         process.stdout.close()
 
 
-def _address_of(bound: socket.socket) -> str:
-    host, port = bound.getsockname()
+def _address_of(listener: socket.socket) -> str:
+    host, port = listener.getsockname()
     return f"{host}:{port}"
 
 
-def _profile_text(profiler: cProfile.Profile) -> str:
-    written = io.StringIO()
-    statistics = pstats.Stats(profiler, stream=written)
-    statistics.strip_dirs().sort_stats("tottime").print_stats(PROFILED_FUNCTIONS)
-    return written.getvalue()
+def _format_profile(profiler: cProfile.Profile) -> str:
+    output = io.StringIO()
+    statistics = pstats.Stats(profiler, stream=output)
+    statistics.strip_dirs().sort_stats("tottime").print_stats(SHOWN_FUNCTION_COUNT)
+    return output.getvalue()
 
 
 def format_request_costs(costs: list[PartCost]) -> str:
@@ -280,4 +299,4 @@
         )
         for cost in costs
     ]
-    return format_table(("part", "µs of processor time", "calls of functions"), rows)
+    return format_table(("part", "µs of processor time", "function calls"), rows)
--- a/src/pewtertack/lab/hop/__init__.py
+++ b/src/pewtertack/lab/hop/__init__.py
@@ -1,1 +1,1 @@
-"""Measures what one hop through the proxy adds to a call."""
+"""Measures the latency that one hop through the proxy adds to a call."""
--- a/src/pewtertack/lab/hop/targets.py
+++ b/src/pewtertack/lab/hop/targets.py
@@ -1,4 +1,4 @@
-"""The processes of the hop measurement: a trivial back end, and a proxy by itself."""
+"""The processes of the hop measurement: a trivial back end and a proxy without a node core."""
 
 from __future__ import annotations
 
@@ -15,32 +15,35 @@
 )
 from pewtertack.core.machines import Machine, MachineList, MachineRole
 from pewtertack.core.revision import RevisionId
-from pewtertack.lab.hop.caller import is_whole
+from pewtertack.lab.hop.caller import is_complete_message
 from pewtertack.lab.serving import print_ready
 from pewtertack.node.http.server import HttpServer
 from pewtertack.node.proxy.application import ProxyApplication
 from pewtertack.node.proxy.refusals import typed_refusal
 from pewtertack.settings import Address
 
-BODY = b"x" * 256
+RESPONSE_BODY = b"x" * 256
 ANY_PORT = Address("127.0.0.1", 0)
-KEEP_ALIVE = 75.0
+KEEP_ALIVE_SECONDS = 75.0
 ZONE = "here"
 SERVICE = "measured"
-HEAD = b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\nx-backend-load: 1/6\r\n\r\n" % len(BODY)
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\nx-backend-load: 1/6\r\n\r\n" % len(
+    RESPONSE_BODY
+)
 HOLD_PATH = "/hold"
-"""What asks for this stays at the back end."""
+"""A request for this path never gets a response from the back end."""
 PIECES_PATH = "/pieces"
-"""What asks for this gets its answer's body some time after the head."""
-PIECES_SECONDS = 0.003
-"""Long enough that the head is read by itself."""
+"""The body of a response to this path is sent later than its head."""
+SECOND_PIECE_DELAY_SECONDS = 0.003
+"""Long enough for the receiver to read the head separately from the body."""
 
 
 class _TrivialBackend(asyncio.Protocol):
-    """Answers every request of a connection with the same small body, but what is to be held.
+    """Responds to every request with the same small body, except to those for ``HOLD_PATH``.
 
-    Head and body are one write, or two that lie apart: written one right after the other, it
-    would be chance whether who measures reads them at once, which takes a tenth less.
+    Head and body are sent in one write, or in two with a delay between them. With two writes in
+    immediate succession, it would be chance whether the measured process reads them together,
+    which takes a tenth less processor time.
     """
 
     def __init__(self) -> None:
@@ -48,29 +51,29 @@
         self._transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Answer once the whole request has come."""
+        """Respond once the complete request has been received."""
         self._received += data
-        if not is_whole(self._received):
+        if not is_complete_message(self._received):
             return
         path = self._received.split(b" ", 2)[1].decode()
         self._received = b""
         if path == HOLD_PATH:
             return
         if path == PIECES_PATH:
-            self._transport.write(HEAD)
+            self._transport.write(RESPONSE_HEAD)
             loop = asyncio.get_running_loop()
-            loop.call_later(PIECES_SECONDS, self._transport.write, BODY)
+            loop.call_later(SECOND_PIECE_DELAY_SECONDS, self._transport.write, RESPONSE_BODY)
         else:
-            self._transport.write(HEAD + BODY)
+            self._transport.write(RESPONSE_HEAD + RESPONSE_BODY)
 
 
 async def run_backend() -> None:
-    """Serve the trivial back end until the process is ended."""
+    """Run the trivial back end until the process is terminated."""
     loop = asyncio.get_running_loop()
     server = await loop.create_server(_TrivialBackend, ANY_PORT.host, ANY_PORT.port)
     print_ready(backend=Address(*server.sockets[0].getsockname()))
@@ -78,18 +81,18 @@
 
 
 async def run_proxy(backends: list[Address]) -> None:
-    """Serve a proxy to ``backends`` until the process is ended."""
+    """Run a proxy for ``backends`` until the process is terminated."""
     proxy = ProxyApplication(time.monotonic, Random(1))
     proxy.use_configuration(measured_configuration())
-    proxy.use_machines(_machines(backends))
+    proxy.use_machines(_machine_list(backends))
     proxy.set_serving(True)
-    listening = socket.create_server((ANY_PORT.host, ANY_PORT.port))
-    print_ready(proxy=Address(*listening.getsockname()))
-    await HttpServer(proxy, KEEP_ALIVE, typed_refusal).serve([listening])
+    listener = socket.create_server((ANY_PORT.host, ANY_PORT.port))
+    print_ready(proxy=Address(*listener.getsockname()))
+    await HttpServer(proxy, KEEP_ALIVE_SECONDS, typed_refusal).serve([listener])
 
 
 def measured_configuration() -> ResolvedConfiguration:
-    """Return the one route and service of the measurements."""
+    """Return a configuration with the one route and service of the measurements."""
     service = ResolvedService(SERVICE, 6, 130, 1.0, 0.0, 5, 5.0)
     route = ResolvedRoute(
         name="all",
@@ -108,9 +111,9 @@
     return ResolvedConfiguration(RevisionId(1, b""), ZONE, (route,), {SERVICE: service}, {})
 
 
-def _machines(backends: list[Address]) -> MachineList:
-    listed = (
+def _machine_list(backends: list[Address]) -> MachineList:
+    machines = (
         Machine(f"b{index}", MachineRole.BACKEND, ZONE, str(address), SERVICE)
         for index, address in enumerate(backends)
     )
-    return MachineList(1, tuple(listed))
+    return MachineList(1, tuple(machines))
--- a/src/pewtertack/lab/pages/__init__.py
+++ b/src/pewtertack/lab/pages/__init__.py
@@ -1,1 +1,1 @@
-"""Pages with tables and plots, made from the reports of runs."""
+"""Markdown pages with tables and plots, generated from reports of runs."""
--- a/src/pewtertack/lab/pages/inputs.py
+++ b/src/pewtertack/lab/pages/inputs.py
@@ -1,4 +1,4 @@
-"""Reading report files of either kind."""
+"""Reads report files of scale runs and scenarios."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 
 
 class ReportFileError(LabError):
-    """A file holds neither the report of a scale run nor that of a scenario."""
+    """A file is neither the report of a scale run nor that of a scenario."""
 
     code: ClassVar[str] = "report-file"
 
 
 @dataclass(frozen=True, slots=True)
-class NamedScale:
-    """A scale report under the name of its file."""
+class NamedScaleReport:
+    """A scale report and the name of its file, without suffix."""
 
     name: str
     report: ScaleReport
 
 
 @dataclass(frozen=True, slots=True)
-class NamedScenario:
-    """A scenario's report under the name of its file."""
+class NamedScenarioReport:
+    """A scenario report and the name of its file, without suffix."""
 
     name: str
     report: Report
@@ -38,35 +38,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Reports:
-    """All reports of a page, in the order of the files."""
+    """All reports of a page, each kind in the order of the files."""
 
-    scales: tuple[NamedScale, ...]
-    scenarios: tuple[NamedScenario, ...]
+    scales: tuple[NamedScaleReport, ...]
+    scenarios: tuple[NamedScenarioReport, ...]
 
 
 def read_reports(paths: Sequence[Path]) -> Reports:
     """Read report files.
 
     Raises:
-        ReportFileError: a file cannot be read or holds something else.
+        ReportFileError: a file cannot be read or is not a report.
     """
-    found = [_read(path) for path in paths]
+    reports = [_read_report(path) for path in paths]
     return Reports(
-        tuple(item for item in found if isinstance(item, NamedScale)),
-        tuple(item for item in found if isinstance(item, NamedScenario)),
+        tuple(item for item in reports if isinstance(item, NamedScaleReport)),
+        tuple(item for item in reports if isinstance(item, NamedScenarioReport)),
     )
 
 
-def _read(path: Path) -> NamedScale | NamedScenario:
+def _read_report(path: Path) -> NamedScaleReport | NamedScenarioReport:
     try:
         content = path.read_bytes()
     except OSError as error:
         raise ReportFileError(f"{path}: {error.strerror}") from error
     try:
-        return NamedScale(path.stem, msgspec.json.decode(content, type=ScaleReport))
+        return NamedScaleReport(path.stem, msgspec.json.decode(content, type=ScaleReport))
     except msgspec.MsgspecError:
         pass
     try:
-        return NamedScenario(path.stem, msgspec.json.decode(content, type=Report))
+        return NamedScenarioReport(path.stem, msgspec.json.decode(content, type=Report))
     except msgspec.MsgspecError as error:
         raise ReportFileError(f"{path}: {error}") from error
--- a/src/pewtertack/lab/pages/scale_tables.py
+++ b/src/pewtertack/lab/pages/scale_tables.py
@@ -1,17 +1,17 @@
-"""Tables of scale reports, alone and side by side."""
+"""Tables of scale reports, and a comparison of two of them."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator, Sequence
 
-from pewtertack.lab.pages.inputs import NamedScale
+from pewtertack.lab.pages.inputs import NamedScaleReport
 from pewtertack.lab.pages.markdown import markdown_table, relative_change
 from pewtertack.lab.scale.report import PhaseReport, RoleRates, ScaleReport
 
-MEGABYTE = 1024 * 1024
-KILOBYTE = 1024
+BYTES_PER_MEBIBYTE = 1024 * 1024
+BYTES_PER_KIBIBYTE = 1024
 
-SUMMARY_HEAD = (
+SUMMARY_HEADER = (
     "report",
     "nodes",
     "zones",
@@ -19,11 +19,11 @@
     "services",
     "profile",
     "seed",
-    "KB a node",
+    "KB per node",
     "peak MB",
     "real s",
 )
-RATES_HEAD = (
+RATES_HEADER = (
     "report, phase, role",
     "nodes",
     "messages/s sent",
@@ -33,7 +33,7 @@
     "core % of one processor",
     "codec %",
 )
-CONVERGENCE_HEAD = (
+CONVERGENCE_HEADER = (
     "report, phase",
     "edits",
     "p50 s",
@@ -43,17 +43,17 @@
     "starts",
     "serving p99 s",
     "never serving",
-    "reads at once",
+    "concurrent reads",
     "configuration x floor",
 )
 
 
-def summary_table(scales: Sequence[NamedScale]) -> str:
-    """Return one row a report: its size, memory and duration."""
-    return markdown_table(SUMMARY_HEAD, (_summary_row(item) for item in scales))
+def summary_table(scales: Sequence[NamedScaleReport]) -> str:
+    """Return a table of the size, memory and duration of each report."""
+    return markdown_table(SUMMARY_HEADER, (_summary_row(item) for item in scales))
 
 
-def _summary_row(item: NamedScale) -> tuple[str, ...]:
+def _summary_row(item: NamedScaleReport) -> tuple[str, ...]:
     report = item.report
     return (
         item.name,
@@ -63,18 +63,18 @@
         str(report.services),
         report.profile,
         str(report.seed),
-        f"{report.memory_bytes_per_node / KILOBYTE:.0f}",
-        f"{report.peak_memory_bytes / MEGABYTE:.0f}",
+        f"{report.memory_bytes_per_node / BYTES_PER_KIBIBYTE:.0f}",
+        f"{report.peak_memory_bytes / BYTES_PER_MEBIBYTE:.0f}",
         f"{report.real_seconds:.0f}",
     )
 
 
-def rates_table(scales: Sequence[NamedScale]) -> str:
-    """Return one row a report, phase and role."""
-    return markdown_table(RATES_HEAD, (row for item in scales for row in _rate_rows(item)))
+def rates_table(scales: Sequence[NamedScaleReport]) -> str:
+    """Return a table of the rates by report, phase and role."""
+    return markdown_table(RATES_HEADER, (row for item in scales for row in _rate_rows(item)))
 
 
-def _rate_rows(item: NamedScale) -> Iterator[tuple[str, ...]]:
+def _rate_rows(item: NamedScaleReport) -> Iterator[tuple[str, ...]]:
     for phase in item.report.phases:
         for role, rates in phase.roles.items():
             yield (f"{item.name}, {phase.name}, {role}", *_rate_cells(rates))
@@ -92,10 +92,10 @@
     )
 
 
-def convergence_table(scales: Sequence[NamedScale]) -> str:
-    """Return one row a report and phase, from formation to the storm."""
+def convergence_table(scales: Sequence[NamedScaleReport]) -> str:
+    """Return a table of the convergence by report and phase."""
     return markdown_table(
-        CONVERGENCE_HEAD,
+        CONVERGENCE_HEADER,
         (_convergence_row(item.name, phase) for item in scales for phase in item.report.phases),
     )
 
@@ -116,9 +116,9 @@
     )
 
 
-def baseline_table(scales: Sequence[NamedScale]) -> str:
-    """Return what polling whole snapshots would cost at each report's size."""
-    head = ("report, every node polls", "B/s a node", "reads/s at the source", "in force max s")
+def baseline_table(scales: Sequence[NamedScaleReport]) -> str:
+    """Return a table of the cost of polling whole snapshots, for the fleet size of each report."""
+    header = ("report, every node polls", "B/s per node", "reads/s at the source", "in force max s")
     rows = [
         (
             f"{item.name}, every {baseline.interval:.0f} s",
@@ -129,29 +129,29 @@
         for item in scales
         for baseline in item.report.baselines
     ]
-    return markdown_table(head, rows)
+    return markdown_table(header, rows)
 
 
-def comparison_table(first: NamedScale, second: NamedScale) -> str:
-    """Return the figures of two reports side by side, with the change."""
-    head = ("figure", first.name, second.name, "change")
+def comparison_table(first: NamedScaleReport, second: NamedScaleReport) -> str:
+    """Return a table of the figures of two reports and their relative change."""
+    header = ("figure", first.name, second.name, "change")
     rows = []
-    other = dict(_figures(second.report))
+    second_figures = dict(_figures(second.report))
     for name, value in _figures(first.report):
-        if name in other:
-            after = other[name]
+        if name in second_figures:
+            after = second_figures[name]
             rows.append((name, f"{value:.3f}", f"{after:.3f}", relative_change(value, after)))
-    return markdown_table(head, rows)
+    return markdown_table(header, rows)
 
 
 def _figures(report: ScaleReport) -> Iterator[tuple[str, float]]:
-    yield "KB a node", report.memory_bytes_per_node / KILOBYTE
+    yield "KB per node", report.memory_bytes_per_node / BYTES_PER_KIBIBYTE
     for phase in report.phases:
         for role, rates in phase.roles.items():
             yield f"{phase.name}, {role}: B/s sent", rates.sent_bytes_mean
             yield f"{phase.name}, {role}: B/s received", rates.received_bytes_mean
-            share = rates.core_processor_share + rates.codec_processor_share
-            yield f"{phase.name}, {role}: % of one processor", 100 * share
+            processor_share = rates.core_processor_share + rates.codec_processor_share
+            yield f"{phase.name}, {role}: % of one processor", 100 * processor_share
         yield f"{phase.name}: in force p99, s", phase.convergence.p99
         yield f"{phase.name}: in force max, s", phase.convergence.max
         yield f"{phase.name}: serving after start p99, s", phase.rejoin.p99
--- a/src/pewtertack/lab/scale/__init__.py
+++ b/src/pewtertack/lab/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Scale runs: hollow nodes in one process, in virtual time, with measured slopes."""
+"""Scale runs: simulated nodes in one process, in virtual time, with measured cost per node."""
--- a/src/pewtertack/lab/scale/memory.py
+++ b/src/pewtertack/lab/scale/memory.py
@@ -1,4 +1,4 @@
-"""Resident memory of this process, and the limit that a run keeps to."""
+"""Resident memory of this process, and its limit during a run."""
 
 from __future__ import annotations
 
@@ -8,35 +8,37 @@
 
 from pewtertack.errors import LabError
 
-MEMORY_SHARE = 0.5
-"""A run stops before it takes this share of the machine's memory."""
+MAX_MEMORY_SHARE = 0.5
+"""Fraction of the machine's memory at which a run is aborted."""
 
 
 class MemoryLimitError(LabError):
-    """A run would take more memory than it may."""
+    """A run reached its memory limit."""
 
     code: ClassVar[str] = "memory-limit"
 
 
 def resident_bytes() -> int:
-    """Return the resident memory of this process."""
+    """Return the resident memory of this process in bytes."""
     pages = int(Path("/proc/self/statm").read_text().split()[1])
     return pages * os.sysconf("SC_PAGE_SIZE")
 
 
-def memory_limit() -> int:
-    """Return the most bytes that a run may take."""
-    total = os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE")
-    return int(total * MEMORY_SHARE)
+def memory_limit_bytes() -> int:
+    """Return the memory limit of a run in bytes."""
+    total_bytes = os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE")
+    return int(total_bytes * MAX_MEMORY_SHARE)
 
 
 def check_memory() -> int:
-    """Return the resident memory.
+    """Return the resident memory of this process in bytes.
 
     Raises:
-        MemoryLimitError: it has reached the limit.
+        MemoryLimitError: the memory has reached the limit.
     """
-    used = resident_bytes()
-    if used >= memory_limit():
-        raise MemoryLimitError(f"{used} bytes are in use, {memory_limit()} are allowed")
-    return used
+    used_bytes = resident_bytes()
+    if used_bytes >= memory_limit_bytes():
+        raise MemoryLimitError(
+            f"{used_bytes} bytes of memory in use, limit is {memory_limit_bytes()}"
+        )
+    return used_bytes
--- a/src/pewtertack/lab/scale/meter.py
+++ b/src/pewtertack/lab/scale/meter.py
@@ -1,4 +1,4 @@
-"""Measures one phase of a scale run: differences of counters, by role."""
+"""Measures one phase of a scale run, from the differences of counters, by role."""
 
 from __future__ import annotations
 
@@ -7,26 +7,26 @@
 from dataclasses import dataclass, field
 
 from pewtertack.lab.report.statistics import distribution_of, percentile
-from pewtertack.lab.scale.observer import Observer, Process
+from pewtertack.lab.scale.observer import Observer, ProcessKey
 from pewtertack.lab.scale.report import ConfigurationBytes, PhaseReport, RoleRates
 from pewtertack.lab.simulation.fleet import SimulatedFleet, start_time_of
 
-CONFIGURATION_KINDS = (
+CONFIGURATION_MESSAGE_KINDS = (
     "Announce:delta",
     "DeltaAnswer:configuration",
     "SnapshotAnswer:configuration",
     "PackedAnswer:configuration",
 )
-"""Messages that carry configuration; an announcement counts whole if it does."""
+"""Kinds of messages that carry configuration; an announcement with a delta counts in full."""
 
-READER = "reader"
-REPLICA = "replica"
-JOINER = "joiner"
+READER_ROLE = "reader"
+REPLICA_ROLE = "replica"
+JOINER_ROLE = "joiner"
 
 
 @dataclass(frozen=True, slots=True)
-class Counts:
-    """What one node has sent, received and computed since its fleet began."""
+class NodeCounters:
+    """Totals of one node: traffic of its address, and processor time of its current process."""
 
     sent_messages: int
     received_messages: int
@@ -35,9 +35,9 @@
     core_seconds: float
     codec_seconds: float
 
-    def since(self, earlier: Counts) -> Counts:
+    def since(self, earlier: NodeCounters) -> NodeCounters:
         """Return the difference to ``earlier``."""
-        return Counts(
+        return NodeCounters(
             self.sent_messages - earlier.sent_messages,
             self.received_messages - earlier.received_messages,
             self.sent_bytes - earlier.sent_bytes,
@@ -47,12 +47,12 @@
         )
 
 
-NOTHING = Counts(0, 0, 0, 0, 0.0, 0.0)
+ZERO_COUNTERS = NodeCounters(0, 0, 0, 0, 0.0, 0.0)
 
 
 @dataclass(frozen=True, slots=True)
-class EditMade:
-    """An edit of the phase, with the size of the frame that carries its delta."""
+class MeasuredEdit:
+    """An edit made during the phase, and the size of the frame that carries its delta."""
 
     revision: int
     time: float
@@ -61,77 +61,77 @@
 
 @dataclass(slots=True)
 class PhaseMeter:
-    """Open from the beginning of a phase to its end."""
+    """Measures a phase between calls of ``begin`` and ``end``."""
 
     name: str
     fleet: SimulatedFleet
     observer: Observer
     snapshot_bytes: int
-    edits: list[EditMade] = field(default_factory=list)
-    started: list[Process] = field(default_factory=list)
-    fresh: set[str] = field(default_factory=set)
-    """Names of the started processes."""
+    edits: list[MeasuredEdit] = field(default_factory=list)
+    started: list[ProcessKey] = field(default_factory=list)
+    started_names: set[str] = field(default_factory=set)
+    """Names of nodes with a process that was started during the phase."""
     killed: set[str] = field(default_factory=set)
-    _start: float = 0.0
-    _counts: dict[str, Counts] = field(default_factory=dict)
-    _kinds: Counter[str] = field(default_factory=Counter)
-    _reads: int = 0
+    _start_time: float = 0.0
+    _start_counters: dict[str, NodeCounters] = field(default_factory=dict)
+    _start_bytes_by_kind: Counter[str] = field(default_factory=Counter)
+    _start_source_reads: int = 0
 
     def begin(self) -> None:
-        """Note all counters."""
-        self._start = self.fleet.now
-        self._counts = self._read_counts()
-        self._kinds = self._read_kinds()
-        self._reads = self.fleet.source.counts.total
+        """Record the values of all counters."""
+        self._start_time = self.fleet.now
+        self._start_counters = self._read_counters()
+        self._start_bytes_by_kind = self._read_bytes_by_kind()
+        self._start_source_reads = self.fleet.source.counts.total
         for service in (self.fleet.source, self.fleet.machine_list):
             service.counts.peak_concurrent = service.counts.concurrent
 
-    def note_start(self, names: Iterable[str]) -> None:
-        """Note that processes of ``names`` were started."""
+    def record_start(self, names: Iterable[str]) -> None:
+        """Record that processes of the nodes ``names`` were started."""
         for name in names:
             identity = self.fleet.processes[name].identity
             self.started.append((name, identity.incarnation))
-            self.fresh.add(name)
+            self.started_names.add(name)
 
-    def note_kill(self, names: Iterable[str]) -> None:
-        """Note that the processes of ``names`` die: their counters start again."""
+    def record_kill(self, names: Iterable[str]) -> None:
+        """Record that the processes of ``names`` are killed: their processor times restart at 0."""
         self.killed.update(names)
 
     def end(self) -> PhaseReport:
-        """Return what happened since the beginning."""
-        seconds = self.fleet.now - self._start
-        kinds = self._read_kinds()
-        kinds.subtract(self._kinds)
+        """Return the report of the time since ``begin``."""
+        seconds = self.fleet.now - self._start_time
+        bytes_by_kind = self._read_bytes_by_kind()
+        bytes_by_kind.subtract(self._start_bytes_by_kind)
         nodes = len(self.fleet.names)
-        delays, missing = self._convergence()
-        rejoin, never = self._rejoin()
+        delays, missing = self._convergence_delays()
+        rejoin_delays, never_served = self._serving_delays()
         return PhaseReport(
             name=self.name,
             seconds=seconds,
             edits=len(self.edits),
             restarts=len(self.started),
-            roles=self._roles(seconds),
+            roles=self._rates_by_role(seconds),
             bytes_by_kind={
                 kind: round(total / nodes / seconds, 3)
-                for kind, total in sorted(kinds.items())
+                for kind, total in sorted(bytes_by_kind.items())
                 if total
             },
-            configuration=self._configuration(kinds),
+            configuration=self._configuration_bytes(bytes_by_kind),
             convergence=distribution_of(delays),
             convergence_percentiles=_percentiles(delays),
             missing=missing,
-            rejoin=distribution_of(rejoin),
-            never_served=never,
-            source_reads=self.fleet.source.counts.total - self._reads,
+            rejoin=distribution_of(rejoin_delays),
+            never_served=never_served,
+            source_reads=self.fleet.source.counts.total - self._start_source_reads,
             source_reads_at_once=self.fleet.source.counts.peak_concurrent,
             list_reads_at_once=self.fleet.machine_list.counts.peak_concurrent,
         )
 
-    def _read_counts(self) -> dict[str, Counts]:
-        counts: dict[str, Counts] = {}
+    def _read_counters(self) -> dict[str, NodeCounters]:
+        counters: dict[str, NodeCounters] = {}
         for name, process in self.fleet.processes.items():
             traffic = self.fleet.network.traffic[process.identity.address]
-            counts[name] = Counts(
+            counters[name] = NodeCounters(
                 traffic.sent_messages.total(),
                 traffic.received_messages.total(),
                 traffic.sent_bytes.total(),
@@ -139,98 +139,113 @@
                 process.processor_time.core,
                 process.processor_time.codec,
             )
-        return counts
+        return counters
 
-    def _read_kinds(self) -> Counter[str]:
-        kinds: Counter[str] = Counter()
+    def _read_bytes_by_kind(self) -> Counter[str]:
+        bytes_by_kind: Counter[str] = Counter()
         for traffic in self.fleet.network.traffic.values():
-            kinds.update(traffic.received_bytes)
-        return kinds
-
-    def _roles(self, seconds: float) -> dict[str, RoleRates]:
-        groups: defaultdict[str, list[Counts]] = defaultdict(list)
-        for name, now in self._read_counts().items():
-            groups[self._role_of(name)].append(self._difference(name, now))
-        return {role: _rates(group, seconds) for role, group in sorted(groups.items())}
-
-    def _difference(self, name: str, now: Counts) -> Counts:
-        """Traffic is counted by address and goes on; processor time by process."""
-        before = self._counts.get(name, NOTHING)
-        difference = now.since(before)
+            bytes_by_kind.update(traffic.received_bytes)
+        return bytes_by_kind
+
+    def _rates_by_role(self, seconds: float) -> dict[str, RoleRates]:
+        groups: defaultdict[str, list[NodeCounters]] = defaultdict(list)
+        for name, current in self._read_counters().items():
+            groups[self._role_of(name)].append(self._counters_since_start(name, current))
+        return {role: _role_rates(group, seconds) for role, group in sorted(groups.items())}
+
+    def _counters_since_start(self, name: str, current: NodeCounters) -> NodeCounters:
+        """Return the increase of a node's counters since the start of the phase.
+
+        Traffic is counted by address, so it continues across a restart of the process; processor
+        time is counted by process.
+        """
+        start = self._start_counters.get(name, ZERO_COUNTERS)
+        difference = current.since(start)
         if name not in self.killed:
             return difference
-        return Counts(
+        return NodeCounters(
             difference.sent_messages,
             difference.received_messages,
             difference.sent_bytes,
             difference.received_bytes,
-            now.core_seconds,
-            now.codec_seconds,
+            current.core_seconds,
+            current.codec_seconds,
         )
 
     def _role_of(self, name: str) -> str:
-        if name in self.fresh:
-            return JOINER
-        return READER if name in self.observer.readers else REPLICA
-
-    def _configuration(self, kinds: Counter[str]) -> ConfigurationBytes:
-        received = sum(kinds[kind] for kind in CONFIGURATION_KINDS)
-        running = len(self.fleet.processes.keys() - self.fresh)
-        floor = sum(edit.delta_bytes for edit in self.edits) * running
+        if name in self.started_names:
+            return JOINER_ROLE
+        return READER_ROLE if name in self.observer.readers else REPLICA_ROLE
+
+    def _configuration_bytes(self, bytes_by_kind: Counter[str]) -> ConfigurationBytes:
+        received = sum(bytes_by_kind[kind] for kind in CONFIGURATION_MESSAGE_KINDS)
+        running_count = len(self.fleet.processes.keys() - self.started_names)
+        floor = sum(edit.delta_bytes for edit in self.edits) * running_count
         floor += len(self.started) * self.snapshot_bytes
         return ConfigurationBytes(
             received=received, floor=floor, ratio=round(received / floor, 3) if floor else 0.0
         )
 
-    def _convergence(self) -> tuple[list[float], int]:
-        """Return the delays of all pairs of an edit and a process that ran throughout."""
+    def _convergence_delays(self) -> tuple[list[float], int]:
+        """Return the delays of all pairs of an edit and a process that ran throughout the phase.
+
+        The second value is the number of pairs in which the edit never came into force.
+        """
         processes = [
             (name, process.identity.incarnation)
             for name, process in self.fleet.processes.items()
-            if name not in self.fresh
+            if name not in self.started_names
         ]
         delays: list[float] = []
         missing = 0
         for edit in self.edits:
             for process in processes:
-                reached = self.observer.reached(process, edit.revision)
-                if reached is None:
+                in_force_at = self.observer.time_in_force(process, edit.revision)
+                if in_force_at is None:
                     missing += 1
                 else:
-                    delays.append(reached - edit.time)
+                    delays.append(in_force_at - edit.time)
         return delays, missing
 
-    def _rejoin(self) -> tuple[list[float], int]:
-        """Return how long started processes took to serve, and how many never did."""
+    def _serving_delays(self) -> tuple[list[float], int]:
+        """Return the delays until started processes served, and the number that never did."""
         delays: list[float] = []
-        never = 0
+        never_served = 0
         for process in self.started:
-            served = self.observer.served.get(process)
-            if served is None:
-                never += 1
+            serving_at = self.observer.serving_times.get(process)
+            if serving_at is None:
+                never_served += 1
             else:
-                delays.append(served - start_time_of(process[1]))
-        return delays, never
+                delays.append(serving_at - start_time_of(process[1]))
+        return delays, never_served
 
 
 def _percentiles(values: list[float]) -> tuple[float, ...]:
-    """Return the percentiles 0 to 100, or nothing for no values."""
-    ordered = sorted(values)
-    if not ordered:
+    """Return the percentiles 0 to 100, or an empty tuple if there are no values."""
+    sorted_values = sorted(values)
+    if not sorted_values:
         return ()
-    return tuple(round(percentile(ordered, share / 100), 6) for share in range(101))
+    return tuple(round(percentile(sorted_values, share / 100), 6) for share in range(101))
 
 
-def _rates(group: list[Counts], seconds: float) -> RoleRates:
-    size = len(group) * seconds
+def _role_rates(group: list[NodeCounters], seconds: float) -> RoleRates:
+    node_seconds = len(group) * seconds
     return RoleRates(
         nodes=len(group),
-        sent_messages=round(sum(counts.sent_messages for counts in group) / size, 3),
-        received_messages=round(sum(counts.received_messages for counts in group) / size, 3),
-        sent_bytes_mean=round(sum(counts.sent_bytes for counts in group) / size, 3),
-        sent_bytes=distribution_of(counts.sent_bytes / seconds for counts in group),
-        received_bytes_mean=round(sum(counts.received_bytes for counts in group) / size, 3),
-        received_bytes=distribution_of(counts.received_bytes / seconds for counts in group),
-        core_processor_share=round(sum(counts.core_seconds for counts in group) / size, 6),
-        codec_processor_share=round(sum(counts.codec_seconds for counts in group) / size, 6),
+        sent_messages=round(sum(counters.sent_messages for counters in group) / node_seconds, 3),
+        received_messages=round(
+            sum(counters.received_messages for counters in group) / node_seconds, 3
+        ),
+        sent_bytes_mean=round(sum(counters.sent_bytes for counters in group) / node_seconds, 3),
+        sent_bytes=distribution_of(counters.sent_bytes / seconds for counters in group),
+        received_bytes_mean=round(
+            sum(counters.received_bytes for counters in group) / node_seconds, 3
+        ),
+        received_bytes=distribution_of(counters.received_bytes / seconds for counters in group),
+        core_processor_share=round(
+            sum(counters.core_seconds for counters in group) / node_seconds, 6
+        ),
+        codec_processor_share=round(
+            sum(counters.codec_seconds for counters in group) / node_seconds, 6
+        ),
     )
--- a/src/pewtertack/lab/scale/observer.py
+++ b/src/pewtertack/lab/scale/observer.py
@@ -1,4 +1,4 @@
-"""Notes the moments of a scale run that matter, in place of a whole history."""
+"""Records selected events of a scale run instead of a complete history."""
 
 from __future__ import annotations
 
@@ -8,38 +8,38 @@
 from pewtertack.events import Event
 from pewtertack.lab.simulation.scheduler import Scheduler
 
-Process = tuple[str, int]
-"""Name and incarnation."""
+ProcessKey = tuple[str, int]
+"""Name and incarnation of a process."""
 
 
 @dataclass(slots=True)
 class Observer:
-    """Records when revisions came into force, when processes served, and who reads."""
+    """Records when revisions came into force, when processes began to serve, and the readers."""
 
     scheduler: Scheduler | None = None
-    in_force: dict[int, dict[Process, float]] = field(default_factory=dict)
-    served: dict[Process, float] = field(default_factory=dict)
+    in_force_times: dict[int, dict[ProcessKey, float]] = field(default_factory=dict)
+    serving_times: dict[ProcessKey, float] = field(default_factory=dict)
     readers: set[str] = field(default_factory=set)
 
     def record_log(self, node: str, incarnation: int, log: Log) -> None:
-        """Take a numbered event of a process."""
+        """Record an event that a process logged, at the current virtual time."""
         now = self.scheduler.now if self.scheduler is not None else 0.0
         match log.event:
             case Event.REVISION_IN_FORCE:
-                times = self.in_force.setdefault(log.fields["revision"], {})
+                times = self.in_force_times.setdefault(log.fields["revision"], {})
                 times.setdefault((node, incarnation), now)
             case Event.NODE_SERVING:
-                self.served.setdefault((node, incarnation), now)
+                self.serving_times.setdefault((node, incarnation), now)
             case Event.READER_STARTED:
                 self.readers.add(node)
             case Event.READER_STOPPED:
                 self.readers.discard(node)
 
-    def reached(self, process: Process, revision: int) -> float | None:
-        """Return when the process first had ``revision`` or a newer one in force."""
+    def time_in_force(self, process: ProcessKey, revision: int) -> float | None:
+        """Return when ``revision`` or a newer one came into force first, ``None`` if none did."""
         times = [
             times[process]
-            for number, times in self.in_force.items()
+            for number, times in self.in_force_times.items()
             if number >= revision and process in times
         ]
         return min(times, default=None)
--- a/src/pewtertack/lab/scale/report.py
+++ b/src/pewtertack/lab/scale/report.py
@@ -1,4 +1,4 @@
-"""What a scale run measured. Rates are a second of virtual time and for one node."""
+"""The report of a scale run. Rates are per node and second of virtual time."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ScaleReportError(LabError):
-    """A file holds no report of a scale run."""
+    """A file is not a report of a scale run, or a report lacks a phase."""
 
     code: ClassVar[str] = "scale-report"
 
@@ -20,9 +20,9 @@
 class RoleRates(msgspec.Struct, frozen=True, kw_only=True):
     """Rates of the nodes of one role during one phase.
 
-    Bytes include headers of UDP, or an estimate for TCP. ``processor_share`` is
-    the share of one core that core and codec took: real seconds on the machine of
-    the run for each virtual second.
+    Bytes include UDP headers, or an estimate of the headers for TCP. The processor shares are the
+    fractions of one processor core that the node core and the codec used: real seconds on the
+    machine of the run per virtual second.
     """
 
     nodes: int
@@ -37,10 +37,10 @@
 
 
 class ConfigurationBytes(msgspec.Struct, frozen=True, kw_only=True):
-    """Bytes of configuration which all nodes received, against one copy each.
+    """Bytes of configuration that all nodes received, compared with one copy for each node.
 
-    ``floor`` is one frame with the delta for each node and edit, and one frame
-    with a snapshot for each process that started.
+    ``floor`` is the size of one frame with the delta per node and edit, plus one frame with a
+    snapshot per process that started.
     """
 
     received: int
@@ -49,7 +49,7 @@
 
 
 class PhaseReport(msgspec.Struct, frozen=True, kw_only=True):
-    """One phase of a run. ``convergence`` is in seconds from the edit at the source."""
+    """One phase of a run. ``convergence`` is in seconds since the edit at the source."""
 
     name: str
     seconds: float
@@ -57,15 +57,15 @@
     restarts: int
     roles: dict[str, RoleRates]
     bytes_by_kind: dict[str, float]
-    """Received bytes a node and second, by type of message."""
+    """Received bytes per node and second, by kind of message."""
     configuration: ConfigurationBytes
     convergence: Distribution
     convergence_percentiles: tuple[float, ...] = ()
-    """The percentiles 0, 1, 2 ... 100 of the convergence; empty without edits."""
+    """The percentiles 0, 1, 2, ..., 100 of the convergence; empty without edits."""
     missing: int
-    """Pairs of an edit and a running node which never had it in force."""
+    """Number of pairs of an edit and a running node that never had the edit in force."""
     rejoin: Distribution
-    """Seconds from the start of a process until it served."""
+    """Seconds from the start of a process until it serves."""
     never_served: int
     source_reads: int
     source_reads_at_once: int
@@ -73,7 +73,11 @@
 
 
 class PollingBaseline(msgspec.Struct, frozen=True, kw_only=True):
-    """Every node polls the source for the whole tree, every ``interval`` seconds."""
+    """Computed cost if every node polled the source for the whole tree.
+
+    ``interval`` is the polling interval in seconds. Bytes are per node and second, reads per second
+    at the source.
+    """
 
     interval: float
     snapshot_bytes: int
@@ -83,7 +87,7 @@
 
 
 class ScaleReport(msgspec.Struct, frozen=True, kw_only=True):
-    """A whole run."""
+    """The report of a complete run."""
 
     nodes: int
     zones: int
@@ -93,7 +97,7 @@
     profile: str
     real_seconds: float
     memory_bytes_per_node: int
-    """Growth of the process's resident memory from no node to all serving, by node."""
+    """Growth of the lab process's resident memory until all nodes serve, divided by the nodes."""
     peak_memory_bytes: int
     delta_bytes: int
     snapshot_bytes: int
@@ -104,19 +108,19 @@
         """Return the phase called ``name``.
 
         Raises:
-            ScaleReportError: the run had none.
+            ScaleReportError: the run had no such phase.
         """
         for phase in self.phases:
             if phase.name == name:
                 return phase
-        raise ScaleReportError(f"no phase {name!r}")
+        raise ScaleReportError(f"report has no phase {name!r}")
 
 
 def read_report(path: Path) -> ScaleReport:
     """Read the report of a scale run.
 
     Raises:
-        ScaleReportError: the file cannot be read or holds something else.
+        ScaleReportError: the file cannot be read or is not a report of a scale run.
     """
     try:
         return msgspec.json.decode(path.read_bytes(), type=ScaleReport)
@@ -130,11 +134,11 @@
 
 
 def format_summary(report: ScaleReport) -> str:
-    """Return a table of the phases for a terminal."""
+    """Return a table of the phases for the terminal."""
     lines = [
         f"{report.nodes} nodes, {report.zones} zones, {report.regions} regions, "
         f"{report.services} services, profile {report.profile}, seed {report.seed}: "
-        f"{report.real_seconds:.0f} s real, {report.memory_bytes_per_node >> 10} KB a node",
+        f"{report.real_seconds:.0f} s real, {report.memory_bytes_per_node >> 10} KB per node",
         f"{'phase':10} {'role':8} {'nodes':>5} {'sent B/s':>9} {'recv B/s':>9} {'recv p99':>9} "
         f"{'msg/s':>7} {'core %':>7} {'codec %':>7}",
     ]
@@ -154,11 +158,11 @@
 
 
 def _phase_line(phase: PhaseReport) -> str:
-    spread = phase.convergence
+    convergence = phase.convergence
     return (
-        f"{'':10} {phase.edits} edits in force p50 {spread.p50:.3f} p99 {spread.p99:.3f} "
-        f"max {spread.max:.3f} s, {phase.missing} missing; {phase.restarts} starts, serving "
+        f"{'':10} {phase.edits} edits in force p50 {convergence.p50:.3f} p99 {convergence.p99:.3f} "
+        f"max {convergence.max:.3f} s, {phase.missing} missing; {phase.restarts} starts, serving "
         f"p50 {phase.rejoin.p50:.2f} max {phase.rejoin.max:.2f} s, {phase.never_served} never; "
-        f"reads at once {phase.source_reads_at_once}; "
+        f"concurrent reads {phase.source_reads_at_once}; "
         f"configuration bytes {phase.configuration.ratio:.2f} x floor"
     )
--- a/tests/lab/scale/test_pages.py
+++ b/tests/lab/scale/test_pages.py
@@ -1,4 +1,4 @@
-"""Pages made from reports."""
+"""Pages generated from reports."""
 
 import tempfile
 import unittest
@@ -11,7 +11,7 @@
 
 
 class PageTest(unittest.TestCase):
-    def test_two_reports_make_a_page_with_plots_and_a_comparison(self) -> None:
+    def test_page_of_two_reports_has_plots_and_a_comparison(self) -> None:
         with tempfile.TemporaryDirectory() as name:
             directory = Path(name)
             for nodes in (6, 8):
@@ -23,7 +23,7 @@
             plots = {path.name for path in (directory / "page").glob("*.svg")}
             self.assertEqual(plots, {"convergence.svg", "bytes-by-size.svg"})
 
-    def test_another_file_is_refused(self) -> None:
+    def test_file_that_is_not_a_report_is_an_error(self) -> None:
         with tempfile.TemporaryDirectory() as name:
             path = Path(name) / "other.json"
             path.write_text("[]")
--- a/tests/lab/scale/test_scale.py
+++ b/tests/lab/scale/test_scale.py
@@ -1,4 +1,4 @@
-"""A small scale run: every phase is measured, and the same seed gives the same bytes."""
+"""A small scale run: every phase is measured and converges."""
 
 import tempfile
 import unittest
@@ -23,13 +23,13 @@
     def setUpClass(cls) -> None:
         cls.report = run_scale(SETTINGS)
 
-    def test_every_phase_converges_and_every_start_serves(self) -> None:
+    def test_every_phase_converges_and_every_started_process_serves(self) -> None:
         names = [phase.name for phase in self.report.phases]
         self.assertEqual(names, ["formation", "idle", "edits", "churn", "storm"])
         for phase in self.report.phases:
             self.assertEqual((phase.missing, phase.never_served), (0, 0), phase.name)
 
-    def test_each_node_has_one_role_and_an_idle_one_is_quiet(self) -> None:
+    def test_each_node_has_one_role_and_sends_less_when_idle(self) -> None:
         for phase in self.report.phases:
             self.assertEqual(sum(rates.nodes for rates in phase.roles.values()), SETTINGS.nodes)
         idle = self.report.phase("idle")
@@ -38,13 +38,13 @@
             idle.roles["replica"].sent_bytes_mean, edits.roles["replica"].sent_bytes_mean
         )
 
-    def test_an_edit_is_received_about_once(self) -> None:
-        """Readers get it from the source, so that less than one copy a node is right."""
+    def test_each_node_receives_about_one_copy_of_an_edit(self) -> None:
+        """Readers get the edit from the source, not from peers, so the ratio may be less than 1."""
         ratio = self.report.phase("edits").configuration.ratio
         self.assertGreaterEqual(ratio, 0.3)
         self.assertLessEqual(ratio, 1.5)
 
-    def test_a_report_is_read_as_it_was_written(self) -> None:
+    def test_report_is_unchanged_by_writing_and_reading(self) -> None:
         with tempfile.TemporaryDirectory() as directory:
             path = Path(directory) / "report.json"
             write_report(self.report, path)
