--- a/src/pewtertack/lab/crashes/__init__.py
+++ b/src/pewtertack/lab/crashes/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that end back ends, in virtual time."""
+"""Simulation in virtual time of a request that crashes back ends."""
--- a/src/pewtertack/lab/crashes/simulation.py
+++ b/src/pewtertack/lab/crashes/simulation.py
@@ -1,4 +1,4 @@
-"""One request ends the back ends of a service again and again, others ask for theirs beside it."""
+"""Simulates a request that repeatedly crashes back ends, among ordinary requests."""
 
 from __future__ import annotations
 
@@ -15,53 +15,57 @@
 from pewtertack.lab.simulation.scheduler import Scheduler
 
 NOTICE_SECONDS = 0.001
-"""From a back end's end to its gateway's verdict."""
+"""Time from the crash of a back end until its gateway has detected it."""
 REPORT_SECONDS = 0.01
-"""From the first broken exchange to the report (``node.crash_watch``)."""
-REDIRECTS = 3
-"""Back ends that may turn out to be away before a request is refused."""
+"""Time from the first interrupted exchange to the crash report (``node.crash_watch``)."""
+MAX_BACKENDS_TRIED = 3
+"""Number of back ends that are tried before a request is refused as having no back end."""
 GRACE_SECONDS = 3.0
-"""After the third end, callers' attempts may be under way for so long."""
+"""Time after the third crash for which attempts that began before it may still run."""
 
 
 class CrashSettings(msgspec.Struct, frozen=True):
-    """What happens. Times in seconds, rates a second."""
+    """Settings of a simulation. Times are in seconds, rates per second."""
 
     nodes: int = 12
-    """Each has a back end of the service beside it."""
+    """Number of nodes; each has a local back end of the service."""
     seconds: float = 20.0
     repeat: float = 0.2
-    """Between two sends of the request that ends back ends, at nodes drawn at random."""
+    """Time between two sends of the crashing request, to randomly drawn nodes."""
     burst: int = 1
-    """So many of it at once."""
+    """Number of concurrent copies of the crashing request in each send."""
     run: float = 0.05
-    """From the moment at which a back end begins it to the back end's end."""
+    """Time from the start of the crashing request's execution to the crash."""
     away: float = 3.0
+    """Time from a crash until the back end is available again."""
     rate: float = 5.0
-    """Ordinary requests, for each back end."""
+    """Ordinary requests per second and back end."""
     work: float = 0.1
+    """Execution time of an ordinary request."""
     popular: float = 0.2
-    """Share of the ordinary requests that are one and the same."""
+    """Fraction of the ordinary requests that are identical, with one fingerprint."""
     loss: float = 0.02
+    """Fraction of the datagrams that are lost."""
     ledger: bool = True
+    """Whether crashes are reported and recorded."""
 
-    def check(self) -> None:
-        """Accept the shape.
+    def validate(self) -> None:
+        """Validate the settings.
 
         Raises:
-            LabUsageError: a value makes no sense.
+            LabUsageError: a value is out of range.
         """
         positive = (self.seconds, self.repeat, self.run, self.away, self.rate, self.work)
         if not all(math.isfinite(value) and value > 0 for value in positive):
-            raise LabUsageError("times and rates must be above 0")
+            raise LabUsageError("times and rates must be greater than 0")
         if self.nodes < 2 or self.burst < 1:
-            raise LabUsageError("at least 2 nodes and a burst of 1 are needed")
+            raise LabUsageError("nodes must be at least 2, burst at least 1")
         if not (0 <= self.loss < 1 and 0 <= self.popular <= 1):
-            raise LabUsageError("shares lie between 0 and 1")
+            raise LabUsageError("loss must be from 0 to below 1, popular from 0 to 1")
 
 
-class Second(msgspec.Struct):
-    """One second of a simulation."""
+class SecondCounts(msgspec.Struct):
+    """Counts of crashes and of ordinary requests, offered and served, in one second."""
 
     ends: int = 0
     ordinary: int = 0
@@ -69,187 +73,199 @@
 
 
 class CrashResult(msgspec.Struct, frozen=True):
-    """What came of it."""
+    """Result of a simulation."""
 
     shape: CrashSettings
     seed: int
     ends: int
+    """Number of crashes."""
     late_ends: int
-    """Ends later than ``GRACE_SECONDS`` after the third."""
+    """Crashes later than ``GRACE_SECONDS`` after the third."""
     known_after: float | None
-    """Milliseconds from the third end to the moment at which the last node knew of it."""
+    """Milliseconds from the third crash until every node had recorded it."""
     bytes_per_end: float
-    """Bytes that a node sent for an end, regular reports included."""
+    """Bytes that a node sent per crash, including regular reports."""
     ordinary: int
+    """Number of ordinary requests."""
     served: float
-    """Share of the ordinary requests."""
+    """Fraction of the ordinary requests that were served."""
     refused_wrongly: int
-    """Ordinary requests refused as if they ended back ends."""
-    by_second: list[Second]
+    """Ordinary requests that were refused as crashing requests."""
+    by_second: list[SecondCounts]
 
 
 class _Backend:
-    __slots__ = ("number", "running", "up")
+    __slots__ = ("available", "executing", "index")
 
-    def __init__(self, number: int) -> None:
-        self.number = number
-        self.up = True
-        self.running: list[_Request] = []
+    def __init__(self, index: int) -> None:
+        self.index = index
+        self.available = True
+        self.executing: list[_Request] = []
 
 
 class _Request:
-    __slots__ = ("began", "ends_backends", "fingerprint", "known_ends", "node", "retried")
+    __slots__ = ("began_at", "crashes_backends", "fingerprint", "known_crashes", "node", "retried")
 
-    def __init__(self, node: int, fingerprint: bytes, ends_backends: bool, began: float) -> None:
+    def __init__(
+        self, node: int, fingerprint: bytes, crashes_backends: bool, began_at: float
+    ) -> None:
         self.node = node
         self.fingerprint = fingerprint
-        self.ends_backends = ends_backends
-        self.began = began
+        self.crashes_backends = crashes_backends
+        self.began_at = began_at
         self.retried = False
-        self.known_ends = 0
+        self.known_crashes = 0
 
 
 class CrashSimulation:
-    """One run; ``run`` returns its result."""
+    """One simulation; ``run`` returns its result."""
 
-    def __init__(self, shape: CrashSettings, seed: int) -> None:
-        shape.check()
-        self._shape = shape
+    def __init__(self, settings: CrashSettings, seed: int) -> None:
+        settings.validate()
+        self._settings = settings
         self._seed = seed
         self._random = Random(seed)
         self._scheduler = Scheduler()
-        self._fleet = CrashFleet(shape.nodes, self._scheduler, self._random, shape.loss)
-        self._backends = [_Backend(number) for number in range(shape.nodes)]
-        self._ending = _fingerprint("ending")
-        self._ended_at: list[float] = []
-        self._known_at: float | None = None
+        self._fleet = CrashFleet(settings.nodes, self._scheduler, self._random, settings.loss)
+        self._backends = [_Backend(index) for index in range(settings.nodes)]
+        self._crashing_fingerprint = _fingerprint("ending")
+        self._crash_times: list[float] = []
+        self._recorded_everywhere_at: float | None = None
         self._refused_wrongly = 0
-        self._seconds = [Second() for _ in range(math.ceil(shape.seconds) + 1)]
+        self._counts_by_second = [SecondCounts() for _ in range(math.ceil(settings.seconds) + 1)]
 
     def run(self) -> CrashResult:
-        """Play it to the end."""
-        shape = self._shape
-        self._every(shape.repeat, self._send_ending)
-        self._every(1 / (shape.rate * shape.nodes), self._send_ordinary)
-        self._scheduler.run_until(shape.seconds)
-        ordinary = sum(second.ordinary for second in self._seconds)
-        served = sum(second.served for second in self._seconds)
-        ends = self._ended_at
-        late = ends[2] + GRACE_SECONDS if len(ends) > 2 else math.inf
-        known = (self._known_at - ends[2]) * 1000 if self._known_at is not None else None
+        """Run the simulation to its end."""
+        settings = self._settings
+        self._every(settings.repeat, self._send_crashing)
+        self._every(1 / (settings.rate * settings.nodes), self._send_ordinary)
+        self._scheduler.run_until(settings.seconds)
+        ordinary = sum(second.ordinary for second in self._counts_by_second)
+        served = sum(second.served for second in self._counts_by_second)
+        crashed_at = self._crash_times
+        late_after = crashed_at[2] + GRACE_SECONDS if len(crashed_at) > 2 else math.inf
+        known = (
+            (self._recorded_everywhere_at - crashed_at[2]) * 1000
+            if self._recorded_everywhere_at is not None
+            else None
+        )
         return CrashResult(
-            shape=shape,
+            shape=settings,
             seed=self._seed,
-            ends=len(ends),
-            late_ends=sum(at > late for at in ends),
+            ends=len(crashed_at),
+            late_ends=sum(at > late_after for at in crashed_at),
             known_after=round(known, 2) if known is not None else None,
-            bytes_per_end=round(self._fleet.sent_bytes / shape.nodes / max(1, len(ends)), 1),
+            bytes_per_end=round(
+                self._fleet.sent_bytes / settings.nodes / max(1, len(crashed_at)), 1
+            ),
             ordinary=ordinary,
             served=round(served / max(1, ordinary), 4),
             refused_wrongly=self._refused_wrongly,
-            by_second=self._seconds,
+            by_second=self._counts_by_second,
         )
 
-    def _every(self, seconds: float, act: Callable[[], None]) -> None:
-        def again() -> None:
-            act()
-            self._scheduler.after(seconds, again)
+    def _every(self, seconds: float, action: Callable[[], None]) -> None:
+        def run_and_repeat() -> None:
+            action()
+            self._scheduler.after(seconds, run_and_repeat)
 
-        self._scheduler.after(seconds, again)
+        self._scheduler.after(seconds, run_and_repeat)
 
-    def _second(self, at: float) -> Second:
-        return self._seconds[int(at)]
+    def _counts_at(self, at: float) -> SecondCounts:
+        return self._counts_by_second[int(at)]
 
-    def _send_ending(self) -> None:
-        for _ in range(self._shape.burst):
-            self._begin(self._ending, ends_backends=True)
+    def _send_crashing(self) -> None:
+        for _ in range(self._settings.burst):
+            self._send_request(self._crashing_fingerprint, crashes_backends=True)
 
     def _send_ordinary(self) -> None:
-        popular = self._random.random() < self._shape.popular
+        popular = self._random.random() < self._settings.popular
         name = "popular" if popular else f"{self._random.getrandbits(64):x}"
-        self._second(self._scheduler.now).ordinary += 1
-        self._begin(_fingerprint(name), ends_backends=False)
+        self._counts_at(self._scheduler.now).ordinary += 1
+        self._send_request(_fingerprint(name), crashes_backends=False)
 
-    def _begin(self, fingerprint: bytes, ends_backends: bool) -> None:
-        node = self._random.randrange(self._shape.nodes)
-        self._attempt(_Request(node, fingerprint, ends_backends, self._scheduler.now))
+    def _send_request(self, fingerprint: bytes, crashes_backends: bool) -> None:
+        node = self._random.randrange(self._settings.nodes)
+        self._attempt(_Request(node, fingerprint, crashes_backends, self._scheduler.now))
 
     def _attempt(self, request: _Request) -> None:
-        if not self._admits(request):
-            self._refused_wrongly += not request.ends_backends
+        if not self._try_admit(request):
+            self._refused_wrongly += not request.crashes_backends
             return
-        chosen = self._random.sample(self._backends, min(REDIRECTS, len(self._backends)))
-        backend = next((item for item in chosen if item.up), None)
+        candidates = self._random.sample(
+            self._backends, min(MAX_BACKENDS_TRIED, len(self._backends))
+        )
+        backend = next((item for item in candidates if item.available), None)
         if backend is None:
             return
-        backend.running.append(request)
-        if request.ends_backends:
-            self._scheduler.after(self._shape.run, lambda: self._end(backend, request))
+        backend.executing.append(request)
+        if request.crashes_backends:
+            self._scheduler.after(self._settings.run, lambda: self._crash(backend, request))
         else:
-            self._scheduler.after(self._shape.work, lambda: self._answer(backend, request))
+            self._scheduler.after(self._settings.work, lambda: self._finish(backend, request))
 
-    def _admits(self, request: _Request) -> bool:
+    def _try_admit(self, request: _Request) -> bool:
         ledger = self._fleet.nodes[request.node].ledger
-        request.known_ends = max(request.known_ends, ledger.crash_count(request.fingerprint))
+        request.known_crashes = max(request.known_crashes, ledger.crash_count(request.fingerprint))
         return ledger.try_admit(request.fingerprint, DEFAULT_CRASH_LIMIT, self._scheduler.now)
 
-    def _answer(self, backend: _Backend, request: _Request) -> None:
-        if request not in backend.running:
+    def _finish(self, backend: _Backend, request: _Request) -> None:
+        if request not in backend.executing:
             return
-        backend.running.remove(request)
-        self._second(request.began).served += 1
-        node = self._fleet.nodes[backend.number]
+        backend.executing.remove(request)
+        self._counts_at(request.began_at).served += 1
+        node = self._fleet.nodes[backend.index]
         if node.ledger.crash_count(request.fingerprint):
             effects = node.on_answer(self._scheduler.now, request.fingerprint)
-            self._fleet.carry_out(backend.number, effects)
+            self._fleet.send_reports(backend.index, effects)
 
-    def _end(self, backend: _Backend, request: _Request) -> None:
-        if request not in backend.running:
+    def _crash(self, backend: _Backend, request: _Request) -> None:
+        if request not in backend.executing:
             return
-        broken, backend.running = backend.running, []
-        backend.up = False
-        self._ended_at.append(self._scheduler.now)
-        self._second(self._scheduler.now).ends += 1
-        self._scheduler.after(self._shape.away, lambda: self._come_back(backend))
-        self._scheduler.after(NOTICE_SECONDS, lambda: self._notice(broken))
-        if self._shape.ledger:
-            self._scheduler.after(REPORT_SECONDS, lambda: self._report(backend, broken))
-
-    def _come_back(self, backend: _Backend) -> None:
-        backend.up = True
-
-    def _notice(self, broken: list[_Request]) -> None:
-        """Callers' nodes hear that the back end has ended, and try once more where they may."""
-        for request in broken:
-            request.known_ends += 1
-            held = self._shape.ledger and request.known_ends >= DEFAULT_CRASH_LIMIT
-            if not request.retried and not held:
+        interrupted, backend.executing = backend.executing, []
+        backend.available = False
+        self._crash_times.append(self._scheduler.now)
+        self._counts_at(self._scheduler.now).ends += 1
+        self._scheduler.after(self._settings.away, lambda: self._restart(backend))
+        self._scheduler.after(NOTICE_SECONDS, lambda: self._handle_crash_notice(interrupted))
+        if self._settings.ledger:
+            self._scheduler.after(REPORT_SECONDS, lambda: self._report(backend, interrupted))
+
+    def _restart(self, backend: _Backend) -> None:
+        backend.available = True
+
+    def _handle_crash_notice(self, interrupted: list[_Request]) -> None:
+        """Count the crash at the callers' nodes, and retry each request once if it is allowed."""
+        for request in interrupted:
+            request.known_crashes += 1
+            refused = self._settings.ledger and request.known_crashes >= DEFAULT_CRASH_LIMIT
+            if not request.retried and not refused:
                 request.retried = True
                 self._attempt(request)
 
-    def _report(self, backend: _Backend, broken: list[_Request]) -> None:
-        fingerprints = dict.fromkeys(request.fingerprint for request in broken)
-        node = self._fleet.nodes[backend.number]
-        self._fleet.carry_out(backend.number, node.on_crash(self._scheduler.now, fingerprints))
-        if len(self._ended_at) >= DEFAULT_CRASH_LIMIT and self._known_at is None:
-            self._look_who_knows()
+    def _report(self, backend: _Backend, interrupted: list[_Request]) -> None:
+        fingerprints = dict.fromkeys(request.fingerprint for request in interrupted)
+        node = self._fleet.nodes[backend.index]
+        self._fleet.send_reports(backend.index, node.on_crash(self._scheduler.now, fingerprints))
+        if len(self._crash_times) >= DEFAULT_CRASH_LIMIT and self._recorded_everywhere_at is None:
+            self._check_recorded()
 
-    def _look_who_knows(self) -> None:
-        counts = (node.ledger.crash_count(self._ending) for node in self._fleet.nodes)
+    def _check_recorded(self) -> None:
+        counts = (node.ledger.crash_count(self._crashing_fingerprint) for node in self._fleet.nodes)
         if all(count >= DEFAULT_CRASH_LIMIT for count in counts):
-            self._known_at = self._scheduler.now
+            self._recorded_everywhere_at = self._scheduler.now
         else:
-            self._scheduler.after(NOTICE_SECONDS, self._look_who_knows)
+            self._scheduler.after(NOTICE_SECONDS, self._check_recorded)
 
 
 def _fingerprint(name: str) -> bytes:
     return fingerprint_of(head_digest("GET", f"/{name}".encode(), []), b"")
 
 
-def simulate_crashes(shape: CrashSettings, seed: int) -> CrashResult:
-    """Play one shape.
+def simulate_crashes(settings: CrashSettings, seed: int) -> CrashResult:
+    """Run one simulation.
 
     Raises:
-        LabUsageError: the shape makes no sense.
+        LabUsageError: a setting is out of range.
     """
-    return CrashSimulation(shape, seed).run()
+    return CrashSimulation(settings, seed).run()
--- a/src/pewtertack/lab/depth/__init__.py
+++ b/src/pewtertack/lab/depth/__init__.py
@@ -1,1 +1,1 @@
-"""Simulation of calls within calls, in virtual time, and the sum of many hops' latency."""
+"""Simulation of chains of nested calls in virtual time, and the latency that their hops add."""
--- a/src/pewtertack/lab/depth/requests.py
+++ b/src/pewtertack/lab/depth/requests.py
@@ -1,4 +1,4 @@
-"""What travels through a simulated chain of services: requests and answers."""
+"""Requests and replies of a simulated chain of services."""
 
 from __future__ import annotations
 
@@ -8,39 +8,40 @@
 
 from pewtertack.routing.outcomes import Outcome
 
-MAXIMUM_ATTEMPTS = 200
-"""Attempts at the deepest level after which a request is followed no further."""
+MAX_DEEPEST_ATTEMPTS = 200
+"""Attempts at the deepest level after which the simulation makes no further ones for a request."""
 OK_STATUS = 200
 BROKEN_EXCHANGE = 0
 
 
 @dataclass(slots=True, eq=False)
 class TopRequest:
-    """One request at the top of the chain. Times are in seconds."""
+    """One request to the top level of the chain. Times are in seconds."""
 
-    began: float
+    began_at: float
     deadline: float
     ended: float | None = None
     answered: bool = False
     failed_below_at: float | None = None
-    """When the faulty level failed it last."""
+    """Time at which the faulty level last failed it."""
     deepest_calls: int = 0
-    """Calls that reached the deepest level's node."""
+    """Number of calls that reached the node of the deepest level."""
     deepest_attempts: int = 0
-    """Attempts that reached a back end of the deepest level."""
+    """Number of attempts at back ends of the deepest level."""
     attempts: int = 0
-    """Attempts at all levels."""
+    """Number of attempts at all levels."""
     capped: bool = False
+    """Whether ``MAX_DEEPEST_ATTEMPTS`` was reached."""
 
-    def may_go_on(self) -> bool:
-        """Tell whether another attempt is followed."""
-        self.capped = self.capped or self.deepest_attempts >= MAXIMUM_ATTEMPTS
+    def allow_attempt(self) -> bool:
+        """Return whether another attempt may be made; set ``capped`` if not."""
+        self.capped = self.capped or self.deepest_attempts >= MAX_DEEPEST_ATTEMPTS
         return not self.capped
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """An answer as the level above sees it; ``BROKEN_EXCHANGE`` stands for none."""
+    """A response as the level above sees it; status ``BROKEN_EXCHANGE`` means that none came."""
 
     status: int
     outcome: str | None = None
@@ -54,18 +55,23 @@
 BROKEN = Reply(BROKEN_EXCHANGE)
 LATE = Reply(504, Outcome.UNKNOWN)
 
-Answer = Callable[[Reply], None]
+ReplyHandler = Callable[[Reply], None]
 
 
 class Cancellable(Protocol):
-    """Work under way that its caller may give up."""
+    """A call in progress that its caller may cancel."""
 
     def cancel(self) -> None:
-        """Stop it; nothing is answered any more."""
+        """Cancel the call; no reply follows."""
 
 
 class Level(Protocol):
-    """One service with its nodes' decisions, as the level above calls it."""
+    """One service behind its node, as the level above calls it."""
 
-    def call(self, request: TopRequest, header: str | None, answer: Answer) -> Cancellable:
-        """Begin a call whose ``x-deadline-ms`` is ``header``."""
+    def call(
+        self, request: TopRequest, deadline_header: str | None, on_reply: ReplyHandler
+    ) -> Cancellable:
+        """Start a call with ``deadline_header`` as its ``x-deadline-ms``.
+
+        ``on_reply`` is called with the reply.
+        """
--- a/src/pewtertack/lab/depth/simulation.py
+++ b/src/pewtertack/lab/depth/simulation.py
@@ -1,4 +1,4 @@
-"""Runs of a chain of services under a fault, and their comparison over depths."""
+"""Simulates chains of services under a fault, and compares retry policies over depths."""
 
 from __future__ import annotations
 
@@ -9,35 +9,40 @@
 
 import msgspec
 
-from pewtertack.lab.depth.backend import BackendWorld, Fault, FaultKind, WorkMeter
-from pewtertack.lab.depth.levels import ROUTE_TIMEOUT, DispatcherLevel, FixedLevel, route
+from pewtertack.lab.depth.backend import Fault, FaultKind, LevelContext, WorkTime
+from pewtertack.lab.depth.levels import (
+    ROUTE_TIMEOUT_SECONDS,
+    DispatcherLevel,
+    FixedRetryLevel,
+    route,
+)
 from pewtertack.lab.depth.requests import OK_STATUS, Cancellable, Level, Reply, TopRequest
 from pewtertack.lab.overload.virtual_backends import VirtualTime
 from pewtertack.routing.deadlines import format_deadline
 
-RATE = 50.0
-"""Top-level requests per second."""
-SECONDS = 20.0
-FAULT_BEGINS = 5.0
-FAULT_ENDS = 10.0
+REQUESTS_PER_SECOND = 50.0
+"""Requests per second to the top level."""
+DURATION_SECONDS = 20.0
+FAULT_BEGINS_AT = 5.0
+FAULT_ENDS_AT = 10.0
 DEPTHS = (1, 5, 10, 19)
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 
 
 class Policy(StrEnum):
-    """How failures are retried at every level."""
+    """Retry policy of all levels."""
 
     FIXED = "fixed"
-    """Two attempts at every level, no deadline passed on, no budget."""
+    """Two attempts at every level, without deadline headers or a retry budget."""
     BUDGET = "budget"
-    """The node's decisions, but back ends do not hand ``x-retries`` on."""
+    """The real node's decisions, but back ends do not pass on ``x-retries``."""
     NEAREST = "nearest"
-    """The node's decisions with ``x-retries``: only the nearest node retries."""
+    """The real node's decisions with ``x-retries``: only the node nearest to a failure retries."""
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A fault of the deepest level."""
+    """A fault of the deepest level, and whether requests are repeatable."""
 
     name: str
     fault: Fault | None
@@ -45,21 +50,21 @@
 
 
 def _outage(kind: FaultKind, slow_seconds: float = 0.0) -> Fault:
-    return Fault(kind, 1.0, FAULT_BEGINS, FAULT_ENDS, slow_seconds)
+    return Fault(kind, 1.0, FAULT_BEGINS_AT, FAULT_ENDS_AT, slow_seconds)
 
 
 SCENARIOS = (
     Scenario("healthy", None),
-    Scenario("sheds-30%", Fault(FaultKind.SHED, 0.3, FAULT_BEGINS, FAULT_ENDS)),
+    Scenario("sheds-30%", Fault(FaultKind.SHED, 0.3, FAULT_BEGINS_AT, FAULT_ENDS_AT)),
     Scenario("sheds-all", _outage(FaultKind.SHED)),
     Scenario("down", _outage(FaultKind.BREAK)),
     Scenario("down-not-repeatable", _outage(FaultKind.BREAK), repeatable=False),
-    Scenario("slow", _outage(FaultKind.SLOW, 2 * ROUTE_TIMEOUT)),
+    Scenario("slow", _outage(FaultKind.SLOW, 2 * ROUTE_TIMEOUT_SECONDS)),
 )
 
 
 class DepthResult(msgspec.Struct, frozen=True):
-    """One run. All but ``answered_share_after`` are of requests begun during the fault."""
+    """Result of one run, of the requests that began_at during the fault unless noted otherwise."""
 
     scenario: str
     policy: Policy
@@ -67,22 +72,23 @@
     requests: int
     answered_share: float
     answered_share_after: float
-    """Of the requests that began after the fault."""
+    """Fraction of the requests begun after the fault that were answered."""
     deepest_calls: float
-    """Calls that reached the deepest level's node, per top-level request."""
+    """Calls that reached the node of the deepest level, per top-level request."""
     deepest_attempts: float
-    """Attempts that reached a back end of the deepest level, per top-level request."""
+    """Attempts at back ends of the deepest level, per top-level request."""
     worst_request: int
-    """Most attempts of one top-level request at a back end of the deepest level."""
+    """Largest number of attempts at back ends of the deepest level for one top-level request."""
     attempts_per_level: float
     """Attempts at all levels, per top-level request and level."""
     late_work_share: float
-    """Share of all work of the run that was done after the top caller's end."""
+    """Fraction of all work of the run that was done after the end of its top-level request."""
     failure_to_top_p50: float
-    """Milliseconds from the last failure below to the final answer; 0 without any."""
+    """Median time in milliseconds from the last failure at the deepest level to the final response
+    of failed requests; 0 without any."""
     failure_to_top_p99: float
     capped: int
-    """Requests that were followed no further: their figures are lower bounds."""
+    """Number of requests that reached the limit of attempts: their figures are lower bounds."""
 
 
 class DepthReport(msgspec.Struct, frozen=True):
@@ -93,7 +99,7 @@
 
 
 def compare(depths: Sequence[int], seed: int) -> DepthReport:
-    """Run every scenario under every policy at every depth."""
+    """Run every scenario with every policy at every depth."""
     runs = [
         simulate(scenario, policy, depth, seed)
         for scenario in SCENARIOS
@@ -104,60 +110,65 @@
 
 
 def simulate(scenario: Scenario, policy: Policy, depth: int, seed: int) -> DepthResult:
-    """Run one simulation; equal seeds give equal requests under every policy."""
+    """Run one simulation. Equal seeds give equal requests with every policy."""
     time = VirtualTime()
-    meter = WorkMeter()
-    top = _chain(time, meter, scenario, policy, depth, seed)
+    work_time = WorkTime()
+    top = _build_chain(time, work_time, scenario, policy, depth, seed)
     requests: list[TopRequest] = []
     random = Random(seed)
-    began = random.expovariate(RATE)
-    while began < SECONDS:
-        request = TopRequest(began, began + ROUTE_TIMEOUT)
+    began_at = random.expovariate(REQUESTS_PER_SECOND)
+    while began_at < DURATION_SECONDS:
+        request = TopRequest(began_at, began_at + ROUTE_TIMEOUT_SECONDS)
         requests.append(request)
-        time.at(began, lambda request=request: _begin(time, top, request))  # type: ignore[misc]
-        began += random.expovariate(RATE)
+        time.at(began_at, lambda request=request: _start_request(time, top, request))  # type: ignore[misc]
+        began_at += random.expovariate(REQUESTS_PER_SECOND)
     time.run()
-    return _result(scenario, policy, depth, requests, meter)
+    return _result(scenario, policy, depth, requests, work_time)
 
 
-def _chain(
-    time: VirtualTime, meter: WorkMeter, scenario: Scenario, policy: Policy, depth: int, seed: int
+def _build_chain(
+    time: VirtualTime,
+    work_time: WorkTime,
+    scenario: Scenario,
+    policy: Policy,
+    depth: int,
+    seed: int,
 ) -> Level:
-    """Return the top level of a chain, built from the deepest one upwards."""
+    """Build a chain from the deepest level upwards and return the top level."""
     level: Level | None = None
     for number in range(depth, 0, -1):
         deepest = number == depth
-        world = BackendWorld(
+        context = LevelContext(
             time=time,
             random=Random(f"{seed}:fault:{number}"),
-            meter=meter,
+            work_time=work_time,
             below=level,
             fault=scenario.fault if deepest else None,
-            hands_on_mark=policy is Policy.NEAREST,
-            notices_cancel=policy is not Policy.FIXED,
+            forwards_retries_header=policy is Policy.NEAREST,
+            stops_on_cancel=policy is not Policy.FIXED,
         )
         if policy is Policy.FIXED:
-            level = FixedLevel(world, deepest)
+            level = FixedRetryLevel(context, deepest)
         else:
             random = Random(f"{seed}:{number}")
-            level = DispatcherLevel(world, route(scenario.repeatable), random, deepest)
+            level = DispatcherLevel(context, route(scenario.repeatable), random, deepest)
     assert level is not None
     return level
 
 
-def _begin(time: VirtualTime, top: Level, request: TopRequest) -> None:
-    """Call the top level; its caller leaves when the deadline has passed."""
+def _start_request(time: VirtualTime, top: Level, request: TopRequest) -> None:
+    """Call the top level, and cancel the call at the deadline."""
 
-    def answered(reply: Reply) -> None:
+    def on_reply(reply: Reply) -> None:
         if request.ended is None:
             request.ended = time.now
             request.answered = reply.status == OK_STATUS
 
-    call = top.call(request, format_deadline(time.now, request.deadline), answered)
-    time.at(request.deadline, lambda: _leave(request, call))
+    call = top.call(request, format_deadline(time.now, request.deadline), on_reply)
+    time.at(request.deadline, lambda: _cancel(request, call))
 
 
-def _leave(request: TopRequest, call: Cancellable) -> None:
+def _cancel(request: TopRequest, call: Cancellable) -> None:
     if request.ended is None:
         request.ended = request.deadline
         call.cancel()
@@ -168,12 +179,12 @@
     policy: Policy,
     depth: int,
     requests: Sequence[TopRequest],
-    meter: WorkMeter,
+    work_time: WorkTime,
 ) -> DepthResult:
-    during = [item for item in requests if FAULT_BEGINS <= item.began < FAULT_ENDS]
-    after = [item for item in requests if item.began >= FAULT_ENDS]
+    during = [item for item in requests if FAULT_BEGINS_AT <= item.began_at < FAULT_ENDS_AT]
+    after = [item for item in requests if item.began_at >= FAULT_ENDS_AT]
     delays = sorted(
-        (item.ended - item.failed_below_at) * MILLISECONDS
+        (item.ended - item.failed_below_at) * MILLISECONDS_PER_SECOND
         for item in during
         if item.failed_below_at is not None and item.ended is not None and not item.answered
     )
@@ -183,20 +194,20 @@
         policy=policy,
         depth=depth,
         requests=count,
-        answered_share=_share(during),
-        answered_share_after=_share(after),
+        answered_share=_answered_share(during),
+        answered_share_after=_answered_share(after),
         deepest_calls=round(sum(item.deepest_calls for item in during) / count, 3),
         deepest_attempts=round(sum(item.deepest_attempts for item in during) / count, 3),
         worst_request=max(item.deepest_attempts for item in during),
         attempts_per_level=round(sum(item.attempts for item in during) / count / depth, 3),
-        late_work_share=round(meter.late / meter.total, 4),
+        late_work_share=round(work_time.late / work_time.total, 4),
         failure_to_top_p50=_quantile(delays, 0.5),
         failure_to_top_p99=_quantile(delays, 0.99),
         capped=sum(item.capped for item in during),
     )
 
 
-def _share(requests: Sequence[TopRequest]) -> float:
+def _answered_share(requests: Sequence[TopRequest]) -> float:
     return round(sum(item.answered for item in requests) / len(requests), 4)
 
 
--- a/src/pewtertack/lab/depth/table.py
+++ b/src/pewtertack/lab/depth/table.py
@@ -1,4 +1,4 @@
-"""The depth report as a Markdown table."""
+"""Formats a depth report as a Markdown table."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def markdown_lines(report: DepthReport) -> Iterator[str]:
-    """Yield the table's lines; "≥" marks runs that were cut at the attempts' limit."""
+    """Yield the lines of the table. "≥" marks runs in which requests reached the attempt limit."""
     yield "| " + " | ".join(COLUMNS) + " |"
     yield "|" + "---|" * len(COLUMNS)
     for run in report.runs:
--- a/src/pewtertack/lab/overload/__init__.py
+++ b/src/pewtertack/lab/overload/__init__.py
@@ -1,1 +1,1 @@
-"""Simulation of the request path under overload, in virtual time, against a baseline."""
+"""Simulation of the request path under overload, in virtual time, compared with a baseline."""
--- a/src/pewtertack/lab/overload/callers.py
+++ b/src/pewtertack/lab/overload/callers.py
@@ -1,8 +1,8 @@
-"""Callers that come back after a refusal, and what their requests earn.
+"""Callers that retry after a refusal, and the value of their requests.
 
-A request is worth its credit from the caller's first attempt on: answered within its
-objective it earns all, later a small part. Waiting that ends unserved costs more the longer
-it lasts, and so does coming back in vain.
+Times count from the caller's first attempt: a response within the objective earns the full
+worth of the request, a later one a small fraction. Waiting that ends without a response has a
+penalty that grows with its duration, and a retry without result has a fixed penalty.
 """
 
 from __future__ import annotations
@@ -15,66 +15,73 @@
 from pewtertack.lab.overload.virtual_backends import VirtualTime
 from pewtertack.lab.overload.workload import ClassProfile, SimulatedRequest
 
-SHOPPERS = (
+CALLER_PROFILES = (
     ClassProfile(WorkClass.INTERACTIVE, 0.6, 0.12, 2.5, "status", 0.4, 1.0, 2),
     ClassProfile(WorkClass.INTERACTIVE, 0.2, 0.16, 3.0, "reserve", 0.5, 2.0, 2),
     ClassProfile(WorkClass.URGENT, 0.2, 0.03, 0.4, "check", 0.12, 0.3, 0),
 )
-"""Two kinds of request of callers that may come back, and calls of back ends that do not."""
-LATE_SHARE = 0.1
-"""Part of its credit that a late answer earns (site file of the users' third deployment)."""
-HELD_FREE_SHARE = 1 / 8
-"""Waiting in vain for this share of the objective costs nothing (users' price list)."""
-HELD_FULL_SHARE = 3 / 4
-"""Waiting in vain for this share of the caller's time costs the whole credit (the same)."""
-AGAIN_PRICE = 0.3
-"""Part of its credit that a request costs which came back in vain (the same)."""
-OBEYED_SHARE = 1 / 3
-"""Callers obey Retry-After up to this share of the time that they have left (the same)."""
-UNTOLD_PAUSE = 0.05
-"""Seconds after which a caller comes back that was told no time. Assumed: nothing is known."""
-HASTY_ATTEMPTS = 6
-"""Attempts of a caller that repeats at once."""
-HASTY_SHARE = 0.1
-"""Part of the callers that repeats at once. Assumed."""
-LEAVING_SHARE = 0.1
-"""Part of the callers that leaves before its deadline. Assumed."""
-
-
-class Manner(StrEnum):
-    """How a caller behaves."""
+"""Two classes of requests whose callers may retry, and calls of back ends, which do not."""
+LATE_RESPONSE_SHARE = 0.1
+"""Fraction of its worth that a late response earns (site file of the users' third deployment)."""
+FREE_WAIT_SHARE = 1 / 8
+"""Fraction of the objective up to which waiting without result costs nothing (users' price
+list)."""
+FULL_PENALTY_WAIT_SHARE = 3 / 4
+"""Fraction of the caller's deadline from which waiting without result costs the full worth
+(users' price list)."""
+FAILED_RETRY_PENALTY = 0.3
+"""Fraction of a request's worth that a retry without result costs (users' price list)."""
+MAX_OBEYED_SHARE = 1 / 3
+"""Callers obey Retry-After up to this fraction of the time that they have left (users' price
+list)."""
+DEFAULT_RETRY_SECONDS = 0.05
+"""Seconds after which a caller retries without Retry-After. Assumed: no measurement is known."""
+IMMEDIATE_RETRY_ATTEMPTS = 6
+"""Number of attempts of a caller that retries almost immediately."""
+IMMEDIATE_RETRY_SHARE = 0.1
+"""Fraction of the callers that retry almost immediately. Assumed."""
+EARLY_LEAVE_SHARE = 0.1
+"""Fraction of the callers that leave before their deadline. Assumed."""
+
+
+class CallerBehavior(StrEnum):
+    """Behavior of a caller after a refusal and while it waits."""
 
     OBEYS = "obeys"
-    HASTY = "hasty"
-    LEAVES = "leaves"
+    RETRIES_IMMEDIATELY = "hasty"
+    LEAVES_EARLY = "leaves"
 
 
-def manner_of(profile: ClassProfile, random: Random) -> Manner:
-    """Draw a caller's manner; calls of back ends always obey."""
+def draw_behavior(profile: ClassProfile, random: Random) -> CallerBehavior:
+    """Draw the behavior of a caller; calls of back ends always obey ``Retry-After``."""
     drawn = random.random()
-    if not profile.retries or drawn >= HASTY_SHARE + LEAVING_SHARE:
-        return Manner.OBEYS
-    return Manner.HASTY if drawn < HASTY_SHARE else Manner.LEAVES
+    if not profile.retries or drawn >= IMMEDIATE_RETRY_SHARE + EARLY_LEAVE_SHARE:
+        return CallerBehavior.OBEYS
+    return (
+        CallerBehavior.RETRIES_IMMEDIATELY
+        if drawn < IMMEDIATE_RETRY_SHARE
+        else CallerBehavior.LEAVES_EARLY
+    )
 
 
 class Caller:
-    """One caller with one request, over all its attempts. Times are in seconds."""
+    """One caller with one request and all its attempts. Times are in seconds."""
 
     __slots__ = (
         "answered_at",
         "attempts",
-        "current",
+        "behavior",
+        "current_attempt",
         "deadline",
-        "held",
-        "left",
-        "manner",
+        "left_early",
         "nodes",
-        "offered_in_time",
         "profile",
         "random",
         "refusals",
         "request",
+        "started_in_time",
         "time",
+        "wait_seconds",
     )
 
     def __init__(
@@ -89,34 +96,34 @@
         self.request = request
         self.random = random
         self.profile = request.profile
-        self.manner = manner_of(request.profile, random)
+        self.behavior = draw_behavior(request.profile, random)
         self.deadline = request.deadline
         self.attempts = 0
         self.refusals = 0
-        self.held = 0.0
-        """Seconds for which attempts were held that did not end with an answer."""
-        self.offered_in_time = False
+        self.wait_seconds = 0.0
+        """Sum of the durations of attempts that ended without a response."""
+        self.started_in_time = False
         self.answered_at: float | None = None
-        self.left = False
-        self.current: tuple[GatewayNode, SimulatedRequest] | None = None
+        self.left_early = False
+        self.current_attempt: tuple[GatewayNode, SimulatedRequest] | None = None
 
     def begin(self) -> None:
         """Make the first attempt."""
         self._attempt()
-        if self.manner is Manner.LEAVES:
+        if self.behavior is CallerBehavior.LEAVES_EARLY:
             self.time.at(
-                self.request.began + self.random.random() * self.request.profile.deadline,
+                self.request.began_at + self.random.random() * self.request.profile.deadline,
                 self._leave,
             )
 
     def _attempt(self) -> None:
-        if self.left or self.time.now >= self.deadline:
+        if self.left_early or self.time.now >= self.deadline:
             return
         self.attempts += 1
         node = self.nodes[self.random.randrange(len(self.nodes))]
         attempt = SimulatedRequest(self.profile, 0, self.time.now, self.request.work, self.deadline)
-        attempt.at_end = lambda: self._ended(attempt)
-        self.current = node, attempt
+        attempt.on_end = lambda: self._handle_end(attempt)
+        self.current_attempt = node, attempt
         node.begin(attempt)
         self.time.at(self.deadline, lambda: self._time_out(node, attempt))
 
@@ -125,61 +132,81 @@
             node.cancel(attempt)
 
     def _leave(self) -> None:
-        if self.answered_at is not None or self.current is None:
+        if self.answered_at is not None or self.current_attempt is None:
             return
-        self.left = True
-        self._time_out(*self.current)
+        self.left_early = True
+        self._time_out(*self.current_attempt)
 
-    def _ended(self, attempt: SimulatedRequest) -> None:
+    def _handle_end(self, attempt: SimulatedRequest) -> None:
         now = self.time.now
         if attempt.answered:
             self.answered_at = now
             return
-        self.held += now - attempt.began
-        wanted = self.request.began + self.profile.objective
-        if attempt.offered_at is not None and attempt.offered_at <= wanted:
-            self.offered_in_time = True
-        if attempt.offered_at is not None or now >= self.deadline:
+        self.wait_seconds += now - attempt.began_at
+        objective_at = self.request.began_at + self.profile.objective
+        if (
+            attempt.execution_started_at is not None
+            and attempt.execution_started_at <= objective_at
+        ):
+            self.started_in_time = True
+        if attempt.execution_started_at is not None or now >= self.deadline:
             return
         self.refusals += 1
-        self._come_back(attempt.retry_after)
-
-    def _come_back(self, retry_after: float | None) -> None:
-        hasty = self.manner is Manner.HASTY
-        most = HASTY_ATTEMPTS if hasty and self.profile.retries else 1 + self.profile.retries
-        if self.attempts >= most:
+        self._retry(attempt.retry_after)
+
+    def _retry(self, retry_after: float | None) -> None:
+        retries_immediately = self.behavior is CallerBehavior.RETRIES_IMMEDIATELY
+        max_attempts = (
+            IMMEDIATE_RETRY_ATTEMPTS
+            if retries_immediately and self.profile.retries
+            else 1 + self.profile.retries
+        )
+        if self.attempts >= max_attempts:
             return
-        told = UNTOLD_PAUSE if hasty or retry_after is None else retry_after
-        left = self.deadline - self.time.now
-        self.time.at(self.time.now + min(told, OBEYED_SHARE * left), self._attempt)
+        retry_after_seconds = (
+            DEFAULT_RETRY_SECONDS if retries_immediately or retry_after is None else retry_after
+        )
+        remaining = self.deadline - self.time.now
+        self.time.at(
+            self.time.now + min(retry_after_seconds, MAX_OBEYED_SHARE * remaining), self._attempt
+        )
 
     @property
     def in_time(self) -> bool:
-        """Whether it was answered within its objective from the first attempt."""
+        """Whether the response came within the objective, counted from the first attempt."""
         return (
             self.answered_at is not None
-            and self.answered_at <= self.request.began + self.profile.objective
+            and self.answered_at <= self.request.began_at + self.profile.objective
         )
 
     @property
     def credit(self) -> float:
-        """Share of its worth that its answer earns."""
+        """Fraction of the request's worth that the response earns."""
         if self.answered_at is None:
             return 0.0
-        return 1.0 if self.in_time else LATE_SHARE
+        return 1.0 if self.in_time else LATE_RESPONSE_SHARE
 
     @property
-    def held_price(self) -> float:
-        """Share of its worth that waiting in vain costs."""
-        if self.answered_at is not None or self.offered_in_time:
+    def wait_penalty(self) -> float:
+        """Fraction of the request's worth that waiting without result costs.
+
+        Nothing if an execution started within the objective.
+        """
+        if self.answered_at is not None or self.started_in_time:
             return 0.0
-        free = HELD_FREE_SHARE * self.profile.objective
-        full = HELD_FULL_SHARE * self.profile.deadline
-        return min(1.0, max(0.0, (self.held - free) / (full - free)))
+        free_seconds = FREE_WAIT_SHARE * self.profile.objective
+        full_penalty_seconds = FULL_PENALTY_WAIT_SHARE * self.profile.deadline
+        return min(
+            1.0,
+            max(0.0, (self.wait_seconds - free_seconds) / (full_penalty_seconds - free_seconds)),
+        )
 
     @property
-    def refused_again(self) -> bool:
-        """Whether it came back after a refusal, in vain."""
+    def refused_after_retry(self) -> bool:
+        """Whether the caller retried after a refusal and was not answered either."""
         return (
-            self.answered_at is None and not self.left and self.refusals > 0 and self.attempts > 1
+            self.answered_at is None
+            and not self.left_early
+            and self.refusals > 0
+            and self.attempts > 1
         )
--- a/src/pewtertack/lab/overload/nodes.py
+++ b/src/pewtertack/lab/overload/nodes.py
@@ -1,4 +1,4 @@
-"""Simulated nodes: one drives the real dispatcher, the baseline goes round robin."""
+"""Simulated nodes: one uses the real dispatcher, the baseline uses round robin."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 from pewtertack.routing.outcomes import BackendShedError, RequestFailedError
 from pewtertack.routing.queueing import Ticket
 
-FIXED_ATTEMPTS = 3
+MAX_BASELINE_ATTEMPTS = 3
 ROUTES = {profile.work_class: route_of(profile) for profile in PROFILES}
 
 
 class SimulatedNode(Protocol):
-    """What the simulation asks of a node."""
+    """Interface of a node to the simulation."""
 
     def begin(self, request: SimulatedRequest) -> None:
-        """Serve a caller's request."""
+        """Handle a request of a caller."""
 
 
 class RoundRobinNode:
-    """The baseline: the next back end in turn, and up to three attempts at once."""
+    """The baseline: back ends in turn, and up to three attempts without delay."""
 
     def __init__(self, time: VirtualTime, backends: Sequence[SimulatedBackend], start: int) -> None:
         self._time = time
@@ -45,29 +45,29 @@
         self._next = (self._next + 1) % len(self._backends)
         backend = self._backends[self._next]
         request.attempts += 1
-        job = Job(request, lambda shed, _: self._replied(request, shed))
+        job = Job(request, lambda shed, _: self._handle_reply(request, shed))
         backend.submit(job)
         if request.attempts == 1:
-            self._time.at(request.deadline, lambda: _give_up(request))
+            self._time.at(request.deadline, lambda: _time_out_baseline(request))
         self._time.at(request.deadline, lambda: backend.cancel(job))
 
-    def _replied(self, request: SimulatedRequest, shed: bool) -> None:
+    def _handle_reply(self, request: SimulatedRequest, shed: bool) -> None:
         if request.ended is not None:
             return
-        if shed and request.attempts < FIXED_ATTEMPTS:
+        if shed and request.attempts < MAX_BASELINE_ATTEMPTS:
             self.begin(request)
             return
         request.ended = self._time.now
         request.answered = not shed
 
 
-def _give_up(request: SimulatedRequest) -> None:
+def _time_out_baseline(request: SimulatedRequest) -> None:
     if request.ended is None:
         request.ended = request.deadline
 
 
 class DispatcherNode:
-    """A node that decides by ``pewtertack.routing``, as the proxy does."""
+    """A node that uses the dispatcher of ``pewtertack.routing``, as the proxy does."""
 
     def __init__(
         self,
@@ -89,7 +89,7 @@
         self._dispatcher.use_machines(MachineList(1, tuple(listed)), 0.0)
 
     def begin(self, request: SimulatedRequest) -> None:
-        """Submit the request's first attempt."""
+        """Submit the first attempt of a request."""
         route = ROUTES[request.profile.work_class]
         self._submit(request, Ticket(route, self._settings, request.deadline))
 
@@ -102,15 +102,17 @@
         if ticket.backend is not None:
             self._attempt(request, ticket)
             return
-        ticket.wake = lambda: self._time.at(self._time.now, lambda: self._woken(request, ticket))
-        self._look(ticket)
+        ticket.wake = lambda: self._time.at(
+            self._time.now, lambda: self._handle_wake(request, ticket)
+        )
+        self._check_waiting(ticket)
 
-    def _look(self, ticket: Ticket) -> None:
+    def _check_waiting(self, ticket: Ticket) -> None:
         if ticket.backend is None and ticket.refusal is None:
-            look_at = self._dispatcher.check(ticket, self._time.now)
-            self._time.at(look_at, lambda: self._look(ticket))
+            check_at = self._dispatcher.check(ticket, self._time.now)
+            self._time.at(check_at, lambda: self._check_waiting(ticket))
 
-    def _woken(self, request: SimulatedRequest, ticket: Ticket) -> None:
+    def _handle_wake(self, request: SimulatedRequest, ticket: Ticket) -> None:
         if ticket.refusal is not None:
             request.ended = self._time.now
         else:
@@ -120,7 +122,7 @@
         assert ticket.backend is not None
         request.attempts += 1
         backend = self._backends[ticket.backend.name]
-        job = Job(request, lambda shed, report: self._replied(request, ticket, shed, report))
+        job = Job(request, lambda shed, report: self._handle_reply(request, ticket, shed, report))
         backend.submit(job)
         self._time.at(request.deadline, lambda: self._time_out(request, ticket, backend, job))
 
@@ -132,7 +134,7 @@
             request.ended = self._time.now
             self._dispatcher.finish(ticket, self._time.now, AttemptResult.TIMED_OUT)
 
-    def _replied(
+    def _handle_reply(
         self, request: SimulatedRequest, ticket: Ticket, shed: bool, report: LoadReport
     ) -> None:
         if ticket.finished:
--- a/src/pewtertack/lab/overload/retrying_callers.py
+++ b/src/pewtertack/lab/overload/retrying_callers.py
@@ -1,4 +1,4 @@
-"""Runs with callers that come back, and what became of their requests."""
+"""Simulates gateways whose callers retry, and computes the value of the responses."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from pewtertack.lab.overload.callers import AGAIN_PRICE, SHOPPERS, Caller
+from pewtertack.lab.overload.callers import CALLER_PROFILES, FAILED_RETRY_PENALTY, Caller
 from pewtertack.lab.overload.gateways import GatewayNode, SimulatedGateway
 from pewtertack.lab.overload.virtual_backends import VirtualTime
 from pewtertack.lab.overload.workload import ClassProfile, SimulatedRequest, service_settings
@@ -15,19 +15,19 @@
 
 ZONES = ("heights", "harbour", "hills")
 WORK_SHAPE = 4.0
-"""Shape of the gamma distribution of work: its spread is half its mean."""
-LONG_TIMES = 7.0
-"""So many times its work a request takes that takes long."""
-BURST_START = 3.0
-"""Seconds from the start of a run to its burst."""
+"""Shape of the gamma distribution of work; its standard deviation is half its mean."""
+LONG_REQUEST_FACTOR = 7.0
+"""Factor of the work of a long request."""
+BURST_START_SECONDS = 3.0
+"""Time from the start of a run to its burst, in seconds."""
 BURST_LOAD = 2.0
-"""Load in a burst, in capacities."""
+"""Offered load in a burst, as a multiple of the capacity."""
 SLOW_SECONDS = 3.0
-"""For so long one back end is slow; it begins when a burst would."""
+"""Time for which one back end is slow, in seconds. It begins at ``BURST_START_SECONDS``."""
 
 
 class RetrySimulationSettings(msgspec.Struct, frozen=True):
-    """The simulated deployment and its load, in capacities; ``burst`` in seconds."""
+    """The simulated deployment and its load, which is a multiple of the capacity."""
 
     nodes: int = 13
     backends: int = 6
@@ -35,37 +35,38 @@
     seconds: float = 12.0
     load: float = 1.0
     burst: float = 0.0
+    """Duration of the burst in seconds."""
     slowness: float = 1.0
-    """So many times slower one back end is for some time."""
+    """Factor by which one back end slows down for ``SLOW_SECONDS``."""
     speeds: tuple[float, ...] = (1.0,)
-    """Back ends of each zone have them in turn."""
+    """Speeds that the back ends of each zone are given in turn."""
     long_share: float = 0.0
-    """Share of requests that take ``LONG_TIMES`` times their work."""
+    """Fraction of the requests that take ``LONG_REQUEST_FACTOR`` times their work."""
     policies: Policies = DEFAULT_POLICIES
     deadlines: float = 1.0
-    """Callers' deadlines, in those of their kinds."""
+    """Factor of the deadlines of all classes."""
     deadline_spread: float = 0.0
-    """Callers' deadlines are drawn evenly from so much of their mean, half up and half down."""
+    """Width of the uniform distribution of a caller's deadline, as a fraction of its mean."""
 
     @property
     def capacity(self) -> float:
-        """Requests per second that keep every slot busy."""
-        mean_work = sum(profile.share * profile.mean_work for profile in SHOPPERS)
-        mean_work *= 1 + self.long_share * (LONG_TIMES - 1)
+        """Requests per second that occupy all slots."""
+        mean_work = sum(profile.share * profile.mean_work for profile in CALLER_PROFILES)
+        mean_work *= 1 + self.long_share * (LONG_REQUEST_FACTOR - 1)
         return self.slots * sum(map(self.speed_of, range(self.backends))) / mean_work
 
     def speed_of(self, index: int) -> float:
-        """Return how fast a back end works."""
+        """Return the relative speed of a back end."""
         return self.speeds[index // len(ZONES) % len(self.speeds)]
 
     def load_at(self, now: float) -> float:
-        """Return the offered load at a time."""
-        bursts = BURST_START <= now < BURST_START + self.burst
-        return BURST_LOAD if bursts else self.load
+        """Return the offered load at a time, as a multiple of the capacity."""
+        in_burst = BURST_START_SECONDS <= now < BURST_START_SECONDS + self.burst
+        return BURST_LOAD if in_burst else self.load
 
 
 class RetryClassOutcome(msgspec.Struct, frozen=True):
-    """What became of one class, as shares of the requests that are owed."""
+    """Outcome of one class, as fractions of the requests whose callers did not leave (``owed``)."""
 
     owed: int
     in_time: float
@@ -73,11 +74,15 @@
     refused: float
     refused_twice: float
     held: float
-    """Price of the time for which requests were held in vain, as a share of their worth."""
+    """Penalty for waiting without result, as a fraction of the requests' worth."""
 
 
 class RetrySimulationResult(msgspec.Struct, frozen=True):
-    """One run. ``worth`` is what was earned less the prices, as a share of what is owed."""
+    """Result of one run.
+
+    ``earned`` is the value of the responses as a fraction of the worth of all requests whose
+    callers did not leave; ``worth`` is ``earned`` less the penalties.
+    """
 
     seed: int
     worth: float
@@ -85,98 +90,104 @@
     classes: dict[str, RetryClassOutcome]
 
 
-def simulate_retrying_callers(shape: RetrySimulationSettings, seed: int) -> RetrySimulationResult:
-    """Run one simulation; equal seeds give equal first attempts."""
+def simulate_retrying_callers(
+    settings: RetrySimulationSettings, seed: int
+) -> RetrySimulationResult:
+    """Run one simulation. Runs with equal seeds have equal first attempts."""
     time = VirtualTime()
     gateways = [
-        SimulatedGateway(time, f"b{index}", ZONES[index % len(ZONES)], shape.slots, shape.policies)
-        for index in range(shape.backends)
+        SimulatedGateway(
+            time, f"b{index}", ZONES[index % len(ZONES)], settings.slots, settings.policies
+        )
+        for index in range(settings.backends)
     ]
     for index, gateway in enumerate(gateways):
-        gateway.slowness = 1 / shape.speed_of(index)
+        gateway.slowness = 1 / settings.speed_of(index)
     nodes = [
         GatewayNode(
             time,
             gateways,
             ZONES[index % len(ZONES)],
-            service_settings(shape.slots),
+            service_settings(settings.slots),
             Random(f"{seed}:{index}"),
-            shape.policies,
+            settings.policies,
         )
-        for index in range(shape.nodes)
+        for index in range(settings.nodes)
     ]
     callers: list[Caller] = []
-    for request in _arrivals(shape, Random(seed)):
+    for request in _arrivals(settings, Random(seed)):
         caller = Caller(time, nodes, request, Random(f"{seed}:{len(callers)}:caller"))
         callers.append(caller)
-        time.at(request.began, caller.begin)
-    _slow_down(time, gateways[0], shape.slowness)
+        time.at(request.began_at, caller.begin)
+    _schedule_slowdown(time, gateways[0], settings.slowness)
     time.run()
-    return _result(shape, seed, callers)
+    return _result(settings, seed, callers)
 
 
-def _slow_down(time: VirtualTime, gateway: SimulatedGateway, slowness: float) -> None:
-    usual = gateway.slowness
+def _schedule_slowdown(time: VirtualTime, gateway: SimulatedGateway, slowness: float) -> None:
+    normal = gateway.slowness
 
-    def use(factor: float) -> None:
-        gateway.slowness = usual * factor
+    def set_factor(factor: float) -> None:
+        gateway.slowness = normal * factor
 
-    time.at(BURST_START, lambda: use(slowness))
-    time.at(BURST_START + SLOW_SECONDS, lambda: use(1.0))
+    time.at(BURST_START_SECONDS, lambda: set_factor(slowness))
+    time.at(BURST_START_SECONDS + SLOW_SECONDS, lambda: set_factor(1.0))
 
 
-def _arrivals(shape: RetrySimulationSettings, random: Random) -> Iterator[SimulatedRequest]:
+def _arrivals(settings: RetrySimulationSettings, random: Random) -> Iterator[SimulatedRequest]:
     now = 0.0
-    drawn = Random(shape.deadline_spread)
-    long = Random(shape.long_share)
-    weights = [profile.share for profile in SHOPPERS]
+    deadline_random = Random(settings.deadline_spread)
+    work_random = Random(settings.long_share)
+    weights = [profile.share for profile in CALLER_PROFILES]
     while True:
-        now += random.expovariate(shape.load_at(now) * shape.capacity)
-        if now >= shape.seconds:
+        now += random.expovariate(settings.load_at(now) * settings.capacity)
+        if now >= settings.seconds:
             return
-        profile = random.choices(SHOPPERS, weights)[0]
+        profile = random.choices(CALLER_PROFILES, weights)[0]
         work = random.gammavariate(WORK_SHAPE, profile.mean_work / WORK_SHAPE)
-        if long.random() < shape.long_share:
-            work *= LONG_TIMES
+        if work_random.random() < settings.long_share:
+            work *= LONG_REQUEST_FACTOR
         deadline = (
-            shape.deadlines
+            settings.deadlines
             * profile.deadline
-            * (1 + shape.deadline_spread * (drawn.random() - 0.5))
+            * (1 + settings.deadline_spread * (deadline_random.random() - 0.5))
         )
         yield SimulatedRequest(profile, 0, now, work, now + deadline)
 
 
 def _result(
-    shape: RetrySimulationSettings, seed: int, callers: Sequence[Caller]
+    settings: RetrySimulationSettings, seed: int, callers: Sequence[Caller]
 ) -> RetrySimulationResult:
-    owed = [caller for caller in callers if not caller.left]
-    worth = sum(caller.profile.worth for caller in owed)
-    earned = sum(caller.credit * caller.profile.worth for caller in owed)
-    prices = sum(_prices(caller) for caller in callers)
-    fates = {profile.name: _fate(profile, owed) for profile in SHOPPERS}
+    remaining_callers = [caller for caller in callers if not caller.left_early]
+    worth = sum(caller.profile.worth for caller in remaining_callers)
+    earned = sum(caller.credit * caller.profile.worth for caller in remaining_callers)
+    penalties = sum(_penalties(caller) for caller in callers)
+    outcomes = {
+        profile.name: _class_outcome(profile, remaining_callers) for profile in CALLER_PROFILES
+    }
     return RetrySimulationResult(
         seed=seed,
-        worth=round((earned - prices) / worth, 4),
+        worth=round((earned - penalties) / worth, 4),
         earned=round(earned / worth, 4),
-        classes=fates,
+        classes=outcomes,
     )
 
 
-def _prices(caller: Caller) -> float:
-    again = AGAIN_PRICE if caller.refused_again else 0.0
-    return (caller.held_price + again) * caller.profile.worth
+def _penalties(caller: Caller) -> float:
+    retry_penalty = FAILED_RETRY_PENALTY if caller.refused_after_retry else 0.0
+    return (caller.wait_penalty + retry_penalty) * caller.profile.worth
 
 
-def _fate(profile: ClassProfile, owed: Sequence[Caller]) -> RetryClassOutcome:
-    members = [caller for caller in owed if caller.profile is profile]
-    count = max(1, len(members))
-    in_time = sum(caller.in_time for caller in members)
-    answered = sum(caller.answered_at is not None for caller in members)
+def _class_outcome(profile: ClassProfile, remaining_callers: Sequence[Caller]) -> RetryClassOutcome:
+    class_callers = [caller for caller in remaining_callers if caller.profile is profile]
+    count = max(1, len(class_callers))
+    in_time = sum(caller.in_time for caller in class_callers)
+    answered = sum(caller.answered_at is not None for caller in class_callers)
     return RetryClassOutcome(
-        owed=len(members),
+        owed=len(class_callers),
         in_time=round(in_time / count, 4),
         late=round((answered - in_time) / count, 4),
         refused=round(1 - answered / count, 4),
-        refused_twice=round(sum(caller.refused_again for caller in members) / count, 4),
-        held=round(sum(caller.held_price for caller in members) / count, 4),
+        refused_twice=round(sum(caller.refused_after_retry for caller in class_callers) / count, 4),
+        held=round(sum(caller.wait_penalty for caller in class_callers) / count, 4),
     )
--- a/src/pewtertack/lab/overload/workload.py
+++ b/src/pewtertack/lab/overload/workload.py
@@ -1,4 +1,4 @@
-"""The simulated workload: classes of requests, their work and their deadlines."""
+"""The simulated workload: classes of requests with their work, deadlines and routes."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassProfile:
-    """One class: its share of the requests; mean work and deadline in seconds."""
+    """One class of requests. Times are in seconds; ``share`` is its fraction of all requests."""
 
     work_class: WorkClass
     share: float
     mean_work: float
     deadline: float
     name: str = ""
-    """Of its route; empty stands for the class of work."""
+    """Name of its route; empty for the name of the work class."""
     objective: float = 0.0
-    """Within which an answer is wanted; 0 stands for half the deadline."""
+    """Target latency of its route; 0 for half the deadline."""
     worth: float = 1.0
-    """What an answer in time is worth."""
+    """Value of a response in time, relative to other classes."""
     retries: int = 0
-    """How often a caller tries again that obeys."""
+    """Number of retries by a caller that obeys ``Retry-After``."""
 
 
-def _nobody_listens() -> None:
-    """Tell nobody."""
+def _ignore_end() -> None:
+    """Do nothing: nobody waits for the end of the request."""
 
 
 PROFILES = (
@@ -45,31 +45,31 @@
 
 @dataclass(slots=True, eq=False)
 class SimulatedRequest:
-    """One caller's request. Times are in seconds."""
+    """One request of a caller. Times are in seconds."""
 
     profile: ClassProfile
     node: int
-    began: float
+    began_at: float
     work: float
     deadline: float
     attempts: int = 0
     ended: float | None = None
     answered: bool = False
-    offered_at: float | None = None
-    """When a back end began to work on it."""
+    execution_started_at: float | None = None
+    """Time at which a back end started to execute it."""
     retry_after: float | None = None
-    """What its refusal told the caller."""
-    at_end: Callable[[], None] = _nobody_listens
+    """Value of ``Retry-After`` in its refusal."""
+    on_end: Callable[[], None] = _ignore_end
 
     def end(self, now: float, answered: bool = False, retry_after: float | None = None) -> None:
-        """Note how it ended, once, and tell the caller."""
+        """Record the outcome and notify the caller; later calls have no effect."""
         if self.ended is None:
             self.ended, self.answered, self.retry_after = now, answered, retry_after
-            self.at_end()
+            self.on_end()
 
 
 def arrivals(random: Random, rate: float, seconds: float, nodes: int) -> Iterator[SimulatedRequest]:
-    """Yield requests of a Poisson process, ``rate`` per second over all nodes."""
+    """Yield requests of a Poisson process with ``rate`` requests per second over all nodes."""
     now = random.expovariate(rate)
     weights = [profile.share for profile in PROFILES]
     while now < seconds:
@@ -81,7 +81,7 @@
 
 @cache
 def route_of(profile: ClassProfile) -> ResolvedRoute:
-    """Return the route of a class, with the default limits."""
+    """Return the route of a class, with default limits."""
     return ResolvedRoute(
         name=profile.name or profile.work_class.value,
         service=SERVICE,
@@ -100,7 +100,7 @@
 
 
 def service_settings(slots: int) -> ResolvedService:
-    """Return the service's settings."""
+    """Return the settings of the service."""
     return ResolvedService(
         name=SERVICE,
         slots_per_backend=slots,
--- a/tests/lab/test_overload_retrying_callers.py
+++ b/tests/lab/test_overload_retrying_callers.py
@@ -3,7 +3,7 @@
 import unittest
 from random import Random
 
-from pewtertack.lab.overload.callers import SHOPPERS, Caller
+from pewtertack.lab.overload.callers import CALLER_PROFILES, Caller
 from pewtertack.lab.overload.retrying_callers import (
     RetrySimulationResult,
     RetrySimulationSettings,
@@ -41,7 +41,7 @@
 def run_caller(seconds: float, answers_from: int) -> tuple[Caller, RefusingNode]:
     time = VirtualTime()
     node = RefusingNode(time, seconds, answers_from)
-    request = SimulatedRequest(SHOPPERS[0], 0, 0.0, 0.1, SHOPPERS[0].deadline)
+    request = SimulatedRequest(CALLER_PROFILES[0], 0, 0.0, 0.1, CALLER_PROFILES[0].deadline)
     caller = Caller(time, [node], request, Random(3))  # type: ignore[list-item]
     caller.begin()
     time.run()
@@ -57,15 +57,17 @@
     def test_a_caller_retries_twice_after_the_advised_time(self) -> None:
         caller, node = run_caller(0.05, answers_from=9)
         self.assertEqual(node.attempt_times, [0.0, 0.25, 0.5])
-        self.assertTrue(caller.refused_again)
-        self.assertAlmostEqual(caller.held_price, 0.1 / 1.825)
+        self.assertTrue(caller.refused_after_retry)
+        self.assertAlmostEqual(caller.wait_penalty, 0.1 / 1.825)
 
     def test_waiting_without_result_costs_more_the_longer_it_lasts(self) -> None:
-        prices = [run_caller(seconds, answers_from=9)[0].held_price for seconds in (0.01, 0.2, 0.9)]
-        self.assertEqual(prices[0], 0.0)
-        self.assertGreater(prices[1], 0.2)
-        self.assertEqual(prices[2], 1.0)
-        self.assertEqual(run_caller(0.5, answers_from=2)[0].held_price, 0.0)
+        penalties = [
+            run_caller(seconds, answers_from=9)[0].wait_penalty for seconds in (0.01, 0.2, 0.9)
+        ]
+        self.assertEqual(penalties[0], 0.0)
+        self.assertGreater(penalties[1], 0.2)
+        self.assertEqual(penalties[2], 1.0)
+        self.assertEqual(run_caller(0.5, answers_from=2)[0].wait_penalty, 0.0)
 
 
 class RetryingCallersTest(unittest.TestCase):
