--- a/src/pewtertack/lab/metadata_store/__init__.py
+++ b/src/pewtertack/lab/metadata_store/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in of the users' metadata store, by its published interface."""
+"""Stand-in of the users' metadata store with its published interface."""
--- a/src/pewtertack/lab/slow_source/options.py
+++ b/src/pewtertack/lab/slow_source/options.py
@@ -1,4 +1,4 @@
-"""What a series with a slow source is asked to do, checked before anything is started."""
+"""Options of a series with a slow source, validated before anything is started."""
 
 from __future__ import annotations
 
@@ -7,28 +7,28 @@
 from pewtertack.lab.disabled_mechanisms import check_mechanism
 from pewtertack.lab.errors import SlowSourceOptionError
 
-FEWEST_NODES = 4
-"""Three zones, and a majority that lives on while one node is stopped."""
-MOST_NODES = 24
-MOST_SECONDS = 24 * 3600.0
-SHORTEST_BOUND = 0.1
-LONGEST_BOUND = 60.0
-DEFAULT_BOUND = 3.0
+MIN_NODES = 4
+"""Enough for three zones, and for a majority while one node is stopped."""
+MAX_NODES = 24
+MAX_SECONDS = 24 * 3600.0
+MIN_BOUND_SECONDS = 0.1
+MAX_BOUND_SECONDS = 60.0
+DEFAULT_BOUND_SECONDS = 3.0
 
 
 class SlowSourceOptions:
     """The options of one series.
 
     Args:
-        seconds: for how long faults go on.
-        seed: decides them.
-        nodes: how many.
-        bound: seconds beyond one answer of the source within which an edit is in force.
-        without: a mechanism that is switched off in all nodes.
+        seconds: duration of the faults.
+        seed: decides the faults.
+        nodes: number of nodes.
+        bound: time limit until an edit is in force, in seconds beyond one response of the source.
+        without: a mechanism that is disabled in all nodes.
 
     Raises:
-        SlowSourceOptionError: an option makes no sense.
-        LabUsageError: there is no such mechanism.
+        SlowSourceOptionError: an option is out of range.
+        LabUsageError: the mechanism does not exist.
     """
 
     __slots__ = ("bound", "nodes", "seconds", "seed", "without")
@@ -37,8 +37,8 @@
         self,
         seconds: float,
         seed: int,
-        nodes: int = FEWEST_NODES,
-        bound: float = DEFAULT_BOUND,
+        nodes: int = MIN_NODES,
+        bound: float = DEFAULT_BOUND_SECONDS,
         without: str = "",
     ) -> None:
         self.seconds = seconds
@@ -46,20 +46,20 @@
         self.nodes = nodes
         self.bound = bound
         self.without = without
-        self._check()
+        self._validate()
 
-    def _check(self) -> None:
-        if not math.isfinite(self.seconds) or not 0 < self.seconds <= MOST_SECONDS:
+    def _validate(self) -> None:
+        if not math.isfinite(self.seconds) or not 0 < self.seconds <= MAX_SECONDS:
             raise SlowSourceOptionError(
-                f"--seconds {self.seconds:g}: above 0, at most {MOST_SECONDS:g}"
+                f"--seconds {self.seconds:g}: must be above 0 and at most {MAX_SECONDS:g}"
             )
         if self.seed < 0:
-            raise SlowSourceOptionError(f"--seed {self.seed}: 0 or more")
-        if not FEWEST_NODES <= self.nodes <= MOST_NODES:
-            accepted = f"from {FEWEST_NODES} to {MOST_NODES}"
+            raise SlowSourceOptionError(f"--seed {self.seed}: must be 0 or more")
+        if not MIN_NODES <= self.nodes <= MAX_NODES:
+            accepted = f"must be from {MIN_NODES} to {MAX_NODES}"
             raise SlowSourceOptionError(f"--nodes {self.nodes}: {accepted}")
-        if not SHORTEST_BOUND <= self.bound <= LONGEST_BOUND:
-            accepted = f"from {SHORTEST_BOUND:g} to {LONGEST_BOUND:g}"
+        if not MIN_BOUND_SECONDS <= self.bound <= MAX_BOUND_SECONDS:
+            accepted = f"must be from {MIN_BOUND_SECONDS:g} to {MAX_BOUND_SECONDS:g}"
             raise SlowSourceOptionError(f"--bound {self.bound:g}: {accepted}")
         if self.without:
             check_mechanism(self.without)
--- a/src/pewtertack/lab/slow_source/run.py
+++ b/src/pewtertack/lab/slow_source/run.py
@@ -1,4 +1,4 @@
-"""Runs a series: a slow and failing source, edits, and stops and starts of nodes, all at once."""
+"""Runs a series: a slow and failing source, edits, and restarts of nodes, all concurrently."""
 
 from __future__ import annotations
 
@@ -17,41 +17,46 @@
 from pewtertack.lab.disabled_mechanisms import disable_mechanism
 from pewtertack.lab.errors import FleetTimeoutError
 from pewtertack.lab.simulation.virtual_loop import run_in_virtual_time
-from pewtertack.lab.slow_source.edit_checks import (
-    Acknowledged,
-    Judged,
+from pewtertack.lab.slow_source.judging import (
+    AcknowledgedEdit,
+    EditVerdict,
     NodeHistory,
-    Slowness,
-    judge_edits,
+    SourceDelay,
+    check_edits,
 )
 from pewtertack.lab.slow_source.options import SlowSourceOptions
 from pewtertack.lab.store_fleet.fleet import EventHandler, NodeFleet, NodeLogLine, StoreFleet
 from pewtertack.lab.store_fleet.simulated import SimulatedStoreFleet
 
-ANSWER_SECONDS = (0.004, 4.0)
-"""Seconds of a quick answer, and of the slowest."""
-QUICK_SHARE = 0.2
-SLOW_FOR = (8.0, 20.0)
-"""Seconds; longer than a long poll in some of the spans."""
-BODY_RATE = 1_000_000.0
-"""Bytes a second, in some of the spans."""
+RESPONSE_SECONDS = (0.004, 4.0)
+"""Response times of the source in seconds: of a fast response, and of the slowest."""
+FAST_SHARE = 0.2
+"""Fraction of the periods in which the source is fast."""
+PERIOD_SECONDS = (8.0, 20.0)
+"""Range of the length of a period, in seconds; some are longer than a long poll."""
+BODY_BYTES_PER_SECOND = 1_000_000.0
+"""Transfer rate of response bodies in some of the periods, in bytes per second."""
 BODY_RATE_SHARE = 0.3
-EDIT_GAP = (0.5, 4.0)
-ROUTES = (1, 60)
-TROUBLE_GAP = (4.0, 10.0)
-STOP_GAP = (2.0, 6.0)
-DOWN_FOR = (0.0, 1.0)
-SERVES_WITHIN = 30.0
-SETTLE = 3.0
-POLL = 0.05
-
-FleetMaker = Callable[[EventHandler], NodeFleet]
+"""Fraction of the periods in which bodies have a limited transfer rate."""
+EDIT_INTERVAL_SECONDS = (0.5, 4.0)
+ROUTES_PER_EDIT = (1, 60)
+"""Range of the number of routes that an edit adds."""
+DISRUPTION_INTERVAL_SECONDS = (4.0, 10.0)
+STOP_INTERVAL_SECONDS = (2.0, 6.0)
+DOWNTIME_SECONDS = (0.0, 1.0)
+SERVING_TIMEOUT_SECONDS = 30.0
+"""Seconds after its start within which a node must serve."""
+SETTLE_SECONDS = 3.0
+"""Seconds from the formation of the fleet to the first fault."""
+POLL_SECONDS = 0.05
+
+FleetFactory = Callable[[EventHandler], NodeFleet]
 READER_EVENTS = (Event.READER_STARTED.name, Event.READER_STOPPED.name)
 FAILURE_EVENTS = (Event.SOURCE_FAILED.name, Event.MACHINE_LIST_FAILED.name)
 
 
 class SlowSourceResult(msgspec.Struct, kw_only=True):
-    """What one series found."""
+    """Result of one series."""
 
     seed: int
     nodes: int
@@ -59,41 +64,45 @@
     without: str
     edits: int
     slow_spans: int
+    """Number of periods with a response time of their own."""
     troubles: dict[str, int]
+    """Number of broken responses and watches, by kind."""
     starts: int
     calls: int
     reader_changes: int
     failed_reads: dict[str, int]
     judged: int
-    """Edits at nodes that served throughout."""
+    """Number of verdicts: edits at nodes that served until the edit was due."""
     slowest: float
-    """Seconds beyond the source's own time that an edit took at most; of those judged."""
+    """Longest time in seconds until a checked edit was in force, beyond the response time of the
+    source."""
     offences: list[str]
+    """A message for each violation."""
 
 
 class SlowSourceRun:
-    """One series on a fleet of its own.
+    """One series on its own fleet.
 
     Args:
-        options: what was asked.
-        make_fleet: returns the fleet; it gets what takes the nodes' events.
+        options: options of the series.
+        make_fleet: creates the fleet; its argument is called with each event of the nodes.
     """
 
-    def __init__(self, options: SlowSourceOptions, make_fleet: FleetMaker) -> None:
+    def __init__(self, options: SlowSourceOptions, make_fleet: FleetFactory) -> None:
         self._options = options
-        self._fleet = make_fleet(self._take_event)
+        self._fleet = make_fleet(self._record_event)
         self._nodes = {name: NodeHistory(name) for name in self._fleet.names}
-        self._slowness: list[Slowness] = []
-        self._edits: list[Acknowledged] = []
-        self._troubles: Counter[str] = Counter()
-        self._failures: Counter[str] = Counter()
+        self._delays: list[SourceDelay] = []
+        self._edits: list[AcknowledgedEdit] = []
+        self._disruptions: Counter[str] = Counter()
+        self._failed_reads: Counter[str] = Counter()
         self._reader_changes = 0
-        self._starts = 0
-        self._end = 0.0
-        self._offences: list[str] = []
+        self._restarts = 0
+        self._faults_end_at = 0.0
+        self._violations: list[str] = []
 
     async def run(self) -> SlowSourceResult:
-        """Run to the end.
+        """Run the series.
 
         Raises:
             LabError: the fleet could not be started or did not form.
@@ -101,63 +110,63 @@
         async with anyio.create_task_group() as tasks:
             try:
                 await self._fleet.start(tasks)
-                await self._form()
+                await self._wait_for_formation()
                 await self._make_faults(tasks)
-                await anyio.sleep(ANSWER_SECONDS[1] + self._options.bound)
+                await anyio.sleep(RESPONSE_SECONDS[1] + self._options.bound)
             finally:
                 await self._fleet.end()
                 tasks.cancel_scope.cancel()
         return self._result()
 
-    async def _form(self) -> None:
-        with anyio.move_on_after(SERVES_WITHIN):
+    async def _wait_for_formation(self) -> None:
+        with anyio.move_on_after(SERVING_TIMEOUT_SECONDS):
             while not all(node.is_serving for node in self._nodes.values()):
-                await anyio.sleep(POLL)
+                await anyio.sleep(POLL_SECONDS)
         if not all(node.is_serving for node in self._nodes.values()):
-            raise FleetTimeoutError(f"not all nodes serve after {SERVES_WITHIN:g} s")
-        await anyio.sleep(SETTLE)
+            raise FleetTimeoutError(f"not all nodes serve after {SERVING_TIMEOUT_SECONDS:g} s")
+        await anyio.sleep(SETTLE_SECONDS)
 
     async def _make_faults(self, tasks: anyio.abc.TaskGroup) -> None:
-        self._end = anyio.current_time() + self._options.seconds
-        async with anyio.create_task_group() as lanes:
-            lanes.start_soon(self._slow_down, self._chooser("slow"))
-            lanes.start_soon(self._edit, self._chooser("edit"))
-            lanes.start_soon(self._trouble, self._chooser("trouble"))
-            lanes.start_soon(self._stop_and_start, tasks, self._chooser("stop"))
-
-    def _chooser(self, lane: str) -> random.Random:
+        self._faults_end_at = anyio.current_time() + self._options.seconds
+        async with anyio.create_task_group() as fault_tasks:
+            fault_tasks.start_soon(self._change_delays, self._create_random("slow"))
+            fault_tasks.start_soon(self._edit, self._create_random("edit"))
+            fault_tasks.start_soon(self._disrupt_reads, self._create_random("trouble"))
+            fault_tasks.start_soon(self._restart_nodes, tasks, self._create_random("stop"))
+
+    def _create_random(self, lane: str) -> random.Random:
         return random.Random(f"{lane}:{self._options.seed}")
 
-    async def _pause(self, chooser: random.Random, shortest: float, longest: float) -> bool:
-        """Wait; return whether there is time for another fault."""
-        await anyio.sleep(chooser.uniform(shortest, longest))
-        return anyio.current_time() < self._end
+    async def _wait_for_next(self, choices: random.Random, shortest: float, longest: float) -> bool:
+        """Wait for a random time; return whether there is time for another fault."""
+        await anyio.sleep(choices.uniform(shortest, longest))
+        return anyio.current_time() < self._faults_end_at
 
-    # Lanes; each ends with the time for faults.
+    # Concurrent tasks that make faults; each ends when the time for faults is over.
 
-    async def _slow_down(self, chooser: random.Random) -> None:
-        goes_on = True
-        while goes_on:
-            quick = chooser.random() < QUICK_SHARE
-            seconds = ANSWER_SECONDS[0] if quick else chooser.uniform(0.3, ANSWER_SECONDS[1])
-            rate = BODY_RATE if chooser.random() < BODY_RATE_SHARE else 0.0
+    async def _change_delays(self, choices: random.Random) -> None:
+        continues = True
+        while continues:
+            fast = choices.random() < FAST_SHARE
+            seconds = RESPONSE_SECONDS[0] if fast else choices.uniform(0.3, RESPONSE_SECONDS[1])
+            rate = BODY_BYTES_PER_SECOND if choices.random() < BODY_RATE_SHARE else 0.0
             self._change_faults(delay=seconds, body_rate=rate)
-            self._slowness.append(Slowness(anyio.current_time(), seconds))
-            goes_on = await self._pause(chooser, *SLOW_FOR)
+            self._delays.append(SourceDelay(anyio.current_time(), seconds))
+            continues = await self._wait_for_next(choices, *PERIOD_SECONDS)
 
-    async def _edit(self, chooser: random.Random) -> None:
-        while await self._pause(chooser, *EDIT_GAP):
-            written = self._fleet.edited_store
-            version = written.add_routes(chooser.randint(*ROUTES))
+    async def _edit(self, choices: random.Random) -> None:
+        while await self._wait_for_next(choices, *EDIT_INTERVAL_SECONDS):
+            edited_store = self._fleet.edited_store
+            version = edited_store.add_routes(choices.randint(*ROUTES_PER_EDIT))
             rate = self._fleet.store.faults.body_rate
-            transfer = written.configuration_bytes / rate if rate else 0.0
-            self._edits.append(Acknowledged(version, anyio.current_time(), transfer))
-
-    async def _trouble(self, chooser: random.Random) -> None:
-        """Break single answers and watches; other readers tell a node what it misses by that."""
-        while await self._pause(chooser, *TROUBLE_GAP):
-            kind = chooser.choice(("lost answer", "history gone", "watches cut"))
-            self._troubles[kind] += 1
+            transfer = edited_store.configuration_bytes / rate if rate else 0.0
+            self._edits.append(AcknowledgedEdit(version, anyio.current_time(), transfer))
+
+    async def _disrupt_reads(self, choices: random.Random) -> None:
+        """Break single responses and watches; a node gets what it misses from other readers."""
+        while await self._wait_for_next(choices, *DISRUPTION_INTERVAL_SECONDS):
+            kind = choices.choice(("lost answer", "history gone", "watches cut"))
+            self._disruptions[kind] += 1
             if kind == "lost answer":
                 self._change_faults(lost_answers=1)
             elif kind == "history gone":
@@ -169,55 +178,59 @@
         store = self._fleet.store
         store.faults = msgspec.structs.replace(store.faults, **changes)
 
-    async def _stop_and_start(self, tasks: anyio.abc.TaskGroup, chooser: random.Random) -> None:
-        while await self._pause(chooser, *STOP_GAP):
-            node = self._nodes[chooser.choice(self._fleet.names)]
-            how = chooser.choice((signal.SIGTERM, signal.SIGKILL))
+    async def _restart_nodes(self, tasks: anyio.abc.TaskGroup, choices: random.Random) -> None:
+        while await self._wait_for_next(choices, *STOP_INTERVAL_SECONDS):
+            node = self._nodes[choices.choice(self._fleet.names)]
+            stop_signal = choices.choice((signal.SIGTERM, signal.SIGKILL))
             node.end_serving(anyio.current_time())
-            await self._fleet.stop_node(node.name, how)
-            await anyio.sleep(chooser.uniform(*DOWN_FOR))
+            await self._fleet.stop_node(node.name, stop_signal)
+            await anyio.sleep(choices.uniform(*DOWNTIME_SECONDS))
             await self._fleet.start_node(tasks, node.name)
-            self._starts += 1
-            with anyio.move_on_after(SERVES_WITHIN):
+            self._restarts += 1
+            with anyio.move_on_after(SERVING_TIMEOUT_SECONDS):
                 while not node.is_serving:
-                    await anyio.sleep(POLL)
+                    await anyio.sleep(POLL_SECONDS)
             if not node.is_serving:
-                self._offences.append(f"{node.name}: does not serve within {SERVES_WITHIN:g} s")
+                self._violations.append(
+                    f"{node.name}: does not serve within {SERVING_TIMEOUT_SECONDS:g} s"
+                )
                 return
 
-    def _take_event(self, name: str, line: NodeLogLine) -> None:
-        self._nodes[name].take(line.event, anyio.current_time(), line.revision)
+    def _record_event(self, name: str, line: NodeLogLine) -> None:
+        self._nodes[name].record_event(line.event, anyio.current_time(), line.revision)
         if line.event in READER_EVENTS:
             self._reader_changes += 1
         elif line.event in FAILURE_EVENTS:
-            self._failures[line.reason] += 1
+            self._failed_reads[line.reason] += 1
 
     def _result(self) -> SlowSourceResult:
         options, histories = self._options, list(self._nodes.values())
         ended_at = anyio.current_time()
-        found = list(judge_edits(self._edits, self._slowness, histories, options.bound, ended_at))
-        late = [str(item) for item in found if item.is_late]
-        steps_back = [text for node in histories for text in node.steps_back]
+        verdicts = list(check_edits(self._edits, self._delays, histories, options.bound, ended_at))
+        late = [str(item) for item in verdicts if item.is_late]
+        reversions = [text for node in histories for text in node.reversions]
         return SlowSourceResult(
             seed=options.seed,
             nodes=options.nodes,
             seconds=options.seconds,
             without=options.without,
             edits=len(self._edits),
-            slow_spans=len(self._slowness),
-            troubles=dict(sorted(self._troubles.items())),
-            starts=self._starts,
+            slow_spans=len(self._delays),
+            troubles=dict(sorted(self._disruptions.items())),
+            starts=self._restarts,
             calls=self._fleet.store.calls,
             reader_changes=self._reader_changes,
-            failed_reads=dict(sorted(self._failures.items())),
-            judged=len(found),
-            slowest=round(max(map(self._beyond, found), default=0.0), 3),
-            offences=[*self._offences, *steps_back, *late],
+            failed_reads=dict(sorted(self._failed_reads.items())),
+            judged=len(verdicts),
+            slowest=round(max(map(self._seconds_beyond_source, verdicts), default=0.0), 3),
+            offences=[*self._violations, *reversions, *late],
         )
 
-    def _beyond(self, judged: Judged) -> float:
-        took = judged.took if judged.took is not None else float("inf")
-        return took - (judged.allowed - self._options.bound)
+    def _seconds_beyond_source(self, verdict: EditVerdict) -> float:
+        elapsed_seconds = (
+            verdict.elapsed_seconds if verdict.elapsed_seconds is not None else float("inf")
+        )
+        return elapsed_seconds - (verdict.limit_seconds - self._options.bound)
 
 
 async def run_slow_source(options: SlowSourceOptions) -> SlowSourceResult:
--- a/src/pewtertack/lab/store_fleet/__init__.py
+++ b/src/pewtertack/lab/store_fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Node processes that read the metadata store's stand-in."""
+"""Fleets of nodes that read the stand-in of the metadata store."""
--- a/src/pewtertack/lab/store_fleet/edited_store.py
+++ b/src/pewtertack/lab/store_fleet/edited_store.py
@@ -1,4 +1,4 @@
-"""A metadata store with what an operator and the back ends have written."""
+"""A metadata store with the writes of an operator and of back ends."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 ENTRIES = "servers/"
 ZONES = ("east", "north", "west")
 SERVICES = ("catalogue", "ledger", "archive", "gate")
-HOST_NAMES = 40
-BASE_ROUTES = 300
-"""Routes of the configuration that the nodes start with."""
+HOST_NAME_COUNT = 40
+INITIAL_ROUTES = 300
+"""Number of routes in the configuration that nodes start with."""
 BACKEND_PORT = 8080
-PAGE_ITEMS = 500
+ITEMS_PER_PAGE = 500
 LIMITS = {
     "MaxHeaderBytes": 16384,
     "MaxBodyBytes": 1048576,
@@ -26,34 +26,34 @@
 
 
 def zone_of(index: int) -> str:
-    """Return the zone of the machine ``index``."""
+    """Return the zone of a machine."""
     return ZONES[index % len(ZONES)]
 
 
 class EditedStore:
-    """A store with a back end for each host, whose operator adds routes.
+    """A store with an entry for a back end on each host, and an operator who adds routes.
 
     Args:
-        hosts: IP numbers of the machines, dealt to the zones in turn.
+        hosts: IP addresses of the machines, which are assigned to zones in turn.
     """
 
     def __init__(self, hosts: list[str]) -> None:
-        self.store = MetadataStore(page_items=PAGE_ITEMS)
+        self.store = MetadataStore(page_items=ITEMS_PER_PAGE)
         self.version = 0
         self.configuration_bytes = 0
-        """Of the newest configuration, as an answer of the store holds it."""
-        self._routes = 0
+        """Size of the newest configuration as the store returns it, encoded as Base64."""
+        self._route_count = 0
         for index, host in enumerate(hosts):
             self.store.put(f"{ENTRIES}i-{index}", _entry(index, host))
-        self.add_routes(BASE_ROUTES)
+        self.add_routes(INITIAL_ROUTES)
 
     def add_routes(self, count: int) -> int:
         """Write a configuration with ``count`` more routes and return its version."""
         self.version += 1
-        self._routes += count
+        self._route_count += count
         configuration = {
             "Version": f"r{self.version}",
-            "Routes": [_route(index) for index in range(self._routes)],
+            "Routes": [_route(index) for index in range(self._route_count)],
             "Services": [_service(name) for name in SERVICES],
             "Limits": LIMITS,
         }
@@ -81,7 +81,7 @@
 def _route(index: int) -> dict[str, Any]:
     return {
         "Name": f"route-{index:05}",
-        "Host": f"host-{index % HOST_NAMES}.example",
+        "Host": f"host-{index % HOST_NAME_COUNT}.example",
         "PathPrefix": f"/{index * 2654435761 % 2**32:08x}/",
         "Kind": "safe" if index % 3 else "unsafe",
         "Timeout": "4s",
--- a/src/pewtertack/lab/store_fleet/fleet.py
+++ b/src/pewtertack/lab/store_fleet/fleet.py
@@ -1,4 +1,4 @@
-"""A store, its nodes as processes, and the links between them."""
+"""A fleet of node processes, the store that they read, and the links between them."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 from pewtertack.lab.store_fleet.edited_store import EditedStore, zone_of
 from pewtertack.settings import Address
 
-FIRST_HOST = 41
-LISTEN_NET = "127.0.0"
-ADVERTISED_NET = "127.0.1"
-"""Nodes are known by addresses at the relay, where their links have a rate."""
+FIRST_HOST_NUMBER = 41
+LISTEN_NETWORK = "127.0.0"
+ADVERTISED_NETWORK = "127.0.1"
+"""Network of the addresses at the relay, which nodes advertise if their links have a rate."""
 CONTROL_HOST = "127.0.0.1"
-SEEDS = 3
-STARTS_AT_ONCE = 3
+SEED_COUNT = 3
+MAX_CONCURRENT_STARTS = 3
 BYTES_PER_MEGABIT = 125_000
-SETTINGS = """
+SETTINGS_TEMPLATE = """
 node = {{name = "{name}", zone = "{zone}", region = "r"{link}}}
 source = {{url = "http://{store}", durable = true}}
 machines = {{url = "http://{store}"}}
@@ -52,7 +52,7 @@
 
 
 class NodeLogLine(msgspec.Struct):
-    """What the lab reads of a line that a node logs."""
+    """The fields of a node's log line that the lab reads."""
 
     event: str = ""
     revision: int = 0
@@ -60,19 +60,19 @@
 
 
 EventHandler = Callable[[str, NodeLogLine], None]
-"""Takes the name of a node and an event of it."""
+"""Called with the name of a node and an event that it logged."""
 
 
 class NodeFleet(Protocol):
-    """Nodes that read one store: processes, or simulated on an event loop in virtual time."""
+    """Nodes that read one store: processes, or simulated nodes in virtual time."""
 
     @property
     def names(self) -> list[str]:
-        """The nodes."""
+        """The names of the nodes."""
 
     @property
     def edited_store(self) -> EditedStore:
-        """The store with its writers."""
+        """The store and the writes to it."""
 
     @property
     def store(self) -> MetadataStore:
@@ -85,27 +85,27 @@
         """Kill all nodes."""
 
     async def start_node(self, tasks: anyio.abc.TaskGroup, name: str) -> None:
-        """Start a process for a node that has none."""
+        """Start the process of a node that has none."""
 
-    async def stop_node(self, name: str, how: signal.Signals) -> None:
-        """Stop or kill the process of a node and wait for its end."""
+    async def stop_node(self, name: str, stop_signal: signal.Signals) -> None:
+        """Send a signal to the process of a node and wait for its end."""
 
     def cut_watches(self) -> int:
-        """Cut all watches that wait; return how many there were."""
+        """Cut all waiting watches and return their number."""
 
     def received_bytes(self) -> int | None:
-        """Return how many bytes the nodes have received of one another, where that is known."""
+        """Return the number of bytes that nodes received from each other, if it is known."""
 
 
 class StoreFleet:
-    """Nodes in three zones that read one store.
+    """Node processes in three zones that read one store.
 
     Args:
-        nodes: how many.
-        without: a mechanism that is switched off in all nodes.
-        directory: takes settings and standard error.
-        handle_event: gets every event of the nodes.
-        link_mbps: of each node's machine, each way; 0 for no bound.
+        nodes: number of nodes.
+        without: a mechanism that is disabled in all nodes.
+        directory: directory for settings files and standard error.
+        handle_event: called with every event of the nodes.
+        link_mbps: rate of each node's machine in each direction; 0 for no limit.
     """
 
     def __init__(
@@ -120,20 +120,22 @@
         self._directory = directory
         self._handle_event = handle_event
         self._link_mbps = link_mbps
-        numbers = range(FIRST_HOST, FIRST_HOST + nodes)
-        self._hosts = [f"{LISTEN_NET}.{number}" for number in numbers]
-        net = ADVERTISED_NET if link_mbps else LISTEN_NET
-        self.names = [f"{net}.{number}" for number in numbers]
+        numbers = range(FIRST_HOST_NUMBER, FIRST_HOST_NUMBER + nodes)
+        self._hosts = [f"{LISTEN_NETWORK}.{number}" for number in numbers]
+        network = ADVERTISED_NETWORK if link_mbps else LISTEN_NETWORK
+        self.names = [f"{network}.{number}" for number in numbers]
         self.edited_store = EditedStore(self.names)
         self.store = self.edited_store.store
         self._listener = Listener(self.store.application, Address(CONTROL_HOST, 0))
         self._relay: Relay | None = None
         self._processes: dict[str, LabProcess] = {}
-        self._allocator = PortAllocator()
-        self._proxy, self._peer = (self._allocator.allocate(*self._hosts).port for _ in range(2))
+        self._ports = PortAllocator()
+        self._proxy_port, self._peer_port = (
+            self._ports.allocate(*self._hosts).port for _ in range(2)
+        )
 
     async def start(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Start the store, the relay where links have a rate, and all nodes.
+        """Start the store, the relay if links have a rate, and all nodes.
 
         Raises:
             LabError: a process did not start.
@@ -141,7 +143,7 @@
         await self._listener.open(tasks)
         if self._link_mbps:
             await self._open_relay(tasks)
-        limiter = anyio.CapacityLimiter(STARTS_AT_ONCE)
+        limiter = anyio.CapacityLimiter(MAX_CONCURRENT_STARTS)
 
         async def start_node(name: str) -> None:
             async with limiter:
@@ -161,54 +163,54 @@
             self._relay.control.close()
 
     async def start_node(self, tasks: anyio.abc.TaskGroup, name: str) -> None:
-        """Start the process of a node that has none, and wait until it listens.
+        """Start the process of a node that has none, and wait until it is ready.
 
         Raises:
-            LabError: it did not start.
+            LabError: the process did not start.
         """
         path = self._directory / f"{name}.toml"
-        path.write_text(self._settings_of(name))
+        path.write_text(self._format_settings(name))
         without = ["--without", self._without] if self._without else []
-        is_ready = Event.NODE_READY.name.encode()
+        ready_event = Event.NODE_READY.name.encode()
         process = LabProcess(
             name,
             ["lab", "store-node", "--settings", str(path), *without],
             self._directory,
-            self._take_line,
-            lambda line: is_ready in line,
+            self._handle_line,
+            lambda line: ready_event in line,
         )
         self._processes[name] = process
         await process.start(tasks)
         await process.wait_ready()
 
-    async def stop_node(self, name: str, how: signal.Signals) -> None:
-        """Signal the process of a node and wait for its end."""
+    async def stop_node(self, name: str, stop_signal: signal.Signals) -> None:
+        """Send a signal to the process of a node and wait for its end."""
         process = self._processes[name]
-        process.send_signal(how)
+        process.send_signal(stop_signal)
         await process.wait_for_exit()
 
     def received_bytes(self) -> None:
-        """Return nothing: what processes send one another is not counted."""
+        """Return ``None``: traffic between processes is not counted."""
 
     def cut_watches(self) -> int:
-        """Reset the connections of all watches that wait; return how many there were."""
+        """Reset the connections of all waiting watches and return their number."""
         return self._listener.abort_unanswered(WATCH_PATH)
 
     async def _open_relay(self, tasks: anyio.abc.TaskGroup) -> None:
-        nodes = [self._relayed(index) for index in range(len(self._hosts))]
+        nodes = [self._relayed_node(index) for index in range(len(self._hosts))]
         self._relay = Relay(tuple(nodes), Address(CONTROL_HOST, 0))
         self._relay.set_links(LinkSettings(rate=self._link_mbps * BYTES_PER_MEGABIT))
         await self._relay.open(tasks)
 
-    def _relayed(self, index: int) -> RelayedNode:
-        listen = Address(self._hosts[index], self._peer)
+    def _relayed_node(self, index: int) -> RelayedNode:
+        listen = Address(self._hosts[index], self._peer_port)
         name = self.names[index]
-        return RelayedNode(name, zone_of(index), listen, Address(name, self._peer))
+        return RelayedNode(name, zone_of(index), listen, Address(name, self._peer_port))
 
-    def _settings_of(self, name: str) -> str:
+    def _format_settings(self, name: str) -> str:
         index, link = self.names.index(name), self._link_mbps
-        seeds = [f'"{seed}:{self._peer}"' for seed in self.names[:SEEDS] if seed != name]
-        return SETTINGS.format(
+        seeds = [f'"{seed}:{self._peer_port}"' for seed in self.names[:SEED_COUNT] if seed != name]
+        return SETTINGS_TEMPLATE.format(
             name=name,
             host=self._hosts[index],
             link=f", link_mbps = {link}" if link else "",
@@ -216,9 +218,9 @@
             store=self._listener.address,
             key=FLEET_KEY,
             seeds=", ".join(seeds),
-            proxy=self._proxy,
-            peer=self._peer,
+            proxy=self._proxy_port,
+            peer=self._peer_port,
         )
 
-    def _take_line(self, name: str, line: bytes) -> None:
+    def _handle_line(self, name: str, line: bytes) -> None:
         self._handle_event(name, msgspec.json.decode(line, type=NodeLogLine))
--- a/src/pewtertack/lab/store_fleet/simulated.py
+++ b/src/pewtertack/lab/store_fleet/simulated.py
@@ -1,4 +1,4 @@
-"""Nodes in virtual time that read the store as real ones do, with their cores and readers."""
+"""Simulated nodes in virtual time that use the cores and store readers of real nodes."""
 
 from __future__ import annotations
 
@@ -18,23 +18,28 @@
 from pewtertack.lab.simulation.process import ProcessEnvironment, SimulatedProcess
 from pewtertack.lab.simulation.virtual_loop import LoopTimer
 from pewtertack.lab.store_fleet.edited_store import EditedStore, zone_of
-from pewtertack.lab.store_fleet.fleet import BYTES_PER_MEGABIT, SEEDS, EventHandler, NodeLogLine
+from pewtertack.lab.store_fleet.fleet import (
+    BYTES_PER_MEGABIT,
+    SEED_COUNT,
+    EventHandler,
+    NodeLogLine,
+)
 from pewtertack.lab.store_fleet.simulated_source import SimulatedReader, SimulatedSource
 from pewtertack.node.assembly import WIDE_LINK_MBPS
 
 PROFILE = "leased"
 PEER_PORT = 7380
 MAX_NODES_WITH_FRAMES = 500
-"""Larger fleets exchange messages as objects, which share their documents: no sizes are known
-then, and links have no rate."""
+"""Largest fleet whose messages are encoded as frames. Larger fleets exchange message objects,
+which share their documents to save memory: sizes are unknown then, and links have no rate."""
 REGION = "r"
 EPOCH_MILLISECONDS = 1_000_000_000
 DRAIN_SECONDS = 0.5
-"""How long a process that was asked to stop lives on."""
+"""Time from the request to stop until the process ends."""
 
 
 class StoreProcess(SimulatedProcess):
-    """A simulated process that reads the store as a real node does."""
+    """A simulated process that reads the store with the reader of a real node."""
 
     __slots__ = ("_reader", "_reads", "_tasks")
 
@@ -54,7 +59,7 @@
         self._reads: dict[anyio.CancelScope, None] = {}
 
     def kill(self) -> None:
-        """End without notice."""
+        """End the process at once, as after SIGKILL."""
         super().kill()
         for read in list(self._reads):
             read.cancel()
@@ -73,26 +78,26 @@
 
 
 class SimulatedStoreFleet:
-    """Nodes in three zones that read one store, on an event loop in virtual time.
+    """Simulated nodes in three zones that read one store, on an event loop in virtual time.
 
     Args:
-        nodes: how many.
-        seed: decides the nodes' choices and the network's delays.
-        handle_event: gets every event of the nodes.
-        link_mbps: of each node's machine, each way; 0 for no bound.
+        nodes: number of nodes.
+        seed: decides the nodes' random choices and the delays of the network.
+        handle_event: called with every event of the nodes.
+        link_mbps: rate of each node's machine in each direction; 0 for no limit.
     """
 
     def __init__(
         self, nodes: int, seed: int, handle_event: EventHandler, link_mbps: float = 0.0
     ) -> None:
         self._seed = seed
-        self._frames = nodes <= MAX_NODES_WITH_FRAMES
+        self._uses_frames = nodes <= MAX_NODES_WITH_FRAMES
         self._handle_event = handle_event
         self._random = Random(seed)
         self._timer = LoopTimer()
         self._profile: TimingProfile = PROFILES[PROFILE]
-        self._properties = _source_properties(link_mbps)
-        self.names = [_host_of(index) for index in range(nodes)]
+        self._properties = _create_source_properties(link_mbps)
+        self.names = [_node_name(index) for index in range(nodes)]
         self.edited_store = EditedStore(self.names)
         self.store = self.edited_store.store
         self._source = SimulatedSource(self.store)
@@ -112,43 +117,43 @@
             process.kill()
 
     async def start_node(self, tasks: anyio.abc.TaskGroup, name: str) -> None:
-        """Start a process for a node that has none."""
-        index, address, now = self.names.index(name), _address_of(name), self._timer.now
+        """Start the process of a node that has none."""
+        index, address, now = self.names.index(name), _peer_address(name), self._timer.now
         zone = zone_of(index)
         started_at = EPOCH_MILLISECONDS + round(now * 1000)
         identity = NodeIdentity(name, address, zone, REGION, started_at)
         self._network.set_location(address, Location(zone, REGION))
-        seeds = tuple(_address_of(seed) for seed in self.names[:SEEDS] if seed != name)
+        seeds = tuple(_peer_address(seed) for seed in self.names[:SEED_COUNT] if seed != name)
         random = Random(f"{self._seed}/{name}/{started_at}")
         core = NodeCore(identity, self._profile, random, now, seeds, self._properties)
         reader = SimulatedReader(self._source, 0, PEER_PORT, lambda: self._timer.now)
         tick = self._profile.tick
-        process = StoreProcess(core, self._environment, tick, reader, tasks, self._frames)
+        process = StoreProcess(core, self._environment, tick, reader, tasks, self._uses_frames)
         self._processes[address] = process
         process.start(tick * self._random.random())
 
-    async def stop_node(self, name: str, how: signal.Signals) -> None:
+    async def stop_node(self, name: str, stop_signal: signal.Signals) -> None:
         """Stop or kill the process of a node."""
-        process = self._processes[_address_of(name)]
-        if how is signal.SIGTERM:
+        process = self._processes[_peer_address(name)]
+        if stop_signal is signal.SIGTERM:
             process.drain()
             await anyio.sleep(DRAIN_SECONDS)
         process.kill()
-        del self._processes[_address_of(name)]
+        del self._processes[_peer_address(name)]
 
     def cut_watches(self) -> int:
-        """Cut all watches that have no answer; return how many there were."""
+        """Cut all watches without a response and return their number."""
         return self._source.cut_watches()
 
     def received_bytes(self) -> int | None:
-        """Return how many bytes the nodes have received of one another, where there are frames."""
-        if not self._frames:
+        """Return the number of bytes that nodes received from each other, if frames are used."""
+        if not self._uses_frames:
             return None
         traffic = self._network.traffic.values()
         return sum(node.received_bytes.total() for node in traffic)
 
     def record_log(self, node: str, _: int, log: Log) -> None:
-        """Take a numbered event of a process."""
+        """Handle an event that a process logged."""
         fields = log.fields
         line = NodeLogLine(log.event.name, fields.get("revision", 0), fields.get("reason", ""))
         self._handle_event(node, line)
@@ -159,8 +164,8 @@
             process.receive(packet)
 
 
-def _source_properties(link_mbps: float) -> SourceProperties:
-    """Return what a node is told of the store, as from its settings."""
+def _create_source_properties(link_mbps: float) -> SourceProperties:
+    """Return the properties of the store that a node would get from its settings."""
     return SourceProperties(
         durable=True,
         wide_link=link_mbps >= WIDE_LINK_MBPS,
@@ -168,9 +173,9 @@
     )
 
 
-def _host_of(index: int) -> str:
+def _node_name(index: int) -> str:
     return f"10.{index >> 16}.{index >> 8 & 255}.{index & 255}"
 
 
-def _address_of(name: str) -> str:
+def _peer_address(name: str) -> str:
     return f"{name}:{PEER_PORT}"
--- a/src/pewtertack/lab/store_fleet/simulated_source.py
+++ b/src/pewtertack/lab/store_fleet/simulated_source.py
@@ -1,4 +1,4 @@
-"""The node's own reader of the store, on the store's stand-in without sockets."""
+"""Connects the store reader of a node to the stand-in of the store without sockets."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 from pewtertack.node.http.framing import RawHeaders
 from pewtertack.platform.store import MAX_RESPONSE_BYTES, StoreReader
 
-NOWHERE = "127.0.0.1:1"
+UNUSED_ADDRESS = "127.0.0.1:1"
 ONE_WAY_SECONDS = 0.001
-"""Between a node and the store."""
+"""One-way latency between a node and the store."""
 
 
 class SimulatedSource:
-    """The stand-in as readers in this process reach it.
+    """Passes requests of readers in this process to the stand-in.
 
     Args:
-        store: what answers.
+        store: the stand-in of the store.
     """
 
     __slots__ = ("_watches", "store")
@@ -37,10 +37,10 @@
     def __init__(self, store: MetadataStore) -> None:
         self.store = store
         self._watches: dict[anyio.CancelScope, None] = {}
-        """In the order of their calls, so that a run repeats itself."""
+        """Open watches in the order of their calls, so that runs are reproducible."""
 
     async def answer(self, request: Request) -> Response:
-        """Return the answer to ``request``.
+        """Return the response to ``request``.
 
         Raises:
             ServiceUnreachableError: the watch was cut.
@@ -56,7 +56,7 @@
         raise ServiceUnreachableError("the service hung up", ReadFailure.CLOSED)
 
     def cut_watches(self) -> int:
-        """Cut all watches that have no answer; return how many there were."""
+        """Cut all watches without a response and return their number."""
         watches = list(self._watches)
         for watch in watches:
             watch.cancel()
@@ -64,40 +64,40 @@
 
 
 class SimulatedClient(HttpClient):
-    """Gets answers from a stand-in in this process, within the time that a client allows."""
+    """An HTTP client of the stand-in, with the timeouts of the real client."""
 
     def __init__(self, source: SimulatedSource) -> None:
-        super().__init__(NOWHERE, MAX_RESPONSE_BYTES)
+        super().__init__(UNUSED_ADDRESS, MAX_RESPONSE_BYTES)
         self._source = source
         self._fresh = True
 
     def close(self) -> None:
-        """Let the next answer be the first on its connection."""
+        """Close the connection: the next response is the first on a new one."""
         self._fresh = True
 
     async def get(
         self, target: str, timeouts: ServiceTimeouts, headers: RawHeaders | None = None
     ) -> ServiceResponse:
-        """Return the answer to ``GET target``.
+        """Return the response to ``GET target``.
 
         Raises:
-            ServiceUnreachableError: no whole answer came in time.
+            ServiceUnreachableError: no complete response came in time.
         """
         path, _, query = target.partition("?")
         request = Request("GET", path, dict(parse_qsl(query)), {})
         began = anyio.current_time()
         try:
-            answer = await self._answer(request, timeouts.head)
+            answer = await self._request(request, timeouts.head)
             took = anyio.current_time() - began
-            await self._carry(answer, timeouts.part)
+            await self._transfer(answer, timeouts.part)
         except ServiceUnreachableError:
             self._fresh = True
             raise
         fresh, self._fresh = self._fresh, False
-        named = [(name.encode(), value.encode()) for name, value in answer.headers.items()]
-        return ServiceResponse(answer.status, named, answer.body, fresh, took)
+        headers_list = [(name.encode(), value.encode()) for name, value in answer.headers.items()]
+        return ServiceResponse(answer.status, headers_list, answer.body, fresh, took)
 
-    async def _answer(self, request: Request, seconds: float) -> Response:
+    async def _request(self, request: Request, seconds: float) -> Response:
         try:
             with anyio.fail_after(seconds):
                 await anyio.sleep(ONE_WAY_SECONDS)
@@ -108,8 +108,11 @@
             reason = f"no answer within {seconds:g} s"
             raise ServiceUnreachableError(reason, ReadFailure.SLOW) from error
 
-    async def _carry(self, answer: Response, seconds: float) -> None:
-        """Let the body pass; its parts come in turn, so that only the whole can take too long."""
+    async def _transfer(self, answer: Response, seconds: float) -> None:
+        """Wait for the transfer of the body.
+
+        Its parts arrive steadily, so that only the time limit of the whole body can be exceeded.
+        """
         faults = self._source.store.faults
         try:
             with anyio.fail_after(seconds * BODY_TIMEOUT_FACTOR):
@@ -123,10 +126,10 @@
 
 
 class SimulatedReader(StoreReader):
-    """A store reader whose calls go to a stand-in in this process."""
+    """A store reader that uses the stand-in in this process."""
 
     def __init__(
         self, source: SimulatedSource, gateway_port: int, peer_port: int, now: Callable[[], float]
     ) -> None:
-        super().__init__(NOWHERE, gateway_port, peer_port, now=now)
+        super().__init__(UNUSED_ADDRESS, gateway_port, peer_port, now=now)
         self._client = SimulatedClient(source)
--- a/tests/lab/slow_source/test_options.py
+++ b/tests/lab/slow_source/test_options.py
@@ -1,4 +1,4 @@
-"""Options of a series with a slow source that make no sense are typed errors."""
+"""Tests that invalid options of a series with a slow source are typed errors."""
 
 import math
 import unittest
@@ -7,12 +7,12 @@
 from pewtertack.lab.errors import LabUsageError, SlowSourceOptionError
 from pewtertack.lab.slow_source.options import SlowSourceOptions
 
-GOOD: dict[str, Any] = {"seconds": 30.0, "seed": 1}
+VALID_OPTIONS: dict[str, Any] = {"seconds": 30.0, "seed": 1}
 
 
 class SlowSourceOptionsTest(unittest.TestCase):
-    def test_what_makes_no_sense_is_a_typed_error(self) -> None:
-        wrong: list[dict[str, Any]] = [
+    def test_a_value_out_of_range_is_a_typed_error(self) -> None:
+        invalid: list[dict[str, Any]] = [
             {"seconds": 0.0},
             {"seconds": math.nan},
             {"seconds": math.inf},
@@ -22,10 +22,10 @@
             {"bound": 0.0},
             {"bound": math.nan},
         ]
-        for change in wrong:
+        for change in invalid:
             with self.subTest(change), self.assertRaises(SlowSourceOptionError):
-                SlowSourceOptions(**{**GOOD, **change})
+                SlowSourceOptions(**{**VALID_OPTIONS, **change})
 
     def test_an_unknown_mechanism_is_a_typed_error(self) -> None:
         with self.assertRaises(LabUsageError):
-            SlowSourceOptions(**GOOD, without="luck")
+            SlowSourceOptions(**VALID_OPTIONS, without="luck")
--- a/tests/lab/slow_source/test_series.py
+++ b/tests/lab/slow_source/test_series.py
@@ -1,4 +1,4 @@
-"""Series with a slow source: edits are in force in time, and late with a mechanism off."""
+"""Series with a slow source: edits are in force in time, but late with a mechanism disabled."""
 
 import os
 import subprocess
@@ -12,23 +12,23 @@
 
 SOURCE_DIRECTORY = Path(__file__).resolve().parents[3] / "src"
 SECONDS = 60.0
-VIOLATED = {"overlapping_reads": 10, "slow_answers": 4, "spread_reads": 12}
-"""A seed that is violated with the mechanism off, by its name."""
-SEEDS = (5, *VIOLATED.values())
-WAIT_SECONDS = 120.0
+VIOLATING_SEEDS = {"overlapping_reads": 10, "slow_answers": 4, "spread_reads": 12}
+"""For each mechanism, a seed whose series has violations while it is disabled."""
+SEEDS = (5, *VIOLATING_SEEDS.values())
+TIMEOUT_SECONDS = 120.0
 
 
-def play(*arguments: str) -> int:
+def run_command(*arguments: str) -> int:
     command = [sys.executable, "-m", "pewtertack", "lab", "slow-source", "--virtual", *arguments]
     environment = os.environ | {"PYTHONPATH": str(SOURCE_DIRECTORY)}
-    ended = subprocess.run(
-        command, env=environment, capture_output=True, timeout=WAIT_SECONDS, check=False
+    process = subprocess.run(
+        command, env=environment, capture_output=True, timeout=TIMEOUT_SECONDS, check=False
     )
-    return ended.returncode
+    return process.returncode
 
 
 class SeriesTest(unittest.TestCase):
-    def test_a_series_repeats_itself(self) -> None:
+    def test_equal_seeds_give_equal_results(self) -> None:
         first, second = (simulate_slow_source(SlowSourceOptions(20.0, 3)) for _ in range(2))
         self.assertEqual(first, second)
 
@@ -40,12 +40,12 @@
             self.assertGreater(min(result.slow_spans, result.starts), 2)
             self.assertGreater(sum(result.troubles.values()), 2)
 
-    def test_edits_are_late_with_a_mechanism_off(self) -> None:
-        for mechanism, seed in VIOLATED.items():
+    def test_edits_are_late_with_a_mechanism_disabled(self) -> None:
+        for mechanism, seed in VIOLATING_SEEDS.items():
             with self.subTest(mechanism):
-                code = play(f"--without={mechanism}", f"--seed={seed}")
+                code = run_command(f"--without={mechanism}", f"--seed={seed}")
                 self.assertEqual(code, ExitCode.FOUND)
 
-    def test_senseless_options_start_nothing(self) -> None:
+    def test_invalid_options_start_nothing(self) -> None:
         for option in ("--seconds=0", "--nodes=3", "--bound=0", "--without=luck"):
-            self.assertEqual(play(option), ExitCode.UNUSABLE_INPUT)
+            self.assertEqual(run_command(option), ExitCode.UNUSABLE_INPUT)
--- a/tests/lab/test_overload.py
+++ b/tests/lab/test_overload.py
@@ -32,6 +32,6 @@
         self.assertLess(self.result.round_robin.classes[WorkClass.URGENT].answered_share, 0.6)
 
     def test_equal_seeds_give_equal_results(self) -> None:
-        shape = OverloadSettings(nodes=2, seconds=0.5)
-        first, second = (simulate(shape, 2.0, 7, baseline=False) for _ in range(2))
+        settings = OverloadSettings(nodes=2, seconds=0.5)
+        first, second = (simulate(settings, 2.0, 7, baseline=False) for _ in range(2))
         self.assertEqual(first, second)
--- a/tests/lab/test_overload_gateways.py
+++ b/tests/lab/test_overload_gateways.py
@@ -8,11 +8,11 @@
 from pewtertack.core.configuration.resolved import WorkClass
 from pewtertack.lab.overload.simulation import OverloadSettings, RunResult, simulate_gateways
 
-SHAPE = OverloadSettings(nodes=12, backends=8, seconds=3.0)
+SETTINGS = OverloadSettings(nodes=12, backends=8, seconds=3.0)
 
 
 def run(load: float) -> RunResult:
-    return simulate_gateways(SHAPE, load, seed=3)
+    return simulate_gateways(SETTINGS, load, seed=3)
 
 
 class GatewayOverloadTest(unittest.TestCase):
