--- a/src/pewtertack/routing/admission.py
+++ b/src/pewtertack/routing/admission.py
@@ -41,15 +41,15 @@
 QUEUE_PER_SLOT = 20
 """Requests that may be queued for each slot."""
 STALL_FACTOR = 3.0
-"""A back end is stalled after this many mean times without any request starting or ending.
-Assumed."""
+"""A back end is stalled after this many mean times without any request starting or ending."""
 RECHECK_SECONDS = 0.05
 """Interval at which the prospects of a late request are checked: an eighth of an objective of
-0.4 s. The users' price list charges nothing for waits up to that."""
+0.4 s. A wait of up to an eighth of the objective costs users nothing."""
 LATE_CHECK_DELAY_SECONDS = 0.001
 """Seconds after its latest timely start at which a queued request is checked as a late one."""
 MINIMUM_RETRY_AFTER = 0.05
 MAXIMUM_RETRY_AFTER = 10.0
+"""Bounds, in seconds, of the time after which a refused caller should retry."""
 OVERLOAD_END_SECONDS = 1.0
 """An overload is over after this long without a refusal."""
 
@@ -146,7 +146,7 @@
             self._arrivals,
         )
         if not self._may_be_served(ticket, now):
-            message = "no slot is expected to be free in time"
+            message = "no slot comes free in time"
             raise DeadlineUnmeetableError(message, self._retry_after(now))
         if len(self._queue) >= QUEUE_PER_SLOT * self.slots:
             self._evict_for(ticket, now)
@@ -165,9 +165,9 @@
         """
         last = self._queue[-1]
         if last.sort_key < ticket.sort_key:
-            raise QueueFullError("too many requests are queued", self._retry_after(now))
+            raise QueueFullError("too many requests wait", self._retry_after(now))
         self._queue.pop()
-        last.refusal = QueueFullError("too many requests are queued", self._retry_after(now))
+        last.refusal = QueueFullError("too many requests wait", self._retry_after(now))
         last.wake()
 
     def _may_be_served(self, ticket: AdmissionTicket, now: float) -> bool:
@@ -291,7 +291,7 @@
 
     def _refuse_late(self, ticket: AdmissionTicket, now: float) -> None:
         self._queue.remove(ticket)
-        message = "no slot became free in time"
+        message = "no slot came free in time"
         ticket.refusal = DeadlineUnmeetableError(message, self._retry_after(now))
         ticket.wake()
 
