--- a/src/pewtertack/routing/deadlines.py
+++ b/src/pewtertack/routing/deadlines.py
@@ -6,6 +6,7 @@
 
 DEADLINE_HEADER = "x-deadline-ms"
 MAXIMUM_DIGITS = 12
+"""Header values with more digits are refused."""
 
 
 def deadline_of(now: float, header: str | None, route_timeout: float) -> float:
@@ -30,7 +31,7 @@
 def _milliseconds(header: str) -> int:
     text = header.strip()
     if not (text.isascii() and text.isdigit() and len(text) <= MAXIMUM_DIGITS) or int(text) == 0:
-        raise InvalidRequestError(f"{DEADLINE_HEADER} must be a whole number of milliseconds > 0")
+        raise InvalidRequestError(f"{DEADLINE_HEADER} must be milliseconds above zero")
     return int(text)
 
 
--- a/src/pewtertack/routing/limit.py
+++ b/src/pewtertack/routing/limit.py
@@ -3,7 +3,7 @@
 Additive increase, multiplicative decrease (AIMD), as in TCP's congestion
 control: many proxies share a back end's slots without communicating with each other.
 The signals are the back end's own: it sheds, or reports more in flight than it
-has slots. Latency is no signal here, since a back end's answers mix look-ups of
+has slots. Latency is not used as a signal, since a back end's answers mix lookups of
 milliseconds with uploads of minutes.
 """
 
@@ -11,6 +11,7 @@
 
 INITIAL_LIMIT = 2.0
 MINIMUM_LIMIT = 1.0
+"""First and smallest limit per back end, in concurrent requests."""
 DECREASE_FACTOR = 0.7
 """Factor on the limit per back end after a shed request or an overload."""
 MINIMUM_PAUSE_SECONDS = 0.02
@@ -19,10 +20,11 @@
 
 INITIAL_SERVICE_LIMIT = 4.0
 MINIMUM_SERVICE_LIMIT = 0.1
+"""First and smallest limit per service, in concurrent requests; below 1 it is a rate."""
 INITIAL_SERVICE_GROWTH = 1.0
 """Growth per answer with free slots until the first shed request."""
 SERVICE_GROWTH = 0.2
-"""The same after the first shed request."""
+"""Growth per answer with free slots after the first shed request."""
 FULL_SERVICE_GROWTH = 0.02
 """Growth per answer with all slots taken, while nothing is shed."""
 FULL_SERVICE_DECREASE = 0.02
