--- a/src/pewtertack/node/http/client.py
+++ b/src/pewtertack/node/http/client.py
@@ -148,7 +148,7 @@
             return b""
         if not head.framed:
             raise ExchangeBrokenError(
-                f"a response {head.status} has neither content-length nor transfer-encoding"
+                "the response has neither content-length nor transfer-encoding"
             )
         body = bytearray()
         while True:
--- a/src/pewtertack/node/http/cycle.py
+++ b/src/pewtertack/node/http/cycle.py
@@ -291,9 +291,7 @@
         if not self._chunked and self.scope["method"] != "HEAD":
             self._remaining_length -= len(body)
         if self._remaining_length < 0 or (self._remaining_length > 0 and not more):
-            raise RuntimeError(
-                f"the response body misses its content-length by {self._remaining_length} bytes"
-            )
+            raise RuntimeError("the response body does not match its content-length")
         self.response_complete = not more
         if self.response_complete:
             self.body.clear()  # nobody will read it
@@ -303,7 +301,7 @@
         self._chunked = self.scope["method"] != "HEAD"
         for name, value in message["headers"]:
             if b"\n" in value or b"\r" in value:
-                raise RuntimeError(f"the value of header {name!r} contains a line break")
+                raise RuntimeError("a header value contains a line break")
             if name == b"content-length":
                 self._chunked = False
                 self._remaining_length = 0 if self.scope["method"] == "HEAD" else int(value)
--- a/src/pewtertack/node/transport.py
+++ b/src/pewtertack/node/transport.py
@@ -173,11 +173,7 @@
                     notifier = _ArrivalNotifier(stream, self._on_arriving)
                     frame = await receive_frame(stream, self._inbound, notifier.notify)
             except TimeoutError:
-                self._count_refusal(
-                    TruncatedFrameError(
-                        f"the frame was not complete within {self._limits.timeout:g} s"
-                    )
-                )
+                self._count_refusal(TruncatedFrameError("the frame was not complete in time"))
             except ProtocolError as error:
                 self._count_refusal(error)
             else:
