--- a/src/pewtertack/node/gateway/link_check.py
+++ b/src/pewtertack/node/gateway/link_check.py
@@ -120,8 +120,8 @@
         if self._pacer is None:
             return
         route = self._ticket.route
-        run_seconds = self._admission.expected_time(route)
-        if self._pacer.stops_before(route, self.rank, run_seconds):
+        execution_seconds = self._admission.expected_time(route)
+        if self._pacer.stops_before(route, self.rank, execution_seconds):
             error = DrainingError("the node beside the back end is stopping")
             error.reached_backend = False
             raise error
--- a/src/pewtertack/node/http/acknowledgement.py
+++ b/src/pewtertack/node/http/acknowledgement.py
@@ -36,7 +36,9 @@
 """A kernel answers at most one window probe in 0.5 s, so it may leave the second one, sent 0.4 s
 after the first, unanswered while the machine is alive."""
 NO_TIMEOUT = 0
+"""Removes the limit of ``TCP_USER_TIMEOUT``."""
 PROBES_OFFSET = 3
+"""Offset of the byte with the number of unanswered window probes."""
 COUNTERS_OFFSET = 24
 """Offset in Linux's ``struct tcp_info`` from which all fields are 32-bit. The first is the number
 of unacknowledged segments; the sixth and the ninth are the milliseconds since data was last sent
--- a/src/pewtertack/node/http/pipeline.py
+++ b/src/pewtertack/node/http/pipeline.py
@@ -15,7 +15,7 @@
 MAX_CONCURRENT = 16
 """Requests of one connection that are served concurrently."""
 MAX_PENDING = 32
-"""Requests, started or waiting, at which reading from the connection is paused."""
+"""Reading from a connection is paused while it has this many requests, started or waiting."""
 
 
 class PipelinedRequest(Protocol):
--- a/src/pewtertack/node/http/tcp_info.py
+++ b/src/pewtertack/node/http/tcp_info.py
@@ -8,6 +8,7 @@
 from pewtertack.node.http.transport import MILLISECONDS_PER_SECOND
 
 TCP_INFO_BYTES = 60
+"""Bytes of the structure that are read: as far as the fields that are used."""
 LAST_RECEIVED_OFFSET = 52
 """Offset of the milliseconds since data was last received."""
 UINT32 = struct.Struct("=I")
--- a/src/pewtertack/node/http/transport.py
+++ b/src/pewtertack/node/http/transport.py
@@ -21,7 +21,7 @@
 WRITE_HIGH_WATER = 64 * 1024
 """Buffered bytes above which the protocol is told to pause writing."""
 WRITE_LOW_WATER = 16 * 1024
-"""Buffered bytes at which it may resume."""
+"""Buffered bytes from which down the protocol may resume writing."""
 CLOSE_STALL_SECONDS = 4.0
 """A closed connection ends when none of its unsent bytes were accepted for this long: the peer may
 have stopped reading for good, and a node that shuts down would wait for it."""
--- a/src/pewtertack/node/library_log.py
+++ b/src/pewtertack/node/library_log.py
@@ -9,7 +9,7 @@
 from pewtertack.node import clock
 from pewtertack.node.http.cycle import LOGGER_NAME
 
-REPEAT_INTERVAL = 1.0
+REPEAT_INTERVAL_SECONDS = 1.0
 """Minimum seconds between two records of the same message."""
 
 
@@ -28,7 +28,7 @@
         """Record one message with the exception attached to it, if any."""
         message = record.getMessage()
         now = clock.now()
-        if now - self._recorded_at.get(message, -REPEAT_INTERVAL) < REPEAT_INTERVAL:
+        if now - self._recorded_at.get(message, -REPEAT_INTERVAL_SECONDS) < REPEAT_INTERVAL_SECONDS:
             return
         self._recorded_at = {message: now}
         error = record.exc_info[1] if record.exc_info else None
--- a/src/pewtertack/node/pacing.py
+++ b/src/pewtertack/node/pacing.py
@@ -43,9 +43,9 @@
         """See ``LinkScheduler.stop_at``."""
         self.scheduler.stop_at(moment, self._clock())
 
-    def stops_before(self, route: str, rank: Rank, run_seconds: float) -> bool:
+    def stops_before(self, route: str, rank: Rank, execution_seconds: float) -> bool:
         """See ``LinkScheduler.stops_before``."""
-        return self.scheduler.stops_before(route, rank, self._clock(), run_seconds)
+        return self.scheduler.stops_before(route, rank, self._clock(), execution_seconds)
 
     def delivery_time(self, route: str, rank: Rank) -> float:
         """See ``LinkScheduler.delivery_time``."""
--- a/src/pewtertack/node/platform.py
+++ b/src/pewtertack/node/platform.py
@@ -25,7 +25,7 @@
 STATUS_NOT_MODIFIED = 304
 STATUS_BUSY = 503
 MAX_RETRY_AFTER_SECONDS = 300.0
-"""Longest ``Retry-After`` time in seconds that a service may ask for."""
+"""Limit on the ``Retry-After`` of a service; a longer one counts as this."""
 
 
 class PlatformUnreachableError(PlatformError):
--- a/src/pewtertack/node/proxy/exchange.py
+++ b/src/pewtertack/node/proxy/exchange.py
@@ -44,7 +44,9 @@
 SHED_BODY_SECONDS = 0.02
 """The body of a refusal is read for at most this long."""
 MAX_RETRY_AFTER_SECONDS = 3600.0
+"""Limit on the ``Retry-After`` of a back end or gateway; a longer one counts as this."""
 MISDIRECTED_STATUS = 421
+"""Status by which a back end refuses a request that names another one."""
 START_BUFFER_BYTES = 64 * 1024
 """A response of at most this length is passed on only once it is complete. Of a longer one this
 much is buffered first, if the request could still be sent elsewhere. That limits what a node
--- a/src/pewtertack/node/proxy/headers.py
+++ b/src/pewtertack/node/proxy/headers.py
@@ -18,6 +18,7 @@
 BACKEND_STATE = b"x-backend-state"
 RETRIES = RETRIES_HEADER.encode()
 MAX_REQUEST_ID_LENGTH = 128
+"""Characters of a caller's request id; a longer one is replaced."""
 
 HOP_BY_HOP = frozenset(
     {
--- a/src/pewtertack/node/runtime.py
+++ b/src/pewtertack/node/runtime.py
@@ -43,7 +43,7 @@
 from pewtertack.wire.frames import Envelope
 from pewtertack.wire.messages import Message
 
-SUSPENSION_SECONDS = 0.1
+MIN_SUSPENSION_SECONDS = 0.1
 """Shorter suspensions cannot be told from the time between the readings of two clocks."""
 MAX_CLOCK_DIFFERENCE_SECONDS = 3600.0
 """A start time this many seconds ahead of this node's clock is treated as unknown. Clocks may jump:
@@ -51,7 +51,7 @@
 reported."""
 YIELDS_BETWEEN_SLICES = 2
 """Event loop iterations between two slices of work, in which it polls the sockets."""
-REFUSAL_LOG_INTERVAL = 1.0
+REFUSAL_LOG_INTERVAL_SECONDS = 1.0
 """Refused frames of one type are logged at most once in this many seconds."""
 
 
@@ -166,7 +166,7 @@
     def _note_suspension(self) -> None:
         total = clock.suspended_seconds() - self._suspended_at_start
         seconds = total - self.suspended_seconds
-        if seconds < SUSPENSION_SECONDS:
+        if seconds < MIN_SUSPENSION_SECONDS:
             return
         self.suspended_seconds = total
         if self._gateway is not None:
@@ -213,7 +213,10 @@
 
     def _log_refusal(self, code: str, reason: str) -> None:
         now = clock.now()
-        if now - self._refusals_logged.get(code, -REFUSAL_LOG_INTERVAL) < REFUSAL_LOG_INTERVAL:
+        if (
+            now - self._refusals_logged.get(code, -REFUSAL_LOG_INTERVAL_SECONDS)
+            < REFUSAL_LOG_INTERVAL_SECONDS
+        ):
             return
         self._refusals_logged[code] = now
         self._log.record(Event.FRAME_REFUSED, type=code, reason=reason)
--- a/src/pewtertack/node/streams.py
+++ b/src/pewtertack/node/streams.py
@@ -15,6 +15,7 @@
 from pewtertack.wire.frames import STREAM_BYTES_MAX
 
 LENGTH_BYTES = 4
+"""Bytes of the length before a frame; the length is a big-endian integer."""
 
 
 def _ignore() -> None:
--- a/tests/node/crashing_backend.py
+++ b/tests/node/crashing_backend.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-RUN_SECONDS = 0.03
+EXECUTION_SECONDS = 0.03
 """Execution time of each request."""
 DOWNTIME_SECONDS = 1.0
 CRASH_PATH = b"/crash"
@@ -43,7 +43,7 @@
         self._writers.add(writer)
         try:
             while head := await reader.readuntil(b"\r\n\r\n"):
-                await asyncio.sleep(RUN_SECONDS)
+                await asyncio.sleep(EXECUTION_SECONDS)
                 if CRASH_PATH in head.partition(b"\r\n")[0]:
                     self._crash()
                     return
--- a/tests/node/gateway/test_link_check.py
+++ b/tests/node/gateway/test_link_check.py
@@ -74,10 +74,10 @@
         while self.scheduler.queue_time(RANK, self.now) < 1.0:
             self.scheduler.enqueue(RANK, DOWNLOAD_BYTES, self.now + 60.0, wake_nobody)
         queued = self.scheduler.queue_time(RANK, self.now)
-        run_seconds = self.admission.expected_time("export")
+        execution_seconds = self.admission.expected_time("export")
         for deadline, accepted in (
-            (run_seconds + transfer + queued * 1.1, False),
-            (run_seconds + transfer + queued * 2, True),
+            (execution_seconds + transfer + queued * 1.1, False),
+            (execution_seconds + transfer + queued * 2, True),
         ):
             ticket = AdmissionTicket("export", RANK, self.now + 60.0, self.now + deadline)
             with self.subTest(deadline=deadline):
--- a/tests/node/gateway/test_own_stop.py
+++ b/tests/node/gateway/test_own_stop.py
@@ -21,7 +21,7 @@
 DOWNLOAD_BYTES = 100_000
 LINK_MBPS = 2.0
 """Rate of each gateway's link; a download takes about 0.5 s."""
-RUN_SECONDS = 0.05
+EXECUTION_SECONDS = 0.05
 CALL_COUNT = 6
 STOP_SECONDS = 0.8
 """Enough time to send one response, but not a second one."""
@@ -35,14 +35,14 @@
     """Downloads from two gateways on narrow links, one of which stops."""
 
     slots = 20
-    run_seconds = RUN_SECONDS
+    execution_seconds = EXECUTION_SECONDS
     backends = 2
     response_bytes = DOWNLOAD_BYTES
     body = b""
 
     async def begin(self, calls: int = CALL_COUNT, **changes: Any) -> None:
         async def script(reader: Any, writer: Any, head: str) -> bool:
-            await asyncio.sleep(self.run_seconds)
+            await asyncio.sleep(self.execution_seconds)
             if self.truncates_next.pop(header(head, "x-wanted"), False):
                 return False
             name = header(head, "x-call").encode()
@@ -87,7 +87,7 @@
         async with asyncio.timeout(5.0):
             while len(self.heads) < count:
                 await asyncio.sleep(0.01)
-        await asyncio.sleep(2 * RUN_SECONDS)
+        await asyncio.sleep(2 * EXECUTION_SECONDS)
 
     async def call(self, name: str) -> Answer:
         return await raw_call(self.address, self.request(name), TIMEOUT_SECONDS)
@@ -260,7 +260,7 @@
         self.assertEqual(self.heads, [])
 
     async def test_refused_while_waiting_when_its_sender_starts_to_stop(self) -> None:
-        self.slots, self.run_seconds = 1, 0.3
+        self.slots, self.execution_seconds = 1, 0.3
         await self.begin_with_known_length()
         running = asyncio.create_task(self.call("running"))
         await asyncio.sleep(0.05)
@@ -277,7 +277,7 @@
     """One gateway with one slot, for which a call waits when the shutdown starts."""
 
     slots = 1
-    run_seconds = 0.3
+    execution_seconds = 0.3
     backends = 1
 
     async def test_a_request_that_gets_its_slot_too_late_is_refused_before_it_runs(self) -> None:
--- a/tests/node/gateway/test_stopping_senders.py
+++ b/tests/node/gateway/test_stopping_senders.py
@@ -30,7 +30,7 @@
 DOWNLOAD_BYTES = 100_000
 LINK_MBPS = 4.0
 """Rate of the gateway's link; a download takes about 0.25 s."""
-RUN_SECONDS = 0.05
+EXECUTION_SECONDS = 0.05
 OTHER_CALL_COUNT = 8
 LIMIT_SECONDS = 1.0
 """Far less time than the responses of all other calls take together."""
@@ -71,7 +71,7 @@
 
     async def asyncSetUp(self) -> None:
         async def script(reader: Any, writer: Any, head: str) -> bool:
-            await asyncio.sleep(RUN_SECONDS)
+            await asyncio.sleep(EXECUTION_SECONDS)
             name = header(head, "x-call").encode()
             writer.write(answer_bytes(b"x" * DOWNLOAD_BYTES, b"x-call: " + name))
             return True
@@ -94,7 +94,7 @@
         async with asyncio.timeout(5.0):
             while len(self.heads) < count:
                 await asyncio.sleep(0.01)
-        await asyncio.sleep(2 * RUN_SECONDS)
+        await asyncio.sleep(2 * EXECUTION_SECONDS)
 
     async def call(self, name: str) -> Answer:
         headers = (f"x-call: {name}", "x-left: 25000")
