--- a/src/pewtertack/node/pacing.py
+++ b/src/pewtertack/node/pacing.py
@@ -65,7 +65,7 @@
         started: bool = False,
         expires_at: float = math.inf,
         uncommitted_bytes: int = 0,
-        only_source: bool = False,
+        no_alternative: bool = False,
     ) -> QueuedBody:
         """Queue one long body; the result is a context manager. See ``LinkScheduler.enqueue``."""
         enqueue = self.scheduler.enqueue
@@ -73,7 +73,14 @@
             self._clock,
             self.scheduler,
             lambda wake: enqueue(
-                rank, size, target_time, wake, started, expires_at, uncommitted_bytes, only_source
+                rank,
+                size,
+                target_time,
+                wake,
+                started,
+                expires_at,
+                uncommitted_bytes,
+                no_alternative,
             ),
         )
 
--- a/src/pewtertack/routing/link.py
+++ b/src/pewtertack/routing/link.py
@@ -103,7 +103,7 @@
         started: bool = False,
         expires_at: float = math.inf,
         uncommitted_bytes: int = 0,
-        only_source: bool = False,
+        no_alternative: bool = False,
     ) -> LongBody:
         """Queue a long body; ``wake`` is called when its turn may have come.
 
@@ -115,14 +115,14 @@
             started: whether part of the same answer was sent before.
             expires_at: when the body must have been sent; after that its receiver has no use for
                 it.
-            uncommitted_bytes, only_source: see ``LongBody``.
+            uncommitted_bytes, no_alternative: see ``LongBody``.
         """
         self._arrivals += 1
         body = LongBody(rank, size, min(target_time, expires_at), self._arrivals, wake)
         body.started = started
         body.expires_at = expires_at
         body.uncommitted_bytes = uncommitted_bytes
-        body.only_source = only_source
+        body.no_alternative = no_alternative
         self._queue.append(body)
         return body
 
@@ -173,7 +173,7 @@
         deadlines. At this node's stop a body of which it is the only source is better passed to the
         operating system (``send_all_now``).
         """
-        node_stop = math.inf if body.only_source else self._stops_at
+        node_stop = math.inf if body.no_alternative else self._stops_at
         return min(node_stop, body.expires_at) if body.receiver_stopping else node_stop
 
     def stops_before(self, route: str, rank: Rank, now: float, execution_seconds: float) -> bool:
@@ -200,7 +200,7 @@
 
         When the node is stopping, bodies that other sources can send go last.
         """
-        can_hand_back = item.uncommitted_bytes > 0 and not item.only_source
+        can_hand_back = item.uncommitted_bytes > 0 and not item.no_alternative
         is_deferred = self._stops_at < math.inf and can_hand_back
         end = now + item.remaining_bytes / self.bytes_per_second
         continues = item.started and end <= item.expires_at + OVERDUE_SECONDS
--- a/src/pewtertack/routing/long_body.py
+++ b/src/pewtertack/routing/long_body.py
@@ -26,7 +26,7 @@
         "is_urgent",
         "expires_at",
         "remaining_bytes",
-        "only_source",
+        "no_alternative",
         "rank",
         "uncommitted_bytes",
         "last_sent_at",
@@ -58,7 +58,7 @@
         self.uncommitted_bytes = 0
         """Bytes to send until its receiver has passed some of it on. While this is above 0, the
         body can be handed back and requested elsewhere."""
-        self.only_source = False
+        self.no_alternative = False
         """Whether its receiver could not get it from another source."""
         self.handed_back = False
         """Whether it should be requested elsewhere, since this node or its receiver stops too
