--- a/examples/embedding/three_replicas.py
+++ b/examples/embedding/three_replicas.py
@@ -1,4 +1,4 @@
-"""Embed the coordination core: three replicas in one program, no sockets.
+"""Embed the coordination core: three replicas in one program, without sockets.
 
 Run with ``python examples/embedding/three_replicas.py``.
 """
@@ -20,7 +20,7 @@
 
 
 class Program:
-    """A runtime: delivers messages at once and answers reads from ``TREE``."""
+    """A runtime that delivers messages immediately and reads the configuration from ``TREE``."""
 
     def __init__(self) -> None:
         self.in_force: dict[str, int] = {}
@@ -30,13 +30,13 @@
             for name, address in ADDRESSES.items()
         }
 
-    def feed(self, now: float, name: str, event: Input) -> None:
-        """Advance one core and carry out its effects."""
-        for effect in self.cores[name].handle(now, event):
-            self.carry_out(now, name, effect)
+    def feed(self, now: float, name: str, input_event: Input) -> None:
+        """Pass one input to a core and execute the effects that it returns."""
+        for effect in self.cores[name].handle(now, input_event):
+            self.execute(now, name, effect)
 
-    def carry_out(self, now: float, name: str, effect: Effect) -> None:
-        """Deliver a message, answer a read, or note what came into force."""
+    def execute(self, now: float, name: str, effect: Effect) -> None:
+        """Deliver a message, respond to a read, or record the revision that came into force."""
         match effect:
             case Send(_, address, message):
                 receiver = next(key for key, value in ADDRESSES.items() if value == address)
--- a/tools/measure_change.py
+++ b/tools/measure_change.py
@@ -1,7 +1,8 @@
-"""Measure what a large change of the configuration costs one node, by part, in milliseconds.
+"""Measure the cost of a large configuration change for one node, by part, in milliseconds.
 
-Each way that a change takes is run as the event loop runs it, from the bytes that have arrived to
-the swap. Processor time of this process, of the run of several that took least.
+Each operation by which a node receives or passes on a change runs as the event loop runs it, from
+the received bytes until the new configuration is in use. The figures are the processor time of this
+process, from the fastest of several runs.
 """
 
 from __future__ import annotations
@@ -39,86 +40,86 @@
 from pewtertack.wire.messages import DocumentKind, Message, Pull
 
 RUNS = 5
-LONGEST_SHOWN = 4
+SHOWN_ITERATIONS = 4
 KEY = bytes(32)
 ZONE = "zone-1"
-REST = "rest"
+OTHER_PART = "rest"
 
 
-class Parts:
-    """Processor time by part; what a part calls counts for the part called."""
+class PartTimer:
+    """Processor time by part; time spent in a nested part counts for the nested part only."""
 
     def __init__(self) -> None:
         self.seconds: dict[str, float] = {}
-        self.turns: list[tuple[float, str]] = []
-        """Seconds of each turn of the event loop, with the part that took most of it."""
-        self._of_turn: dict[str, float] = {}
-        self._open: list[str] = []
-        self._since = 0.0
-
-    def run(self, name: str, function: Callable[..., Any], *args: Any, **named: Any) -> Any:
-        """Call ``function`` and count its time under ``name``."""
+        self.iterations: list[tuple[float, str]] = []
+        """Seconds of each iteration of the event loop, and the part that took most of it."""
+        self._iteration_seconds: dict[str, float] = {}
+        self._active_parts: list[str] = []
+        self._last_reading = 0.0
+
+    def run(self, name: str, function: Callable[..., Any], *args: Any, **kwargs: Any) -> Any:
+        """Call ``function`` and add its time to the part ``name``."""
         self.begin(name)
         try:
-            return function(*args, **named)
+            return function(*args, **kwargs)
         finally:
             self.end()
 
     def begin(self, name: str) -> None:
-        """Count under ``name`` from now on."""
-        self._note()
-        self._open.append(name)
+        """Add time to the part ``name`` from now on."""
+        self._add_elapsed()
+        self._active_parts.append(name)
 
     def end(self) -> None:
-        """Count again under the name before."""
-        self._note()
-        self._open.pop()
+        """End the current part and return to the one before it."""
+        self._add_elapsed()
+        self._active_parts.pop()
 
-    def _note(self) -> None:
+    def _add_elapsed(self) -> None:
         now = time.process_time()
-        if self._open:
-            name = self._open[-1]
-            for seconds in (self.seconds, self._of_turn):
-                seconds[name] = seconds.get(name, 0.0) + now - self._since
-        self._since = now
-
-    def note_turn(self) -> None:
-        """A turn of the event loop ends."""
-        self._note()
-        if self._of_turn:
-            longest = max(self._of_turn, key=lambda name: self._of_turn[name])
-            self.turns.append((sum(self._of_turn.values()), longest))
-        self._of_turn = {}
+        if self._active_parts:
+            name = self._active_parts[-1]
+            for seconds in (self.seconds, self._iteration_seconds):
+                seconds[name] = seconds.get(name, 0.0) + now - self._last_reading
+        self._last_reading = now
+
+    def end_iteration(self) -> None:
+        """Record the end of an iteration of the event loop."""
+        self._add_elapsed()
+        if self._iteration_seconds:
+            longest = max(self._iteration_seconds, key=lambda name: self._iteration_seconds[name])
+            self.iterations.append((sum(self._iteration_seconds.values()), longest))
+        self._iteration_seconds = {}
 
     def clear(self) -> None:
-        """Begin anew."""
-        self.seconds, self.turns, self._of_turn = {}, [], {}
+        """Discard all recorded times."""
+        self.seconds, self.iterations, self._iteration_seconds = {}, [], {}
 
 
-PARTS = Parts()
+TIMER = PartTimer()
 
 
-def count_collector(phase: str, _: object) -> None:
-    """Count the garbage collector apart from what it interrupts."""
+def time_collector(phase: str, _: object) -> None:
+    """Time the garbage collector separately from the part that it interrupts."""
     if phase == "start":
-        PARTS.begin("collector")
+        TIMER.begin("collector")
     else:
-        PARTS.end()
+        TIMER.end()
 
 
-def count_apart(owner: Any, name: str) -> None:
-    """Replace a function by one whose time counts under its own name."""
+def time_separately(owner: Any, name: str) -> None:
+    """Replace a function by one whose time is recorded as a part of its own name."""
     function = getattr(owner, name)
 
     @functools.wraps(function)
-    def counted(*args: Any, **named: Any) -> Any:
-        return PARTS.run(name.strip("_"), function, *args, **named)
+    def timed(*args: Any, **kwargs: Any) -> Any:
+        return TIMER.run(name.strip("_"), function, *args, **kwargs)
 
-    setattr(owner, name, counted)
+    setattr(owner, name, timed)
 
 
-def configuration(routes: int, version: int) -> bytes:
-    """Return an operator's configuration of so many routes, as the source keeps it."""
+def encode_configuration(routes: int, version: int) -> bytes:
+    """Return an operator's configuration with ``routes`` routes, as the source stores it."""
     random = Random(1)
     services = [f"service-{number}" for number in range(12)]
     value = {
@@ -149,13 +150,13 @@
 
 
 def event_of(value: bytes) -> bytes:
-    """Return the event that the source sends of a new value."""
+    """Return the event that the source sends for a new value."""
     text = base64.b64encode(value).decode()
     return msgspec.json.encode({"PrivateKey": "configuration", "Revision": 9, "Value": text})
 
 
 class Node:
-    """A core and a proxy that serve by one configuration."""
+    """A node core and a proxy with the configuration that the core brings into force."""
 
     def __init__(self, name: str) -> None:
         self.identity = NodeIdentity(name, "192.0.2.1:7000", ZONE, "region", 1)
@@ -163,111 +164,120 @@
         self.core = NodeCore(self.identity, LEASED, Random(1), 0.0, (), source)
         self.proxy = ProxyApplication(lambda: 0.0, Random(1))
         self.reader = FrameReader(KEY)
-        self.known = RouteCache()
+        self.route_cache = RouteCache()
         self._now = 0.0
         self.feed(Ticked())
 
     def feed(self, event: Any) -> None:
-        """Give the core one input and the proxy what is to be in force, until all work is done."""
-        goes_on = True
-        while goes_on:
+        """Process one input and the work that follows from it, as the runtime of a node does."""
+        work_pending = True
+        while work_pending:
             effects = self.core.handle(self._now, event)
             for effect in effects:
                 if isinstance(effect, BringIntoForce):
                     self.proxy.use_configuration(effect.configuration)
-            goes_on = any(isinstance(effect, ContinueWork) for effect in effects)
+            work_pending = any(isinstance(effect, ContinueWork) for effect in effects)
             event = WorkContinued()
-            PARTS.note_turn()
+            TIMER.end_iteration()
 
     def read(self, event: bytes) -> None:
-        """Take in the source's event."""
+        """Process an event of the source."""
         item = items.parse_items((msgspec.Raw(event),))[0]
         value = item.content() or b""
-        PARTS.note_turn()
-        version, tree = parse_configuration(value, (), self.known)
-        PARTS.note_turn()
+        TIMER.end_iteration()
+        version, tree = parse_configuration(value, (), self.route_cache)
+        TIMER.end_iteration()
         self.feed(DocumentRead(DocumentKind.CONFIGURATION, tree_number(version), tree))
 
     def receive(self, frame: bytes) -> None:
-        """Take in a peer's answer to a pull."""
+        """Process a peer's response to a pull."""
         envelope = self.reader.read(frame)
         self.feed(MessageReceived("peer", envelope.address, 1, envelope.message))
 
-    def answer(self, have: Any) -> Message:
-        """Return the answer to a peer that holds ``have``."""
-        server: PullServer = self.core.replication._pull_server  # noqa: SLF001 - its time is asked for
-        found = server.answer(0.0, Pull(DocumentKind.CONFIGURATION, have))
-        assert found is not None
-        return found
+    def answer(self, held: Any) -> Message:
+        """Return the response to the pull of a peer that holds the revision ``held``."""
+        server: PullServer = self.core.replication._pull_server  # noqa: SLF001 - it is measured
+        message = server.answer(0.0, Pull(DocumentKind.CONFIGURATION, held))
+        assert message is not None
+        return message
 
     @property
     def in_force(self) -> int:
-        """The number of the revision by which the proxy serves."""
+        """The number of the revision in force."""
         return self.core.replication.replica.in_force_number
 
 
-def started(name: str, base: bytes) -> Node:
-    """Return a node that serves by ``base``."""
+def start_node(name: str, base: bytes) -> Node:
+    """Return a node with the configuration ``base`` in force."""
     node = Node(name)
     node.read(event_of(base))
     machine = {"role": "backend", "zone": ZONE, "address": "192.0.2.1:80", "service": "service-1"}
     node.feed(DocumentRead(DocumentKind.MACHINE_LIST, 1, {"a": machine | {"state": "ready"}}))
-    assert node.in_force, "the base is not in force"
+    assert node.in_force, "the base configuration is not in force"
     return node
 
 
 def frame_of(message: Message, counter: int) -> bytes:
-    """Return the frame of a peer's message."""
+    """Return the frame that carries a peer's ``message``."""
     return encode_frame(Envelope("peer", "192.0.2.2:7000", 1, counter, message), KEY)
 
 
-def measure(way: str, prepare: Callable[[], Callable[[], object]]) -> None:
-    """Print the least time of a way's turn, and of its parts in the same run."""
-    best: dict[str, float] = {}
-    turns: list[tuple[float, str]] = []
+def measure(operation: str, prepare: Callable[[], Callable[[], object]]) -> None:
+    """Print the time of an operation in its fastest run, by part, and its longest iterations."""
+    best_seconds: dict[str, float] = {}
+    iterations: list[tuple[float, str]] = []
     for _ in range(RUNS):
         work = prepare()
         gc.collect()
-        PARTS.clear()
-        PARTS.run(REST, work)
-        PARTS.note_turn()
-        if not best or sum(PARTS.seconds.values()) < sum(best.values()):
-            best, turns = PARTS.seconds, sorted(PARTS.turns, reverse=True)
-    total = sum(best.values()) * 1000
-    shown = sorted(best.items(), key=lambda item: -item[1])
-    parts = ", ".join(f"{name} {part * 1000:.1f}" for name, part in shown if part > 0.0005)
-    print(f"{way}: {total:.1f} ms ({parts})")
-    longest = ", ".join(f"{seconds * 1000:.1f} {part}" for seconds, part in turns[:LONGEST_SHOWN])
-    print(f"    {len(turns)} turns, the longest: {longest}")
+        TIMER.clear()
+        TIMER.run(OTHER_PART, work)
+        TIMER.end_iteration()
+        if not best_seconds or sum(TIMER.seconds.values()) < sum(best_seconds.values()):
+            best_seconds, iterations = TIMER.seconds, sorted(TIMER.iterations, reverse=True)
+    total_ms = sum(best_seconds.values()) * 1000
+    sorted_parts = sorted(best_seconds.items(), key=lambda item: -item[1])
+    parts = ", ".join(f"{name} {part * 1000:.1f}" for name, part in sorted_parts if part > 0.0005)
+    print(f"{operation}: {total_ms:.1f} ms ({parts})")
+    longest = ", ".join(
+        f"{seconds * 1000:.1f} {part}" for seconds, part in iterations[:SHOWN_ITERATIONS]
+    )
+    print(f"    {len(iterations)} iterations, the longest: {longest}")
 
 
 def measure_change(routes: int, added: int) -> None:
-    """Measure a change of ``added`` routes to a configuration of ``routes``."""
-    base, value = configuration(routes, 1), configuration(routes + added, 2)
+    """Measure a change that adds ``added`` routes to a configuration with ``routes`` routes."""
+    base, value = encode_configuration(routes, 1), encode_configuration(routes + added, 2)
     print(f"{routes} routes, {added} more: {len(base)} and {len(value)} bytes")
-    holder = started("holder", base)
-    old = holder.core.replication.replica.held
+    holder = start_node("holder", base)
+    old_revision = holder.core.replication.replica.held
     event = event_of(value)
     holder.read(event)
-    assert holder.in_force == tree_number(2), "the change was refused"
-    frames = [frame_of(holder.answer(have), 1 + have.number) for have in (old, NO_REVISION)]
-    print(f"frames: {len(frames[0])} bytes of the change, {len(frames[1])} of the whole")
-    measure("read", lambda: functools.partial(started("a", base).read, event))
-
-    def packing(have: Any) -> Callable[[], object]:
-        fresh = started("b", base)
-        fresh.read(event)
-        return lambda: frame_of(fresh.answer(have), 1)
-
-    measure("answer with the change", lambda: packing(old))
-    measure("answer with the whole", lambda: packing(NO_REVISION))
-    measure("the same answer again", lambda: lambda: frame_of(holder.answer(NO_REVISION), 1))
-    measure("take the change", lambda: functools.partial(started("c", base).receive, frames[0]))
-    measure("take the whole", lambda: functools.partial(started("d", base).receive, frames[1]))
+    assert holder.in_force == tree_number(2), "the change was rejected"
+    frames = [
+        frame_of(holder.answer(held), 1 + held.number) for held in (old_revision, NO_REVISION)
+    ]
+    print(f"frames: {len(frames[0])} bytes for the change, {len(frames[1])} for the whole")
+    measure("read", lambda: functools.partial(start_node("a", base).read, event))
+
+    def prepare_answer(held: Any) -> Callable[[], object]:
+        node = start_node("b", base)
+        node.read(event)
+        return lambda: frame_of(node.answer(held), 1)
+
+    measure("respond with the change", lambda: prepare_answer(old_revision))
+    measure("respond with the whole configuration", lambda: prepare_answer(NO_REVISION))
+    measure("respond again with the same", lambda: lambda: frame_of(holder.answer(NO_REVISION), 1))
+    measure(
+        "receive the change", lambda: functools.partial(start_node("c", base).receive, frames[0])
+    )
+    measure(
+        "receive the whole configuration",
+        lambda: functools.partial(start_node("d", base).receive, frames[1]),
+    )
 
 
 def main() -> None:
-    """Measure changes of the size given, or of the usual sizes."""
+    """Measure a change of the size given on the command line, or of the default size."""
     for owner, name in (
         (items, "parse_items"),
         (items.StoreItem, "content"),
@@ -291,9 +301,9 @@
         (Dispatcher, "keep_only"),
         (ValidationCache, "store"),
     ):
-        count_apart(owner, name)
+        time_separately(owner, name)
     collector.resume()
-    gc.callbacks.append(count_collector)
+    gc.callbacks.append(time_collector)
     sizes = [int(text) for text in sys.argv[1:]] or [3600, 1400]
     measure_change(*sizes)
 
--- a/tools/measure_frames.py
+++ b/tools/measure_frames.py
@@ -1,4 +1,4 @@
-"""Measure size and processor time of peer frames, and the memory of replay windows.
+"""Measure the size and encoding times of peer frames, and the memory of replay windows.
 
 PYTHONPATH=src python tools/measure_frames.py
 """
@@ -24,7 +24,7 @@
 
 KEY = bytes(32)
 ROUNDS = 5
-FRAMES = 5000
+ROUND_FRAMES = 5000
 FLEET_SIZE = 1700
 INCARNATION = 1_790_000_000_000
 REVISION = RevisionId(600, bytes(16))
@@ -39,25 +39,29 @@
 }
 
 
-def frame(counter: int, message: Message) -> bytes:
-    """Return one frame."""
+def encode_message(counter: int, message: Message) -> bytes:
+    """Return the frame of one message."""
     return encode_frame(Envelope("ikeja-17", "10.0.0.17:8001", INCARNATION, counter, message), KEY)
 
 
-def microseconds(action: Callable[[], object]) -> float:
-    """Return the best of several rounds, for one call."""
-    return min(timeit.repeat(action, number=FRAMES, repeat=ROUNDS)) / FRAMES * 1e6
+def best_microseconds(action: Callable[[], object]) -> float:
+    """Return the time of one call in the fastest of several rounds."""
+    return min(timeit.repeat(action, number=ROUND_FRAMES, repeat=ROUNDS)) / ROUND_FRAMES * 1e6
 
 
 def main() -> None:
-    """Print one line a message kind and the replay windows' memory."""
+    """Print one line per kind of message, and the memory of full replay windows."""
     for name, message in MESSAGES.items():
-        frames = iter([frame(counter, message) for counter in range(FRAMES * ROUNDS)])
+        frames = iter(
+            [encode_message(counter, message) for counter in range(ROUND_FRAMES * ROUNDS)]
+        )
         reader = FrameReader(KEY)
-        encode = microseconds(lambda message=message: frame(1, message))
-        read = microseconds(lambda reader=reader, frames=frames: reader.read(next(frames)))
-        size = len(frame(FRAMES, message))
-        print(f"{name:20} {size:4} bytes, encode {encode:5.1f} us, read {read:5.1f} us")
+        encode_time = best_microseconds(lambda message=message: encode_message(1, message))
+        read_time = best_microseconds(
+            lambda reader=reader, frames=frames: reader.read(next(frames))
+        )
+        size = len(encode_message(ROUND_FRAMES, message))
+        print(f"{name:20} {size:4} bytes, encode {encode_time:5.1f} us, read {read_time:5.1f} us")
     tracemalloc.start()
     guard = ReplayGuard()
     for node in range(FLEET_SIZE):
--- a/tools/measure_validation.py
+++ b/tools/measure_validation.py
@@ -1,6 +1,6 @@
-"""Measure validation and resolution of a tree of the expected size; print milliseconds.
+"""Measure validation and resolution of a tree of the expected size, in milliseconds.
 
-Processor time of this process, since other work may load the machine.
+The times are processor time of this process, as other processes may load the machine.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 def expected_tree() -> dict[str, Any]:
-    """Return a tree of the expected size: every route with methods, host and a secret."""
+    """Return a tree of the expected size; every route has methods, a host and a secret."""
     services = {f"service-{n}": {"route_defaults": {"timeout": "3s"}} for n in range(SERVICES)}
     routes = {f"route-{n}": _route(n) for n in range(ROUTES)}
     zones = {f"zone-{n}": {"routes": _overrides(n)} for n in range(ZONES)}
@@ -45,13 +45,15 @@
 
 
 def measure(name: str, call: Callable[[], object]) -> None:
-    """Print the least and the median processor time of ``CALLS`` calls."""
-    times = []
+    """Print the minimum and the median processor time of ``CALLS`` calls."""
+    milliseconds = []
     for _ in range(CALLS):
-        start = time.process_time()
+        started_at = time.process_time()
         call()
-        times.append((time.process_time() - start) * 1000)
-    print(f"{name}: min {min(times):.1f} ms, median {statistics.median(times):.1f} ms")
+        milliseconds.append((time.process_time() - started_at) * 1000)
+    print(
+        f"{name}: min {min(milliseconds):.1f} ms, median {statistics.median(milliseconds):.1f} ms"
+    )
 
 
 def main() -> None:
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,7 +1,7 @@
-"""Run the unittest suite and end with one line: ``N passed, N failed``.
+"""Run the unittest suite and print a last line ``N passed, N failed``.
 
-Tests named in KNOWN-RED.txt (``test id: cause: issue``) run like any other;
-their failures are printed but do not fail the run.
+Tests named in KNOWN-RED.txt (``test id: cause: issue``) run like all others; their failures are
+printed but do not make the run fail.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 
 
 def failed_test_ids(result: unittest.TestResult) -> set[str]:
-    """Return the ids of all tests that failed, errored or passed unexpectedly."""
+    """Return the ids of all tests that failed, raised an error or passed unexpectedly."""
     outcomes = result.failures + result.errors
-    ids = {_whole_test_id(test) for test, _ in outcomes}
+    ids = {_test_method_id(test) for test, _ in outcomes}
     return ids | {test.id() for test in result.unexpectedSuccesses}
 
 
-def _whole_test_id(test: unittest.TestCase) -> str:
-    """Return the id of the test method, also for a failure inside a subtest."""
+def _test_method_id(test: unittest.TestCase) -> str:
+    """Return the id of the test method, including for a failure in a subtest."""
     return getattr(test, "test_case", test).id()
 
 
@@ -43,16 +43,17 @@
     )
     result = unittest.TextTestRunner(verbosity=1).run(suite)
     failed = failed_test_ids(result)
-    excused = failed & set(known_red)
-    for test_id in sorted(excused):
+    known_failures = failed & set(known_red)
+    for test_id in sorted(known_failures):
         print(f"known red: {test_id}")
     skipped = len(result.skipped)
     passed = result.testsRun - skipped - len(failed)
-    counted = len(failed - excused)
+    new_failure_count = len(failed - known_failures)
     print(
-        f"{max(passed, 0)} passed, {counted} failed" + (f", {skipped} skipped" if skipped else "")
+        f"{max(passed, 0)} passed, {new_failure_count} failed"
+        + (f", {skipped} skipped" if skipped else "")
     )
-    return 1 if counted or passed < 1 else 0
+    return 1 if new_failure_count or passed < 1 else 0
 
 
 if __name__ == "__main__":
--- a/tools/write_reference.py
+++ b/tools/write_reference.py
@@ -1,7 +1,7 @@
-"""Write the pages that are made from the code.
+"""Write the documentation that is generated from the code.
 
-docs/tree.schema.json, the tables in docs/CONFIGURATION.md, docs/EVENTS.md. Tests
-compare the committed pages with what this tool would write.
+This is docs/tree.schema.json, the tables in docs/CONFIGURATION.md, and docs/EVENTS.md. Tests
+compare the committed files with what this tool would write.
 """
 
 from __future__ import annotations
@@ -40,18 +40,20 @@
 
 
 def page_with_tables(page: str) -> str:
-    """Return ``page`` with the generated tables between their markers."""
-    page = _between_markers(page, "settings", settings_tables())
-    return _between_markers(page, "findings", findings_table())
+    """Return ``page`` with the current tables between their markers."""
+    page = _replace_between_markers(page, "settings", settings_tables())
+    return _replace_between_markers(page, "findings", findings_table())
 
 
-def _between_markers(page: str, name: str, text: str) -> str:
+def _replace_between_markers(page: str, name: str, text: str) -> str:
     begin, end = f"<!-- begin generated {name} -->", f"<!-- end generated {name} -->"
     pattern = re.escape(begin) + ".*" + re.escape(end)
     replacement = f"{begin}\n{text}\n{end}"
     result, count = re.subn(pattern, lambda _: replacement, page, flags=re.DOTALL)
     if count != 1:
-        raise SystemExit(f"{CONFIGURATION_PAGE}: markers of {name} stand {count} times")
+        raise SystemExit(
+            f"{CONFIGURATION_PAGE}: expected one pair of markers {name!r}, found {count}"
+        )
     return result
 
 
@@ -63,7 +65,7 @@
 
 
 def main() -> None:
-    """Rewrite all pages."""
+    """Rewrite all generated files."""
     EVENTS_PAGE.write_text(events_page())
     SCHEMA_FILE.write_text(schema_text())
     CONFIGURATION_PAGE.write_text(page_with_tables(CONFIGURATION_PAGE.read_text()))
