--- a/src/pewtertack/node/proxy/configuration_wait.py
+++ b/src/pewtertack/node/proxy/configuration_wait.py
@@ -17,7 +17,6 @@
 DEADLINE_SHARE = 0.25
 """Share of the time left until its deadline that a request may wait."""
 MAX_WAIT_SECONDS = 1.0
-"""Longest wait of a request, however far away its deadline is."""
 
 
 def _no_lag() -> Lag:
