--- a/src/pewtertack/node/event_loop.py
+++ b/src/pewtertack/node/event_loop.py
@@ -2,7 +2,7 @@
 
 The default loop's clock stands still during a suspension: every timer armed before would fire late
 by its whole length (a deadline of 2 s would fire 30 s late after 30 s), while the node's own clock
-goes on. With one clock for both, expired timers fire in the first iteration after the wake-up. That
+goes on. With one clock for both, expired timers fire in the first iteration after the wake-up. It
 comes within a tick of the runtime, since the kernel's wait does not count suspensions.
 """
 
--- a/src/pewtertack/node/gateway/cold_watch.py
+++ b/src/pewtertack/node/gateway/cold_watch.py
@@ -26,7 +26,7 @@
 CHECK_SECONDS = 0.1
 """Interval at which the watch checks whether a query is due."""
 UNBOUNDED_CHECK_SECONDS = 1.0
-"""The same while the service sets no limit for cold back ends."""
+"""Interval of the checks while the service sets no limit for cold back ends."""
 RESPONSE_TIMEOUT_SECONDS = 0.4
 TIMEOUTS = ServiceTimeouts(
     RESPONSE_TIMEOUT_SECONDS, RESPONSE_TIMEOUT_SECONDS, RESPONSE_TIMEOUT_SECONDS
--- a/src/pewtertack/node/gateway/sending.py
+++ b/src/pewtertack/node/gateway/sending.py
@@ -19,7 +19,7 @@
 RESPONSE_BUFFER_BYTES = 256 * 1024
 """Limit on the buffered bytes of one response; reading more from the back end waits."""
 NODE_BUFFER_BYTES = 4 * 1024 * 1024
-"""The same limit for all responses of a node together."""
+"""Limit on the buffered bytes of all responses of a node together."""
 
 
 class BufferedBytes:
--- a/src/pewtertack/node/http/connection.py
+++ b/src/pewtertack/node/http/connection.py
@@ -167,7 +167,7 @@
         ``may_abandon`` is called whenever the peer reports that it may never answer.
 
         Raises:
-            ExchangeLeftError: the request was abandoned for such a report.
+            ExchangeLeftError: the request was abandoned after such a report.
             ExchangeBrokenError: no response came; ``sent`` tells whether the request may have run.
         """
         self.sent = False
--- a/src/pewtertack/node/http/server.py
+++ b/src/pewtertack/node/http/server.py
@@ -34,8 +34,8 @@
 ACCEPT_RESOURCE_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 """Errors of ``accept`` for want of file descriptors or memory."""
 ACCEPT_RETRY_SECONDS = 1.0
-"""Pause after such an error: the listener stays readable, which would keep the loop busy with
-nothing else."""
+"""Accepting pauses this long after one of these errors: the listener stays readable, which would
+keep the loop busy with nothing else."""
 RELAY_ATTRIBUTE = "callers_relay"
 """Optional attribute of an application: whether its callers relay responses to others."""
 
--- a/src/pewtertack/node/http/unread.py
+++ b/src/pewtertack/node/http/unread.py
@@ -50,8 +50,8 @@
 
     Args:
         callers_relay: the callers relay responses and supervise their own readers. Such a caller
-            may receive nothing for long while its own caller reads what the kernel holds for that
-            connection.
+            may receive nothing for long while its own caller reads data that is already in the
+            kernel of the relaying machine.
     """
 
     __slots__ = ("_callers_relay", "_silent")
--- a/src/pewtertack/node/import_stubs.py
+++ b/src/pewtertack/node/import_stubs.py
@@ -6,10 +6,10 @@
 
 Other modules are named by asyncio, anyio, logbook and msgspec while these load, but nothing that a
 node calls uses them: it speaks no TLS, starts no process, writes no compressed log files and
-inspects no types. A stub with the few names takes their place until the start is over. Without
-them, OpenSSL's digests and the parser of flags, a node's imports take 1.8 MB less private memory
-(17.2 instead of 19.0 MB) and 5 MB less resident memory (26.5 instead of 31.8 MB), with no
-measurable difference in processor time.
+inspects no types. A stub with the names that are needed at import time takes their place until the
+start is over. Without them, OpenSSL's digests and the parser of flags, a node's imports take 1.8 MB
+less private memory (17.2 instead of 19.0 MB) and 5 MB less resident memory (26.5 instead of 31.8
+MB), with no measurable difference in processor time.
 """
 
 from __future__ import annotations
--- a/src/pewtertack/node/runtime.py
+++ b/src/pewtertack/node/runtime.py
@@ -188,7 +188,7 @@
         self._gate.set_serving(False)
 
     def note_backend_leaving(self, name: str, address: str, started_at: int) -> None:
-        """Let the core relay what a back end reported about itself to this node's proxy."""
+        """Have the core tell peers that a back end reported to this node's proxy that it leaves."""
         self.feed(BackendLeavingObserved(name, address, started_at))
 
     def receive(self, envelope: Envelope) -> None:
--- a/src/pewtertack/node/status.py
+++ b/src/pewtertack/node/status.py
@@ -133,7 +133,7 @@
     items_passed_over: int = 0
     """Items of the platform that were not understood when they were last read here."""
     items_found_wrong: int = 0
-    """Findings about such items since the start."""
+    """Findings about items that were not understood, since the start."""
     source_era: int = 0
     """The latest era of the source known here; 0 without eras."""
     machines_kept: int = 0
