--- a/src/pewtertack/core/membership/table.py
+++ b/src/pewtertack/core/membership/table.py
@@ -15,6 +15,7 @@
 from pewtertack.wire.messages import MemberStatus, MemberUpdate
 
 UNCONFIRMED_INCARNATION = 0
+"""Incarnation of a member that is known from the machine list only."""
 REACHABLE_STATUSES = (MemberStatus.ALIVE, MemberStatus.SUSPECT)
 
 
@@ -61,7 +62,8 @@
         identity: the node itself.
         dead_retention: seconds for which a dead member that is not in the machine list still
             counts for quorums.
-        forget_after: the same while no machine list is known.
+        forget_after: seconds for which a dead member counts for quorums while no machine list is
+            known.
     """
 
     def __init__(self, identity: NodeIdentity, dead_retention: float, forget_after: float) -> None:
--- a/src/pewtertack/node/gateway/hop.py
+++ b/src/pewtertack/node/gateway/hop.py
@@ -114,6 +114,7 @@
 """Status of the response to a request that is addressed to the gateway itself."""
 WAIT_POLICIES = {item.value: item for item in WaitPolicy}
 MAX_HEADER_LENGTH = 256
+"""Characters in the value of a hop header."""
 _CLASS_RANKS = {work_class: rank for rank, work_class in enumerate(WorkClass)}
 
 
@@ -195,10 +196,10 @@
     )
     numbers = (work_class, priority, objective, crash_limit, incarnation)
     if not all(map(str.isdecimal, numbers)):
-        raise InvalidRequestError("the request's rank, objective or limit is not a number")
+        raise InvalidRequestError("the request's rank, objective or limit is no number")
     wait_policy = WAIT_POLICIES.get(values[WAIT_POLICY])
     if wait_policy is None:
-        raise InvalidRequestError("the request's lateness header has an unknown value")
+        raise InvalidRequestError("the request's lateness is none that is known")
     return HopRequest(
         backend=values[BACKEND],
         service=values[SERVICE],
--- a/src/pewtertack/node/http/acknowledgement.py
+++ b/src/pewtertack/node/http/acknowledgement.py
@@ -24,7 +24,11 @@
 from pewtertack.node.http.cycle import LOGGER_NAME
 from pewtertack.node.http.outgoing import unacknowledged_bytes
 from pewtertack.node.http.tcp_info import tcp_info
-from pewtertack.node.http.transport import ACK_TIMEOUT_SECONDS, MILLISECONDS, set_user_timeout
+from pewtertack.node.http.transport import (
+    ACK_TIMEOUT_SECONDS,
+    MILLISECONDS_PER_SECOND,
+    set_user_timeout,
+)
 
 CHECK_INTERVAL_SECONDS = 0.1
 """Interval between checks of a connection that carries a long body."""
@@ -32,7 +36,9 @@
 """A kernel answers at most one window probe in 0.5 s, so it may leave the second one, sent 0.4 s
 after the first, unanswered while the machine is alive."""
 NO_TIMEOUT = 0
+"""Removes the limit of ``TCP_USER_TIMEOUT``."""
 PROBES_OFFSET = 3
+"""Offset of the byte with the number of unanswered window probes."""
 COUNTERS_OFFSET = 24
 """Offset in Linux's ``struct tcp_info`` from which all fields are 32-bit. The first is the number
 of unacknowledged segments; the sixth and the ninth are the milliseconds since data was last sent
@@ -139,6 +145,6 @@
     return AcknowledgementState(
         unacknowledged_segments,
         info[PROBES_OFFSET],
-        since_sent / MILLISECONDS,
-        since_acknowledgement / MILLISECONDS,
+        since_sent / MILLISECONDS_PER_SECOND,
+        since_acknowledgement / MILLISECONDS_PER_SECOND,
     )
--- a/src/pewtertack/node/http/server.py
+++ b/src/pewtertack/node/http/server.py
@@ -34,8 +34,8 @@
 ACCEPT_RESOURCE_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 """Errors of ``accept`` for want of file descriptors or memory."""
 ACCEPT_RETRY_SECONDS = 1.0
-"""Pause after such an error: the listener stays readable, which would keep the loop busy with
-nothing else."""
+"""Accepting pauses this long after one of these errors: the listener stays readable, which would
+keep the loop busy with nothing else."""
 RELAY_ATTRIBUTE = "callers_relay"
 """Optional attribute of an application: whether its callers relay responses to others."""
 
@@ -128,7 +128,10 @@
         except OSError as error:
             if error.errno not in ACCEPT_RESOURCE_ERRORS:
                 raise
-            logger.error("cannot accept connections", exc_info=error)
+            logger.error(
+                "cannot accept connections for want of resources; accepting is paused",
+                exc_info=error,
+            )
             loop.remove_reader(listener)
             loop.call_later(ACCEPT_RETRY_SECONDS, self._listen, loop, listener)
             return False
@@ -141,7 +144,7 @@
         return True
 
     def enlarge_send_buffers(self) -> None:
-        """Let the kernel accept the rest of the responses, which the process may not outlive."""
+        """Let the kernel accept the rest of the responses, to send it after the process ends."""
         for connection in self.connections:
             enlarge_send_buffer(connection.transport.get_extra_info("socket"))
 
--- a/src/pewtertack/node/http/tcp_info.py
+++ b/src/pewtertack/node/http/tcp_info.py
@@ -5,9 +5,10 @@
 import socket
 import struct
 
-from pewtertack.node.http.transport import MILLISECONDS
+from pewtertack.node.http.transport import MILLISECONDS_PER_SECOND
 
 TCP_INFO_BYTES = 60
+"""Bytes of the structure that are read: as far as the fields that are used."""
 LAST_RECEIVED_OFFSET = 52
 """Offset of the milliseconds since data was last received."""
 UINT32 = struct.Struct("=I")
@@ -31,4 +32,4 @@
         OSError: the socket is closed.
     """
     (milliseconds,) = UINT32.unpack_from(tcp_info(sock), LAST_RECEIVED_OFFSET)
-    return float(milliseconds) / MILLISECONDS
+    return float(milliseconds) / MILLISECONDS_PER_SECOND
--- a/src/pewtertack/node/http/transport.py
+++ b/src/pewtertack/node/http/transport.py
@@ -21,13 +21,13 @@
 WRITE_HIGH_WATER = 64 * 1024
 """Buffered bytes above which the protocol is told to pause writing."""
 WRITE_LOW_WATER = 16 * 1024
-"""Buffered bytes at which it may resume."""
+"""Buffered bytes from which down the protocol may resume writing."""
 CLOSE_STALL_SECONDS = 4.0
 """A closed connection ends when none of its unsent bytes were accepted for this long: the peer may
 have stopped reading for good, and a node that shuts down would wait for it."""
 ACK_TIMEOUT_SECONDS = 0.4
 """A machine that acknowledges nothing for this long has lost power or is cut off."""
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 ANY_PORT = 0
 MAX_PORT = 65535
 NO_FLOW_INFO = 0
@@ -268,7 +268,7 @@
 
 def set_user_timeout(sock: socket.socket, seconds: float = ACK_TIMEOUT_SECONDS) -> None:
     """Have the kernel end the connection when nothing is acknowledged for this long; 0: never."""
-    milliseconds = int(seconds * MILLISECONDS)
+    milliseconds = int(seconds * MILLISECONDS_PER_SECOND)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, milliseconds)
 
 
--- a/src/pewtertack/node/proxy/exchange.py
+++ b/src/pewtertack/node/proxy/exchange.py
@@ -40,10 +40,13 @@
 from pewtertack.routing.response_results import result_of_response
 
 MAX_SHED_BODY_BYTES = 64 * 1024
+"""The body of a refusal is read in order to reuse the connection; a longer one is not read."""
 SHED_BODY_SECONDS = 0.02
-"""The body of a refusal is read for at most this long in order to reuse the connection."""
+"""The body of a refusal is read for at most this long."""
 MAX_RETRY_AFTER_SECONDS = 3600.0
+"""Limit on the ``Retry-After`` of a back end or gateway; a longer one counts as this."""
 MISDIRECTED_STATUS = 421
+"""Status by which a back end refuses a request that names another one."""
 START_BUFFER_BYTES = 64 * 1024
 """A response of at most this length is passed on only once it is complete. Of a longer one this
 much is buffered first, if the request could still be sent elsewhere. That limits what a node
@@ -171,9 +174,7 @@
         bodiless = self._scope["method"] == "HEAD" or start.status in NO_BODY_STATUSES
         if not (meta.framed or bodiless or self._edge.unframed_answers):
             connection.abort()
-            raise BackendFailedError(
-                "the back end's response has neither a length nor chunked encoding"
-            )
+            raise BackendFailedError("the end of the back end's answer cannot be told")
 
     async def _relay(
         self, connection: BackendConnection, start: ResponseHead, meta: ResponseMeta
@@ -191,9 +192,8 @@
             head[WHOLE_BODY] = body
             await self._send(head)
             return
-        buffer_start = (
-            self.buffers_start and meta.length is not None
-        )  # without a length it may be a stream
+        # A response without a length may be a stream, which must not be delayed.
+        buffer_start = self.buffers_start and meta.length is not None
         beginning = await _read_start(connection) if buffer_start else b""
         if self.buffers_start:
             caller.drop_body()
@@ -229,7 +229,7 @@
     try:
         return await connection.read_body()
     except ExchangeBrokenError as error:
-        raise BackendFailedError(f"the response broke off: {error}") from error
+        raise BackendFailedError(f"the answer broke off: {error}") from error
 
 
 async def _read_start(connection: BackendConnection) -> bytes:
@@ -245,7 +245,7 @@
             chunks.append(chunk)
             size += len(chunk)
     except ExchangeBrokenError as error:
-        raise BackendFailedError(f"the response broke off: {error}") from error
+        raise BackendFailedError(f"the answer broke off: {error}") from error
     return b"".join(chunks)
 
 
--- a/src/pewtertack/node/proxy/forwarding.py
+++ b/src/pewtertack/node/proxy/forwarding.py
@@ -183,7 +183,8 @@
         backend = self._ticket.backend
         if self._connection is None or backend is None:
             return ""
-        # Also if the request may not have started: it waits there before its body is requested.
+        # Also while the request cannot have started: it waits at the gateway until its body is
+        # requested.
         return backend.gateway
 
     def finish_by(self, moment: float) -> None:
@@ -192,7 +193,7 @@
     async def withdraw(self) -> None:
         """Start no further attempt; withdraw one that is waiting (``ActiveRequest``)."""
         self._withdrawn = True
-        self._context.dispatcher.refuse(self._ticket, DrainingError("the node is shutting down"))
+        self._context.dispatcher.refuse(self._ticket, DrainingError("the node is stopping"))
         backend = self._ticket.backend
         if self.progress is not Progress.OFFERED or backend is None:
             return
@@ -218,7 +219,9 @@
         if end is LifetimeEnd.CALLER_GONE:
             raise CallerGoneError
         if self._exchange.started:
-            raise TruncatedAnswerError("the deadline passed while the response was being sent")
+            raise TruncatedAnswerError(
+                "the request ran out of time while its response was being sent"
+            )
         raise end_error(end).with_outcome(
             Outcome.UNKNOWN if self._may_have_run else Outcome.NOT_RUN
         )
@@ -262,7 +265,7 @@
 
     def _check_withdrawn(self) -> None:
         if self._withdrawn:
-            raise DrainingError("the node is shutting down")
+            raise DrainingError("the node is stopping")
 
     def _log_decision(self, error: RequestFailedError, decision: RetryDecision) -> None:
         if self._context.metrics is not None:
--- a/src/pewtertack/node/proxy/headers.py
+++ b/src/pewtertack/node/proxy/headers.py
@@ -18,6 +18,7 @@
 BACKEND_STATE = b"x-backend-state"
 RETRIES = RETRIES_HEADER.encode()
 MAX_REQUEST_ID_LENGTH = 128
+"""Characters of a caller's request id; a longer one is replaced."""
 
 HOP_BY_HOP = frozenset(
     {
@@ -111,7 +112,7 @@
     if host_count != 1:
         raise InvalidRequestError("a request needs exactly one host header")
     if b"upgrade" in head.connection_options:
-        raise UpgradeRefusedError("protocol upgrades are not supported")
+        raise UpgradeRefusedError("no other protocol is spoken here")
 
 
 def _parse_host(value: bytes) -> str:
--- a/src/pewtertack/routing/gateway_acceptance.py
+++ b/src/pewtertack/routing/gateway_acceptance.py
@@ -1,10 +1,10 @@
 """Decides whether to try another gateway after one has refused a request.
 
-In a lasting shortage the next gateway refuses as well: on a day with 1.6 times the usual
+In a lasting shortage the next gateway refuses as well: at 1.6 times the usual
 load a first refusal was followed by an acceptance in 25 of 100 cases, a second in 17, and 43
 of 100 hops ended in a refusal. Each costs two nodes some milliseconds and the caller the time
-until it is told to retry, while no more slots are filled. A proxy therefore records, for each
-route, how often further gateways have accepted a request lately.
+until it is told to retry, although the refusals do not fill any more slots. A proxy therefore
+records, for each route, how often further gateways have accepted a request lately.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from random import Random
 
 MIN_ACCEPTANCE_SHARE = 0.3
-"""Below this share of further gateways that accept, none is tried. Chosen between the shares
+"""Below this share of further gateways that accept, none is tried. It lies between the shares
 above and what is usual without a shortage, where nearly all accept."""
 NEWEST_WEIGHT = 0.2
 """Weight of the newest result: about five results determine the share."""
--- a/src/pewtertack/routing/link.py
+++ b/src/pewtertack/routing/link.py
@@ -6,9 +6,9 @@
 of them: with downloads of 90 kB on links of 5 Mbit/s answers of 400 bytes took 59 ms in the
 median and 358 ms at the 90th percentile from one node to another, and new connections over
 250 ms, where 2 ms are usual. So long bodies are sent in parts, one after the other, at the
-link's rate. They are ordered by rank; then started bodies first, unless they would be sent
-for nothing; then by due time, which is late for a body that cannot be in time any more, and
-never for one whose receiver would not wait for its end.
+link's rate. They are ordered by rank. Within a rank started bodies go first, unless they would end
+too late for their receivers; then the due time decides. A body that can no longer be in time gets
+a later due time, and one whose receiver would not wait for its end goes last.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
 """Share of the link's rate that long bodies and other recorded traffic may use: the rest is for
 heads, acknowledgements and messages between nodes, which are not counted."""
 SEND_AHEAD_BYTES = PART_BYTES
-"""Bytes that may still be in the link's queue when the next part is sent. Without them the link is
-idle until a process with half a core is scheduled."""
+"""Bytes that may still be in the link's queue when the next part is sent. Without them the link
+would be idle until the process, which may have only half a core, is scheduled."""
 PROBE_INTERVAL_SECONDS = 1.0
 """If the answers of a route are too long for any deadline, one request per interval is let through,
 since only answers show how long they are."""
@@ -37,8 +37,9 @@
 """A body of which nothing was sent for this long is limited by its reader, not by the link: eight
 parts pass a link of 2.5 Mbit/s in that time."""
 OVERDUE_SECONDS = 0.5
-"""A started body that would end this much after it expires is sent for nothing and lets all others
-go first. A stopping node waits as long for last answers."""
+"""A started body whose end would be sent more than this after it expires goes after all others of
+its rank, since its receiver no longer accepts it. A stopping node waits as long for last
+answers."""
 LAST_RANK: Rank = (1 << 62, 0)
 """A rank behind all others."""
 BITS_PER_BYTE = 8
@@ -48,9 +49,9 @@
 @policy(
     PolicyKind.LONG_BODIES,
     LongBodyPolicy.IN_TURNS,
-    "long bodies are sent one after the other at the link's rate; short ones wait for none",
+    "long bodies leave one after the other at the link's pace; short ones wait for none",
     Parameter("long_bytes", LONG_BYTES, "B", "13 ms of a link of 10 Mbit/s"),
-    Parameter("link_share", LINK_SHARE, "", "the rest is for traffic that is not counted"),
+    Parameter("link_share", LINK_SHARE, "", "the rest is for what nobody counts"),
 )
 class LinkScheduler:
     """Decides which long body may send its next part, and when. Times are monotonic seconds.
@@ -84,7 +85,8 @@
         self._reserved_bytes: dict[Rank, int] = {}
         """Bytes of expected long answers, by rank; integers, so that sums are exact."""
         self._probed_at: dict[str, float] = {}
-        """When a request of a route of too long answers was last let through, or first refused."""
+        """When a request of a route whose answers are too long was last let through or first
+        refused."""
         self._mean_sizes: dict[str, float] = {}
         """Mean length in bytes of the long answers of each route; none for routes of short ones."""
 
@@ -101,7 +103,7 @@
         started: bool = False,
         expires_at: float = math.inf,
         uncommitted_bytes: int = 0,
-        only_source: bool = False,
+        no_alternative: bool = False,
     ) -> LongBody:
         """Queue a long body; ``wake`` is called when its turn may have come.
 
@@ -111,15 +113,16 @@
             target_time: when the body should have been sent.
             wake: must not block.
             started: whether part of the same answer was sent before.
-            expires_at: when the body must have been sent, or it is sent for nothing.
-            uncommitted_bytes, only_source: see ``LongBody``.
+            expires_at: when the body must have been sent; after that its receiver has no use for
+                it.
+            uncommitted_bytes, no_alternative: see ``LongBody``.
         """
         self._arrivals += 1
         body = LongBody(rank, size, min(target_time, expires_at), self._arrivals, wake)
         body.started = started
         body.expires_at = expires_at
         body.uncommitted_bytes = uncommitted_bytes
-        body.only_source = only_source
+        body.no_alternative = no_alternative
         self._queue.append(body)
         return body
 
@@ -170,7 +173,7 @@
         deadlines. At this node's stop a body of which it is the only source is better passed to the
         operating system (``send_all_now``).
         """
-        node_stop = math.inf if body.only_source else self._stops_at
+        node_stop = math.inf if body.no_alternative else self._stops_at
         return min(node_stop, body.expires_at) if body.receiver_stopping else node_stop
 
     def stops_before(self, route: str, rank: Rank, now: float, execution_seconds: float) -> bool:
@@ -197,11 +200,11 @@
 
         When the node is stopping, bodies that other sources can send go last.
         """
-        can_hand_back = item.uncommitted_bytes > 0 and not item.only_source
+        can_hand_back = item.uncommitted_bytes > 0 and not item.no_alternative
         is_deferred = self._stops_at < math.inf and can_hand_back
         end = now + item.remaining_bytes / self.bytes_per_second
         continues = item.started and end <= item.expires_at + OVERDUE_SECONDS
-        # Otherwise more urgent bodies that keep arriving would cut it off, sent for nothing.
+        # Otherwise more urgent bodies that keep arriving would delay it until it is cut off.
         rank = FINISHING_SOON if continues and self._is_finishing(item, now) else item.rank
         return is_deferred, rank, not continues, item.due_time(end), item.sequence
 
@@ -219,7 +222,8 @@
     def send_delay(self, body: LongBody, now: float) -> float | None:
         """Return the seconds after which the body may send a part.
 
-        ``None`` while another body goes first, which is woken, as it may just have become first.
+        ``None`` while another body precedes it. That body is woken, since it may just have become
+        the first.
         """
         body.is_ready = True
         if self._sends_all_now:
--- a/src/pewtertack/routing/margins.py
+++ b/src/pewtertack/routing/margins.py
@@ -11,30 +11,39 @@
 from pewtertack.routing.policies import Parameter, PolicyKind, WaitMarginPolicy, policy
 
 MAX_RESERVED_SHARE = 0.5
-"""Largest reserved share of the time that a request may wait. In virtual time a third and two
-thirds earn the same within noise; no reserve earns less."""
+"""Largest reserved share of the time that a request may wait. In simulations a third and two thirds
+give the same result within noise; the result is worse without a reserve."""
 
 
 @policy(
     PolicyKind.MARGIN,
     WaitMarginPolicy.SPREAD,
-    "a request waits while its answer is seldom late, however much the answer times vary",
+    "a request waits while its answer is seldom late, however much answers' times differ",
 )
 def reserve_spread(arrived_at: float, latest_start: float, spread: float) -> float:
-    """Return the latest start, given the one for an answer of mean time, less the spread."""
+    """Return the latest start with the whole spread reserved.
+
+    Args:
+        arrived_at: when the request arrived.
+        latest_start: latest start if the answer takes the mean time.
+        spread: spread of the route's answer times.
+    """
     return latest_start - spread
 
 
 @policy(
     PolicyKind.MARGIN,
     WaitMarginPolicy.HALF,
-    "a request waits for half the time that a mean answer leaves, or longer where it is safe",
+    "a request waits for half the time that a usual answer leaves, or longer where it is safe",
     Parameter(
-        "kept_most", MAX_RESERVED_SHARE, "", "in virtual time a third to two thirds are equal"
+        "kept_most", MAX_RESERVED_SHARE, "", "in virtual time a third to two thirds are alike"
     ),
 )
 def reserve_half(arrived_at: float, latest_start: float, spread: float) -> float:
-    """Return the same, but reserve at most half of the time since the request's arrival."""
+    """Return the latest start with at most half of the wait time reserved; see ``reserve_spread``.
+
+    The wait time lasts from the arrival to ``latest_start``.
+    """
     return latest_start - min(spread, MAX_RESERVED_SHARE * max(0.0, latest_start - arrived_at))
 
 
--- a/src/pewtertack/routing/origins.py
+++ b/src/pewtertack/routing/origins.py
@@ -33,6 +33,7 @@
 ADVERTISED_WEIGHT = 0.2
 """Weight of the newest report in a sender's belief: about five gateways decide."""
 MAJORITY = 0.5
+"""Back ends are believed to make a route's requests above this weighted share of the reports."""
 BELIEF_SECONDS = 60.0
 """A belief that is not confirmed for this long is dropped."""
 
@@ -80,7 +81,7 @@
 @policy(
     PolicyKind.CALLS_WITHIN,
     NestedCallPolicy.ALIKE,
-    "Nested calls are treated as callers' requests are.",
+    "What back ends call while they run other requests is treated as callers' requests are.",
 )
 def no_origin_detection() -> None:
     """Detect no origins: nothing is advertised, and no request is treated as a nested call."""
@@ -89,7 +90,7 @@
 @policy(
     PolicyKind.CALLS_WITHIN,
     NestedCallPolicy.FIRST,
-    "Nested calls precede other requests of the rank of the executions that make them, and are "
+    "Calls within go before other requests of the rank of the runs that make them, and are "
     "refused only when their deadline cannot be met.",
     Parameter("expected_least", MIN_EXPECTED, "requests", "chance: 1 in 22,000 by Poisson"),
     Parameter(
@@ -105,7 +106,8 @@
     def __init__(self) -> None:
         self._shares: dict[str, float] = {}
         self._has_absent_service = True
-        """Whether some service has no machine near the gateway, so that nothing is expected."""
+        """Whether some service has no machine near the gateway, so that it cannot be ruled out that
+        back ends make the requests."""
         self._last_contact_at: dict[str, float] = {}
         self._routes: dict[str, _RouteCounts] = {}
 
@@ -176,6 +178,8 @@
 
 
 class _Belief:
+    """A sender's belief of who makes one route's requests."""
+
     __slots__ = ("share", "advertised_at")
 
     def __init__(self, share: float, now: float) -> None:
--- a/src/pewtertack/routing/service.py
+++ b/src/pewtertack/routing/service.py
@@ -22,7 +22,9 @@
 
 MINIMUM_RETRY_AFTER = 0.1
 MAXIMUM_RETRY_AFTER = 30.0
+"""Bounds, in seconds, of the time after which a refused caller should retry."""
 MINIMUM_CAPACITY = 0.1
+"""Lower bound of the concurrent requests by which an expected wait is divided."""
 TIME_UNCERTAINTY_FACTOR = 1.5
 """Answers take up to this multiple of the mean often enough to plan for it."""
 CROSSING_SHARE = 0.05
@@ -39,7 +41,7 @@
 
 
 class ServiceDispatcher:
-    """Places tickets on the back ends of one service and queues, up to a limit, what must wait."""
+    """Places tickets on the back ends of one service, or queues them up to the routes' limits."""
 
     def __init__(self, name: str, random: Random) -> None:
         self.name = name
@@ -137,11 +139,11 @@
         self._check_backends(now)
         wait = self._expected_wait(ticket, now)
         if self.queue.length_of_route(ticket.route.name) >= ticket.route.queue_limit:
-            raise QueueFullError("too many requests are queued", self.retry_after(wait))
+            raise QueueFullError("too many requests wait", self.retry_after(wait))
         ticket.expires_at = self._latest_start(ticket, now)
         if now + wait >= ticket.expires_at:
             raise DeadlineUnmeetableError(
-                "no back end is expected to be free before the deadline", self.retry_after(wait)
+                "no back end comes free before the deadline", self.retry_after(wait)
             )
         self.queue.push(ticket, now)
         self.pump(now)
@@ -212,7 +214,7 @@
     def _refuse(self, ticket: Ticket, now: float) -> None:
         wait = self._expected_wait(ticket, now)
         ticket.refusal = DeadlineUnmeetableError(
-            "no back end became free in time", self.retry_after(wait)
+            "no back end came free in time", self.retry_after(wait)
         )
         ticket.wake()
 
@@ -311,8 +313,9 @@
 def _may_cross_early(ticket: Ticket) -> bool:
     """Tell whether the request goes to another zone early rather than wait in its own.
 
-    Where operators choose so, callers with less time than ``RETRY_TIME_FACTOR`` asks for are told
-    to retry as well. They do not cross early: that doubled the bytes between zones.
+    Under ``RetryLaterPolicy.TWO`` callers with less time than ``RETRY_TIME_FACTOR`` asks for are
+    told to retry as well. Their requests do not cross early, since that doubled the bytes between
+    zones.
     """
     if not ticket.caller_can_retry:
         return False
@@ -321,7 +324,10 @@
 
 
 def _wait_policy_of(ticket: Ticket, may_be_late: bool) -> WaitPolicy:
-    """Return the gateway's policy; ``may_be_late`` where no other gateway would do better."""
+    """Return the wait policy to send to the gateway.
+
+    A request may be late (``may_be_late``) where no other gateway would do better.
+    """
     if ticket.caller_wait_policy is WaitPolicy.WAIT and not may_be_late:
         return WaitPolicy.TRY_ANOTHER_GATEWAY
     return ticket.caller_wait_policy
--- a/tests/cli/test_tree.py
+++ b/tests/cli/test_tree.py
@@ -20,7 +20,9 @@
         self.valid = self.write("valid.json", VALID_TREE)
         changed = with_value(VALID_TREE, "routes.lookup.timeout", "3s")
         self.changed = self.write("changed.json", changed)
-        self.bad = self.write("bad.json", with_value(VALID_TREE, "routes.lookup.timeout", 3))
+        self.invalid = self.write(
+            "invalid.json", with_value(VALID_TREE, "routes.lookup.timeout", 3)
+        )
 
     def write(self, name, document):
         path = self.directory / name
@@ -43,19 +45,19 @@
         code, out, _ = self.run_command(*arguments, "--json")
         return code, json.loads(out)
 
-    def test_check_tells_valid_from_refused(self):
+    def test_check_distinguishes_valid_and_rejected_trees(self):
         code, out, _ = self.run_command("check", self.valid)
         self.assertEqual((0, f"{self.valid}: valid\n"), (code, out))
         self.assertEqual((0, {"valid": True, "findings": []}), self.run_json("check", self.valid))
-        code, out, _ = self.run_command("check", self.bad)
+        code, out, _ = self.run_command("check", self.invalid)
         self.assertEqual(1, code)
         self.assertTrue(out.startswith("routes.lookup.timeout: wrong-unit: "), out)
-        code, report = self.run_json("check", self.bad)
+        code, report = self.run_json("check", self.invalid)
         self.assertEqual(
             (1, False, "wrong-unit"), (code, report["valid"], report["findings"][0]["code"])
         )
 
-    def test_explain_prints_values_with_level_and_place(self):
+    def test_explain_prints_values_with_level_and_path(self):
         arguments = ("explain", self.changed, "--zone", "lekki", "--route", "lookup")
         code, out, _ = self.run_command(*arguments)
         self.assertEqual(0, code)
@@ -71,7 +73,7 @@
         self.assertEqual(("3s", "route"), (timeout["winner"]["value"], timeout["winner"]["level"]))
         self.assertEqual("zone defaults", timeout["losers"][0]["level"])
 
-    def test_diff_prints_what_changes_once_resolved(self):
+    def test_diff_prints_changes_of_the_resolved_tree(self):
         code, out, _ = self.run_command("diff", self.valid, self.changed, "--zone", "yaba")
         self.assertEqual(1, code)
         self.assertIn("changed routes.lookup.timeout: 10.0 -> 3.0\n", out)
@@ -81,7 +83,7 @@
         self.assertEqual(0, code)
         self.assertIn("zone unnamed is not in the tree", err)
 
-    def test_unusable_input_ends_with_code_2_and_a_typed_line(self):
+    def test_unusable_input_exits_with_code_2_and_prints_the_error_code(self):
         broken = self.directory / "broken.toml"
         broken.write_text("[routes]\nx = \n")
         zone, route = ("--zone", "yaba"), ("--route", "none")
@@ -89,8 +91,8 @@
             ("tree-unreadable", ("check", str(self.directory / "none.toml"))),
             ("tree-format", ("check", str(self.directory))),
             ("tree-syntax", ("check", str(broken))),
-            ("tree-rejected", ("diff", self.valid, self.bad, *zone)),
-            ("tree-rejected", ("explain", self.bad, *zone, *route)),
+            ("tree-rejected", ("diff", self.valid, self.invalid, *zone)),
+            ("tree-rejected", ("explain", self.invalid, *zone, *route)),
             ("unknown-route", ("explain", self.valid, *zone, *route)),
         ]:
             with self.subTest(error=error):
--- a/tests/node/test_gateway_shutdown_and_long_responses.py
+++ b/tests/node/test_gateway_stop_and_long_answers.py
@@ -15,7 +15,7 @@
 
 from tests.node.processes import TIMEOUT_SECONDS
 from tests.node.slow_link_fleet import fleet_with_slow_links
-from tests.node.test_shutdown_and_long_responses import (
+from tests.node.test_stop_and_long_answers import (
     LIMITS,
     MEGABITS,
     SLOTS,
@@ -57,8 +57,7 @@
         """Guards against cut responses to requests that are not repeatable.
 
         The gateway held them completely but sent them at its link's pace until its process ended,
-        while the kernel goes on sending what an exiting process has handed to it. Found by reading
-        the code.
+        while the kernel goes on sending what an exiting process has handed to it.
         """
         await self.assert_complete_from_one_gateway(repeatable=False)
 
--- a/tests/node/test_hop_cost.py
+++ b/tests/node/test_hop_cost.py
@@ -1,25 +1,25 @@
-"""Processor cost of a hop over two nodes, limited to the values reached.
+"""Limits the processor cost of a hop over two nodes to the values that were reached.
 
-Processor time depends on the machine and on what runs beside it; the number of function calls of a
-hop does not, so that is limited. The figures of each test come from ``pewtertack lab request-cost
---profile --calls 100``, on the node at f5f3f18, at b317649 and now, all measured in the same way:
-the back end's responses arrive in one piece, the log's clock advances with its lines, and
-connection, request and end are separate. ``docs/COST.md`` has the processor times.
+Processor time depends on the machine and on its other processes; the number of function calls of a
+hop does not, so that is limited. Each test names the number of calls at f5f3f18, at b317649 and
+now, as ``pewtertack lab request-cost --profile --calls 100`` counts them: the back end's responses
+arrive in one piece, the log's clock advances with its lines, and connection, request and end are
+separate. ``docs/COST.md`` has the processor times.
 """
 
 import unittest
 
 from pewtertack.lab.cost.calls import CallKind
-from pewtertack.lab.cost.requests import CostSettings, measure_requests
+from pewtertack.lab.cost.requests import RequestCostSettings, measure_request_costs
 
 CALLS = 100
 
 
 class HopCostTest(unittest.TestCase):
     def function_calls_of(self, kind: CallKind) -> float:
-        settings = CostSettings(calls=CALLS, kinds=(kind,), profile=True)
-        costs, _ = measure_requests(settings)
-        function_calls = costs[0].functions
+        settings = RequestCostSettings(calls=CALLS, kinds=(kind,), profile=True)
+        costs, _ = measure_request_costs(settings)
+        function_calls = costs[0].function_calls
         assert function_calls is not None
         return function_calls
 
@@ -37,11 +37,11 @@
 
     def test_a_hop_that_opens_both_onward_connections(self) -> None:
         """2607 calls, then 1694, now 1362."""
-        self.assertLess(self.function_calls_of(CallKind.SERVED_CONNECTING), 1610)
+        self.assertLess(self.function_calls_of(CallKind.SERVED_NEW_CONNECTIONS), 1610)
 
     def test_a_hop_on_a_new_connection_of_its_caller(self) -> None:
         """1773 calls, then 1254, now 1190."""
-        self.assertLess(self.function_calls_of(CallKind.CONNECTION), 1200)
+        self.assertLess(self.function_calls_of(CallKind.NEW_CALLER_CONNECTION), 1200)
 
     def test_a_probe_of_a_gateway(self) -> None:
         """505 calls, then 313, now 308."""
--- a/tests/routing/test_gateway_choice.py
+++ b/tests/routing/test_gateway_choice.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from pewtertack.core.machines import Machine, MachineList, MachineRole, MachineState
-from pewtertack.lab.overload.simulation import Shape, simulate_gateways
+from pewtertack.lab.overload.simulation import OverloadSettings, simulate_gateways
 from pewtertack.routing import choice
 from pewtertack.routing.attempt_results import AttemptResult
 from pewtertack.routing.backend import LoadReport
@@ -191,7 +191,7 @@
         self.assertGreaterEqual(min(served.values()), 10)
 
     def test_a_back_end_that_was_slow_for_a_while_is_chosen_again(self) -> None:
-        """The same for a back end that was much slower for a while."""
+        """Its slowness kept it from being chosen, so that no answer corrected the estimate."""
         subject = fleet(gated("a"), gated("bb"))
         for number in range(60):
             self.serve(subject, number * 0.1, {"a": 0.01, "bb": 0.08 if number > 10 else 0.01})
@@ -338,7 +338,7 @@
     """Senders with outdated reports: the fastest back end is not filled to its last slot."""
 
     def mean_wait(self, crowding: float, load: float) -> float:
-        shape = Shape(nodes=18, backends=12, seconds=8.0)
+        shape = OverloadSettings(nodes=18, backends=12, seconds=8.0)
         with mock.patch.object(choice, "CROWDING_FACTOR", crowding):
             results = [simulate_gateways(shape, load, seed) for seed in (1, 2, 3)]
         for result in results:
@@ -346,7 +346,7 @@
         return sum(result.mean_wait for result in results) / len(results)
 
     def test_callers_wait_less_at_half_load(self) -> None:
-        """Measured, lab overload --gateways --load 0.5, seed 1: from 10.6 ms to 9.7 ms."""
+        """``lab overload --gateways --load 0.5`` with seed 1: 9.7 ms instead of 10.6 ms."""
         without_crowding, with_crowding = (
             self.mean_wait(0.0, 0.5),
             self.mean_wait(choice.CROWDING_FACTOR, 0.5),
