--- a/src/pewtertack/lab/relay/machine_links.py
+++ b/src/pewtertack/lab/relay/machine_links.py
@@ -17,10 +17,10 @@
         self._free_at = 0.0
 
     def send(self, now: float, size: int) -> tuple[float, float]:
-        """Queue ``size`` bytes; return when sending them begins and when it ends."""
-        begin_time = max(now, self._free_at)
-        self._free_at = begin_time + size / self._rate
-        return begin_time, self._free_at
+        """Queue ``size`` bytes; return when sending begins and when it ends."""
+        begins = max(now, self._free_at)
+        self._free_at = begins + size / self._rate
+        return begins, self._free_at
 
 
 class MachineLinks:
@@ -30,12 +30,12 @@
         rate: bytes per second of each link in each direction; 0 for no limit.
     """
 
-    __slots__ = ("_downlinks", "_rate", "_uplinks")
+    __slots__ = ("_down", "_rate", "_up")
 
     def __init__(self, rate: float = 0.0) -> None:
         self._rate = rate
-        self._uplinks: dict[str, LinkDirection] = {}
-        self._downlinks: dict[str, LinkDirection] = {}
+        self._up: dict[str, LinkDirection] = {}
+        self._down: dict[str, LinkDirection] = {}
 
     @property
     def has_rate_limit(self) -> bool:
@@ -52,9 +52,9 @@
         """
         if not self.has_rate_limit:
             return now + delay
-        begin_time, sent_at = self._direction(self._uplinks, sender).send(now, size)
-        _, received_at = self._direction(self._downlinks, target).send(begin_time + delay, size)
-        return max(sent_at + delay, received_at)
+        begins, sent = self._direction(self._up, sender).send(now, size)
+        _, received = self._direction(self._down, target).send(begins + delay, size)
+        return max(sent + delay, received)
 
     def _direction(self, directions: dict[str, LinkDirection], name: str) -> LinkDirection:
         return directions.setdefault(name, LinkDirection(self._rate))
