--- a/src/pewtertack/lab/returns/__init__.py
+++ b/src/pewtertack/lab/returns/__init__.py
@@ -1,1 +1,1 @@
-"""Returns of the platform's store from older copies, in series, against real nodes."""
+"""Repeated restores of the platform's store from older copies, tested with real nodes."""
--- a/src/pewtertack/lab/returns/run.py
+++ b/src/pewtertack/lab/returns/run.py
@@ -1,4 +1,4 @@
-"""Returns of the store in series, beside edits, stops of nodes and back ends that leave."""
+"""Restores the store repeatedly amid edits, graceful shutdowns of nodes and leaving back ends."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 )
 
 HOSTS = tuple(f"127.0.0.{number}" for number in range(41, 45))
-AWAY_SECONDS = (0.2, 1.0)
-EMPTY_SECONDS = 2.0
-"""For how long nobody lives at an address whose back end has left."""
-CALL_GAP = 0.02
-CALL_SECONDS = 6.0
+OUTAGE_SECONDS = (0.2, 1.0)
+VACANT_SECONDS = 2.0
+"""Time for which no back end runs at an address after its back end has left."""
+CALL_INTERVAL_SECONDS = 0.02
+CALL_TIMEOUT_SECONDS = 6.0
 STATUS_OK = 200
-ALL_SERVE_SECONDS = 30.0
+SERVING_TIMEOUT_SECONDS = 30.0
 SETTLE_SECONDS = 8.0
 SETTINGS = """
 node = {{name = "{host}", zone = "{zone}", region = "r"}}
@@ -61,7 +61,7 @@
 
 
 class RestoreRunResult(msgspec.Struct, kw_only=True):
-    """What one series found."""
+    """Result of one run. ``returns`` counts restores and ``replaced`` back ends that left."""
 
     seed: int
     returns: int
@@ -69,17 +69,17 @@
     stops: int
     replaced: int
     statuses: dict[str, int]
-    """Callers' answers by status; ``none`` where there was none."""
+    """Number of requests by status of the response; ``none`` without a response."""
     offences: list[str]
 
 
-class _Line(msgspec.Struct):
+class _LogLine(msgspec.Struct):
     event: str = ""
     revision: int = 0
 
 
-class NodeRecord:
-    """What the processes under one node's name have said."""
+class NodeObserver:
+    """State of one node according to the log of its processes."""
 
     def __init__(self, host: str) -> None:
         self.host = host
@@ -90,28 +90,30 @@
         self.in_force: list[tuple[float, int]] = []
         self.offences: list[str] = []
 
-    def take_line(self, _: str, line: bytes) -> None:
-        """Take in one line of the node's log."""
-        event = msgspec.json.decode(line, type=_Line)
+    def record_line(self, _: str, line: bytes) -> None:
+        """Update the state by one line of the node's log."""
+        event = msgspec.json.decode(line, type=_LogLine)
         now = time.monotonic()
         if event.event == Event.NODE_SERVING.name:
             self.serving_since = now
         if event.event == Event.REVISION_IN_FORCE.name:
             version = split_tree_number(event.revision)[0]
             if version < self.version:
-                self.offences.append(f"{self.host}: version {version} after {self.version}")
+                self.offences.append(
+                    f"{self.host}: version {version} in force after {self.version}"
+                )
             self.version = max(version, self.version)
             self.in_force.append((now, version))
 
 
 class RestoreRun:
-    """One series on a fleet of real nodes.
+    """One run with a fleet of real nodes.
 
     Args:
-        seconds: for how long faults go on.
-        seed: decides the faults.
+        seconds: how long faults are injected.
+        seed: determines the faults.
         hold: ``source.hold_after_return`` of the nodes.
-        directory: takes settings and standard error.
+        directory: the directory for settings and standard error.
     """
 
     def __init__(self, seconds: float, seed: int, hold: str, directory: Path) -> None:
@@ -120,21 +122,21 @@
         self._hold = hold
         self._directory = directory
         self._backends = [Backend(host) for host in HOSTS]
-        self._world = StoreEnvironment(self._backends, seed)
-        self._nodes = [NodeRecord(host) for host in HOSTS]
+        self._environment = StoreEnvironment(self._backends, seed)
+        self._nodes = [NodeObserver(host) for host in HOSTS]
         self._allocator = PortAllocator()
         self._ports = [self._allocator.allocate(*HOSTS).port for _ in range(3)]
         self._stops = 0
         self._replaced = 0
         self._calls = 0
         self._statuses: Counter[str] = Counter()
-        self._away: list[tuple[float, float]] = []
-        self._end = 0.0
+        self._outages: list[tuple[float, float]] = []
+        self._faults_end = 0.0
 
     async def run(self) -> RestoreRunResult:
-        """Run to the end."""
+        """Run to the end and return the result."""
         async with anyio.create_task_group() as tasks:
-            await self._world.open(tasks)
+            await self._environment.open(tasks)
             try:
                 await self._run(tasks)
             finally:
@@ -148,13 +150,13 @@
     async def _run(self, tasks: anyio.abc.TaskGroup) -> None:
         for node in self._nodes:
             await self._start_node(tasks, node)
-        with anyio.fail_after(ALL_SERVE_SECONDS):
+        with anyio.fail_after(SERVING_TIMEOUT_SECONDS):
             while not all(node.serving_since for node in self._nodes):
                 await anyio.sleep(0.05)
-        self._end = time.monotonic() + self._seconds
+        self._faults_end = time.monotonic() + self._seconds
         async with anyio.create_task_group() as callers:
             for node in self._nodes:
-                callers.start_soon(self._call, node)
+                callers.start_soon(self._run_caller, node)
             async with anyio.create_task_group() as faults:
                 lanes = (self._return, self._edit, self._stop, self._replace, self._replace_other)
                 for lane in lanes:
@@ -162,8 +164,8 @@
             await anyio.sleep(SETTLE_SECONDS)
             callers.cancel_scope.cancel()
 
-    async def _start_node(self, tasks: anyio.abc.TaskGroup, node: NodeRecord) -> None:
-        number = HOSTS.index(node.host)
+    async def _start_node(self, tasks: anyio.abc.TaskGroup, node: NodeObserver) -> None:
+        index = HOSTS.index(node.host)
         proxy, peer, gateway = self._ports
         seeds = ", ".join(f'"{host}:{peer}"' for host in HOSTS if host != node.host)
         path = self._directory / f"{node.host}.toml"
@@ -171,11 +173,11 @@
             SETTINGS.format(
                 host=node.host,
                 zone=ZONE,
-                store=self._world.listener.address,
+                store=self._environment.listener.address,
                 hold=self._hold,
                 key=FLEET_KEY,
                 seeds=seeds,
-                backend=self._backends[number].listener.address,
+                backend=self._backends[index].listener.address,
                 service=SERVICE,
                 proxy=proxy,
                 peer=peer,
@@ -185,28 +187,29 @@
         arguments = ["lab", "store-node", "--settings", str(path)]
         is_ready = Event.NODE_READY.name.encode()
         node.process = LabProcess(
-            node.host, arguments, self._directory, node.take_line, lambda line: is_ready in line
+            node.host, arguments, self._directory, node.record_line, lambda line: is_ready in line
         )
         await node.process.start(tasks)
         await node.process.wait_ready()
 
-    # Lanes of faults; each ends with the time for faults.
+    # Lanes of faults, which run concurrently until the time for faults is over. Their names are
+    # part of their seeds.
 
     async def _pause(self, chooser: random.Random, shortest: float, longest: float) -> bool:
-        """Wait; return whether there is time for another fault."""
+        """Wait for a random time; return whether there is time for another fault."""
         await anyio.sleep(chooser.uniform(shortest, longest))
-        return time.monotonic() < self._end
+        return time.monotonic() < self._faults_end
 
     async def _return(self, tasks: anyio.abc.TaskGroup, chooser: random.Random) -> None:
         while await self._pause(chooser, 1.0, 5.0):
-            began = time.monotonic()
+            outage_start = time.monotonic()
             age = chooser.randint(0, 10)
-            await self._world.restore(tasks, chooser.uniform(*AWAY_SECONDS), age)
-            self._away.append((began, time.monotonic()))
+            await self._environment.restore(tasks, chooser.uniform(*OUTAGE_SECONDS), age)
+            self._outages.append((outage_start, time.monotonic()))
 
     async def _edit(self, _: Any, chooser: random.Random) -> None:
         while await self._pause(chooser, 0.5, 3.0):
-            self._world.edit()
+            self._environment.edit()
 
     async def _stop(self, tasks: anyio.abc.TaskGroup, chooser: random.Random) -> None:
         while await self._pause(chooser, 3.0, 8.0):
@@ -218,60 +221,64 @@
             self._stops += 1
             await anyio.sleep(chooser.uniform(0.0, 1.0))
             await self._start_node(tasks, node)
-            with anyio.fail_after(ALL_SERVE_SECONDS):
+            with anyio.fail_after(SERVING_TIMEOUT_SECONDS):
                 while not node.serving_since:
                     await anyio.sleep(0.05)
 
     async def _replace(self, tasks: anyio.abc.TaskGroup, chooser: random.Random) -> None:
-        await self._replace_some(tasks, chooser, self._backends[::2])
+        await self._replace_backends(tasks, chooser, self._backends[::2])
 
     async def _replace_other(self, tasks: anyio.abc.TaskGroup, chooser: random.Random) -> None:
-        await self._replace_some(tasks, chooser, self._backends[1::2])
+        await self._replace_backends(tasks, chooser, self._backends[1::2])
 
-    async def _replace_some(
+    async def _replace_backends(
         self, tasks: anyio.abc.TaskGroup, chooser: random.Random, backends: list[Backend]
     ) -> None:
         while await self._pause(chooser, 0.2, 1.5):
-            says_so = chooser.random() < 0.3
-            await self._world.replace(tasks, chooser.choice(backends), says_so, EMPTY_SECONDS)
+            announces = chooser.random() < 0.3
+            await self._environment.replace(
+                tasks, chooser.choice(backends), announces, VACANT_SECONDS
+            )
             self._replaced += 1
 
-    # Callers, and what they are told.
+    # Callers and the result.
 
-    async def _call(self, node: NodeRecord) -> None:
+    async def _run_caller(self, node: NodeObserver) -> None:
         url = f"http://{node.host}:{self._ports[0]}{PATH}1"
         async with httpcore.AsyncConnectionPool() as pool:
             while True:
-                await anyio.sleep(CALL_GAP)
+                await anyio.sleep(CALL_INTERVAL_SECONDS)
                 if not node.serving_since:
                     continue
                 status = "none"
-                with anyio.move_on_after(CALL_SECONDS):
-                    status = await self._ask(pool, url, node.host)
+                with anyio.move_on_after(CALL_TIMEOUT_SECONDS):
+                    status = await self._send_request(pool, url, node.host)
                 if node.serving_since:
                     self._statuses[status] += 1
 
-    async def _ask(self, pool: httpcore.AsyncConnectionPool, url: str, node: str) -> str:
+    async def _send_request(self, pool: httpcore.AsyncConnectionPool, url: str, node: str) -> str:
         self._calls += 1
-        number = f"{node}/{self._calls}".encode()
-        headers = [(b"host", HOST_NAME.encode()), (CALLER_HEADER, number)]
+        request_id = f"{node}/{self._calls}".encode()
+        headers = [(b"host", HOST_NAME.encode()), (CALLER_HEADER, request_id)]
         try:
-            answer = await pool.request("GET", url, headers=headers)
+            response = await pool.request("GET", url, headers=headers)
         except (httpcore.NetworkError, httpcore.ProtocolError, OSError):
             return "none"
-        return str(answer.status)
+        return str(response.status)
 
     def _result(self) -> RestoreRunResult:
-        late = [asked for backend in self._backends for asked in backend.late_requests]
+        late = [request for backend in self._backends for request in backend.late_requests]
         offences = [text for node in self._nodes for text in node.offences]
         offences += map(str, late)
         for node in self._nodes:
-            found = late_edits(self._world.edits, node.in_force, node.serving_since, self._away)
-            offences += [f"{node.host}: {text}" for text in found]
+            late_edit_texts = late_edits(
+                self._environment.edits, node.in_force, node.serving_since, self._outages
+            )
+            offences += [f"{node.host}: {text}" for text in late_edit_texts]
         return RestoreRunResult(
             seed=self._seed,
-            returns=self._world.returns,
-            edits=len(self._world.edits),
+            returns=self._environment.restore_count,
+            edits=len(self._environment.edits),
             stops=self._stops,
             replaced=self._replaced,
             statuses=dict(sorted(self._statuses.items())),
@@ -280,7 +287,7 @@
 
 
 async def run_restores(seconds: float, seed: int, hold: str) -> RestoreRunResult:
-    """Run one series.
+    """Perform one run in a temporary directory.
 
     Raises:
         LabError: a process did not start.
--- a/tests/lab/returns/test_returns.py
+++ b/tests/lab/returns/test_returns.py
@@ -1,4 +1,4 @@
-"""A short series of real returns of the store holds."""
+"""A short run of restores of the store with real nodes finds no offence."""
 
 import unittest
 
@@ -10,8 +10,8 @@
 SECONDS = 20.0
 
 
-class ReturnsTest(unittest.TestCase):
-    def test_a_short_series_holds(self) -> None:
+class RestoreRunTest(unittest.TestCase):
+    def test_short_run_finds_no_offence(self) -> None:
         result = anyio.run(run_restores, SECONDS, SEED, "6s")
         self.assertEqual(result.offences, [])
         self.assertGreater(min(result.returns, result.stops, result.replaced), 1)
