--- a/src/pewtertack/lab/soak/__init__.py
+++ b/src/pewtertack/lab/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A fault soak: a small fleet with gateways, lasting callers, and faults in overlapping series."""
+"""Soak test of a small fleet with gateways under persistent connections and concurrent faults."""
--- a/src/pewtertack/lab/soak/backend_faults.py
+++ b/src/pewtertack/lab/soak/backend_faults.py
@@ -1,4 +1,4 @@
-"""Faults of back ends, and more callers than they hold."""
+"""Faults of back ends, and overload."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from pewtertack.lab.soak.faults import Lane, fault
 
 
-async def _misbehave(
+async def _inject_for_a_while(
     soak: SoakContext, chooser: random.Random, faults: BackendFaults, description: str
 ) -> None:
-    name = soak.some_backend(chooser)
+    name = soak.choose_backend(chooser)
     await soak.fleet.backends.inject_faults(name, faults, description)
     await anyio.sleep(chooser.uniform(1.0, 5.0))
     await soak.fleet.backends.clear_faults(name)
@@ -22,28 +22,28 @@
 
 @fault("surge", Lane.BACKENDS, weight=2.0)
 async def surge(soak: SoakContext, chooser: random.Random) -> None:
-    """Twice as many callers press on the fleet for a while."""
+    """The number of callers doubles for a while."""
     await soak.surge(chooser.uniform(2.0, 6.0))
 
 
 @fault("slow", Lane.BACKENDS)
 async def slow(soak: SoakContext, chooser: random.Random) -> None:
-    """A back end takes several times as long."""
+    """A back end works several times as slowly."""
     slowdown = chooser.uniform(3.0, 8.0)
-    await _misbehave(soak, chooser, BackendFaults(slowdown=slowdown), "slow")
+    await _inject_for_a_while(soak, chooser, BackendFaults(slowdown=slowdown), "slow")
 
 
 @fault("shedding", Lane.BACKENDS)
 async def shedding(soak: SoakContext, chooser: random.Random) -> None:
     """A back end sheds half or all of its requests."""
     share = chooser.choice((0.5, 1.0))
-    await _misbehave(soak, chooser, BackendFaults(shedding_share=share), "shedding")
+    await _inject_for_a_while(soak, chooser, BackendFaults(shedding_share=share), "shedding")
 
 
 @fault("frozen", Lane.BACKENDS)
 async def frozen(soak: SoakContext, chooser: random.Random) -> None:
-    """A back end freezes with requests in it, and runs on later."""
-    name = soak.some_backend(chooser)
+    """A back end freezes with requests in flight and resumes later."""
+    name = soak.choose_backend(chooser)
     soak.fleet.pause_backend_process(name)
     await anyio.sleep(chooser.uniform(0.5, 3.0))
     soak.fleet.resume_backend_process(name)
--- a/src/pewtertack/lab/soak/callers.py
+++ b/src/pewtertack/lab/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep their connections until the process is gone, and press on a full fleet."""
+"""Callers with persistent connections, which put a closed-loop load on a fleet."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 
 
 class PersistentCaller:
-    """One caller of one node, in a closed loop over one connection at a time.
+    """One caller of one node, which sends requests in a closed loop over one connection at a time.
 
     Args:
         target: the node.
         mix: the kinds of calls.
-        prefix: begins each request's id; unique for the run.
-        seed: decides on the requests and the pauses between them.
-        kind: draws the requests.
-        lag: measures this process's delays.
-        record: takes what the caller was told.
+        prefix: prefix of the request ids, unique in the run.
+        seed: determines the requests and the pauses between them.
+        generator_type: generates the requests.
+        lag: measures the lag of this process's event loop.
+        record: called with the result of each request.
     """
 
     __slots__ = (
-        "_begun",
+        "_call_count",
         "_lag",
         "_prefix",
         "_random",
@@ -49,41 +49,41 @@
         mix: Sequence[CallKind],
         prefix: str,
         seed: str,
-        kind: type[RequestGenerator],
+        call_kind: type[RequestGenerator],
         lag: LagMeter,
         record: Recorder,
     ) -> None:
         self._target = target
         self._prefix = prefix
         self._random = random.Random(seed)
-        self._requests = kind(mix, self._random)
+        self._requests = call_kind(mix, self._random)
         self._lag = lag
         self._record = record
-        self._begun = 0
+        self._call_count = 0
         self.stopping = False
-        """Set to begin no further request."""
+        """Set to send no further request."""
 
     async def run(self) -> None:
-        """Ask, and connect anew whenever the connection has ended."""
+        """Send requests until ``stopping``; reconnect whenever the connection has ended."""
         while not self.stopping:
-            pause = self._requests.reading_pause()
-            connection = await connect(self._target, self._lag, pause)
+            read_pause = self._requests.read_pause()
+            connection = await connect(self._target, self._lag, read_pause)
             if connection is not None:
-                await self._use(connection)
+                await self._send_over(connection)
                 await connection.close()
             await anyio.sleep(RECONNECT_SECONDS)
 
-    async def _use(self, connection: PersistentConnection) -> None:
-        while not self.stopping and connection.usable and not connection.ended:
-            for told in await connection.ask(self._next_calls()):
-                self._record(told)
+    async def _send_over(self, connection: PersistentConnection) -> None:
+        while not self.stopping and connection.usable and not connection.is_stale:
+            for result in await connection.send_calls(self._next_calls()):
+                self._record(result)
             await anyio.sleep(self._random.expovariate(1 / self._requests.think_seconds))
 
     def _next_calls(self) -> list[Call]:
         calls = []
-        for kind in self._requests.draw():
-            self._begun += 1
-            calls.append(Call(kind, f"{self._prefix}-{self._begun}"))
+        for call_kind in self._requests.next_requests():
+            self._call_count += 1
+            calls.append(Call(call_kind, f"{self._prefix}-{self._call_count}"))
         return calls
 
 
@@ -92,8 +92,8 @@
 
     Args:
         targets: the nodes.
-        callers: how many call each.
-        mix, seed, prefix, record, kind: as of `PersistentCaller`.
+        callers: the number of callers of each node.
+        mix, seed, prefix, record, generator_type: as for `PersistentCaller`.
     """
 
     __slots__ = ("_callers", "_lag")
@@ -106,7 +106,7 @@
         seed: int,
         prefix: str,
         record: Recorder,
-        kind: type[RequestGenerator] = MixedRequestGenerator,
+        call_kind: type[RequestGenerator] = MixedRequestGenerator,
     ) -> None:
         self._lag = LagMeter()
         self._callers = [
@@ -115,7 +115,7 @@
                 mix,
                 f"{prefix}-{target.name}-{index}",
                 f"{seed}:{prefix}:{target.name}:{index}",
-                kind,
+                call_kind,
                 self._lag,
                 record,
             )
@@ -124,7 +124,7 @@
         ]
 
     async def run(self) -> None:
-        """Call until SIGTERM; finish what was begun."""
+        """Send requests until SIGTERM, then wait for those in flight."""
         with anyio.open_signal_receiver(signal.SIGTERM) as signals:
             async with anyio.create_task_group() as measuring:
                 measuring.start_soon(self._lag.run)
--- a/src/pewtertack/lab/soak/connection.py
+++ b/src/pewtertack/lab/soak/connection.py
@@ -1,4 +1,4 @@
-"""A caller's connection that is kept until the node ends it, and what each request came to."""
+"""Persistent connection of a caller, which is used until the node closes it."""
 
 from __future__ import annotations
 
@@ -25,28 +25,28 @@
 from pewtertack.lab.soak.responses import CompleteResponse, ResponseReader
 
 CHUNK_BYTES = 65536
-SEND_SECONDS = 5.0
-EXTRA_SECONDS = 5.0
-"""Callers wait so much longer, also for a node on a busy machine."""
+SEND_TIMEOUT_SECONDS = 5.0
+EXTRA_TIMEOUT_SECONDS = 5.0
+"""Time that callers wait beyond their timeouts, so that a busy machine causes no timeouts."""
 STREAM_ERRORS = (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream, OSError)
 
 
 class Call:
-    """One request of a connection."""
+    """One request on a connection. Times are in monotonic seconds."""
 
-    __slots__ = ("began", "kind", "request_id", "sent_at", "whole_at")
+    __slots__ = ("created_at", "kind", "request_id", "first_byte_sent_at", "sent_completely_at")
 
     def __init__(self, kind: CallKind, request_id: str) -> None:
         self.kind = kind
         self.request_id = request_id
-        self.began = time.monotonic()
-        self.sent_at: float | None = None
-        """When its first byte was handed to the system."""
-        self.whole_at: float | None = None
-        """When its last byte had been handed to the system."""
+        self.created_at = time.monotonic()
+        self.first_byte_sent_at: float | None = None
+        """When the first byte was handed to the system; ``None`` before."""
+        self.sent_completely_at: float | None = None
+        """When the last byte had been handed to the system; ``None`` before."""
 
     def encode(self) -> bytes:
-        """Return the request's bytes."""
+        """Return the request as bytes."""
         lines = [f"{self.kind.method} {self.kind.path} HTTP/1.1".encode()]
         headers = request_headers(self.kind, self.request_id)
         lines += [name + b": " + value for name, value in headers]
@@ -54,24 +54,24 @@
 
 
 class PersistentConnection:
-    """One open connection to a node; `connect` makes it."""
+    """One open connection to a node, created by `connect`."""
 
-    __slots__ = ("_answers", "_lag", "_pause", "_stream", "_target", "usable")
+    __slots__ = ("_responses", "_lag", "_read_pause", "_stream", "_target", "usable")
 
     def __init__(
-        self, target: Target, stream: anyio.abc.SocketStream, lag: LagMeter, pause: float
+        self, target: Target, stream: anyio.abc.SocketStream, lag: LagMeter, read_pause: float
     ) -> None:
         self._target = target
         self._stream = stream
         self._lag = lag
-        self._pause = pause
-        self._answers = ResponseReader()
+        self._read_pause = read_pause
+        self._responses = ResponseReader()
         self.usable = True
-        """Whether it may take a further request."""
+        """Whether another request may be sent."""
 
     @property
-    def ended(self) -> bool:
-        """Whether the node has ended the connection, or sent what nobody asked for."""
+    def is_stale(self) -> bool:
+        """Whether the node has closed the connection or sent unexpected bytes."""
         descriptor = self._stream.extra(SocketAttribute.raw_socket).fileno()
         return bool(select.select([descriptor], [], [], 0)[0])
 
@@ -80,93 +80,95 @@
         self.usable = False
         await anyio.aclose_forcefully(self._stream)
 
-    async def ask(self, calls: Sequence[Call]) -> list[CallResult]:
-        """Send requests one behind the other, and return what each came to."""
-        told: list[CallResult] = []
-        patience = EXTRA_SECONDS + sum(call.kind.client_timeout for call in calls)
+    async def send_calls(self, calls: Sequence[Call]) -> list[CallResult]:
+        """Send requests without waiting for responses in between, and return the result of each."""
+        results: list[CallResult] = []
+        timeout = EXTRA_TIMEOUT_SECONDS + sum(call.kind.client_timeout for call in calls)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._send, calls)
             for call in calls:
-                conclusion = await self._conclude(call, patience)
-                told.append(self._told(call, conclusion))
-            tasks.cancel_scope.deadline = anyio.current_time() + self._time_to_send
-        if any(call.whole_at is None for call in calls):
+                exchange = await self._receive_result(call, timeout)
+                results.append(self._make_result(call, exchange))
+            tasks.cancel_scope.deadline = anyio.current_time() + self._send_grace_seconds
+        if any(call.sent_completely_at is None for call in calls):
             self.usable = False
-        return told
+        return results
 
     @property
-    def _time_to_send(self) -> float:
-        """How long the rest of requests may take that are answered before they are whole."""
-        return SEND_SECONDS if self.usable else 0.0
+    def _send_grace_seconds(self) -> float:
+        """Seconds for sending the rest of requests whose responses came before they were sent."""
+        return SEND_TIMEOUT_SECONDS if self.usable else 0.0
 
     async def _send(self, calls: Sequence[Call]) -> None:
         try:
             for call in calls:
-                await self._send_one(call)
+                await self._send_call(call)
         except STREAM_ERRORS:
             self.usable = False
 
-    async def _send_one(self, call: Call) -> None:
+    async def _send_call(self, call: Call) -> None:
         raw = call.encode()
-        call.sent_at = time.monotonic()
+        call.first_byte_sent_at = time.monotonic()
         for start in range(0, len(raw), CHUNK_BYTES):
             await self._stream.send(raw[start : start + CHUNK_BYTES])
-        call.whole_at = time.monotonic()
+        call.sent_completely_at = time.monotonic()
 
-    async def _conclude(self, call: Call, patience: float) -> ExchangeResult:
-        """Wait for the answer that is due."""
+    async def _receive_result(self, call: Call, timeout: float) -> ExchangeResult:
+        """Wait for the response to a call."""
         try:
-            with anyio.fail_after(patience):
-                answer = await self._next_answer()
+            with anyio.fail_after(timeout):
+                response = await self._next_response()
         except TimeoutError:
             self.usable = False
-            return self._broken_off(CallOutcome.TIMED_OUT)
+            return self._interrupted_result(CallOutcome.TIMED_OUT)
         except httptools.HttpParserError:
             self.usable = False
             return ExchangeResult(CallOutcome.ANSWERED, checksum_ok=False, own_answer=False)
         except STREAM_ERRORS:
             self.usable = False
-            return self._broken_off(CallOutcome.CUT)
-        if answer.closes:
+            return self._interrupted_result(CallOutcome.CUT)
+        if response.closes:
             self.usable = False
         return interpret_response(
-            call.kind, call.request_id, answer.status, answer.headers, answer.body
+            call.kind, call.request_id, response.status, response.headers, response.body
         )
 
-    def _broken_off(self, outcome: CallOutcome) -> ExchangeResult:
-        return ExchangeResult(outcome, broken_off_after=self._answers.part_bytes)
+    def _interrupted_result(self, outcome: CallOutcome) -> ExchangeResult:
+        return ExchangeResult(outcome, broken_off_after=self._responses.partial_body_bytes)
 
-    async def _next_answer(self) -> CompleteResponse:
-        while not self._answers.whole:
-            self._answers.feed(await self._stream.receive(CHUNK_BYTES))
-            if self._pause and self._answers.part_bytes:
-                await anyio.sleep(self._pause)
-        return self._answers.whole.popleft()
+    async def _next_response(self) -> CompleteResponse:
+        while not self._responses.complete:
+            self._responses.feed(await self._stream.receive(CHUNK_BYTES))
+            if self._read_pause and self._responses.partial_body_bytes:
+                await anyio.sleep(self._read_pause)
+        return self._responses.complete.popleft()
 
-    def _told(self, call: Call, conclusion: ExchangeResult) -> CallResult:
+    def _make_result(self, call: Call, exchange: ExchangeResult) -> CallResult:
         now = time.monotonic()
         whole_for = None
-        if call.whole_at is not None:
-            lag = self._lag.worst_since(call.whole_at)
-            whole_for = max(0.0, now - call.whole_at - lag)
-        begun_for = None if call.sent_at is None else now - call.sent_at
-        latency = now - call.began
+        if call.sent_completely_at is not None:
+            lag = self._lag.worst_since(call.sent_completely_at)
+            whole_for = max(0.0, now - call.sent_completely_at - lag)
+        begun_for = None if call.first_byte_sent_at is None else now - call.first_byte_sent_at
+        latency = now - call.created_at
         return make_call_result(
-            self._target, call.kind, call.request_id, conclusion, latency, whole_for, begun_for
+            self._target, call.kind, call.request_id, exchange, latency, whole_for, begun_for
         )
 
 
-async def connect(target: Target, lag: LagMeter, pause: float = 0.0) -> PersistentConnection | None:
-    """Connect to a node; None when it does not take the connection.
+async def connect(
+    target: Target, lag: LagMeter, read_pause: float = 0.0
+) -> PersistentConnection | None:
+    """Connect to a node; return ``None`` if the connection fails.
 
     Args:
         target: the node.
-        lag: measures this process's delays.
-        pause: seconds between two reads of one answer.
+        lag: measures the lag of this process's event loop.
+        pause: seconds between two reads of one response.
     """
     try:
         with anyio.fail_after(CONNECT_TIMEOUT_SECONDS):
             stream = await anyio.connect_tcp(target.proxy.host, target.proxy.port)
     except (OSError, TimeoutError):
         return None
-    return PersistentConnection(target, stream, lag, pause)
+    return PersistentConnection(target, stream, lag, read_pause)
--- a/src/pewtertack/lab/soak/faults.py
+++ b/src/pewtertack/lab/soak/faults.py
@@ -1,4 +1,4 @@
-"""The kinds of faults of a soak, by the lane that they happen in. Decorators fill the registry."""
+"""Registry of the kinds of faults of a soak by lane, filled by decorators."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from pewtertack.lab.soak.context import SoakContext
 
 FaultBody = Callable[[SoakContext, random.Random], Awaitable[None]]
-"""Makes one fault and ends it; the generator decides its choices."""
+"""Injects one fault and removes it again; the generator makes its random choices."""
 
 
 class Lane(StrEnum):
-    """What happens one after the other; lanes run side by side."""
+    """A lane of faults: they happen one after the other, while the lanes run concurrently."""
 
     NODES = "nodes"
     MORE_NODES = "more-nodes"
-    """The same faults as in `NODES`, so that two of them overlap."""
+    """The same faults as in `NODES`, so that two of them can overlap."""
     PLATFORM = "platform"
     BACKENDS = "backends"
     EDITS = "edits"
@@ -45,11 +45,11 @@
     Lane.DOWNLOADS: 0.5,
     Lane.RETURNS: 2.0,
 }
-"""Between the end of one fault and the next, on average."""
+"""Mean time between the end of one fault and the next, by lane."""
 
 
 class FaultKind:
-    """One kind of fault; kinds of a lane are drawn by ``weight``."""
+    """One kind of fault, chosen in its lanes with a probability proportional to ``weight``."""
 
     __slots__ = ("body", "description", "name", "weight")
 
@@ -60,14 +60,14 @@
         self.description = (body.__doc__ or "").strip().splitlines()[0]
 
 
-class DrawnFault:
-    """A fault that happens ``gap`` seconds after the one before; ``seed`` decides its choices."""
+class ScheduledFault:
+    """A fault injected ``gap_seconds`` after the previous one; ``seed`` determines its choices."""
 
-    __slots__ = ("gap", "kind", "seed")
+    __slots__ = ("gap_seconds", "kind", "seed")
 
-    def __init__(self, kind: FaultKind, gap: float, seed: str) -> None:
+    def __init__(self, kind: FaultKind, gap_seconds: float, seed: str) -> None:
         self.kind = kind
-        self.gap = gap
+        self.gap_seconds = gap_seconds
         self.seed = seed
 
 
@@ -75,7 +75,7 @@
 
 
 def fault(name: str, *lanes: Lane, weight: float = 1.0) -> Callable[[FaultBody], FaultBody]:
-    """Register the decorated function as a kind of fault of these lanes."""
+    """Register the decorated function as a kind of fault in these lanes."""
 
     def register(body: FaultBody) -> FaultBody:
         kind = FaultKind(name, weight, body)
@@ -87,20 +87,20 @@
 
 
 def kinds_of(lane: Lane) -> tuple[FaultKind, ...]:
-    """Return the kinds of a lane, in the order of their definition."""
+    """Return the kinds of faults of a lane in the order of their definition."""
     for name in FAULT_MODULES:
         importlib.import_module(name)
     return tuple(_REGISTRY[lane])
 
 
-def draw_faults(lane: Lane, seed: int) -> Iterator[DrawnFault]:
-    """Yield the endless series of a lane; the same for the same seed."""
+def schedule_faults(lane: Lane, seed: int) -> Iterator[ScheduledFault]:
+    """Yield the infinite series of faults of a lane, determined by the seed."""
     chooser = random.Random(f"{seed}:{lane}")
     kinds = kinds_of(lane)
     weights = [kind.weight for kind in kinds]
     kind, index = kinds[0], 0
     while True:
-        gap = chooser.expovariate(1 / MEAN_GAP_SECONDS[lane])
-        yield DrawnFault(kind, gap, f"{seed}:{lane}:{index}")
+        gap_seconds = chooser.expovariate(1 / MEAN_GAP_SECONDS[lane])
+        yield ScheduledFault(kind, gap_seconds, f"{seed}:{lane}:{index}")
         kind = chooser.choices(kinds, weights)[0]
         index += 1
--- a/src/pewtertack/lab/soak/lag.py
+++ b/src/pewtertack/lab/soak/lag.py
@@ -1,4 +1,4 @@
-"""How late a process's own event loop runs, so that its delays are not blamed on others."""
+"""Measures the lag of this process's event loop, so that it can be subtracted from latencies."""
 
 from __future__ import annotations
 
@@ -8,31 +8,31 @@
 import anyio
 
 TICK_SECONDS = 0.01
-KEPT_TICKS = 6000
+MAX_TICKS = 6000
 
 
 class LagMeter:
-    """Ticks, and remembers by how much each tick was late."""
+    """Sleeps for short periods and records by how much each wakeup was late."""
 
-    __slots__ = ("_due", "_ticks")
+    __slots__ = ("_due_at", "_ticks")
 
     def __init__(self) -> None:
-        self._due = time.monotonic() + TICK_SECONDS
-        self._ticks: deque[tuple[float, float]] = deque(maxlen=KEPT_TICKS)
+        self._due_at = time.monotonic() + TICK_SECONDS
+        self._ticks: deque[tuple[float, float]] = deque(maxlen=MAX_TICKS)
 
     async def run(self) -> None:
-        """Tick until cancelled."""
+        """Measure until cancelled."""
         while True:
-            self._due = time.monotonic() + TICK_SECONDS
+            self._due_at = time.monotonic() + TICK_SECONDS
             await anyio.sleep(TICK_SECONDS)
             now = time.monotonic()
-            self._ticks.append((now, now - self._due))
+            self._ticks.append((now, now - self._due_at))
 
     def worst_since(self, since: float) -> float:
-        """Return the largest delay of any tick since a moment of the monotonic clock."""
-        worst = max(0.0, time.monotonic() - self._due)
-        for when, late in reversed(self._ticks):
-            if when < since:
+        """Return the largest lag in seconds of any tick since ``since``, in monotonic seconds."""
+        worst = max(0.0, time.monotonic() - self._due_at)
+        for woke_at, lag in reversed(self._ticks):
+            if woke_at < since:
                 break
-            worst = max(worst, late)
+            worst = max(worst, lag)
         return worst
--- a/src/pewtertack/lab/soak/node_faults.py
+++ b/src/pewtertack/lab/soak/node_faults.py
@@ -1,4 +1,4 @@
-"""Faults of nodes: planned stops, reloads, kills, pauses, alone and in series."""
+"""Faults of nodes: graceful shutdowns, reloads, kills and pauses, alone and combined."""
 
 from __future__ import annotations
 
@@ -9,95 +9,95 @@
 from pewtertack.lab.soak.context import SoakContext
 from pewtertack.lab.soak.faults import Lane, fault
 
-NODES = (Lane.NODES, Lane.MORE_NODES)
-STOP_SECONDS = 30.0
-"""A planned stop that lasts longer is a problem, also on a slow machine."""
-RELOAD_GAP = 0.15
-"""Shorter than any stop: the process must not have ended."""
+NODE_LANES = (Lane.NODES, Lane.MORE_NODES)
+STOP_TIMEOUT_SECONDS = 30.0
+"""A graceful shutdown that takes longer is a problem, even on a slow machine."""
+RELOAD_GAP_SECONDS = 0.15
+"""Shorter than any graceful shutdown, so that the process still runs at the second reload."""
 
 
-async def _stop(soak: SoakContext, name: str) -> None:
-    code = await soak.fleet.stop_node(name, STOP_SECONDS)
-    soak.scenario.expect(code == 0, f"{name} ended its planned stop with exit code {code}")
+async def _stop_node(soak: SoakContext, name: str) -> None:
+    code = await soak.fleet.stop_node(name, STOP_TIMEOUT_SECONDS)
+    soak.scenario.expect(code == 0, f"{name} exited with code {code} after a graceful shutdown")
 
 
-async def _stop_all(soak: SoakContext, names: list[str], gap: float) -> None:
+async def _stop_nodes(soak: SoakContext, names: list[str], gap: float) -> None:
     async with anyio.create_task_group() as stops:
         for name in names:
-            stops.start_soon(_stop, soak, name)
+            stops.start_soon(_stop_node, soak, name)
             await anyio.sleep(gap)
 
 
-@fault("stop", *NODES, weight=4.0)
+@fault("stop", *NODE_LANES, weight=4.0)
 async def stop(soak: SoakContext, chooser: random.Random) -> None:
-    """A node is stopped by plan and started again."""
+    """A node is shut down gracefully and started again."""
     async with soak.claim_nodes(chooser, 1) as names:
-        await _stop_all(soak, names, 0.0)
-        await soak.start_again(names)
+        await _stop_nodes(soak, names, 0.0)
+        await soak.restart_nodes(names)
 
 
-@fault("stops-overlap", *NODES, weight=2.0)
+@fault("stops-overlap", *NODE_LANES, weight=2.0)
 async def stops_overlap(soak: SoakContext, chooser: random.Random) -> None:
-    """Two nodes are stopped by plan, the second while the first drains."""
+    """Two nodes are shut down gracefully, the second while the first drains."""
     async with soak.claim_nodes(chooser, 2) as names:
-        await _stop_all(soak, names, chooser.uniform(0.0, 1.5))
-        await soak.start_again(names)
+        await _stop_nodes(soak, names, chooser.uniform(0.0, 1.5))
+        await soak.restart_nodes(names)
 
 
-@fault("stops-in-series", *NODES)
+@fault("stops-in-series", *NODE_LANES)
 async def stops_in_series(soak: SoakContext, chooser: random.Random) -> None:
-    """A node is stopped and started three times, as soon as it serves again."""
+    """A node is shut down three times, each time as soon as it serves again."""
     async with soak.claim_nodes(chooser, 1) as names:
         for _ in range(3):
-            await _stop_all(soak, names, 0.0)
-            await soak.start_again(names)
+            await _stop_nodes(soak, names, 0.0)
+            await soak.restart_nodes(names)
 
 
-@fault("reload-and-stop", *NODES)
+@fault("reload-and-stop", *NODE_LANES)
 async def reload_and_stop(soak: SoakContext, chooser: random.Random) -> None:
-    """A node reads its settings again just before its planned stop and during it."""
+    """A node reloads its settings just before its graceful shutdown and during it."""
     async with soak.claim_nodes(chooser, 1) as names:
         soak.fleet.reload_node(names[0])
-        await anyio.sleep(chooser.uniform(0.0, RELOAD_GAP))
+        await anyio.sleep(chooser.uniform(0.0, RELOAD_GAP_SECONDS))
         async with anyio.create_task_group() as stops:
-            stops.start_soon(_stop, soak, names[0])
-            await anyio.sleep(RELOAD_GAP)
+            stops.start_soon(_stop_node, soak, names[0])
+            await anyio.sleep(RELOAD_GAP_SECONDS)
             soak.fleet.reload_node(names[0])
-        await soak.start_again(names)
+        await soak.restart_nodes(names)
 
 
-@fault("reloads", *NODES)
+@fault("reloads", *NODE_LANES)
 async def reloads(soak: SoakContext, chooser: random.Random) -> None:
-    """A node reads its settings again five times in a row."""
+    """A node reloads its settings five times in a row."""
     async with soak.claim_nodes(chooser, 1) as names:
         for _ in range(5):
             soak.fleet.reload_node(names[0])
             await anyio.sleep(chooser.uniform(0.0, 0.5))
 
 
-@fault("kill", *NODES)
+@fault("kill", *NODE_LANES)
 async def kill(soak: SoakContext, chooser: random.Random) -> None:
-    """A node is killed and replaced under its name."""
+    """A node is killed and started again under its name."""
     async with soak.claim_nodes(chooser, 1) as names:
         await soak.fleet.kill_nodes(names)
         await anyio.sleep(chooser.uniform(0.0, 2.0))
-        await soak.start_again(names)
+        await soak.restart_nodes(names)
 
 
-@fault("kill-while-stopping", *NODES, weight=0.5)
+@fault("kill-while-stopping", *NODE_LANES, weight=0.5)
 async def kill_while_stopping(soak: SoakContext, chooser: random.Random) -> None:
     """A node is killed while it drains."""
     async with soak.claim_nodes(chooser, 1) as names:
         async with anyio.create_task_group() as stops:
-            stops.start_soon(soak.fleet.stop_node, names[0], STOP_SECONDS)
+            stops.start_soon(soak.fleet.stop_node, names[0], STOP_TIMEOUT_SECONDS)
             await anyio.sleep(chooser.uniform(0.1, 1.5))
             await soak.fleet.kill_nodes(names)
-        await soak.start_again(names)
+        await soak.restart_nodes(names)
 
 
-@fault("pause", *NODES)
+@fault("pause", *NODE_LANES)
 async def pause(soak: SoakContext, chooser: random.Random) -> None:
-    """A node is paused and wakes up late."""
+    """A node is paused and resumes later."""
     async with soak.claim_nodes(chooser, 1) as names:
         soak.fleet.pause_node(names[0])
         await anyio.sleep(chooser.uniform(0.3, 5.0))
@@ -105,13 +105,13 @@
         await soak.fleet.wait_serving(names)
 
 
-@fault("pause-and-stop", *NODES, weight=0.5)
+@fault("pause-and-stop", *NODE_LANES, weight=0.5)
 async def pause_and_stop(soak: SoakContext, chooser: random.Random) -> None:
-    """A node is paused, and stopped by plan soon after it woke."""
+    """A node is paused and shut down gracefully soon after it resumes."""
     async with soak.claim_nodes(chooser, 1) as names:
         soak.fleet.pause_node(names[0])
         await anyio.sleep(chooser.uniform(0.3, 2.0))
         soak.fleet.resume_node(names[0])
         await anyio.sleep(chooser.uniform(0.0, 1.0))
-        await _stop_all(soak, names, 0.0)
-        await soak.start_again(names)
+        await _stop_nodes(soak, names, 0.0)
+        await soak.restart_nodes(names)
--- a/src/pewtertack/lab/soak/options.py
+++ b/src/pewtertack/lab/soak/options.py
@@ -1,4 +1,4 @@
-"""What a soak is asked to do, checked before anything is started."""
+"""Options of a soak, validated before any process is started."""
 
 from __future__ import annotations
 
@@ -7,17 +7,18 @@
 from pewtertack.lab.disabled_mechanisms import check_mechanism
 from pewtertack.lab.errors import SoakOptionError
 
-MOST_MINUTES = 24 * 60.0
+MAX_MINUTES = 24 * 60.0
 ZONES = ("ikeja", "yaba")
-FEWEST_NODES = 2 * len(ZONES)
-"""A back end beside each, and a majority that lives on while one is stopped."""
-MOST_NODES = 24
+MIN_NODES = 2 * len(ZONES)
+"""A local back end for each node, and a majority that runs while one is stopped."""
+MAX_NODES = 24
 DEFAULT_NODES = 6
-MEMORY_BYTES = 120_000_000
-"""Of one process, with room to spare."""
-OTHER_PROCESSES = 10
-"""Back ends, platform, relay and callers."""
-MEMORY_SHARE = 0.5
+MEMORY_BYTES_PER_PROCESS = 120_000_000
+"""Memory of one process, with a margin."""
+OTHER_PROCESS_COUNT = 10
+"""Number of processes of back ends, platform, relay and callers."""
+MAX_MEMORY_SHARE = 0.5
+"""Fraction of the available memory that a soak may need."""
 MEMORY_FILE = "/proc/meminfo"
 MEMORY_KEY = "MemAvailable:"
 
@@ -26,13 +27,13 @@
     """The options of one soak.
 
     Args:
-        minutes: how long faults go on.
-        seed: decides the faults and the callers' requests.
-        nodes: how many nodes, the same number in each zone.
-        disabled_mechanism: a mechanism that is switched off in all nodes.
+        minutes: how long faults are injected.
+        seed: determines the faults and the requests of callers.
+        nodes: the number of nodes, equally many in each zone.
+        disabled_mechanism: a mechanism to disable in all nodes; empty for none.
 
     Raises:
-        SoakOptionError: an option makes no sense, or the machine has too little memory.
+        SoakOptionError: an option is out of range, or the machine has too little memory.
         LabUsageError: there is no such mechanism.
     """
 
@@ -45,34 +46,38 @@
         self.seed = seed
         self.nodes = nodes
         self.disabled_mechanism = disabled_mechanism
-        self._check()
+        self._validate()
 
     @property
     def seconds(self) -> float:
-        """How long faults go on."""
+        """How long faults are injected."""
         return self.minutes * 60
 
-    def _check(self) -> None:
-        if not math.isfinite(self.minutes) or not 0 < self.minutes <= MOST_MINUTES:
-            raise SoakOptionError(f"--minutes {self.minutes:g}: above 0, at most {MOST_MINUTES:g}")
+    def _validate(self) -> None:
+        if not math.isfinite(self.minutes) or not 0 < self.minutes <= MAX_MINUTES:
+            raise SoakOptionError(
+                f"--minutes {self.minutes:g}: must be above 0 and at most {MAX_MINUTES:g}"
+            )
         if self.seed < 0:
-            raise SoakOptionError(f"--seed {self.seed}: 0 or more")
-        if not FEWEST_NODES <= self.nodes <= MOST_NODES or self.nodes % len(ZONES):
-            accepted = f"an even number from {FEWEST_NODES} to {MOST_NODES}"
-            raise SoakOptionError(f"--nodes {self.nodes}: {accepted}")
+            raise SoakOptionError(f"--seed {self.seed}: must be 0 or more")
+        if not MIN_NODES <= self.nodes <= MAX_NODES or self.nodes % len(ZONES):
+            accepted = f"an even number from {MIN_NODES} to {MAX_NODES}"
+            raise SoakOptionError(f"--nodes {self.nodes}: must be {accepted}")
         if self.disabled_mechanism:
             check_mechanism(self.disabled_mechanism)
-        needed = (self.nodes + OTHER_PROCESSES) * MEMORY_BYTES
-        if needed > MEMORY_SHARE * available_memory():
-            raise SoakOptionError(f"--nodes {self.nodes}: too little memory, {needed} bytes needed")
+        needed_bytes = (self.nodes + OTHER_PROCESS_COUNT) * MEMORY_BYTES_PER_PROCESS
+        if needed_bytes > MAX_MEMORY_SHARE * available_memory():
+            raise SoakOptionError(
+                f"--nodes {self.nodes}: not enough memory, {needed_bytes} bytes needed"
+            )
 
 
 def available_memory() -> float:
-    """Return the bytes that the machine can give to new processes; infinite if unknown."""
+    """Return the bytes available to new processes; infinity if unknown."""
     try:
         with open(MEMORY_FILE) as file:
             lines = [line.split() for line in file]
     except OSError:
         return math.inf
-    found = [int(fields[1]) * 1024 for fields in lines if fields[0] == MEMORY_KEY]
-    return found[0] if found else math.inf
+    available = [int(fields[1]) * 1024 for fields in lines if fields[0] == MEMORY_KEY]
+    return available[0] if available else math.inf
--- a/src/pewtertack/lab/soak/platform_faults.py
+++ b/src/pewtertack/lab/soak/platform_faults.py
@@ -1,7 +1,7 @@
-"""Edits, faults of the platform's services, cuts between zones, and back ends that leave.
+"""Edits, faults of the platform's services, cuts between zones, and leaving back ends.
 
-What a node must learn from the machine list in time shares a lane with the list's faults and
-the cuts, so that the two never overlap.
+Back ends leave in the same lane as the faults of the machine list and the cuts, so that these never
+overlap: nodes must read in time from the list that a back end leaves.
 """
 
 from __future__ import annotations
@@ -15,84 +15,86 @@
 from pewtertack.lab.soak.context import SoakContext
 from pewtertack.lab.soak.faults import Lane, fault
 
-SHORT, LONG = 1.0, 6.0
-LEAVING_SEEN_SECONDS = 5.5
-"""After so long a leaving back end gets nothing more."""
+MIN_FAULT_SECONDS, MAX_FAULT_SECONDS = 1.0, 6.0
+LEAVING_READ_SECONDS = 5.5
+"""Time after which a leaving back end must get no new requests."""
 LEAVING_SECONDS = 8.0
-"""Longer than a leaving back end may get new work."""
+"""Time for which a back end is marked as leaving, longer than it may get new requests."""
 EVACUATED_SECONDS = 6.0
-"""Long enough for all nodes to serve by it, and for some requests then."""
+"""Long enough for the evacuation to be in force on all nodes and for some requests after that."""
 OLDER_SHARE = 0.5
 
 
-async def _fail_source(
+async def _inject_source_faults(
     soak: SoakContext, chooser: random.Random, faults: PlatformFaults, description: str
 ) -> None:
     await soak.fleet.platform.inject_source_faults(faults, description)
-    await anyio.sleep(chooser.uniform(SHORT, LONG))
+    await anyio.sleep(chooser.uniform(MIN_FAULT_SECONDS, MAX_FAULT_SECONDS))
     await soak.fleet.platform.clear_source_faults()
 
 
 @fault("source-closed", Lane.PLATFORM)
 async def source_closed(soak: SoakContext, chooser: random.Random) -> None:
-    """The source takes no connections."""
-    await _fail_source(soak, chooser, PlatformFaults(availability=Availability.CLOSED), "closed")
+    """The source refuses connections."""
+    await _inject_source_faults(
+        soak, chooser, PlatformFaults(availability=Availability.CLOSED), "closed"
+    )
 
 
 @fault("source-unavailable", Lane.PLATFORM)
 async def source_unavailable(soak: SoakContext, chooser: random.Random) -> None:
     """The source refuses every read."""
-    await _fail_source(
+    await _inject_source_faults(
         soak, chooser, PlatformFaults(availability=Availability.UNAVAILABLE), "unavailable"
     )
 
 
 @fault("source-stale", Lane.PLATFORM)
 async def source_stale(soak: SoakContext, chooser: random.Random) -> None:
-    """The source shows nothing newer than an older edit."""
-    stale = max(1, soak.scenario.newest_valid - chooser.randint(0, 2))
-    await _fail_source(soak, chooser, PlatformFaults(stale_number=stale), "stale")
+    """The source hides the edits after an older one."""
+    stale_number = max(1, soak.scenario.newest_valid - chooser.randint(0, 2))
+    await _inject_source_faults(soak, chooser, PlatformFaults(stale_number=stale_number), "stale")
 
 
 @fault("source-older", Lane.PLATFORM)
 async def source_older(soak: SoakContext, chooser: random.Random) -> None:
-    """The source gives the version before in half of its answers."""
-    await _fail_source(soak, chooser, PlatformFaults(older_share=OLDER_SHARE), "older")
+    """The source returns the previous version in half of its responses."""
+    await _inject_source_faults(soak, chooser, PlatformFaults(older_share=OLDER_SHARE), "older")
 
 
 @fault("list-down", Lane.PLATFORM)
 async def list_down(soak: SoakContext, chooser: random.Random) -> None:
     """The machine list cannot be read."""
-    down = chooser.choice((Availability.CLOSED, Availability.UNAVAILABLE))
-    await soak.fleet.platform.inject_machine_list_fault(down)
-    await anyio.sleep(chooser.uniform(SHORT, LONG))
+    availability = chooser.choice((Availability.CLOSED, Availability.UNAVAILABLE))
+    await soak.fleet.platform.inject_machine_list_fault(availability)
+    await anyio.sleep(chooser.uniform(MIN_FAULT_SECONDS, MAX_FAULT_SECONDS))
     await soak.fleet.platform.clear_machine_list_faults()
 
 
 @fault("zones-apart", Lane.PLATFORM)
 async def zones_apart(soak: SoakContext, chooser: random.Random) -> None:
-    """Nodes of the two zones do not hear each other, one way or both ways."""
+    """The links between the two zones are cut in one or both directions."""
     first, second = chooser.sample(soak.fleet.plan.shape.zones, 2)
     links = [Link(first, second), Link(second, first)][: chooser.randint(1, 2)]
     await soak.fleet.links.cut(links)
-    await anyio.sleep(chooser.uniform(SHORT, LONG))
+    await anyio.sleep(chooser.uniform(MIN_FAULT_SECONDS, MAX_FAULT_SECONDS))
     await soak.fleet.links.heal()
 
 
 @fault("leaving", Lane.PLATFORM, weight=2.0)
 async def leaving(soak: SoakContext, chooser: random.Random) -> None:
-    """A back end is marked as leaving in the lagging list, and stays after all."""
-    name = soak.some_backend(chooser)
-    async with soak.learning:
+    """A back end is marked as leaving in the lagging machine list, then as live again."""
+    name = soak.choose_backend(chooser)
+    async with soak.restore_lock:
         await soak.fleet.mark_backend_leaving(name)
-        await anyio.sleep(LEAVING_SEEN_SECONDS)
-    await anyio.sleep(LEAVING_SECONDS - LEAVING_SEEN_SECONDS)
+        await anyio.sleep(LEAVING_READ_SECONDS)
+    await anyio.sleep(LEAVING_SECONDS - LEAVING_READ_SECONDS)
     await soak.fleet.mark_backend_live(name)
 
 
 @fault("edit", Lane.EDITS, weight=4.0)
 async def edit(soak: SoakContext, chooser: random.Random) -> None:
-    """An operator makes a good edit."""
+    """An operator makes a valid edit."""
     await soak.scenario.edit()
 
 
@@ -104,7 +106,7 @@
 
 @fault("evacuation", Lane.EDITS, weight=1.5)
 async def evacuation(soak: SoakContext, chooser: random.Random) -> None:
-    """An operator evacuates a zone for a while and takes it back."""
+    """An operator evacuates a zone for a while."""
     zone = chooser.choice(soak.fleet.plan.shape.zones)
     await soak.scenario.evacuate(zone)
     await anyio.sleep(EVACUATED_SECONDS)
--- a/src/pewtertack/lab/soak/progress.py
+++ b/src/pewtertack/lab/soak/progress.py
@@ -1,4 +1,4 @@
-"""Lines of progress while a soak runs, with the promises that are found violated so far."""
+"""Prints the progress of a soak, with the guarantees violated so far."""
 
 from __future__ import annotations
 
@@ -16,57 +16,57 @@
 
 PROGRESS_SECONDS = 10.0
 CHECK_SHARE = 0.1
-"""Of the time that may go into checks while the soak runs."""
+"""Fraction of the time that checks may take while the soak runs."""
 
 
 class Progress:
-    """Prints how far a soak is, and judges the requests so far.
+    """Periodically prints the progress of a soak and judges the requests so far.
 
     Args:
-        recorder: holds the history.
-        made: faults made, by kind.
-        bounds: of the checks.
-        print_line: takes the lines.
+        recorder: has the history.
+        fault_counts: number of faults started, by kind.
+        bounds: the bounds of the checks.
+        print_line: called with each line.
     """
 
-    __slots__ = ("_bounds", "_made", "_print_line", "_recorder", "_started")
+    __slots__ = ("_bounds", "_fault_counts", "_print_line", "_recorder", "_started_at")
 
     def __init__(
         self,
         recorder: HistoryRecorder,
-        made: Counter[str],
+        fault_counts: Counter[str],
         bounds: CheckBounds,
         print_line: Callable[[str], None],
     ) -> None:
         self._recorder = recorder
-        self._made = made
+        self._fault_counts = fault_counts
         self._bounds = bounds
         self._print_line = print_line
-        self._started = time.monotonic()
+        self._started_at = time.monotonic()
 
     async def run(self) -> None:
-        """Print until cancelled; the checks take a small share of the time."""
+        """Print until cancelled, less often if the checks take long."""
         pause = PROGRESS_SECONDS
         while True:
             await anyio.sleep(pause)
-            began = time.monotonic()
+            check_started_at = time.monotonic()
             line = await anyio.to_thread.run_sync(self._describe, list(self._recorder.lines))
             self._print_line(line)
-            pause = max(PROGRESS_SECONDS, (time.monotonic() - began) / CHECK_SHARE)
+            pause = max(PROGRESS_SECONDS, (time.monotonic() - check_started_at) / CHECK_SHARE)
 
     def _describe(self, lines: list[HistoryLine]) -> str:
-        elapsed = time.monotonic() - self._started
+        elapsed = time.monotonic() - self._started_at
         outcomes = Counter(str(line.outcome) for line in lines if isinstance(line, CallResult))
-        told = ", ".join(f"{name} {count}" for name, count in sorted(outcomes.items()))
-        faults = sum(self._made.values())
-        return f"{elapsed:6.0f} s  {faults} faults  {told}  {self._violations(lines)}"
+        outcome_counts = ", ".join(f"{name} {count}" for name, count in sorted(outcomes.items()))
+        faults = sum(self._fault_counts.values())
+        return f"{elapsed:6.0f} s  {faults} faults  {outcome_counts}  {self._violations(lines)}"
 
     def _violations(self, lines: list[HistoryLine]) -> str:
         timeline = Timeline(lines)
         verdicts = [check(timeline, self._bounds) for check in REQUEST_CHECKS]
-        broken = [
+        violated = [
             f"{verdict.promise} ({len(verdict.offences)})"
             for verdict in verdicts
             if verdict.judgement is Judgement.VIOLATED
         ]
-        return f"violated: {', '.join(broken)}" if broken else "nothing violated so far"
+        return f"violated: {', '.join(violated)}" if violated else "nothing violated so far"
--- a/src/pewtertack/lab/soak/report.py
+++ b/src/pewtertack/lab/soak/report.py
@@ -1,4 +1,4 @@
-"""The report of a soak: text for the terminal, Markdown for a file."""
+"""Report of a soak as text and as Markdown."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 
 
 def format_result(result: SoakResult) -> str:
-    """Return the result as text, the verdict in the last line."""
+    """Return the result as text with the verdict in the last line."""
     lines = [_head(result), f"faults: {_counts(result.faults)}"]
     for name, route in result.routes.items():
-        spread = route.latency
-        told = f"p50 {spread.p50:.3f} s, p99 {spread.p99:.3f} s"
-        lines.append(f"{name:10} {_counts(route.outcomes)}; answered in {told}")
+        latency = route.latency
+        latency_text = f"p50 {latency.p50:.3f} s, p99 {latency.p99:.3f} s"
+        lines.append(f"{name:10} {_counts(route.outcomes)}; answered in {latency_text}")
     lines += [_resources(result), "", format_verdicts(result.verdicts)]
     lines += [f"problem: {problem}" for problem in result.problems]
-    lines += [f"not put to the test: {promise}" for promise in result.untested]
+    lines += [f"not put to the test: {guarantee}" for guarantee in result.untested]
     return "\n".join([*lines, result.verdict])
 
 
 def write_report(result: SoakResult, path: Path) -> None:
     """Write the result as Markdown."""
-    path.write_text("\n".join(_parts(result)))
+    path.write_text("\n".join(_markdown_parts(result)))
 
 
-def _parts(result: SoakResult) -> list[str]:
-    promises = [
+def _markdown_parts(result: SoakResult) -> list[str]:
+    guarantee_rows = [
         (
             str(verdict.promise),
             str(verdict.judgement),
@@ -37,7 +37,7 @@
         )
         for verdict in result.verdicts
     ]
-    routes = [
+    route_rows = [
         (
             name,
             _counts(route.outcomes),
@@ -50,26 +50,26 @@
     return [
         f"# Soak: {result.verdict}\n",
         f"{_head(result)}. {_resources(result)}.\n",
-        "## Promises\n",
-        markdown_table(("promise", "judgement", "judged", "offences"), promises),
+        "## Guarantees\n",
+        markdown_table(("guarantee", "judgement", "judged", "offences"), guarantee_rows),
         "## Offences and problems\n",
         f"```\n{format_verdicts(result.verdicts)}\n```\n",
         *[f"- {problem}\n" for problem in result.problems],
         "## Faults\n",
         markdown_table(
-            ("kind", "made"), [(name, str(made)) for name, made in result.faults.items()]
+            ("kind", "count"), [(name, str(count)) for name, count in result.faults.items()]
         ),
-        "## What callers were told\n",
-        markdown_table(("route", "outcomes", "statuses", "p50 s", "p99 s"), routes),
+        "## Results of requests\n",
+        markdown_table(("route", "outcomes", "statuses", "p50 s", "p99 s"), route_rows),
     ]
 
 
 def _head(result: SoakResult) -> str:
-    without = f" without {result.disabled_mechanism}" if result.disabled_mechanism else ""
-    ended = ", interrupted" if result.interrupted else ""
+    without_text = f" without {result.disabled_mechanism}" if result.disabled_mechanism else ""
+    interrupted_text = ", interrupted" if result.interrupted else ""
     return (
-        f"soak{without}, seed {result.seed}, {result.minutes:g} min of faults,"
-        f" {result.seconds:g} s in all, {result.nodes} nodes{ended}"
+        f"soak{without_text}, seed {result.seed}, {result.minutes:g} min of faults,"
+        f" {result.seconds:g} s in all, {result.nodes} nodes{interrupted_text}"
     )
 
 
--- a/src/pewtertack/lab/soak/request_faults.py
+++ b/src/pewtertack/lab/soak/request_faults.py
@@ -1,4 +1,4 @@
-"""Requests that harm the back ends that run them."""
+"""Requests that crash the back ends that run them."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 from pewtertack.lab.soak.faults import Lane, fault
 
 ROUTE = "lookup"
-"""Its requests may be repeated, so that nodes retry them as well."""
-LASTS_SECONDS = (4.0, 8.0)
-REPEAT_SECONDS = 0.2
+"""A route with repeatable requests, so that nodes retry them too."""
+DURATION_SECONDS = (4.0, 8.0)
+REPEAT_INTERVAL_SECONDS = 0.2
 
 
 @fault("ending-request", Lane.REQUESTS)
 async def ending_request(soak: SoakContext, chooser: random.Random) -> None:
-    """A caller sends a request that ends its back ends again and again, at any node."""
-    number = soak.made["ending-request"]
-    kind = _kind_of(soak, f"{CRASH_PATH_MARKER}-{number}")
+    """A caller repeatedly sends a request that crashes its back ends, to random nodes."""
+    number = soak.fault_counts["ending-request"]
+    kind = _crashing_call(soak, f"{CRASH_PATH_MARKER}-{number}")
     nodes = sorted(soak.fleet.plan.nodes)
-    sent = 0
-    with anyio.move_on_after(chooser.uniform(*LASTS_SECONDS)):
+    sent_count = 0
+    with anyio.move_on_after(chooser.uniform(*DURATION_SECONDS)):
         while True:
-            sent += 1
-            name = f"{CRASHING_REQUEST_PREFIX}{number}-{sent}"
+            sent_count += 1
+            name = f"{CRASHING_REQUEST_PREFIX}{number}-{sent_count}"
             await soak.fleet.send_request(chooser.choice(nodes), kind, name)
-            await anyio.sleep(REPEAT_SECONDS)
+            await anyio.sleep(REPEAT_INTERVAL_SECONDS)
 
 
-def _kind_of(soak: SoakContext, name: str) -> CallKind:
+def _crashing_call(soak: SoakContext, name: str) -> CallKind:
     kinds = {kind.route: kind for kind in mix_of_tree(soak.fleet.plan.shape.tree)}
     kind = kinds[ROUTE]
     return msgspec.structs.replace(kind, path=f"{kind.path}/{name}")
--- a/src/pewtertack/lab/soak/responses.py
+++ b/src/pewtertack/lab/soak/responses.py
@@ -1,4 +1,4 @@
-"""Reads the answers to the requests of one connection, in their order."""
+"""Parses the responses on one connection in order."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class CompleteResponse:
-    """One answer that arrived to its last byte."""
+    """One response that was received completely."""
 
     __slots__ = ("body", "closes", "headers", "status")
 
@@ -19,51 +19,51 @@
         self.headers = headers
         self.body = body
         self.closes = closes
-        """Whether the connection takes no further request."""
+        """Whether the connection is closed after this response."""
 
 
 class ResponseReader:
-    """Collects whole answers out of the bytes of a connection."""
+    """Parses the bytes of a connection into complete responses."""
 
-    __slots__ = ("_begun", "_body", "_headers", "_parser", "whole")
+    __slots__ = ("_has_begun", "_body", "_headers", "_parser", "complete")
 
     def __init__(self) -> None:
-        self.whole: deque[CompleteResponse] = deque()
+        self.complete: deque[CompleteResponse] = deque()
         self._headers: list[Header] = []
         self._body = bytearray()
-        self._begun = False
+        self._has_begun = False
         self._parser = httptools.HttpResponseParser(self)
 
     def feed(self, data: bytes) -> None:
-        """Take bytes.
+        """Parse received bytes.
 
         Raises:
-            httptools.HttpParserError: they are no answer.
+            httptools.HttpParserError: they are not valid HTTP responses.
         """
         self._parser.feed_data(data)
 
     @property
-    def part_bytes(self) -> int | None:
-        """Bytes of the body of an answer whose rest has not come; None where none has begun."""
-        return len(self._body) if self._begun else None
+    def partial_body_bytes(self) -> int | None:
+        """Received body bytes of an incomplete response; ``None`` if no response has begun."""
+        return len(self._body) if self._has_begun else None
 
     def on_message_begin(self) -> None:
-        """Begin the next answer."""
-        self._begun = True
+        """Begin the next response."""
+        self._has_begun = True
         self._headers = []
         self._body = bytearray()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
+        """Add a header."""
         self._headers.append((name, value))
 
     def on_body(self, data: bytes) -> None:
-        """Take a part of the body."""
+        """Add a part of the body."""
         self._body += data
 
     def on_message_complete(self) -> None:
-        """Keep the answer."""
-        self._begun = False
+        """Add the complete response."""
+        self._has_begun = False
         status = self._parser.get_status_code()
         closes = not self._parser.should_keep_alive()
-        self.whole.append(CompleteResponse(status, self._headers, bytes(self._body), closes))
+        self.complete.append(CompleteResponse(status, self._headers, bytes(self._body), closes))
--- a/src/pewtertack/lab/soak/result.py
+++ b/src/pewtertack/lab/soak/result.py
@@ -1,4 +1,4 @@
-"""What a soak found, and the exit code that follows."""
+"""Result of a soak, its verdict and exit code."""
 
 from __future__ import annotations
 
@@ -19,44 +19,44 @@
     Guarantee.RUNNING_NODE_ANSWERS_ALL,
     Guarantee.CRASHING_REQUESTS_LIMITED,
 )
-"""Promises that a soak must put to the test."""
+"""Guarantees that every complete soak must test."""
 
 
 class SoakResult(msgspec.Struct, frozen=True, kw_only=True):
-    """Everything that one soak found."""
+    """Result of one soak."""
 
     minutes: float
     seed: int
     nodes: int
     disabled_mechanism: str
     seconds: float
-    """How long it took, start and settling included."""
+    """Duration, including start and settling."""
     interrupted: bool
     faults: dict[str, int]
-    """How many faults of each kind were made."""
+    """Number of faults started, by kind."""
     routes: dict[str, RouteOutcomes]
     verdicts: list[Verdict]
     problems: list[str]
     resident_megabytes: float
-    """The most that any node held."""
+    """Maximum resident memory of any node."""
     descriptors: int
-    """The most that any node had open."""
+    """Maximum number of open descriptors of any node."""
 
     @property
     def violated(self) -> bool:
-        """Whether a promise was broken, or a condition of the run did not hold."""
-        broken = any(verdict.judgement is Judgement.VIOLATED for verdict in self.verdicts)
-        return broken or bool(self.problems)
+        """Whether a guarantee was violated or a condition of the run did not hold."""
+        any_violated = any(verdict.judgement is Judgement.VIOLATED for verdict in self.verdicts)
+        return any_violated or bool(self.problems)
 
     @property
     def untested(self) -> list[Guarantee]:
-        """Return the required promises that nothing put to the test."""
-        held = {verdict.promise for verdict in self.verdicts if verdict.judged}
-        return [promise for promise in REQUIRED if promise not in held]
+        """The required guarantees for which nothing was judged."""
+        tested = {verdict.promise for verdict in self.verdicts if verdict.judged}
+        return [guarantee for guarantee in REQUIRED if guarantee not in tested]
 
     @property
     def exit_code(self) -> ExitCode:
-        """1 when a promise was violated or, in a whole run, not put to the test."""
+        """``FOUND`` if a guarantee was violated or, in a complete run, was not tested."""
         if self.violated:
             return ExitCode.FOUND
         if self.interrupted:
@@ -65,7 +65,7 @@
 
     @property
     def verdict(self) -> str:
-        """The verdict in a word."""
+        """The verdict as text for operators."""
         if self.violated:
             return "violated"
         if self.interrupted:
--- a/src/pewtertack/lab/soak/returns.py
+++ b/src/pewtertack/lab/soak/returns.py
@@ -1,4 +1,4 @@
-"""The platform comes back from older copies of itself, again and again."""
+"""Repeated restores of the platform's services from older copies."""
 
 from __future__ import annotations
 
@@ -12,56 +12,59 @@
 from pewtertack.lab.fleet.plan import BackendPlan
 from pewtertack.lab.soak.context import SoakContext
 from pewtertack.lab.soak.faults import Lane, fault
-from pewtertack.lab.soak.platform_faults import LEAVING_SEEN_SECONDS
+from pewtertack.lab.soak.platform_faults import LEAVING_READ_SECONDS
 
-AWAY_SECONDS = (0.1, 0.8)
-COPY_AGE = (0.5, 12.0)
-"""Seconds; the longest lacks a back end's whole leaving, or its beginning alone."""
-WRITTEN_AGAIN = (0.0, 0.8)
-"""Seconds after the return of the one, then of the other service: within the time for which what
-was known holds (``source.hold_after_return``)."""
+OUTAGE_SECONDS = (0.1, 0.8)
+COPY_AGE_SECONDS = (0.5, 12.0)
+"""Age of the copies in seconds. The oldest lack the whole time in which a back end was leaving,
+younger ones only its beginning."""
+REWRITE_DELAY_SECONDS = (0.0, 0.8)
+"""Delay in seconds before the lost edits of the first, then of the second service are made again:
+within the time for which nodes hold what they knew before (``source.hold_after_return``)."""
 
-LEAVING_UNUSED_SECONDS = 2.0
-"""For which that is looked at in the end."""
-MORE_WRITES = 3
-"""Writes that change nothing: what follows them has higher revisions than what follows a return."""
-NOTICED_SECONDS = 5.0
-"""After a return, within which nodes notice it: they back off from a platform that is away."""
-LATER = 3.0
-"""Seconds from then until the machine list is written again. A node that has started meanwhile
-serves, and the list, which lags a second, shows it while what was known holds."""
-STOP_SECONDS = 30.0
+LEAVING_OBSERVED_SECONDS = 2.0
+"""Time for which it is then observed that leaving back ends get no new requests."""
+EXTRA_EDITS = 3
+"""Number of edits that change nothing, made so that the edits after them have higher numbers than
+the edits after the restore."""
+DETECTION_SECONDS = 5.0
+"""Time after a restore within which nodes detect it: they back off from an unreachable platform."""
+LATE_REWRITE_DELAY_SECONDS = 3.0
+"""Delay between the detection and making the lost edits again. By then a node that was started
+meanwhile serves, and the machine list, which lags by a second, shows the edits while nodes still
+hold what they knew before the restore."""
+STOP_TIMEOUT_SECONDS = 30.0
 
 
 @fault("return", Lane.RETURNS)
-async def come_back(soak: SoakContext, chooser: random.Random) -> None:
-    """Source and machine list come back from copies, and are written again one after the other."""
+async def restore_platform(soak: SoakContext, chooser: random.Random) -> None:
+    """Source and machine list are restored from copies, and lost edits are made again."""
     platform = soak.fleet.platform
     services = [platform.plan.source, platform.plan.machines]
     chooser.shuffle(services)
-    async with soak.learning:
-        await platform.restore(chooser.uniform(*AWAY_SECONDS), chooser.uniform(*COPY_AGE))
+    async with soak.restore_lock:
+        await platform.restore(chooser.uniform(*OUTAGE_SECONDS), chooser.uniform(*COPY_AGE_SECONDS))
         for service in services:
-            await anyio.sleep(chooser.uniform(*WRITTEN_AGAIN))
+            await anyio.sleep(chooser.uniform(*REWRITE_DELAY_SECONDS))
             await platform.replay_lost_writes(service)
 
 
 @fault("leaving-over-return", Lane.PLATFORM, weight=3.0)
-async def leaving_over_return(soak: SoakContext, chooser: random.Random) -> None:
-    """A leaving back end is live in the copy that comes back, and its node starts after the return.
+async def leaving_across_restore(soak: SoakContext, chooser: random.Random) -> None:
+    """A leaving back end is live in the restored copy, and its node starts after the restore.
 
-    Another back end leaves after the return.
+    Another back end leaves after the restore.
     """
     backends = sorted(soak.fleet.plan.backends.values(), key=lambda backend: backend.name)
     first = chooser.choice(backends)
-    second = chooser.choice([item for item in backends if item.service != first.service])
-    async with soak.claim_nodes(chooser, 1, [first.gateway_node]), soak.learning:
-        await _leave_over_return(soak, chooser, first, second)
+    second = chooser.choice([backend for backend in backends if backend.service != first.service])
+    async with soak.claim_nodes(chooser, 1, [first.gateway_node]), soak.restore_lock:
+        await _leave_across_restore(soak, chooser, first, second)
     for backend in (first, second):
         await soak.fleet.mark_backend_live(backend.name)
 
 
-async def _leave_over_return(
+async def _leave_across_restore(
     soak: SoakContext,
     chooser: random.Random,
     first: BackendPlan,
@@ -69,22 +72,24 @@
 ) -> None:
     platform = soak.fleet.platform
     copied_at = time.monotonic()
-    for _ in range(MORE_WRITES):
+    for _ in range(EXTRA_EDITS):
         await soak.fleet.mark_backend_live(first.name)
     await soak.fleet.mark_backend_leaving(first.name)
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(soak.fleet.stop_node, first.gateway_node, STOP_SECONDS)
-        await anyio.sleep(LEAVING_SEEN_SECONDS)
+        tasks.start_soon(soak.fleet.stop_node, first.gateway_node, STOP_TIMEOUT_SECONDS)
+        await anyio.sleep(LEAVING_READ_SECONDS)
     recorder = soak.fleet.recorder
-    noticed = recorder.view.restores_detected
-    await platform.restore(chooser.uniform(*AWAY_SECONDS), time.monotonic() - copied_at)
+    detected_before = recorder.view.restores_detected
+    await platform.restore(chooser.uniform(*OUTAGE_SECONDS), time.monotonic() - copied_at)
     with contextlib.suppress(FleetTimeoutError):
         await recorder.wait_until(
-            lambda view: view.restores_detected > noticed, NOTICED_SECONDS, "the return is noticed"
+            lambda view: view.restores_detected > detected_before,
+            DETECTION_SECONDS,
+            "the restore is detected",
         )
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(soak.start_again, [first.gateway_node])
-        await anyio.sleep(LATER)
+        tasks.start_soon(soak.restart_nodes, [first.gateway_node])
+        await anyio.sleep(LATE_REWRITE_DELAY_SECONDS)
         await platform.replay_lost_writes(platform.plan.machines, platform.plan.source)
     await soak.fleet.mark_backend_leaving(second.name)
-    await anyio.sleep(LEAVING_SEEN_SECONDS + LEAVING_UNUSED_SECONDS)
+    await anyio.sleep(LEAVING_READ_SECONDS + LEAVING_OBSERVED_SECONDS)
--- a/src/pewtertack/lab/soak/shape.py
+++ b/src/pewtertack/lab/soak/shape.py
@@ -1,4 +1,4 @@
-"""The fleet of a soak: two zones, and a back end of few slots beside most nodes."""
+"""Fleet of a soak: two zones, and local back ends with few slots for most nodes."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from pewtertack.lab.soak.options import ZONES, SoakOptions
 
 SERVICES = {"logbook": 2, "archive": 2}
-"""Back ends by service, one in each zone."""
+"""Number of back ends by service, one in each zone."""
 CAPACITY = Capacity(slots=1, queue=2)
-NOTICE_SECONDS = 0.6
-DRAIN_SECONDS = 1.5
+DRAIN_NOTICE_SECONDS = 0.6
+DRAIN_TIMEOUT_SECONDS = 1.5
 LINK_MBPS = 4.0
-"""Of every machine, as nodes are told; the lab's own network has room."""
+"""Link rate in the settings of every node; the real network of the lab is faster."""
 POLICIES = {"long_bodies": "in-turns"}
 LIMITS = {
-    "drain_notice": f"{NOTICE_SECONDS * 1000:.0f}ms",
-    "drain_timeout": f"{DRAIN_SECONDS * 1000:.0f}ms",
+    "drain_notice": f"{DRAIN_NOTICE_SECONDS * 1000:.0f}ms",
+    "drain_timeout": f"{DRAIN_TIMEOUT_SECONDS * 1000:.0f}ms",
 }
-"""Shorter than in production, in about the same proportion."""
+"""Shorter than in production, but in about the same proportion."""
 TREE: Mapping[str, Any] = {
     "route_defaults": {"timeout": "4s", "repeatable": False, "retry_limit": 2, "queue_limit": 32},
     "secrets": {"mesh-token": "soak-token"},
@@ -76,7 +76,7 @@
 
 
 def soak_fleet_shape(options: SoakOptions) -> FleetShape:
-    """Return the fleet of a soak."""
+    """Return the shape of a soak's fleet."""
     return FleetShape(
         zones=ZONES,
         services=SERVICES,
--- a/tests/lab/soak/test_mix.py
+++ b/tests/lab/soak/test_mix.py
@@ -1,4 +1,4 @@
-"""What callers of a soak ask for: the seed decides, and only some ask for long answers."""
+"""Generated requests: the seed determines them, and only some callers request long responses."""
 
 import random
 import unittest
@@ -17,25 +17,25 @@
 TURNS = 200
 
 
-def drawn(kind: type[RequestGenerator], seed: int) -> list[list[CallKind]]:
-    requests = kind(mix_of_tree(TREE), random.Random(seed))
-    return [requests.draw() for _ in range(TURNS)]
+def generate(generator_type: type[RequestGenerator], seed: int) -> list[list[CallKind]]:
+    generator = generator_type(mix_of_tree(TREE), random.Random(seed))
+    return [generator.next_requests() for _ in range(TURNS)]
 
 
 class RequestsTest(unittest.TestCase):
-    def test_the_seed_decides(self) -> None:
-        for kind in (MixedRequestGenerator, DownloadRequestGenerator):
-            self.assertEqual(drawn(kind, 5), drawn(kind, 5))
-            self.assertNotEqual(drawn(kind, 5), drawn(kind, 6))
-
-    def test_downloads_are_long_and_come_one_at_a_time(self) -> None:
-        least, most = DOWNLOAD_BYTES
-        self.assertGreater(least, LONG_BYTES)
-        for calls in drawn(DownloadRequestGenerator, 1):
+    def test_seed_determines_requests(self) -> None:
+        for generator_type in (MixedRequestGenerator, DownloadRequestGenerator):
+            self.assertEqual(generate(generator_type, 5), generate(generator_type, 5))
+            self.assertNotEqual(generate(generator_type, 5), generate(generator_type, 6))
+
+    def test_downloads_are_long_and_sent_one_at_a_time(self) -> None:
+        minimum, maximum = DOWNLOAD_BYTES
+        self.assertGreater(minimum, LONG_BYTES)
+        for calls in generate(DownloadRequestGenerator, 1):
             (call,) = calls
             self.assertEqual((call.route, call.body_bytes), (DOWNLOAD, 0))
-            self.assertTrue(least <= call.answer_bytes <= most)
+            self.assertTrue(minimum <= call.answer_bytes <= maximum)
 
-    def test_others_ask_for_everything_else(self) -> None:
-        routes = {call.route for calls in drawn(MixedRequestGenerator, 1) for call in calls}
+    def test_mixed_requests_use_all_other_routes(self) -> None:
+        routes = {call.route for calls in generate(MixedRequestGenerator, 1) for call in calls}
         self.assertEqual(routes, TREE["routes"].keys() - {DOWNLOAD})
--- a/tests/lab/soak/test_options.py
+++ b/tests/lab/soak/test_options.py
@@ -1,4 +1,4 @@
-"""Options of a soak that make no sense, and what follows from a result."""
+"""Invalid options of a soak; exit code, verdict and report of a result."""
 
 import math
 import tempfile
@@ -18,7 +18,7 @@
 from pewtertack.lab.soak.result import REQUIRED, SoakResult
 from pewtertack.lab.soak.shape import soak_fleet_shape
 
-HELD = SoakResult(
+HELD_RESULT = SoakResult(
     minutes=1.0,
     seed=1,
     nodes=4,
@@ -33,11 +33,11 @@
     descriptors=50,
 )
 OFFENCE = Violation(1.0, "call-1", "no answer")
-BROKEN = Verdict(Guarantee.SHUTDOWN_ANSWERS_ALL, Judgement.VIOLATED, 9, (OFFENCE,))
+VIOLATED_VERDICT = Verdict(Guarantee.SHUTDOWN_ANSWERS_ALL, Judgement.VIOLATED, 9, (OFFENCE,))
 
 
 class SoakOptionsTest(unittest.TestCase):
-    def test_what_makes_no_sense_is_refused(self) -> None:
+    def test_invalid_options_are_rejected(self) -> None:
         for minutes in (0.0, -1.0, math.nan, math.inf, 1e9):
             with self.assertRaises(SoakOptionError):
                 SoakOptions(minutes, 1)
@@ -49,34 +49,36 @@
         with self.assertRaises(LabUsageError):
             SoakOptions(1.0, 1, disabled_mechanism="luck")
 
-    def test_too_little_memory_is_refused(self) -> None:
+    def test_too_little_memory_is_rejected(self) -> None:
         with (
             mock.patch.object(soak_options, "available_memory", return_value=1e8),
             self.assertRaises(SoakOptionError),
         ):
             SoakOptions(1.0, 1)
 
-    def test_the_smallest_fleet_has_a_node_beside_every_back_end(self) -> None:
-        plan = plan_fleet(soak_fleet_shape(SoakOptions(1.0, 1, soak_options.FEWEST_NODES)))
+    def test_every_node_of_the_smallest_fleet_has_a_gateway(self) -> None:
+        plan = plan_fleet(soak_fleet_shape(SoakOptions(1.0, 1, soak_options.MIN_NODES)))
         self.assertTrue(all(node.gateway for node in plan.nodes.values()))
 
 
 class SoakResultTest(unittest.TestCase):
-    def test_the_exit_code_says_what_was_found(self) -> None:
+    def test_exit_code_and_verdict_of_results(self) -> None:
         replace = msgspec.structs.replace
-        violated = replace(HELD, verdicts=[*HELD.verdicts, BROKEN])
-        for result, code, word in (
-            (HELD, ExitCode.OK, "held"),
+        violated = replace(HELD_RESULT, verdicts=[*HELD_RESULT.verdicts, VIOLATED_VERDICT])
+        for result, code, verdict in (
+            (HELD_RESULT, ExitCode.OK, "held"),
             (violated, ExitCode.FOUND, "violated"),
             (replace(violated, interrupted=True), ExitCode.FOUND, "violated"),
-            (replace(HELD, problems=["a node is gone"]), ExitCode.FOUND, "violated"),
-            (replace(HELD, verdicts=[]), ExitCode.FOUND, "not put to the test"),
-            (replace(HELD, interrupted=True), ExitCode.UNUSABLE_INPUT, "interrupted"),
+            (replace(HELD_RESULT, problems=["a node is gone"]), ExitCode.FOUND, "violated"),
+            (replace(HELD_RESULT, verdicts=[]), ExitCode.FOUND, "not put to the test"),
+            (replace(HELD_RESULT, interrupted=True), ExitCode.UNUSABLE_INPUT, "interrupted"),
         ):
-            self.assertEqual((result.exit_code, result.verdict), (code, word))
+            self.assertEqual((result.exit_code, result.verdict), (code, verdict))
 
     def test_reports_name_the_offence_and_end_with_the_verdict(self) -> None:
-        result = msgspec.structs.replace(HELD, verdicts=[*HELD.verdicts, BROKEN])
+        result = msgspec.structs.replace(
+            HELD_RESULT, verdicts=[*HELD_RESULT.verdicts, VIOLATED_VERDICT]
+        )
         text = format_result(result)
         self.assertIn("call-1: no answer", text)
         self.assertTrue(text.endswith("violated"))
--- a/tests/lab/soak/test_soak.py
+++ b/tests/lab/soak/test_soak.py
@@ -1,13 +1,13 @@
-"""A short soak of real processes: it holds, it can be interrupted, senseless options start nothing.
+"""Short soaks of real processes: one that holds, one that is interrupted, and invalid options.
 
-The seed's series hold planned stops that overlap, kills, reloads, a frozen back end, a surge of
-callers, faults of the source, and its returns from older copies; the fleet is the smallest in which
-two nodes may stop at once.
+With the seed, the soak includes overlapping graceful shutdowns, kills, reloads, a frozen back end,
+a surge of callers, faults of the source, and its restores from older copies. The fleet is the
+smallest in which two nodes may stop at once.
 
-Callers of long answers saw them break off in the middle: a back end had answered, the answer waited
-in the line of its gateway's link, and at the end of its drain the node that stopped, the caller's
-or the gateway's, cut it. The history shows the execution's end, the SIGTERM, then `REQUEST_CUT` at
-the caller's node with nothing between, and `told` with the bytes that had come.
+This guards against long responses that break off midway: a back end had responded, and the response
+waited in the link queue of its gateway until the drain of a stopping node ended, the caller's or
+the gateway's, which cut it. The history then shows the end of the execution, the SIGTERM, directly
+after it `REQUEST_CUT` at the caller's node, and a ``told`` line with the number of bytes received.
 """
 
 import os
@@ -24,12 +24,12 @@
 SOURCE_DIRECTORY = Path(__file__).resolve().parents[3] / "src"
 SEED = 22
 NODES = 6
-SECONDS = 400.0
+TIMEOUT_SECONDS = 400.0
 PARENT_FIELD = 1
-"""Position in ``/proc/PID/stat`` after the command's name, see proc(5)."""
+"""Index of the parent process id in ``/proc/PID/stat`` after the command name, see proc(5)."""
 
 
-def start(*arguments: str) -> subprocess.Popen[str]:
+def start_soak(*arguments: str) -> subprocess.Popen[str]:
     return subprocess.Popen(
         [sys.executable, "-m", "pewtertack", "lab", "soak", f"--seed={SEED}", *arguments],
         stdout=subprocess.PIPE,
@@ -40,46 +40,46 @@
 
 
 def children_of(parent: int) -> list[int]:
-    found = []
+    children = []
     for path in Path("/proc").glob("[0-9]*/stat"):
         try:
             fields = path.read_text().rpartition(") ")[2].split()
         except OSError:
             continue
         if int(fields[PARENT_FIELD]) == parent:
-            found.append(int(path.parent.name))
-    return found
+            children.append(int(path.parent.name))
+    return children
 
 
 class SoakTest(unittest.TestCase):
-    def test_a_short_soak_holds(self) -> None:
+    def test_short_soak_holds(self) -> None:
         with tempfile.TemporaryDirectory() as directory:
             report = Path(directory) / "report.md"
-            process = start("--minutes=0.4", f"--report={report}")
-            output, progress = process.communicate(timeout=SECONDS)
+            process = start_soak("--minutes=0.4", f"--report={report}")
+            output, progress = process.communicate(timeout=TIMEOUT_SECONDS)
             self.assertEqual(process.returncode, ExitCode.OK, output + progress)
             self.assertIn("nothing violated so far", progress)
             self.assertIn("# Soak: held", report.read_text())
             self.assertRegex(output, r"\breturn [2-9]")
             self.assertRegex(output, r"leaving-gets-no-new-work +held +judged")
 
-    def test_an_interrupted_soak_reports_and_leaves_nothing_running(self) -> None:
-        process = start("--minutes=30")
+    def test_interrupted_soak_reports_and_leaves_no_process_running(self) -> None:
+        process = start_soak("--minutes=30")
         assert process.stderr is not None
         self.assertIn("faults", process.stderr.readline())
         children = children_of(process.pid)
         process.send_signal(signal.SIGINT)
-        output, _ = process.communicate(timeout=SECONDS)
+        output, _ = process.communicate(timeout=TIMEOUT_SECONDS)
         self.assertEqual(process.returncode, ExitCode.UNUSABLE_INPUT, output)
         self.assertTrue(output.endswith("interrupted\n"))
         self.assertGreater(len(children), NODES)
         self.assertEqual([pid for pid in children if Path(f"/proc/{pid}").exists()], [])
 
-    def test_senseless_options_start_nothing(self) -> None:
+    def test_invalid_options_start_no_process(self) -> None:
         for option in ("--minutes=0", "--nodes=3", "--without=luck"):
-            began = time.monotonic()
-            process = start(option)
-            _, errors = process.communicate(timeout=SECONDS)
+            started_at = time.monotonic()
+            process = start_soak(option)
+            _, errors = process.communicate(timeout=TIMEOUT_SECONDS)
             self.assertEqual(process.returncode, ExitCode.UNUSABLE_INPUT)
             self.assertIn("pewtertack: ", errors)
-            self.assertLess(time.monotonic() - began, SECONDS)
+            self.assertLess(time.monotonic() - started_at, TIMEOUT_SECONDS)
