--- a/src/pewtertack/lab/soak/returns.py
+++ b/src/pewtertack/lab/soak/returns.py
@@ -57,7 +57,7 @@
     """
     backends = sorted(soak.fleet.plan.backends.values(), key=lambda backend: backend.name)
     first = chooser.choice(backends)
-    second = chooser.choice([backend for backend in backends if backend.service != first.service])
+    second = chooser.choice([other for other in backends if other.service != first.service])
     async with soak.claim_nodes(chooser, 1, [first.gateway_node]), soak.restore_lock:
         await _leave_across_restore(soak, chooser, first, second)
     for backend in (first, second):
