--- a/src/pewtertack/lab/depth/simulation.py
+++ b/src/pewtertack/lab/depth/simulation.py
@@ -25,6 +25,7 @@
 DURATION_SECONDS = 20.0
 FAULT_BEGINS_AT = 5.0
 FAULT_ENDS_AT = 10.0
+"""Start and end of the fault, in seconds from the start of the run."""
 DEPTHS = (1, 5, 10, 19)
 MILLISECONDS_PER_SECOND = 1000
 
--- a/src/pewtertack/lab/metadata_store/application.py
+++ b/src/pewtertack/lab/metadata_store/application.py
@@ -172,7 +172,7 @@
     def _update_faults(self, **changed: int) -> None:
         self.faults = msgspec.structs.replace(self.faults, **changed)
 
-    async def _delayed(self, answer: Response) -> Response:
+    async def _delay_response(self, answer: Response) -> Response:
         """Return ``answer`` after the delay of the faults."""
         if self.faults.delay:
             await anyio.sleep(self.faults.delay)
@@ -186,16 +186,16 @@
     async def _answer_key(self, request: Request) -> Response:
         await self._count_call()
         if self.faults.status:
-            return await self._delayed(self._respond({}, self.faults.status))
+            return await self._delay_response(self._respond({}, self.faults.status))
         found = self._items.get(request.query.get("PrivateKey", ""))
         if found is None:
-            return await self._delayed(self._respond({"at": self._revision}, 404))
-        return await self._delayed(self._respond({**_encoded(found), "at": self._revision}))
+            return await self._delay_response(self._respond({"at": self._revision}, 404))
+        return await self._delay_response(self._respond({**_encoded(found), "at": self._revision}))
 
     async def _answer_range(self, request: Request) -> Response:
         await self._count_call()
         if self.faults.status:
-            return await self._delayed(self._respond({}, self.faults.status))
+            return await self._delay_response(self._respond({}, self.faults.status))
         self.stale_calls += request.query.get("stale") == "1"
         prefix, after = request.query.get("PathPrefix", ""), request.query.get("after", "")
         newest = self._revision
@@ -208,21 +208,23 @@
         )
         items = [self._encoded(self._items[key]) for key in keys[: self._page_items]]
         page = {"items": items, "more": len(keys) > self._page_items, "at": newest}
-        return await self._delayed(self._respond(page))
+        return await self._delay_response(self._respond(page))
 
     async def _answer_watch(self, request: Request) -> Response:
         await self._count_call()
         if self.faults.gone_watches:
             self._update_faults(gone_watches=self.faults.gone_watches - 1)
-            return await self._delayed(self._respond({"at": self._revision}, STATUS_HISTORY_GONE))
+            return await self._delay_response(
+                self._respond({"at": self._revision}, STATUS_HISTORY_GONE)
+            )
         prefix, after = request.query.get("PathPrefix", ""), int(request.query["after"])
         if self.faults.hasty_watches:
-            return await self._delayed(self._respond({"events": [], "at": after}))
+            return await self._delay_response(self._respond({"events": [], "at": after}))
         wait = min(int(request.query.get("WaitMs", "0")), MAX_WAIT_MS) / 1000
         with anyio.move_on_after(wait):
             while self._must_wait(prefix, after):
                 await self._changed.wait()
-        return await self._delayed(self._watch_answer(prefix, after))
+        return await self._delay_response(self._watch_answer(prefix, after))
 
     def _watch_answer(self, prefix: str, after: int) -> Response:
         if self.faults.status:
--- a/src/pewtertack/lab/overload/retrying_callers.py
+++ b/src/pewtertack/lab/overload/retrying_callers.py
@@ -72,7 +72,9 @@
     in_time: float
     late: float
     refused: float
+    """Requests without a response."""
     refused_twice: float
+    """Requests that were refused, and not answered after a retry either."""
     held: float
     """Penalty for waiting without result, as a fraction of the requests' worth."""
 
--- a/src/pewtertack/lab/simulation/process.py
+++ b/src/pewtertack/lab/simulation/process.py
@@ -18,7 +18,7 @@
 from pewtertack.wire.messages import DocumentKind, Message
 
 MAILBOX_LIMIT = 64
-"""Number of inputs that the kernel buffers for a paused process; later ones are lost."""
+"""Number of messages that the kernel buffers for a paused process; later ones are lost."""
 
 
 class Recorder(Protocol):
--- a/src/pewtertack/lab/slow_source/run.py
+++ b/src/pewtertack/lab/slow_source/run.py
@@ -44,6 +44,7 @@
 DISRUPTION_INTERVAL_SECONDS = (4.0, 10.0)
 STOP_INTERVAL_SECONDS = (2.0, 6.0)
 DOWNTIME_SECONDS = (0.0, 1.0)
+"""Range of the time from the end of a process to the start of the next one of its node."""
 SERVING_TIMEOUT_SECONDS = 30.0
 """Seconds after its start within which a node must serve."""
 SETTLE_SECONDS = 3.0
@@ -68,9 +69,13 @@
     troubles: dict[str, int]
     """Number of broken responses and watches, by kind."""
     starts: int
+    """Number of restarts of nodes."""
     calls: int
+    """Number of requests to the store."""
     reader_changes: int
+    """Number of times that a node started or stopped reading the source."""
     failed_reads: dict[str, int]
+    """Number of failed reads, by reason."""
     judged: int
     """Number of verdicts: edits at nodes that served until the edit was due."""
     slowest: float
--- a/src/pewtertack/lab/store_fleet/simulated.py
+++ b/src/pewtertack/lab/store_fleet/simulated.py
@@ -31,7 +31,7 @@
 PEER_PORT = 7380
 MAX_NODES_WITH_FRAMES = 500
 """Largest fleet whose messages are encoded as frames. Larger fleets exchange message objects,
-which share their documents to save memory: sizes are unknown then, and links have no rate."""
+which share their documents: sizes are unknown then, and links have no rate."""
 REGION = "r"
 EPOCH_MILLISECONDS = 1_000_000_000
 DRAIN_SECONDS = 0.5
--- a/src/pewtertack/lab/store_fleet/simulated_source.py
+++ b/src/pewtertack/lab/store_fleet/simulated_source.py
@@ -94,8 +94,8 @@
             self._fresh = True
             raise
         fresh, self._fresh = self._fresh, False
-        headers_list = [(name.encode(), value.encode()) for name, value in answer.headers.items()]
-        return ServiceResponse(answer.status, headers_list, answer.body, fresh, took)
+        raw_headers = [(name.encode(), value.encode()) for name, value in answer.headers.items()]
+        return ServiceResponse(answer.status, raw_headers, answer.body, fresh, took)
 
     async def _request(self, request: Request, seconds: float) -> Response:
         try:
