--- a/src/pewtertack/lab/cost/__init__.py
+++ b/src/pewtertack/lab/cost/__init__.py
@@ -1,1 +1,1 @@
-"""Memory and processor time of one real node, against the budget of a node."""
+"""Processor time and memory of one node process, compared with the budget of a node."""
--- a/src/pewtertack/lab/cost/parts.py
+++ b/src/pewtertack/lab/cost/parts.py
@@ -101,7 +101,7 @@
     START: (START,),
     SERVED_HOP: (f"{EVENT_PREFIX}GATEWAY_ANSWERED",),
     UNSERVED_HOP: tuple(
-        f"{EVENT_PREFIX}GATEWAY_{end}" for end in ("REFUSED", "FAILED", "CANCELLED")
+        f"{EVENT_PREFIX}GATEWAY_{outcome}" for outcome in ("REFUSED", "FAILED", "CANCELLED")
     ),
     "connection": ("StreamTransport.__init__",),
     "version": ("ProxyApplication.use_configuration",),
@@ -181,16 +181,11 @@
             if name != POLL:
                 seconds[_part_of_callback(name)] += value
         counts.update(item.counts)
-    part_counts = {
-        part: sum(counts[name] for name in names) for part, names in COUNTERS_BY_PART.items()
-    }
-    hops, hop_seconds = (
-        part_counts[SERVED_HOP] + part_counts[UNSERVED_HOP],
-        seconds.pop(ALL_HOPS, 0.0),
-    )
+    runs = {part: sum(counts[name] for name in names) for part, names in COUNTERS_BY_PART.items()}
+    hops, hop_seconds = runs[SERVED_HOP] + runs[UNSERVED_HOP], seconds.pop(ALL_HOPS, 0.0)
     for part in (SERVED_HOP, UNSERVED_HOP):
-        seconds[part] = hop_seconds * part_counts[part] / hops if hops else hop_seconds / 2
-    shares = [PartShare(part, value, part_counts.get(part, 0)) for part, value in seconds.items()]
+        seconds[part] = hop_seconds * runs[part] / hops if hops else hop_seconds / 2
+    shares = [PartShare(part, value, runs.get(part, 0)) for part, value in seconds.items()]
     return sorted(shares, key=lambda item: -item.seconds)
 
 
--- a/src/pewtertack/lab/cost/sampling.py
+++ b/src/pewtertack/lab/cost/sampling.py
@@ -42,8 +42,10 @@
     for line in smaps_rollup.splitlines()[1:]:
         name, _, value = line.partition(":")
         kibibytes[name] = int(value.split()[0])
-    private_bytes = kibibytes["Private_Clean"] + kibibytes["Private_Dirty"]
-    return ProcessMemory(kibibytes["Rss"] * BYTES_PER_KIBIBYTE, private_bytes * BYTES_PER_KIBIBYTE)
+    private_kibibytes = kibibytes["Private_Clean"] + kibibytes["Private_Dirty"]
+    return ProcessMemory(
+        kibibytes["Rss"] * BYTES_PER_KIBIBYTE, private_kibibytes * BYTES_PER_KIBIBYTE
+    )
 
 
 def processor_share(first: TimedProcessSample, last: TimedProcessSample) -> float:
--- a/src/pewtertack/lab/scale/meter.py
+++ b/src/pewtertack/lab/scale/meter.py
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MeasuredEdit:
-    """An edit made during the phase, and the size of the frame that carries its delta."""
+    """An edit made during the phase, its virtual time, and the size of the frame with its delta."""
 
     revision: int
     time: float
@@ -72,6 +72,7 @@
     started_names: set[str] = field(default_factory=set)
     """Names of nodes with a process that was started during the phase."""
     killed: set[str] = field(default_factory=set)
+    """Names of nodes with a process that was killed during the phase."""
     _start_time: float = 0.0
     _start_counters: dict[str, NodeCounters] = field(default_factory=dict)
     _start_bytes_by_kind: Counter[str] = field(default_factory=Counter)
--- a/src/pewtertack/lab/scale/observer.py
+++ b/src/pewtertack/lab/scale/observer.py
@@ -18,8 +18,10 @@
 
     scheduler: Scheduler | None = None
     in_force_times: dict[int, dict[ProcessKey, float]] = field(default_factory=dict)
+    """Virtual time at which each revision came into force at each process."""
     serving_times: dict[ProcessKey, float] = field(default_factory=dict)
     readers: set[str] = field(default_factory=set)
+    """Names of the nodes that currently read the source."""
 
     def record_log(self, node: str, incarnation: int, log: Log) -> None:
         """Record an event that a process logged, at the current virtual time."""
--- a/src/pewtertack/lab/scale/report.py
+++ b/src/pewtertack/lab/scale/report.py
@@ -55,6 +55,7 @@
     seconds: float
     edits: int
     restarts: int
+    """Number of processes that were started."""
     roles: dict[str, RoleRates]
     bytes_by_kind: dict[str, float]
     """Received bytes per node and second, by kind of message."""
@@ -67,9 +68,12 @@
     rejoin: Distribution
     """Seconds from the start of a process until it serves."""
     never_served: int
+    """Number of started processes that did not serve before the phase ended."""
     source_reads: int
     source_reads_at_once: int
+    """Maximum number of concurrent reads of the source."""
     list_reads_at_once: int
+    """Maximum number of concurrent reads of the machine list."""
 
 
 class PollingBaseline(msgspec.Struct, frozen=True, kw_only=True):
--- a/src/pewtertack/lab/scale/run.py
+++ b/src/pewtertack/lab/scale/run.py
@@ -31,7 +31,7 @@
 EDIT_INTERVAL_SECONDS = 4.0
 CHURN_SECONDS = 40.0
 CHURN_SHARE = 127 / 1700
-"""Fraction of machines that fail or are replaced per day; the phase compresses a day's changes."""
+"""Fraction of machines that fail or are replaced per day; one churn phase covers a day."""
 CHURN_RESTART_SECONDS = 5.0
 STORM_SECONDS = 30.0
 STORM_SHARE = 0.2
@@ -208,10 +208,10 @@
     def _make_edit(self, meter: PhaseMeter) -> None:
         self._edit_count += 1
         document = self._next_document()
-        size = frame_bytes(DeltaAnswer(DocumentKind.CONFIGURATION, (self._next_delta(),)))
+        delta_bytes = frame_bytes(DeltaAnswer(DocumentKind.CONFIGURATION, (self._next_delta(),)))
         self._document = document
         revision = self._fleet.edit(document, valid=True)
-        meter.edits.append(MeasuredEdit(revision, self._fleet.now, size))
+        meter.edits.append(MeasuredEdit(revision, self._fleet.now, delta_bytes))
 
     def _next_document(self) -> Document:
         """Return the tree with a changed default and a changed setting of one route."""
--- a/tools/measure_change.py
+++ b/tools/measure_change.py
@@ -266,7 +266,7 @@
 
     measure("respond with the change", lambda: prepare_answer(old_revision))
     measure("respond with the whole configuration", lambda: prepare_answer(NO_REVISION))
-    measure("respond again with the same", lambda: lambda: frame_of(holder.answer(NO_REVISION), 1))
+    measure("respond with the whole again", lambda: lambda: frame_of(holder.answer(NO_REVISION), 1))
     measure(
         "receive the change", lambda: functools.partial(start_node("c", base).receive, frames[0])
     )
