--- a/src/pewtertack/node/pacing.py
+++ b/src/pewtertack/node/pacing.py
@@ -43,9 +43,9 @@
         """See ``LinkScheduler.stop_at``."""
         self.scheduler.stop_at(moment, self._clock())
 
-    def stops_before(self, route: str, rank: Rank, run_seconds: float) -> bool:
+    def stops_before(self, route: str, rank: Rank, execution_seconds: float) -> bool:
         """See ``LinkScheduler.stops_before``."""
-        return self.scheduler.stops_before(route, rank, self._clock(), run_seconds)
+        return self.scheduler.stops_before(route, rank, self._clock(), execution_seconds)
 
     def delivery_time(self, route: str, rank: Rank) -> float:
         """See ``LinkScheduler.delivery_time``."""
@@ -65,7 +65,7 @@
         started: bool = False,
         expires_at: float = math.inf,
         uncommitted_bytes: int = 0,
-        only_source: bool = False,
+        no_alternative: bool = False,
     ) -> QueuedBody:
         """Queue one long body; the result is a context manager. See ``LinkScheduler.enqueue``."""
         enqueue = self.scheduler.enqueue
@@ -73,7 +73,14 @@
             self._clock,
             self.scheduler,
             lambda wake: enqueue(
-                rank, size, target_time, wake, started, expires_at, uncommitted_bytes, only_source
+                rank,
+                size,
+                target_time,
+                wake,
+                started,
+                expires_at,
+                uncommitted_bytes,
+                no_alternative,
             ),
         )
 
