--- a/src/pewtertack/lab/backend/state.py
+++ b/src/pewtertack/lab/backend/state.py
@@ -81,7 +81,7 @@
         return self.admitted < self.capacity.slots + self.capacity.queue
 
     def work_time(self, requested: float | None, now: float) -> float:
-        """Return the seconds for which a request works, which may ask for ``requested``."""
+        """Return the work time of a request in seconds, given the one it specifies, if any."""
         seconds = self.capacity.work_time if requested is None else requested
         is_cold = now - self._started < self.capacity.cold_period
         return seconds * self.faults.slowdown * (self.capacity.cold_slowdown if is_cold else 1.0)
--- a/src/pewtertack/lab/fleet/fleet.py
+++ b/src/pewtertack/lab/fleet/fleet.py
@@ -152,8 +152,8 @@
         await self._start(processes)
 
     def _make_start_record(self, node: str) -> NodeStart:
-        zone, beside = self.plan.nodes[node].zone, self.plan.local_backend_name(node)
-        return NodeStart(time=time.time(), node=node, zone=zone, beside=beside)
+        zone, backend = self.plan.nodes[node].zone, self.plan.local_backend_name(node)
+        return NodeStart(time=time.time(), node=node, zone=zone, beside=backend)
 
     async def wait_serving(
         self, names: Iterable[str] | None = None, seconds: float = SERVING_TIMEOUT_SECONDS
--- a/src/pewtertack/lab/returns/edit_checks.py
+++ b/src/pewtertack/lab/returns/edit_checks.py
@@ -15,7 +15,7 @@
     edits: Mapping[int, float],
     in_force: Sequence[tuple[float, int]],
     serving_since: float,
-    away: Sequence[tuple[float, float]],
+    outages: Sequence[tuple[float, float]],
 ) -> list[str]:
     """Return the edits that a node put in force late or never, though it served since before them.
 
@@ -23,16 +23,18 @@
         edits: when each version was acknowledged, in monotonic seconds.
         in_force: when the node put versions in force, in monotonic seconds, with the versions.
         serving_since: since when the node has served; 0 if it does not.
-        away: begin and end of the outages of the store.
+        outages: begin and end of the outages of the store.
     """
     late = []
-    for version, at in edits.items():
-        if not 0 < serving_since <= at:
+    for version, edited_at in edits.items():
+        if not 0 < serving_since <= edited_at:
             continue
-        bound = at + EDIT_BOUND_SECONDS
+        bound = edited_at + EDIT_BOUND_SECONDS
         bound += sum(
-            end - begin for begin, end in away if at - OUTAGE_MARGIN_SECONDS <= begin <= bound
+            end - begin
+            for begin, end in outages
+            if edited_at - OUTAGE_MARGIN_SECONDS <= begin <= bound
         )
-        if not any(moment <= bound and held >= version for moment, held in in_force):
-            late.append(f"version {version} not in force within {bound - at:.1f} s")
+        if not any(moment <= bound and reached >= version for moment, reached in in_force):
+            late.append(f"version {version} not in force within {bound - edited_at:.1f} s")
     return late
--- a/src/pewtertack/lab/soak/backend_faults.py
+++ b/src/pewtertack/lab/soak/backend_faults.py
@@ -28,7 +28,7 @@
 
 @fault("slow", Lane.BACKENDS)
 async def slow(soak: SoakContext, chooser: random.Random) -> None:
-    """A back end works several times as slowly."""
+    """A back end takes several times as long for each request."""
     slowdown = chooser.uniform(3.0, 8.0)
     await _inject_for_a_while(soak, chooser, BackendFaults(slowdown=slowdown), "slow")
 
--- a/src/pewtertack/lab/soak/callers.py
+++ b/src/pewtertack/lab/soak/callers.py
@@ -15,7 +15,7 @@
 from pewtertack.lab.soak.lag import LagMeter
 from pewtertack.lab.soak.mix import MixedRequestGenerator, RequestGenerator
 
-RECONNECT_SECONDS = 0.2
+RECONNECT_DELAY_SECONDS = 0.2
 Recorder = Callable[[CallResult], None]
 
 
@@ -38,7 +38,7 @@
         "_prefix",
         "_random",
         "_record",
-        "_requests",
+        "_generator",
         "_target",
         "stopping",
     )
@@ -49,14 +49,14 @@
         mix: Sequence[CallKind],
         prefix: str,
         seed: str,
-        call_kind: type[RequestGenerator],
+        generator_type: type[RequestGenerator],
         lag: LagMeter,
         record: Recorder,
     ) -> None:
         self._target = target
         self._prefix = prefix
         self._random = random.Random(seed)
-        self._requests = call_kind(mix, self._random)
+        self._generator = generator_type(mix, self._random)
         self._lag = lag
         self._record = record
         self._call_count = 0
@@ -66,22 +66,22 @@
     async def run(self) -> None:
         """Send requests until ``stopping``; reconnect whenever the connection has ended."""
         while not self.stopping:
-            read_pause = self._requests.read_pause()
+            read_pause = self._generator.read_pause()
             connection = await connect(self._target, self._lag, read_pause)
             if connection is not None:
                 await self._send_over(connection)
                 await connection.close()
-            await anyio.sleep(RECONNECT_SECONDS)
+            await anyio.sleep(RECONNECT_DELAY_SECONDS)
 
     async def _send_over(self, connection: PersistentConnection) -> None:
         while not self.stopping and connection.usable and not connection.is_stale:
             for result in await connection.send_calls(self._next_calls()):
                 self._record(result)
-            await anyio.sleep(self._random.expovariate(1 / self._requests.think_seconds))
+            await anyio.sleep(self._random.expovariate(1 / self._generator.think_seconds))
 
     def _next_calls(self) -> list[Call]:
         calls = []
-        for call_kind in self._requests.next_requests():
+        for call_kind in self._generator.next_requests():
             self._call_count += 1
             calls.append(Call(call_kind, f"{self._prefix}-{self._call_count}"))
         return calls
@@ -106,7 +106,7 @@
         seed: int,
         prefix: str,
         record: Recorder,
-        call_kind: type[RequestGenerator] = MixedRequestGenerator,
+        generator_type: type[RequestGenerator] = MixedRequestGenerator,
     ) -> None:
         self._lag = LagMeter()
         self._callers = [
@@ -115,7 +115,7 @@
                 mix,
                 f"{prefix}-{target.name}-{index}",
                 f"{seed}:{prefix}:{target.name}:{index}",
-                call_kind,
+                generator_type,
                 self._lag,
                 record,
             )
@@ -126,13 +126,13 @@
     async def run(self) -> None:
         """Send requests until SIGTERM, then wait for those in flight."""
         with anyio.open_signal_receiver(signal.SIGTERM) as signals:
-            async with anyio.create_task_group() as measuring:
-                measuring.start_soon(self._lag.run)
-                async with anyio.create_task_group() as calling:
+            async with anyio.create_task_group() as lag_task_group:
+                lag_task_group.start_soon(self._lag.run)
+                async with anyio.create_task_group() as caller_task_group:
                     for caller in self._callers:
-                        calling.start_soon(caller.run)
+                        caller_task_group.start_soon(caller.run)
                     async for _ in signals:
                         break
                     for caller in self._callers:
                         caller.stopping = True
-                measuring.cancel_scope.cancel()
+                lag_task_group.cancel_scope.cancel()
--- a/src/pewtertack/lab/soak/connection.py
+++ b/src/pewtertack/lab/soak/connection.py
@@ -34,7 +34,7 @@
 class Call:
     """One request on a connection. Times are in monotonic seconds."""
 
-    __slots__ = ("created_at", "kind", "request_id", "first_byte_sent_at", "sent_completely_at")
+    __slots__ = ("created_at", "first_byte_sent_at", "kind", "request_id", "sent_completely_at")
 
     def __init__(self, kind: CallKind, request_id: str) -> None:
         self.kind = kind
@@ -56,7 +56,7 @@
 class PersistentConnection:
     """One open connection to a node, created by `connect`."""
 
-    __slots__ = ("_responses", "_lag", "_read_pause", "_stream", "_target", "usable")
+    __slots__ = ("_lag", "_read_pause", "_reader", "_stream", "_target", "usable")
 
     def __init__(
         self, target: Target, stream: anyio.abc.SocketStream, lag: LagMeter, read_pause: float
@@ -65,7 +65,7 @@
         self._stream = stream
         self._lag = lag
         self._read_pause = read_pause
-        self._responses = ResponseReader()
+        self._reader = ResponseReader()
         self.usable = True
         """Whether another request may be sent."""
 
@@ -107,10 +107,10 @@
             self.usable = False
 
     async def _send_call(self, call: Call) -> None:
-        raw = call.encode()
+        request_bytes = call.encode()
         call.first_byte_sent_at = time.monotonic()
-        for start in range(0, len(raw), CHUNK_BYTES):
-            await self._stream.send(raw[start : start + CHUNK_BYTES])
+        for start in range(0, len(request_bytes), CHUNK_BYTES):
+            await self._stream.send(request_bytes[start : start + CHUNK_BYTES])
         call.sent_completely_at = time.monotonic()
 
     async def _receive_result(self, call: Call, timeout: float) -> ExchangeResult:
@@ -134,14 +134,14 @@
         )
 
     def _interrupted_result(self, outcome: CallOutcome) -> ExchangeResult:
-        return ExchangeResult(outcome, broken_off_after=self._responses.partial_body_bytes)
+        return ExchangeResult(outcome, broken_off_after=self._reader.partial_body_bytes)
 
     async def _next_response(self) -> CompleteResponse:
-        while not self._responses.complete:
-            self._responses.feed(await self._stream.receive(CHUNK_BYTES))
-            if self._read_pause and self._responses.partial_body_bytes:
+        while not self._reader.complete:
+            self._reader.feed(await self._stream.receive(CHUNK_BYTES))
+            if self._read_pause and self._reader.partial_body_bytes:
                 await anyio.sleep(self._read_pause)
-        return self._responses.complete.popleft()
+        return self._reader.complete.popleft()
 
     def _make_result(self, call: Call, exchange: ExchangeResult) -> CallResult:
         now = time.monotonic()
@@ -164,7 +164,7 @@
     Args:
         target: the node.
         lag: measures the lag of this process's event loop.
-        pause: seconds between two reads of one response.
+        read_pause: seconds between two reads of one response.
     """
     try:
         with anyio.fail_after(CONNECT_TIMEOUT_SECONDS):
--- a/src/pewtertack/lab/soak/lag.py
+++ b/src/pewtertack/lab/soak/lag.py
@@ -19,6 +19,7 @@
     def __init__(self) -> None:
         self._due_at = time.monotonic() + TICK_SECONDS
         self._ticks: deque[tuple[float, float]] = deque(maxlen=MAX_TICKS)
+        """Time of each wakeup in monotonic seconds, with its lag."""
 
     async def run(self) -> None:
         """Measure until cancelled."""
--- a/src/pewtertack/lab/soak/node_faults.py
+++ b/src/pewtertack/lab/soak/node_faults.py
@@ -21,11 +21,11 @@
     soak.scenario.expect(code == 0, f"{name} exited with code {code} after a graceful shutdown")
 
 
-async def _stop_nodes(soak: SoakContext, names: list[str], gap: float) -> None:
+async def _stop_nodes(soak: SoakContext, names: list[str], gap_seconds: float) -> None:
     async with anyio.create_task_group() as stops:
         for name in names:
             stops.start_soon(_stop_node, soak, name)
-            await anyio.sleep(gap)
+            await anyio.sleep(gap_seconds)
 
 
 @fault("stop", *NODE_LANES, weight=4.0)
--- a/src/pewtertack/lab/soak/options.py
+++ b/src/pewtertack/lab/soak/options.py
@@ -37,7 +37,7 @@
         LabUsageError: there is no such mechanism.
     """
 
-    __slots__ = ("minutes", "nodes", "seed", "disabled_mechanism")
+    __slots__ = ("disabled_mechanism", "minutes", "nodes", "seed")
 
     def __init__(
         self, minutes: float, seed: int, nodes: int = DEFAULT_NODES, disabled_mechanism: str = ""
--- a/src/pewtertack/lab/soak/progress.py
+++ b/src/pewtertack/lab/soak/progress.py
@@ -14,8 +14,8 @@
 from pewtertack.lab.history.verdicts import CheckBounds, Judgement
 from pewtertack.lab.records import CallResult, HistoryLine
 
-PROGRESS_SECONDS = 10.0
-CHECK_SHARE = 0.1
+PROGRESS_INTERVAL_SECONDS = 10.0
+MAX_CHECK_SHARE = 0.1
 """Fraction of the time that checks may take while the soak runs."""
 
 
@@ -46,13 +46,15 @@
 
     async def run(self) -> None:
         """Print until cancelled, less often if the checks take long."""
-        pause = PROGRESS_SECONDS
+        pause = PROGRESS_INTERVAL_SECONDS
         while True:
             await anyio.sleep(pause)
             check_started_at = time.monotonic()
             line = await anyio.to_thread.run_sync(self._describe, list(self._recorder.lines))
             self._print_line(line)
-            pause = max(PROGRESS_SECONDS, (time.monotonic() - check_started_at) / CHECK_SHARE)
+            pause = max(
+                PROGRESS_INTERVAL_SECONDS, (time.monotonic() - check_started_at) / MAX_CHECK_SHARE
+            )
 
     def _describe(self, lines: list[HistoryLine]) -> str:
         elapsed = time.monotonic() - self._started_at
--- a/src/pewtertack/lab/soak/report.py
+++ b/src/pewtertack/lab/soak/report.py
@@ -75,7 +75,7 @@
 
 def _resources(result: SoakResult) -> str:
     return (
-        f"nodes held at most {result.resident_megabytes:.1f} MB"
+        f"nodes used at most {result.resident_megabytes:.1f} MB"
         f" and {result.descriptors} descriptors"
     )
 
--- a/src/pewtertack/lab/soak/resources.py
+++ b/src/pewtertack/lab/soak/resources.py
@@ -13,7 +13,7 @@
 from pewtertack.lab.fleet.fleet import Fleet
 from pewtertack.lab.process_statistics import read_process
 
-SAMPLE_SECONDS = 2.0
+SAMPLE_INTERVAL_SECONDS = 2.0
 WARMUP_SAMPLES = 5
 """Number of first samples of a process that are not compared, because it still loads code and opens
 connections."""
@@ -47,7 +47,7 @@
         """Sample until cancelled."""
         while True:
             self.sample()
-            await anyio.sleep(SAMPLE_SECONDS)
+            await anyio.sleep(SAMPLE_INTERVAL_SECONDS)
 
     def sample(self) -> None:
         """Take one sample of each running node."""
--- a/src/pewtertack/lab/soak/responses.py
+++ b/src/pewtertack/lab/soak/responses.py
@@ -25,7 +25,7 @@
 class ResponseReader:
     """Parses the bytes of a connection into complete responses."""
 
-    __slots__ = ("_has_begun", "_body", "_headers", "_parser", "complete")
+    __slots__ = ("_body", "_has_begun", "_headers", "_parser", "complete")
 
     def __init__(self) -> None:
         self.complete: deque[CompleteResponse] = deque()
--- a/tests/lab/soak/test_options.py
+++ b/tests/lab/soak/test_options.py
@@ -27,13 +27,13 @@
     interrupted=False,
     faults={"stop": 3},
     routes={},
-    verdicts=[Verdict(promise, Judgement.HELD, 9) for promise in REQUIRED],
+    verdicts=[Verdict(guarantee, Judgement.HELD, 9) for guarantee in REQUIRED],
     problems=[],
     resident_megabytes=30.0,
     descriptors=50,
 )
-OFFENCE = Violation(1.0, "call-1", "no answer")
-VIOLATED_VERDICT = Verdict(Guarantee.SHUTDOWN_ANSWERS_ALL, Judgement.VIOLATED, 9, (OFFENCE,))
+VIOLATION = Violation(1.0, "call-1", "no answer")
+VIOLATED_VERDICT = Verdict(Guarantee.SHUTDOWN_ANSWERS_ALL, Judgement.VIOLATED, 9, (VIOLATION,))
 
 
 class SoakOptionsTest(unittest.TestCase):
