--- a/src/pewtertack/lab/returns/edit_checks.py
+++ b/src/pewtertack/lab/returns/edit_checks.py
@@ -26,15 +26,13 @@
         outages: begin and end of the outages of the store.
     """
     late = []
-    for version, edited_at in edits.items():
-        if not 0 < serving_since <= edited_at:
+    for version, at in edits.items():
+        if not 0 < serving_since <= at:
             continue
-        bound = edited_at + EDIT_BOUND_SECONDS
+        bound = at + EDIT_BOUND_SECONDS
         bound += sum(
-            end - begin
-            for begin, end in outages
-            if edited_at - OUTAGE_MARGIN_SECONDS <= begin <= bound
+            end - begin for begin, end in outages if at - OUTAGE_MARGIN_SECONDS <= begin <= bound
         )
-        if not any(moment <= bound and reached >= version for moment, reached in in_force):
-            late.append(f"version {version} not in force within {bound - edited_at:.1f} s")
+        if not any(moment <= bound and held >= version for moment, held in in_force):
+            late.append(f"version {version} not in force within {bound - at:.1f} s")
     return late
--- a/src/pewtertack/lab/soak/context.py
+++ b/src/pewtertack/lab/soak/context.py
@@ -34,8 +34,8 @@
         self.fault_counts: Counter[str] = Counter()
         """Number of faults started, by kind."""
         self.restore_lock = anyio.Lock()
-        """Held during a restore of the platform, and while it must not be restored because nodes must
-        read in time that a back end leaves. A restore may lose entries that no node has read."""
+        """Held during a restore of the platform, and while it must not be restored because nodes
+        must read in time that a back end leaves. A restore may lose entries that no node has read."""
         self._claimed: set[str] = set()
         self._released = anyio.Event()
         self._surges = 0
