--- a/src/pewtertack/lab/returns/edit_checks.py
+++ b/src/pewtertack/lab/returns/edit_checks.py
@@ -15,7 +15,7 @@
     edits: Mapping[int, float],
     in_force: Sequence[tuple[float, int]],
     serving_since: float,
-    outages: Sequence[tuple[float, float]],
+    away: Sequence[tuple[float, float]],
 ) -> list[str]:
     """Return the edits that a node put in force late or never, though it served since before them.
 
@@ -23,7 +23,7 @@
         edits: when each version was acknowledged, in monotonic seconds.
         in_force: when the node put versions in force, in monotonic seconds, with the versions.
         serving_since: since when the node has served; 0 if it does not.
-        outages: begin and end of the outages of the store.
+        away: begin and end of the outages of the store.
     """
     late = []
     for version, at in edits.items():
@@ -31,7 +31,7 @@
             continue
         bound = at + EDIT_BOUND_SECONDS
         bound += sum(
-            end - begin for begin, end in outages if at - OUTAGE_MARGIN_SECONDS <= begin <= bound
+            end - begin for begin, end in away if at - OUTAGE_MARGIN_SECONDS <= begin <= bound
         )
         if not any(moment <= bound and held >= version for moment, held in in_force):
             late.append(f"version {version} not in force within {bound - at:.1f} s")
--- a/src/pewtertack/lab/soak/context.py
+++ b/src/pewtertack/lab/soak/context.py
@@ -35,7 +35,7 @@
         """Number of faults started, by kind."""
         self.restore_lock = anyio.Lock()
         """Held during a restore of the platform, and while it must not be restored because nodes
-        must read in time that a back end leaves. A restore may lose entries that no node has read."""
+        must read in time that a back end leaves: a restore may lose what no node has read."""
         self._claimed: set[str] = set()
         self._released = anyio.Event()
         self._surges = 0
