--- a/src/pewtertack/lab/overload/retrying_callers.py
+++ b/src/pewtertack/lab/overload/retrying_callers.py
@@ -181,15 +181,15 @@
 
 
 def _class_outcome(profile: ClassProfile, remaining_callers: Sequence[Caller]) -> RetryClassOutcome:
-    class_callers = [caller for caller in remaining_callers if caller.profile is profile]
-    count = max(1, len(class_callers))
-    in_time = sum(caller.in_time for caller in class_callers)
-    answered = sum(caller.answered_at is not None for caller in class_callers)
+    members = [caller for caller in remaining_callers if caller.profile is profile]
+    count = max(1, len(members))
+    in_time = sum(caller.in_time for caller in members)
+    answered = sum(caller.answered_at is not None for caller in members)
     return RetryClassOutcome(
-        owed=len(class_callers),
+        owed=len(members),
         in_time=round(in_time / count, 4),
         late=round((answered - in_time) / count, 4),
         refused=round(1 - answered / count, 4),
-        refused_twice=round(sum(caller.refused_after_retry for caller in class_callers) / count, 4),
-        held=round(sum(caller.wait_penalty for caller in class_callers) / count, 4),
+        refused_twice=round(sum(caller.refused_after_retry for caller in members) / count, 4),
+        held=round(sum(caller.wait_penalty for caller in members) / count, 4),
     )
