--- a/src/pewtertack/core/configuration/model.py
+++ b/src/pewtertack/core/configuration/model.py
@@ -120,7 +120,8 @@
     ValueKind.NAME: "a name: letters, digits, ., - and _, at most 128 characters",
     ValueKind.PATH_PREFIX: 'a path that starts with "/", without empty, "." or ".." segments,'
     ' query or final "/"',
-    ValueKind.REQUEST_TARGET: 'a path that starts with "/", a query if need be, in visible ASCII',
+    ValueKind.REQUEST_TARGET: 'a path that starts with "/", optionally with a query,'
+    " in visible ASCII",
     ValueKind.HOSTS: f"a list of at most {LIST_LENGTH_LIMIT} different host names without port",
     ValueKind.METHODS: "a list of different methods out of {choices}",
     ValueKind.HEADER_SECRETS: f"a table of at most {LIST_LENGTH_LIMIT} header names in lower case,"
@@ -142,14 +143,16 @@
 
 
 _MATCH_SETTINGS = (
-    Setting("service", ValueKind.NAME, None, "Service whose back ends answer."),
+    Setting("service", ValueKind.NAME, None, "Service that executes the matching requests."),
     Setting("hosts", ValueKind.HOSTS, [], "Host names that match; empty matches every host."),
-    Setting("path_prefix", ValueKind.PATH_PREFIX, "/", "Path below which requests match."),
+    Setting(
+        "path_prefix", ValueKind.PATH_PREFIX, "/", "Path that matches, with all paths below it."
+    ),
     Setting(
         "split",
         ValueKind.WEIGHTS,
         {},
-        "Services that share the requests by weight; empty sends all to `service`.",
+        "Services that share the requests by weight; if empty, `service` receives all.",
         maximum=1_000_000,
     ),
     Setting(
@@ -166,28 +169,28 @@
         "class",
         ValueKind.CHOICE,
         WorkClass.INTERACTIVE.value,
-        "Class of work; the most pressing class is served first.",
+        "Class of work; requests of more urgent classes are served first.",
         choices=tuple(work_class.value for work_class in WorkClass),
     ),
     Setting(
         "priority",
         ValueKind.INTEGER,
         0,
-        "Rank within the class where a gateway's queue is ordered; 0 goes first.",
+        "Rank within the class in a gateway's ordered queue; 0 is served first.",
         maximum=1_000,
     ),
     Setting(
         "target_latency",
         ValueKind.DURATION,
         "0s",
-        "Time within which an answer is wanted; 0s stands for half of `timeout`.",
+        "Time within which a response is expected; 0s means half of `timeout`.",
         maximum=3600,
     ),
     Setting(
         "timeout",
         ValueKind.DURATION,
         "10s",
-        "Whole-request deadline when the caller sends none, and its upper bound.",
+        "Time limit for the whole request if its caller sets none, and the maximum for callers.",
         minimum=0.001,
         maximum=3600,
     ),
@@ -201,14 +204,14 @@
         "retry_limit",
         ValueKind.INTEGER,
         1,
-        "Further attempts for one request at most.",
+        "Maximum number of attempts for one request after the first.",
         maximum=10,
     ),
     Setting(
         "retry_budget",
         ValueKind.RATIO,
         0.1,
-        "Retries allowed as a share of first attempts.",
+        "Maximum number of retries as a share of first attempts.",
         maximum=1,
     ),
     Setting(
@@ -222,15 +225,15 @@
         "crash_limit",
         ValueKind.INTEGER,
         DEFAULT_CRASH_LIMIT,
-        "Back ends that may end while they run one and the same request, with no answer to it in "
-        "between, before it is refused everywhere; 0 refuses none.",
+        "Number of back ends that may crash while they execute the same request, without a "
+        "response to it in between, before the whole fleet refuses it; 0 means no limit.",
         maximum=16,
     ),
     Setting(
         "header_secrets",
         ValueKind.HEADER_SECRETS,
         {},
-        "Headers added towards the back end, each with the name of the secret to send.",
+        "Headers added to requests to back ends, each with the name of the secret to send.",
     ),
 )
 
@@ -239,7 +242,7 @@
         "slots_per_backend",
         ValueKind.INTEGER,
         6,
-        "Requests that one node has in flight at one back end at most.",
+        "Maximum number of requests that one node has in flight at one back end.",
         minimum=1,
         maximum=10_000,
     ),
@@ -247,7 +250,7 @@
         "connections_per_backend",
         ValueKind.INTEGER,
         8,
-        "Connections that one node keeps to one back end at most.",
+        "Maximum number of connections from one node to one back end.",
         minimum=1,
         maximum=10_000,
     ),
@@ -255,7 +258,7 @@
         "connect_timeout",
         ValueKind.DURATION,
         "250ms",
-        "Time to open a connection to a back end.",
+        "Timeout for opening a connection to a back end.",
         minimum=0.001,
         maximum=60,
     ),
@@ -263,7 +266,7 @@
         "slow_start",
         ValueKind.DURATION,
         "10s",
-        "Time after which a new back end takes its full share.",
+        "Time after which a new back end receives its full share of the requests.",
         maximum=3600,
     ),
     Setting(
@@ -278,7 +281,7 @@
         "ejection_time",
         ValueKind.DURATION,
         "10s",
-        "Time for which an ejected back end gets no work.",
+        "Time for which an ejected back end receives no requests.",
         minimum=0.001,
         maximum=3600,
     ),
@@ -286,20 +289,20 @@
         "health_path",
         ValueKind.REQUEST_TARGET,
         "/",
-        "Path at which a back end tells how it is, where the node beside it has to ask.",
+        "Path at which a back end reports its health if the node on its machine has to query it.",
     ),
     Setting(
         "cold_start",
         ValueKind.DURATION,
         "0s",
-        "Time for which a back end that has just started bears only `cold_rate`.",
+        "Time after its start for which a back end can handle only `cold_rate`.",
         maximum=3600,
     ),
     Setting(
         "cold_rate",
         ValueKind.RATIO,
         0,
-        "Requests a second that a cold back end bears; 0 bounds nothing.",
+        "Requests per second that a cold back end can handle; 0 means no limit.",
         maximum=1_000_000,
     ),
 )
@@ -348,7 +351,7 @@
     RootSection.HEAD_BYTES.value,
     ValueKind.INTEGER,
     0,
-    "Bytes of the longest head of a caller's request; nodes take 32768 in any case.",
+    "Maximum size of the head of a caller's request in bytes; nodes always accept 32768.",
     maximum=1024 * 1024,
 )
 
--- a/src/pewtertack/core/configuration/schema.py
+++ b/src/pewtertack/core/configuration/schema.py
@@ -79,7 +79,7 @@
 
 def _root_sections() -> Schema:
     zones = _list_schema({"type": "string", "pattern": _anchored(ZONE_NAME_PATTERN)})
-    zones["description"] = "Zones whose back ends are to be sent nothing."
+    zones["description"] = "Zones whose back ends must not receive requests."
     return {
         RootSection.EVACUATED_ZONES.value: zones,
         RootSection.HEAD_BYTES.value: _setting_schema(HEAD_BYTES_SETTING),
--- a/tests/node/gateway/test_own_stop.py
+++ b/tests/node/gateway/test_own_stop.py
@@ -105,7 +105,8 @@
 class OwnStopTest(OwnStopTestCase):
     """All requests run at the same time."""
 
-    async def test_responses_that_cannot_be_sent_in_time_are_handed_back_at_once(self) -> None:
+    async def test_what_can_not_leave_in_time_is_given_back_at_once(self) -> None:
+        """Responses that cannot be sent before the stop are handed back at once."""
         await self.begin()
         await self.wait_until_sent(CALL_COUNT)
         self.gateways[0].start_leaving(STOP_SECONDS)
--- a/tests/node/gateway/test_slow_readers.py
+++ b/tests/node/gateway/test_slow_readers.py
@@ -71,7 +71,8 @@
             while incarnation.admission.in_flight:
                 await asyncio.sleep(0.02)
 
-    async def test_a_caller_that_reads_slowly_gets_everything(self) -> None:
+    async def test_one_that_reads_slowly_gets_all(self) -> None:
+        """A caller that reads slowly, but steadily, gets the whole response."""
         loop = asyncio.get_running_loop()
         with mock.patch.object(unread, "SLOW_READER_SECONDS", 0.6):
             (caller,) = await self.begin(1)
@@ -110,7 +111,8 @@
                 received += len(chunk)
         self.assertEqual(self.complete_count, 1)
 
-    async def test_the_number_of_slow_readers_is_limited(self) -> None:
+    async def test_what_many_hold_is_bounded(self) -> None:
+        """The number of responses that slow callers leave unread is limited."""
         with mock.patch.object(unread, "MAX_SLOW_READERS", 10):
             await self.begin(40)
             async with asyncio.timeout(TIMEOUT_SECONDS):
