--- a/src/pewtertack/lab/platform/application.py
+++ b/src/pewtertack/lab/platform/application.py
@@ -17,7 +17,10 @@
 
 
 class ReaderCounters(msgspec.Struct):
-    """Counts of reads since the start. ``peak_readers`` includes refused ones."""
+    """Counts of reads since the start.
+
+    ``readers`` is the number of reads in progress; it and ``peak_readers`` include refused ones.
+    """
 
     readers: int = 0
     peak_readers: int = 0
--- a/src/pewtertack/lab/returns/run.py
+++ b/src/pewtertack/lab/returns/run.py
@@ -87,7 +87,9 @@
         self.serving_since = 0.0
         """Monotonic seconds; 0 while the node does not serve."""
         self.version = 0
+        """The highest version that has been in force."""
         self.in_force: list[tuple[float, int]] = []
+        """When versions came into force, in monotonic seconds, with the versions."""
         self.offences: list[str] = []
 
     def record_line(self, _: str, line: bytes) -> None:
--- a/src/pewtertack/lab/returns/store_environment.py
+++ b/src/pewtertack/lab/returns/store_environment.py
@@ -57,15 +57,18 @@
     """A request sent to an address whose back end had stopped. Times are in monotonic seconds."""
 
     host: str
-    at: float
-    after: float
+    requested_at: float
+    seconds_after_stop: float
     """Seconds since the back end stopped."""
     node: str
     """The node that sent the request."""
 
     def __str__(self) -> str:
         """Return the text shown to operators."""
-        return f"{self.host}: request by {self.node} {self.after:.2f} s after the back end stopped"
+        return (
+            f"{self.host}: request by {self.node} {self.seconds_after_stop:.2f} s"
+            " after the back end stopped"
+        )
 
 
 class Backend:
@@ -186,7 +189,8 @@
         Args:
             tasks: serves the store.
             outage_seconds: how long the store is unreachable.
-            age: the number of copies that are later than the restored one.
+            age: the number of copies made after the restored one; the oldest copy is used if there
+                are fewer.
         """
         self.is_reachable = False
         self.listener.close()
--- a/src/pewtertack/lab/source/era_reader.py
+++ b/src/pewtertack/lab/source/era_reader.py
@@ -37,8 +37,8 @@
 class EraReader(PlatformReader):
     """Reads documents in the latest era.
 
-    Machine lists are renumbered by era and number. A configuration that is not newer than the held
-    one is reported as unchanged.
+    Machine lists are renumbered by era and number. A configuration is reported as unchanged if it
+    is the newest one read in its era but not newer than the held one.
     """
 
     def __init__(
