--- a/src/pewtertack/cli/lab.py
+++ b/src/pewtertack/cli/lab.py
@@ -65,7 +65,7 @@
     tree: Annotated[Path, typer.Option(help="JSON file with the first tree.")],
     listen: Listen = ANY_PORT,
     control: Control = ANY_PORT,
-    max_readers: Annotated[int, typer.Option(help="Concurrent reads before 503.")] = 32,
+    max_readers: Annotated[int, typer.Option(help="Concurrent reads; further ones get 503.")] = 32,
     seed: int = 0,
 ) -> None:
     """Run the stand-in of the configuration source."""
@@ -87,7 +87,7 @@
     listen: Listen = ANY_PORT,
     control: Control = ANY_PORT,
     lag: Annotated[float, typer.Option(help="Seconds until a change is visible.")] = 0.0,
-    max_readers: Annotated[int, typer.Option(help="Concurrent reads before 503.")] = 32,
+    max_readers: Annotated[int, typer.Option(help="Concurrent reads; further ones get 503.")] = 32,
 ) -> None:
     """Run the stand-in of the platform's machine list."""
     from pewtertack.lab.machines.service import MachineListService
@@ -109,7 +109,9 @@
     slots: int = 6,
     connections: int = 130,
     queue: Annotated[int, typer.Option(help="Requests that may wait for a slot.")] = 2,
-    work_ms: Annotated[float, typer.Option(help="Default work time in milliseconds.")] = 5.0,
+    work_ms: Annotated[
+        float, typer.Option(help="Default work time of a request in milliseconds.")
+    ] = 5.0,
     cold_ms: Annotated[float, typer.Option(help="Milliseconds of slowness after the start.")] = 0.0,
     seed: int = 0,
 ) -> None:
--- a/src/pewtertack/cli/lab_convergence.py
+++ b/src/pewtertack/cli/lab_convergence.py
@@ -22,7 +22,7 @@
     slow_before: Annotated[
         float, typer.Option(help="Seconds for which the source is slow before the edit.")
     ] = 12.0,
-    seed: Annotated[int, typer.Option(help="Seed of the choices in virtual time.")] = 1,
+    seed: Annotated[int, typer.Option(help="Seed of random choices in virtual time.")] = 1,
     virtual: Annotated[
         bool, typer.Option("--virtual", help="Simulate the nodes in virtual time.")
     ] = False,
--- a/src/pewtertack/cli/lab_simulations.py
+++ b/src/pewtertack/cli/lab_simulations.py
@@ -30,7 +30,7 @@
     """Simulate a request that crashes back ends among ordinary ones; print the result as JSON."""
     from pewtertack.lab.crashes.simulation import CrashSettings, simulate_crashes
 
-    shape = CrashSettings(
+    settings = CrashSettings(
         nodes=nodes,
         seconds=seconds,
         repeat=repeat,
@@ -39,7 +39,7 @@
         loss=loss,
         ledger=ledger,
     )
-    result = simulate_crashes(shape, seed)
+    result = simulate_crashes(settings, seed)
     if plot is not None:
         from pewtertack.lab.pages.plots import plot_crashes
 
@@ -68,7 +68,10 @@
     ] = 1,
     speeds: Annotated[
         str,
-        typer.Option(help="Speeds of the back ends of a zone, such as 0.5,1.4; needs --returning."),
+        typer.Option(
+            help="Speeds, assigned to each zone's back ends in turn, such as 0.5,1.4; "
+            "needs --returning."
+        ),
     ] = "1",
     long_share: Annotated[
         float,
@@ -90,12 +93,12 @@
     )
     from pewtertack.lab.overload.simulation import OverloadSettings, compare, simulate_gateways
 
-    shape = OverloadSettings(nodes=nodes, seconds=seconds)
+    settings = OverloadSettings(nodes=nodes, seconds=seconds)
     if returning and not gateways:
         raise typer.BadParameter("--returning needs --gateways")
     result: msgspec.Struct
     if returning:
-        returning_shape = RetrySimulationSettings(
+        retry_settings = RetrySimulationSettings(
             seconds=seconds,
             load=load,
             burst=burst,
@@ -104,9 +107,11 @@
             long_share=long_share,
             policies=Policies(margin=margin),
         )
-        result = simulate_retrying_callers(returning_shape, seed)
+        result = simulate_retrying_callers(retry_settings, seed)
     else:
-        result = simulate_gateways(shape, load, seed) if gateways else compare(shape, load, seed)
+        result = (
+            simulate_gateways(settings, load, seed) if gateways else compare(settings, load, seed)
+        )
     _print(result)
 
 
--- a/src/pewtertack/cli/lab_slow_source.py
+++ b/src/pewtertack/cli/lab_slow_source.py
@@ -14,7 +14,7 @@
     seed: Annotated[int, typer.Option(help="Seed of the faults.")] = 1,
     nodes: Annotated[int, typer.Option(help="Nodes, distributed over three zones.")] = 4,
     bound: Annotated[
-        float, typer.Option(help="Time limit until an edit is in force, after the response.")
+        float, typer.Option(help="Seconds after a response within which its edit must be in force.")
     ] = 3.0,
     virtual: Annotated[
         bool, typer.Option("--virtual", help="Simulate the nodes in virtual time.")
--- a/src/pewtertack/cli/lab_verification.py
+++ b/src/pewtertack/cli/lab_verification.py
@@ -22,10 +22,14 @@
     promises: Annotated[str, typer.Option(help="all, configuration or requests.")] = "all",
     as_json: Annotated[bool, typer.Option("--json", help="Print the verdicts as JSON.")] = False,
     convergence: Annotated[
-        float, typer.Option(help="Time limit until a revision is in force everywhere.")
+        float, typer.Option(help="Seconds until a revision must be in force everywhere.")
     ] = 12.0,
-    recovery: Annotated[float, typer.Option(help="Time limit for recovery from a fault.")] = 60.0,
-    leaving: Annotated[float, typer.Option(help="Time limit until no new requests arrive.")] = 5.0,
+    recovery: Annotated[
+        float, typer.Option(help="Seconds allowed for recovery from a fault.")
+    ] = 60.0,
+    leaving: Annotated[
+        float, typer.Option(help="Seconds after which a leaving back end must get no new requests.")
+    ] = 5.0,
 ) -> None:
     """Check a history; exit code 1 if a promise was violated or not sufficiently tested."""
     from pewtertack.lab.history.checker import all_held, check_files, parse_check_group
--- a/src/pewtertack/cli/node.py
+++ b/src/pewtertack/cli/node.py
@@ -21,28 +21,40 @@
     "--name": (SettingKey("node", "name"), "this node's name"),
     "--zone": (SettingKey("node", "zone"), "its zone"),
     "--region": (SettingKey("node", "region"), "its region"),
-    "--listen-proxy": (SettingKey("listen", "proxy"), "ip:port for callers"),
+    "--listen-proxy": (SettingKey("listen", "proxy"), "ip:port that accepts requests of callers"),
     "--listen-peer": (SettingKey("listen", "peer"), "ip:port for other nodes, UDP and TCP"),
     "--listen-admin": (SettingKey("listen", "admin"), "ip:port of the admin interface"),
     "--advertise-peer": (SettingKey("advertise", "peer"), "ip:port advertised to other nodes"),
     "--source-url": (SettingKey("source", "url"), "http://ip:port of the configuration source"),
     "--machines-url": (SettingKey("machines", "url"), "http://ip:port of the machine list"),
-    "--profile": (SettingKey("profile", "name"), "fast or frugal"),
-    "--document-size": (SettingKey("limits", "document_size"), "largest response of the platform"),
+    "--profile": (SettingKey("profile", "name"), "timing profile: fast, frugal, direct or leased"),
+    "--document-size": (
+        SettingKey("limits", "document_size"),
+        "size limit of a response of the platform",
+    ),
     "--platform-timeout": (
         SettingKey("limits", "platform_timeout"),
-        "for a response of the platform",
+        "time limit for a response of the platform",
+    ),
+    "--stream-timeout": (
+        SettingKey("limits", "stream_timeout"),
+        "time limit for one peer frame over TCP",
+    ),
+    "--streams": (
+        SettingKey("limits", "streams"),
+        "maximum number of concurrent peer frames over TCP",
+    ),
+    "--keep-alive": (
+        SettingKey("limits", "keep_alive"),
+        "time limit for idle connections of callers",
     ),
-    "--stream-timeout": (SettingKey("limits", "stream_timeout"), "for one peer frame over TCP"),
-    "--streams": (SettingKey("limits", "streams"), "concurrent peer frames over TCP"),
-    "--keep-alive": (SettingKey("limits", "keep_alive"), "for idle connections of callers"),
     "--drain-timeout": (
         SettingKey("limits", "drain_timeout"),
-        "for requests in flight at shutdown",
+        "time limit for requests in flight at shutdown",
     ),
     "--stop-within": (
         SettingKey("limits", "stop_within"),
-        "from the stop signal until the process is killed",
+        "time from the stop signal until the process is killed",
     ),
 }
 SEEDS = SettingKey("peers", "seeds")
--- a/src/pewtertack/events.py
+++ b/src/pewtertack/events.py
@@ -25,7 +25,10 @@
     NODE_FAILED = (108, "An unexpected error terminated the process with exit code 1.")
     SETTINGS_RELOADED = (109, "The settings file was reloaded; some changes need a restart.")
     SETTINGS_REFUSED = (110, "The settings file is invalid; the current settings stay in use.")
-    LOG_LINES_LEFT_OUT = (111, "Number of log lines dropped: rate exceeded, or the reader stalled.")
+    LOG_LINES_LEFT_OUT = (
+        111,
+        "Log lines were dropped: too many, or the reader stalled; with counts.",
+    )
     NODE_SUSPENDED = (112, "The machine was suspended; timers that expired meanwhile fire now.")
     NODE_PARTS = (113, "Processor time of the process so far, by part; only if enabled.")
     REVISION_HELD = (201, "A complete and valid revision is stored but not yet in force.")
@@ -36,7 +39,7 @@
     REVISION_STALE = (206, "The source returned an older revision, which is ignored.")
     ZONES_EVACUATED = (
         207,
-        "The evacuated zones, which get no requests, changed; services without back ends.",
+        "The set of evacuated zones changed; with services that have back ends only in these.",
     )
     REVISION_HEARD = (208, "A peer reported a newer revision than any known to this node.")
     MEMBER_ALIVE = (301, "A member joined or refuted a suspicion.")
@@ -50,7 +53,10 @@
     READER_STARTED = (403, "This node starts to read the platform for its zone.")
     READER_STOPPED = (404, "This node stops reading the platform.")
     ITEM_PASSED_OVER = (407, "An invalid item of the platform is skipped; other items are used.")
-    SOURCE_RETURNED = (408, "The source was restored from an older copy: a new era; what it lacks.")
+    SOURCE_RETURNED = (
+        408,
+        "The source was restored from an older copy; with the eras and what its list lacks.",
+    )
     SOURCE_BOUND_WIDER = (
         409,
         "The source accepts longer configurations than nodes are guaranteed to accept.",
@@ -65,7 +71,10 @@
     BACKEND_LEAVING = (606, "The list or a response says that a back end takes no new requests.")
     BACKEND_GONE = (607, "A back end was removed from the machine list.")
     BACKEND_CRASHED = (608, "A back end crashed while it executed these requests.")
-    REQUEST_ENDS_BACKENDS = (609, "Number of back ends that crashed while executing one request.")
+    REQUEST_ENDS_BACKENDS = (
+        609,
+        "Back ends crashed while executing one request; with their number.",
+    )
     REQUEST_ROUTED = (610, "The proxy chose a back end for an attempt; with the reason.", True)
     REQUEST_RETRIED = (611, "An attempt failed and the request is retried; with the reason.")
     REQUEST_NOT_RETRIED = (
@@ -97,7 +106,7 @@
     SENDER_STOPS = (629, "A stopping node announced until when it forwards responses.")
     GATEWAY_GAVE_BACK = (
         630,
-        "Request handed back: the gateway's or proxy's node stops before a long response leaves.",
+        "A request was handed back: its gateway or proxy stops before a long response is sent.",
     )
 
     def __init__(self, number: int, meaning: str, routine: bool = False) -> None:
--- a/src/pewtertack/lab/demo.py
+++ b/src/pewtertack/lab/demo.py
@@ -113,7 +113,7 @@
         if self.convergence.missing:
             problems.append("the edit is not in force on every node")
         violated = [v.promise for v in self.verdicts if v.judgement is Judgement.VIOLATED]
-        return problems + [f"violated: {guarantee}" for guarantee in violated]
+        return problems + [f"violated: {promise}" for promise in violated]
 
 
 def is_correct_response(result: CallResult) -> bool:
--- a/src/pewtertack/log_writer.py
+++ b/src/pewtertack/log_writer.py
@@ -63,7 +63,7 @@
     """Writes lines to ``descriptor`` in batches; see the description of the module.
 
     Without a running event loop, lines are written immediately. ``clock`` returns monotonic
-    seconds, which the rate limits and the age of buffered lines are measured by.
+    seconds, used for the rate limits and the age of buffered lines.
     """
 
     def __init__(
--- a/src/pewtertack/platform/entries.py
+++ b/src/pewtertack/platform/entries.py
@@ -57,9 +57,9 @@
     """Return the machine list of the back ends ``{id: entry}`` and the nodes on their machines.
 
     Nodes have the same ports on all machines and are named by their IP addresses. An invalid
-    entry adds a finding and no machine. Several entries may have one address, because that of
-    a terminated back end is reused before its entry is removed; if they differ on the zone of
-    the machine, the first one is used. ``created_revisions`` tell who has an address now.
+    entry adds a finding and no machine. Several entries may share an address, as that of a
+    terminated back end is reused before its entry is removed; if their zones differ, the first
+    is used. ``created_revisions``, of the entries' creation, tell who has an address now.
     """
     machines: dict[str, dict[str, Any]] = {}
     findings: list[ItemFinding] = []
--- a/src/pewtertack/platform/store.py
+++ b/src/pewtertack/platform/store.py
@@ -47,7 +47,7 @@
 CHUNK_TIMEOUT_SECONDS = 3.0
 """Limit between two chunks of a response body."""
 MAX_RESPONSE_BYTES = 4 * 1024 * 1024
-"""Limit of each response, several of which may be read at once. Longer watches become lists."""
+"""Limit of each of several concurrent responses. A watch that exceeds it is followed by a list."""
 
 Response = TypeVar("Response")
 
@@ -116,7 +116,7 @@
         hold_after_return: float = 0.0,
         now: Callable[[], float] = clock.now,
     ) -> None:
-        """``hold_after_return``: seconds for which evacuations stay valid in a new era."""
+        """``hold_after_return``: seconds in a new era for which earlier evacuations stay valid."""
         self._gateway_port = gateway_port
         self._peer_port = peer_port
         self._hold_after_return = hold_after_return
--- a/src/pewtertack/settings/checks.py
+++ b/src/pewtertack/settings/checks.py
@@ -17,16 +17,22 @@
 from pewtertack.settings.values import Address
 
 STREAMS_MAX = 1024
+"""Concurrent frames over TCP, per direction."""
 ACCEPTED_KEYS_MAX = 3
-"""Each key costs one more authentication tag to compute for a frame of a stranger."""
+"""Each accepted key adds the computation of one authentication tag to every frame that no key
+authenticates."""
 DOCUMENT_BYTES_MIN = 1024
 DOCUMENT_BYTES_MAX = 64 * 1024 * 1024
 LINK_MBPS_MAX = 1_000_000.0
 HOLD_SECONDS_MAX = 600.0
 COLD_OVERAGE_MAX = 100.0
+"""Factor on a service's ``cold_rate``."""
 COLD_SLACK_MAX = 100_000.0
+"""Requests within one second."""
 RETRY_RATIO_MAX = 10.0
+"""Retries per request."""
 RETRY_SLACK_MAX = 1_000_000.0
+"""Retries within one window."""
 RETRY_WINDOW_SECONDS_MIN = 0.1
 RETRY_WINDOW_SECONDS_MAX = 600.0
 PARTS_INTERVAL_SECONDS_MIN = 0.1
@@ -35,7 +41,7 @@
 
 
 def check_settings(settings: Settings, location: str) -> None:
-    """Check the rules that single values cannot show to be met.
+    """Check the bounds of numbers and the rules that involve several settings.
 
     Raises:
         SettingError: the first violated rule.
--- a/tests/platform/test_random_restores.py
+++ b/tests/platform/test_random_restores.py
@@ -195,7 +195,7 @@
             node.client.disconnected = False
 
 
-class ReturnsInSeriesTest(unittest.TestCase):
+class RandomRestoresTest(unittest.TestCase):
     def check_order(self, node: FleetNode) -> None:
         self.assertEqual(node.versions, sorted(node.versions), node.name)
         self.assertEqual(node.list_numbers, sorted(node.list_numbers), node.name)
--- a/tests/platform/test_restored_evacuations.py
+++ b/tests/platform/test_restored_evacuations.py
@@ -14,7 +14,7 @@
 """Seconds until another node takes over reading from a stopped one."""
 
 
-class ReturnedEvacuationsTest(unittest.IsolatedAsyncioTestCase):
+class RestoredEvacuationsTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.fleet = RestoredFleet()
         self.store = self.fleet.store
--- a/tests/platform/test_restored_store.py
+++ b/tests/platform/test_restored_store.py
@@ -1,9 +1,10 @@
 """The store is restored from a copy that is some seconds old, and its era rises by one.
 
 After a restore, the store assigns the revisions since the copy again, to other writes. Without
-eras, a reader that continued from its cursor permanently missed the writes between the copy and
-the cursor; its next lists had lower numbers than earlier ones, so no node accepted them; and an
-evacuation that began after the restore had a lower number than the one before it.
+eras, a reader that continued from the last revision it had read permanently missed the writes
+between the copy and that revision; its next lists had lower numbers than earlier ones, so no node
+accepted them; and an evacuation that began after the restore had a lower number than the one
+before it.
 """
 
 import unittest
@@ -13,7 +14,7 @@
 from tests.platform.restored_fleet import SINGLE_READER_PROFILE, RestoredFleet, configuration, entry
 
 
-class ReturnedStoreTest(unittest.IsolatedAsyncioTestCase):
+class RestoredStoreTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         await self.start_fleet(SINGLE_READER_PROFILE)
 
@@ -45,7 +46,7 @@
         return [node.evacuated for node in self.nodes]
 
     async def test_writes_after_the_restore_are_read(self) -> None:
-        """New writes pass the cursor before the next read, so the store does not return 410."""
+        """New writes pass the last revision read, so the store does not return status 410."""
         copy = self.store.snapshot()
         self.store.put("servers/i-4", entry(4))
         await self.fleet.run(1.0)
--- a/tests/platform/test_starts_after_restore.py
+++ b/tests/platform/test_starts_after_restore.py
@@ -17,7 +17,7 @@
 HOLD_SECONDS = RestoredFleet.hold_after_return
 
 
-class StartsAfterReturnTest(unittest.IsolatedAsyncioTestCase):
+class StartsAfterRestoreTest(unittest.IsolatedAsyncioTestCase):
     async def start_fleet(self, profile: TimingProfile, era: int | None = 0) -> StoreSnapshot:
         """Start a fleet, and return a copy of the store without the following changes.
 
