--- a/src/pewtertack/lab/fleet/plan.py
+++ b/src/pewtertack/lab/fleet/plan.py
@@ -33,7 +33,9 @@
     profile: str = "fast"
     capacity: Capacity = Capacity()
     machine_list_lag: float = 1.0
+    """Time until a change of the machine list becomes visible."""
     reader_limit: int = 32
+    """Limit on concurrent reads of each platform service."""
     has_relay: bool = True
     separate_backends: bool = False
     """Whether each back end has its own process rather than each service."""
--- a/tests/lab/soak/test_connection.py
+++ b/tests/lab/soak/test_connection.py
@@ -62,8 +62,9 @@
         """Return the results of requests and whether the connection may be used again."""
         async with connection_to(server) as connection:
             with anyio.fail_after(60):
-                result = await connection.send_calls([Call(NEW_CALL, name) for name in request_ids])
-            return result, connection.usable
+                calls = [Call(NEW_CALL, request_id) for request_id in request_ids]
+                results = await connection.send_calls(calls)
+            return results, connection.usable
 
     async def test_responses_in_order_leave_connection_usable(self) -> None:
         async def server(stream: anyio.abc.SocketStream) -> None:
@@ -71,9 +72,9 @@
             await stream.send(make_response("r1") + make_response("r2"))
             await anyio.sleep_forever()
 
-        result, usable = await self.send_calls(server, "r1", "r2")
-        self.assertEqual([line.outcome for line in result], [CallOutcome.ANSWERED] * 2)
-        self.assertTrue(all(line.checksum_ok and line.own_answer for line in result))
+        results, usable = await self.send_calls(server, "r1", "r2")
+        self.assertEqual([result.outcome for result in results], [CallOutcome.ANSWERED] * 2)
+        self.assertTrue(all(result.checksum_ok and result.own_answer for result in results))
         self.assertTrue(usable)
 
     async def test_response_to_another_request_is_detected(self) -> None:
--- a/tests/lab/soak/test_soak.py
+++ b/tests/lab/soak/test_soak.py
@@ -4,10 +4,11 @@
 a surge of callers, faults of the source, and its restores from older copies. The fleet is the
 smallest in which two nodes may stop at once.
 
-This guards against long responses that break off midway: a back end had responded, and the response
-waited in the link queue of its gateway until the drain of a stopping node ended, the caller's or
-the gateway's, which cut it. The history then shows the end of the execution, the SIGTERM, directly
-after it `REQUEST_CUT` at the caller's node, and a ``told`` line with the number of bytes received.
+This guards against long responses that break off midway: a back end had responded, the response
+still waited in the link queue of its gateway, and a stopping node, the caller's or the gateway's,
+cut it at the end of its drain. The history then shows the end of the execution, the SIGTERM,
+directly after it `REQUEST_CUT` at the caller's node, and a ``told`` line with the number of bytes
+received.
 """
 
 import os
