--- a/tests/cli/test_lab_verification.py
+++ b/tests/cli/test_lab_verification.py
@@ -20,7 +20,7 @@
         self.addCleanup(directory.cleanup)
         self.history = Path(directory.name) / "history.jsonl"
         schedule = Schedule(seed=1, steps=(EditTree(valid=False, wait=1.0),), nodes=4, zones=2)
-        lines = [encode_record(line) for line in run_schedule(schedule).lines]  # type: ignore[arg-type]
+        lines = [encode_record(line) for line in run_schedule(schedule).history]  # type: ignore[arg-type]
         self.history.write_bytes(b"\n".join(lines))
 
     def check(self, *arguments: str) -> tuple[int, str]:
