--- a/tests/node/gateway/test_cold_and_evacuated.py
+++ b/tests/node/gateway/test_cold_and_evacuated.py
@@ -143,8 +143,8 @@
         await self.wait_until(lambda: backend.query_count == 1)
         await self.calls(address, 10)
         backend.cold_milliseconds = "60000"
-        asked = backend.query_count
-        await self.wait_until(lambda: backend.query_count > asked)
+        former_count = backend.query_count
+        await self.wait_until(lambda: backend.query_count > former_count)
         await asyncio.sleep(1.1)  # the requests it got while warm are a second old
         backend.requests.clear()
         await self.calls(address, 40)
--- a/tests/node/http/test_server.py
+++ b/tests/node/http/test_server.py
@@ -81,11 +81,11 @@
         accept = socket.socket.accept
         attempts: list[float] = []
 
-        def accept_on_third_attempt(bound: socket.socket) -> Any:
+        def accept_on_third_attempt(listener: socket.socket) -> Any:
             attempts.append(asyncio.get_running_loop().time())
             if len(attempts) < 3:
                 raise OSError(errno.EMFILE, "too many open files")
-            return accept(bound)
+            return accept(listener)
 
         with (
             mock.patch.object(socket.socket, "accept", accept_on_third_attempt),
--- a/tests/node/http/test_server_stop.py
+++ b/tests/node/http/test_server_stop.py
@@ -174,8 +174,8 @@
         caller.sendall(REQUEST)
         self.assertIn(b" 200 ", await asyncio.to_thread(caller.recv, 4096))
         head = f"POST /read HTTP/1.1\r\nhost: a\r\ncontent-length: {BODY_BYTES}\r\n\r\n"
-        whole = head.encode() + b"p" * BODY_BYTES + REQUEST
-        sending = threading.Thread(target=caller.sendall, args=(whole,))
+        requests = head.encode() + b"p" * BODY_BYTES + REQUEST
+        sending = threading.Thread(target=caller.sendall, args=(requests,))
         sending.start()
         time.sleep(0.1)  # the event loop reads nothing during this time
         self.server.should_exit = True
--- a/tests/node/test_gateway_stop_and_long_answers.py
+++ b/tests/node/test_gateway_stop_and_long_answers.py
@@ -4,8 +4,8 @@
 node, although another gateway could have sent it in time. Responses for several callers used to
 leave the link queue one after another without regard for the end of the shutdown, so the last one
 started shortly before it and was cut. A caller's node relays a response once it has 64 KiB of it,
-and then cannot get it from another gateway any more. The gateway's log shows the end of the back
-end's response within 0.1 s; the caller's node logs the cut at the end of the gateway's shutdown.
+and then cannot get it from another gateway any more. The back end had completed its response within
+0.1 s.
 """
 
 import signal
--- a/tests/node/test_graceful_shutdown.py
+++ b/tests/node/test_graceful_shutdown.py
@@ -192,7 +192,7 @@
         self.assertEqual(self.ran, ["/1"])
 
     async def test_a_shutdown_without_notice_ends_in_time(self) -> None:
-        """Guards against final responses cut by a platform that kills the process in time.
+        """Guards against final responses cut when the platform kills the process at its limit.
 
         The 0.5 s in which peers learn of the shutdown used to be added to the drain time of 2.7 s.
         """
--- a/tests/node/test_stop_and_long_answers.py
+++ b/tests/node/test_stop_and_long_answers.py
@@ -3,9 +3,8 @@
 Guards against a download cut in the middle although its back end had answered within 0.1 s. The
 response waited in the link queue of the back end's node, behind responses for other nodes; at the
 end of its shutdown the caller's node closed the connection, or answered with an unknown outcome.
-Only the node that shut down knew when that would end. The gateway's log shows the end of the back
-end's response long before, then nothing until the request is cancelled at that time; once the
-gateway is informed of it, it sends the same response in time.
+Only the node that shut down knew when that would end. So it notifies the gateway of that time, and
+the gateway sends the response before it.
 """
 
 import asyncio
