--- a/src/pewtertack/lab/soak/callers.py
+++ b/src/pewtertack/lab/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep their connections until the process is gone, and press on a full fleet."""
+"""Callers with persistent connections, which put a closed-loop load on a fleet."""
 
 from __future__ import annotations
 
@@ -15,30 +15,30 @@
 from pewtertack.lab.soak.lag import LagMeter
 from pewtertack.lab.soak.mix import MixedRequestGenerator, RequestGenerator
 
-RECONNECT_SECONDS = 0.2
+RECONNECT_DELAY_SECONDS = 0.2
 Recorder = Callable[[CallResult], None]
 
 
 class PersistentCaller:
-    """One caller of one node, in a closed loop over one connection at a time.
+    """One caller of one node, which sends requests in a closed loop over one connection at a time.
 
     Args:
         target: the node.
         mix: the kinds of calls.
-        prefix: begins each request's id; unique for the run.
-        seed: decides on the requests and the pauses between them.
-        kind: draws the requests.
-        lag: measures this process's delays.
-        record: takes what the caller was told.
+        prefix: prefix of the request ids, unique in the run.
+        seed: determines the requests and the pauses between them.
+        generator_type: generates the requests.
+        lag: measures the lag of this process's event loop.
+        record: called with the result of each request.
     """
 
     __slots__ = (
-        "_begun",
+        "_call_count",
         "_lag",
         "_prefix",
         "_random",
         "_record",
-        "_requests",
+        "_generator",
         "_target",
         "stopping",
     )
@@ -49,41 +49,41 @@
         mix: Sequence[CallKind],
         prefix: str,
         seed: str,
-        kind: type[RequestGenerator],
+        generator_type: type[RequestGenerator],
         lag: LagMeter,
         record: Recorder,
     ) -> None:
         self._target = target
         self._prefix = prefix
         self._random = random.Random(seed)
-        self._requests = kind(mix, self._random)
+        self._generator = generator_type(mix, self._random)
         self._lag = lag
         self._record = record
-        self._begun = 0
+        self._call_count = 0
         self.stopping = False
-        """Set to begin no further request."""
+        """Set to send no further request."""
 
     async def run(self) -> None:
-        """Ask, and connect anew whenever the connection has ended."""
+        """Send requests until ``stopping``; reconnect whenever the connection has ended."""
         while not self.stopping:
-            pause = self._requests.reading_pause()
-            connection = await connect(self._target, self._lag, pause)
+            read_pause = self._generator.read_pause()
+            connection = await connect(self._target, self._lag, read_pause)
             if connection is not None:
-                await self._use(connection)
+                await self._send_over(connection)
                 await connection.close()
-            await anyio.sleep(RECONNECT_SECONDS)
+            await anyio.sleep(RECONNECT_DELAY_SECONDS)
 
-    async def _use(self, connection: PersistentConnection) -> None:
-        while not self.stopping and connection.usable and not connection.ended:
-            for told in await connection.ask(self._next_calls()):
-                self._record(told)
-            await anyio.sleep(self._random.expovariate(1 / self._requests.think_seconds))
+    async def _send_over(self, connection: PersistentConnection) -> None:
+        while not self.stopping and connection.usable and not connection.is_stale:
+            for result in await connection.send_calls(self._next_calls()):
+                self._record(result)
+            await anyio.sleep(self._random.expovariate(1 / self._generator.think_seconds))
 
     def _next_calls(self) -> list[Call]:
         calls = []
-        for kind in self._requests.draw():
-            self._begun += 1
-            calls.append(Call(kind, f"{self._prefix}-{self._begun}"))
+        for call_kind in self._generator.next_requests():
+            self._call_count += 1
+            calls.append(Call(call_kind, f"{self._prefix}-{self._call_count}"))
         return calls
 
 
@@ -92,8 +92,8 @@
 
     Args:
         targets: the nodes.
-        callers: how many call each.
-        mix, seed, prefix, record, kind: as of `PersistentCaller`.
+        callers: the number of callers of each node.
+        mix, seed, prefix, record, generator_type: as for `PersistentCaller`.
     """
 
     __slots__ = ("_callers", "_lag")
@@ -106,7 +106,7 @@
         seed: int,
         prefix: str,
         record: Recorder,
-        kind: type[RequestGenerator] = MixedRequestGenerator,
+        generator_type: type[RequestGenerator] = MixedRequestGenerator,
     ) -> None:
         self._lag = LagMeter()
         self._callers = [
@@ -115,7 +115,7 @@
                 mix,
                 f"{prefix}-{target.name}-{index}",
                 f"{seed}:{prefix}:{target.name}:{index}",
-                kind,
+                generator_type,
                 self._lag,
                 record,
             )
@@ -124,15 +124,15 @@
         ]
 
     async def run(self) -> None:
-        """Call until SIGTERM; finish what was begun."""
+        """Send requests until SIGTERM, then wait for those in flight."""
         with anyio.open_signal_receiver(signal.SIGTERM) as signals:
-            async with anyio.create_task_group() as measuring:
-                measuring.start_soon(self._lag.run)
-                async with anyio.create_task_group() as calling:
+            async with anyio.create_task_group() as lag_task_group:
+                lag_task_group.start_soon(self._lag.run)
+                async with anyio.create_task_group() as caller_task_group:
                     for caller in self._callers:
-                        calling.start_soon(caller.run)
+                        caller_task_group.start_soon(caller.run)
                     async for _ in signals:
                         break
                     for caller in self._callers:
                         caller.stopping = True
-                measuring.cancel_scope.cancel()
+                lag_task_group.cancel_scope.cancel()
