--- a/src/pewtertack/cli/lab_convergence.py
+++ b/src/pewtertack/cli/lab_convergence.py
@@ -7,7 +7,7 @@
 
 import typer
 
-DEFAULT_ANSWERS = [0.004, 1.0, 4.0]
+DEFAULT_RESPONSE_SECONDS = [0.004, 1.0, 4.0]
 
 
 def convergence(
@@ -15,7 +15,7 @@
     routes: Annotated[list[int], typer.Option(help="Added routes; repeatable.")] = [1400],  # noqa: B006
     answer: Annotated[
         list[float], typer.Option(help="Seconds until the source responds; repeatable.")
-    ] = DEFAULT_ANSWERS,
+    ] = DEFAULT_RESPONSE_SECONDS,
     link: Annotated[
         list[float], typer.Option(help="Mbit/s of each machine's link, 0 for no limit; repeatable.")
     ] = [0.0],  # noqa: B006
--- a/src/pewtertack/errors.py
+++ b/src/pewtertack/errors.py
@@ -41,7 +41,7 @@
 
 
 class ReadFailure(StrEnum):
-    """Why a read of the configuration source or the machine list gave no usable answer."""
+    """Why a read of the configuration source or the machine list gave no usable response."""
 
     NO_CONNECTION = "no-connection"
     """No connection could be established."""
@@ -60,7 +60,7 @@
 
 
 class PlatformError(PewtertackError):
-    """The configuration source or the machine list gave no usable answer."""
+    """The configuration source or the machine list gave no usable response."""
 
     code: ClassVar[str] = "platform-error"
 
--- a/src/pewtertack/lab/disabled_mechanisms.py
+++ b/src/pewtertack/lab/disabled_mechanisms.py
@@ -211,7 +211,7 @@
 
 
 def _ignore_eras() -> None:
-    """Ignore the era in answers, as if revisions never decreased by a restore of the source."""
+    """Ignore the era in responses, as if revisions never decreased by a restore of the source."""
 
     def make_update(_: object) -> Callable[..., None]:
         return lambda era, now, value, sent_in, new_connection: None
--- a/src/pewtertack/platform/store.py
+++ b/src/pewtertack/platform/store.py
@@ -140,12 +140,12 @@
     ) -> DocumentRead | DocumentUnchanged | DocumentReadFailed:
         """Perform one read; every failure is returned as ``DocumentReadFailed``."""
         try:
-            answer = await self._read(effect, self._mirrors[effect.kind])
+            result = await self._read(effect, self._mirrors[effect.kind])
         except PlatformError as error:
             reason = f"{error.code}: {error}"
-            answer = DocumentReadFailed(effect.kind, reason, failure=error.failure)
+            result = DocumentReadFailed(effect.kind, reason, failure=error.failure)
         findings, seconds, self._last_seconds = self._era.pop_findings(), self._last_seconds, None
-        return msgspec.structs.replace(answer, answer_findings=findings, answer_seconds=seconds)
+        return msgspec.structs.replace(result, answer_findings=findings, answer_seconds=seconds)
 
     async def _read(
         self, effect: ReadDocument, mirror: Mirror
@@ -236,31 +236,31 @@
         )
         sent_in_era = self._era.known
         try:
-            answer = await self._client.get(path, timeouts)
+            response = await self._client.get(path, timeouts)
         except ServiceUnreachableError as error:
             raise StoreUnreachableError(str(error), error.failure) from error
-        if answer.head_seconds >= wait:
-            self._last_seconds = answer.head_seconds - wait
-        self._note_era(answer, sent_in_era)
-        if answer.status == STATUS_HISTORY_GONE:
+        if response.head_seconds >= wait:
+            self._last_seconds = response.head_seconds - wait
+        self._note_era(response, sent_in_era)
+        if response.status == STATUS_HISTORY_GONE:
             raise _HistoryGoneError("items must be listed again")
-        if answer.status in BUSY_STATUSES:
-            raise StoreBusyError(f"status {answer.status}")
-        if answer.status != STATUS_OK:
-            raise StoreStatusError(f"status {answer.status}")
-        return answer.body
+        if response.status in BUSY_STATUSES:
+            raise StoreBusyError(f"status {response.status}")
+        if response.status != STATUS_OK:
+            raise StoreStatusError(f"status {response.status}")
+        return response.body
 
-    def _note_era(self, answer: ServiceResponse, sent_in_era: int | None) -> None:
+    def _note_era(self, response: ServiceResponse, sent_in_era: int | None) -> None:
         """Process the era of a response; others than the store may have sent errors.
 
         Raises:
             SourceEraError: the response must not be used.
         """
-        value = answer.header(ERA_HEADER.lower().encode())
-        if value is None and answer.status not in STORE_STATUSES:
+        value = response.header(ERA_HEADER.lower().encode())
+        if value is None and response.status not in STORE_STATUSES:
             return
         try:
-            self._era.update(self._now(), value, sent_in_era, answer.new_connection)
+            self._era.update(self._now(), value, sent_in_era, response.new_connection)
         except SourceEraError:
             self._client.close()  # the next requests use new connections
             raise
--- a/src/pewtertack/tree_files.py
+++ b/src/pewtertack/tree_files.py
@@ -1,4 +1,7 @@
-"""Reads configuration trees from TOML and JSON files; nothing else reads a tree from disk."""
+"""Reads the trees given to ``check``, ``explain`` and ``diff`` from TOML and JSON files.
+
+The lab reads the trees of its deployments with ``pewtertack.lab.deployments.read_tree``.
+"""
 
 from __future__ import annotations
 
