--- a/tests/platform/test_restored_evacuations.py
+++ b/tests/platform/test_restored_evacuations.py
@@ -10,6 +10,7 @@
 from tests.platform.restored_fleet import RestoredFleet, configuration, entry
 
 PROPAGATION_SECONDS = 1.5
+"""Seconds until a write has reached all nodes."""
 TAKEOVER_SECONDS = 2.0
 """Seconds until another node takes over reading from a stopped one."""
 
@@ -40,7 +41,7 @@
         return [set(node.evacuated) for node in self.fleet.nodes]
 
     async def check_evacuated_zones(self, zones: set[str]) -> None:
-        """Check for two seconds that all three nodes have exactly these evacuations."""
+        """Check every 0.1 s for two seconds that all three nodes have exactly these evacuations."""
         for _ in range(20):
             await self.fleet.run(0.1)
             self.assertEqual(self.evacuated(), [zones] * 3)
--- a/tests/platform/test_watches_during_restore.py
+++ b/tests/platform/test_watches_during_restore.py
@@ -1,4 +1,4 @@
-"""Both watches are in flight over real connections when the store is restored."""
+"""Both watches are in flight over real connections, in either order, during a restore."""
 
 from typing import Any
 
