--- a/src/pewtertack/lab/cost/requests.py
+++ b/src/pewtertack/lab/cost/requests.py
@@ -62,7 +62,7 @@
 
     part: str
     microseconds: float
-    function_calls: float | None = None
+    functions: float | None = None
     """Number of function calls, if they were counted; counting increases the processor time."""
 
 
@@ -295,7 +295,7 @@
         (
             cost.part,
             f"{cost.microseconds:.1f}",
-            f"{cost.function_calls:.0f}" if cost.function_calls is not None else "",
+            f"{cost.functions:.0f}" if cost.functions is not None else "",
         )
         for cost in costs
     ]
--- a/tests/node/test_hop_cost.py
+++ b/tests/node/test_hop_cost.py
@@ -19,7 +19,7 @@
     def function_calls_of(self, kind: CallKind) -> float:
         settings = RequestCostSettings(calls=CALLS, kinds=(kind,), profile=True)
         costs, _ = measure_request_costs(settings)
-        function_calls = costs[0].function_calls
+        function_calls = costs[0].functions
         assert function_calls is not None
         return function_calls
 
